--- /dev/null
+++ b/coordination/chain/golden_test.go
@@ -0,0 +1,21 @@
+package chain
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden files were written at b99a1ea: what is stored and sent keeps its bytes whatever the Go names are.
+func TestEncodingsOfStoredAndSentValuesDoNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "message", encode[Message], decode[Message])
+	wiretest.AssertEncoding(t, "fetch", encode[Fetch], decode[Fetch])
+	wiretest.AssertEncoding(t, "lesson", encode[Lesson], decode[Lesson])
+	wiretest.AssertEncoding(t, "proposal", encode[Proposal], decode[Proposal])
+}
+
+func encode[T any](value T) ([]byte, error) { return cbor.Marshal(value) }
+
+func decode[T any](data []byte, value *T) error { return cbor.Unmarshal(data, value) }
--- /dev/null
+++ b/coordination/view/golden_test.go
@@ -0,0 +1,20 @@
+package view
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden files were written at b99a1ea: what is stored and sent keeps its bytes whatever the Go names are.
+func TestEncodingsOfStoredAndSentValuesDoNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "durable", encode[Durable], decode[Durable])
+	wiretest.AssertEncoding(t, "message", encode[Message], decode[Message])
+	wiretest.AssertEncoding(t, "ping", encode[Ping], decode[Ping])
+}
+
+func encode[T any](value T) ([]byte, error) { return cbor.Marshal(value) }
+
+func decode[T any](data []byte, value *T) error { return cbor.Unmarshal(data, value) }
--- /dev/null
+++ b/golden_test.go
@@ -0,0 +1,15 @@
+package linnetlift
+
+import (
+	"encoding/json"
+	"testing"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden file was written at b99a1ea: what one process has learned is recalled by the next one.
+func TestEncodingOfLearnedFiguresDoesNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "memory",
+		func(value memory) ([]byte, error) { return json.Marshal(value) },
+		func(data []byte, value *memory) error { return json.Unmarshal(data, value) })
+}
--- /dev/null
+++ b/internal/control/cluster/golden_test.go
@@ -0,0 +1,21 @@
+package cluster
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden files were written at b99a1ea: commands stand in logs, and the state in snapshots, of every control machine.
+func TestEncodingsOfCommandsUpdatesAndSnapshotsDoNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "command", encode[Command], decode[Command])
+	wiretest.AssertEncoding(t, "update", encode[Update], decode[Update])
+	wiretest.AssertEncoding(t, "result", encode[Result], decode[Result])
+	wiretest.AssertEncoding(t, "state", encode[State], decode[State])
+}
+
+func encode[T any](value T) ([]byte, error) { return cbor.Marshal(value) }
+
+func decode[T any](data []byte, value *T) error { return cbor.Unmarshal(data, value) }
--- /dev/null
+++ b/internal/control/link/golden_test.go
@@ -0,0 +1,25 @@
+package link
+
+import (
+	"errors"
+	"testing"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden files were written at b99a1ea: messages between processes of mixed versions keep their bytes.
+func TestEncodingsOfMessagesDoNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "hello", encode[Hello], decode[Hello])
+	wiretest.AssertEncoding(t, "up", encode[Up], decode[Up])
+	wiretest.AssertEncoding(t, "down", encode[Down], decode[Down])
+	wiretest.AssertEncoding(t, "peer", encode[Peer], decode[Peer])
+}
+
+func encode[T any](value T) ([]byte, error) { return Encode(value), nil }
+
+func decode[T any](data []byte, value *T) error {
+	if !Decode(data, value) {
+		return errors.New("the message cannot be decoded")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/control/server/golden_test.go
@@ -0,0 +1,21 @@
+package server
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/sebdah/goldie/v2"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden file was written at b99a1ea: operators' dashboards read these fields.
+func TestFieldsOfTheStatusDoNotChange(t *testing.T) {
+	var status Status
+	wiretest.Fill(&status)
+	text, err := json.MarshalIndent(status, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldie.New(t).Assert(t, "status", text)
+}
--- /dev/null
+++ b/internal/gossip/golden_test.go
@@ -0,0 +1,21 @@
+package gossip
+
+import (
+	"testing"
+	"time"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden file was written at b99a1ea: dispatchers of mixed versions exchange these datagrams.
+func TestEncodingOfDatagramsDoesNotChange(t *testing.T) {
+	sender, receiver := New(3, 9, 0x1234), New(4, 9, 1)
+	datagram := sender.Say(time.Second, []Word{{Subject: 0x010203, Slots: 2, Memory: 0.5}, {Subject: 7, Slots: 1.5, Memory: 3}})
+	wiretest.AssertBytes(t, "datagram", datagram)
+	if !receiver.Hear(time.Second, datagram) {
+		t.Fatal("the datagram is refused")
+	}
+	if got := receiver.Of(time.Second, 0x010203); got != (Told{Slots: 2, Memory: 0.5}) {
+		t.Errorf("the datagram is read as %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/keeper/golden_test.go
@@ -0,0 +1,22 @@
+package keeper
+
+import (
+	"testing"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden files were written at b99a1ea: commands stand in the coordinators' logs, the state in their snapshots and
+// exported backups, and results and news travel between processes of mixed versions.
+func TestEncodingsOfCommandsAndStateDoNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "command", encode[Command], decode[Command])
+	wiretest.AssertEncoding(t, "result", encode[Result], decode[Result])
+	wiretest.AssertEncoding(t, "news", encode[News], decode[News])
+	wiretest.AssertEncoding(t, "state", encode[State], decode[State])
+	wiretest.AssertEncoding(t, "members", encode[[]Member], decode[[]Member])
+	wiretest.AssertEncoding(t, "policy", encode[Policy], decode[Policy])
+}
+
+func encode[T any](value T) ([]byte, error) { return Encode(value) }
+
+func decode[T any](data []byte, value *T) error { return Decode(data, value) }
--- /dev/null
+++ b/internal/platform/golden_test.go
@@ -0,0 +1,15 @@
+package platform
+
+import (
+	"encoding/json"
+	"testing"
+
+	"linnetlift/internal/testing/wiretest"
+)
+
+// The golden file was written at b99a1ea: the list of workers as it is handed to the next process.
+func TestEncodingOfSavedWorkerListDoesNotChange(t *testing.T) {
+	wiretest.AssertEncoding(t, "saved_list",
+		func(value tableReply) ([]byte, error) { return json.Marshal(value) },
+		func(data []byte, value *tableReply) error { return json.Unmarshal(data, value) })
+}
--- /dev/null
+++ b/internal/quorum/golden_test.go
@@ -0,0 +1,80 @@
+package quorum
+
+import (
+	"compress/gzip"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"linnetlift/internal/keeper"
+)
+
+// writtenVersion is the version of the policy in force in testdata/keeper.db.gz.
+const writtenVersion = 45
+
+// unpackFolder lays the folder that a coordinator of b99a1ea has written, with a snapshot and a log behind it.
+func unpackFolder(t *testing.T) string {
+	t.Helper()
+	packed, err := os.Open("testdata/keeper.db.gz")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	reader, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	file, err := os.OpenFile(filepath.Join(dir, fileName), os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(file, reader); err != nil {
+		t.Fatal(err)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// What a coordinator of b99a1ea has stored is opened by today's, and goes on from there.
+func TestFolderWrittenBeforeTheRenamesIsOpened(t *testing.T) {
+	q, err := alone(t, unpackFolder(t), false, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer q.Close()
+	if v := version(t, q); v != writtenVersion {
+		t.Fatalf("version %d is in force, want %d", v, writtenVersion)
+	}
+	q.Look(func(s *keeper.State) {
+		if text := string(s.InForce().Text); text != "attempts = 45" {
+			t.Errorf("the policy in force is %q", text)
+		}
+	})
+	propose(t, q, writtenVersion+1)
+	if v := version(t, q); v != writtenVersion+1 {
+		t.Errorf("version %d is in force behind a proposal", v)
+	}
+}
+
+// The same folder serves as the backup from which a lost majority is restored.
+func TestFolderWrittenBeforeTheRenamesIsRestored(t *testing.T) {
+	const skip = 100
+	config := Config{Fleet: "f", Member: 2, Members: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: keeper.Config{Keep: 100}, Log: func(string) {}}
+	got, err := Restore(config, unpackFolder(t), skip, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Restored{From: 1, Entry: got.Entry, Term: got.Term, Version: writtenVersion, As: got.As, Generation: 2, Members: 1, Acked: got.Acked, Uncertain: got.Uncertain}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("restored (-want +got):\n%s", diff)
+	}
+	if got.As <= writtenVersion {
+		t.Errorf("the policy is restored as version %d, which is not above %d", got.As, writtenVersion)
+	}
+}
