--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -11,9 +11,9 @@
 	"runtime/debug"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/config"
-	"linnetlift/internal/wire"
+	"yardflow"
+	"yardflow/internal/config"
+	"yardflow/internal/wire"
 )
 
 func main() {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"linnetlift"
+	"yardflow"
 
-	"linnetlift/internal/config"
+	"yardflow/internal/config"
 )
 
 const testSettings = `{"Balancers": 2, "MyNumber": 1, "RoundMs": 5, "UnknownKey": {"x": [1]},
--- a/cmd/keeper/config.go
+++ b/cmd/keeper/config.go
@@ -14,9 +14,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/quorum"
+	"yardflow/internal/config"
+	"yardflow/internal/keeper"
+	"yardflow/internal/quorum"
 )
 
 type keeperConfig struct {
--- a/cmd/keeper/flow.go
+++ b/cmd/keeper/flow.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 func (c *calls) flowCommand() *cobra.Command {
--- a/cmd/keeper/limits.go
+++ b/cmd/keeper/limits.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/policy"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/keeper"
+	"yardflow/internal/policy"
+	"yardflow/internal/quota"
+	"yardflow/internal/verdict"
 )
 
 func (c *calls) limitsCommand() *cobra.Command {
--- a/cmd/keeper/main.go
+++ b/cmd/keeper/main.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 // The exit codes.
--- a/cmd/keeper/members.go
+++ b/cmd/keeper/members.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 func (c *calls) membersCommand() *cobra.Command {
--- a/cmd/keeper/policy.go
+++ b/cmd/keeper/policy.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/internal/policy"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/internal/policy"
 )
 
 func (c *calls) policyCommand() *cobra.Command {
--- a/cmd/keeper/serve.go
+++ b/cmd/keeper/serve.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetlift/internal/link"
-	"linnetlift/internal/quorum"
+	"yardflow/internal/link"
+	"yardflow/internal/quorum"
 )
 
 func serveCommand() *cobra.Command {
--- a/cmd/yard/main.go
+++ b/cmd/yard/main.go
@@ -17,11 +17,11 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/segment"
-	"linnetlift/internal/control/server"
-	"linnetlift/internal/dataplane"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/segment"
+	"yardflow/internal/control/server"
+	"yardflow/internal/dataplane"
+	"yardflow/internal/settings"
 )
 
 // version is the system's version.
--- a/cmd/yardflow/deploy_test.go
+++ b/cmd/yardflow/deploy_test.go
@@ -27,7 +27,7 @@
 	}
 	var built []string
 	for _, p := range strings.Fields(string(out)) {
-		if p, ok := strings.CutPrefix(p, "linnetlift/"); ok {
+		if p, ok := strings.CutPrefix(p, "yardflow/"); ok {
 			built = append(built, p)
 		}
 	}
--- a/cmd/yardflow/door.go
+++ b/cmd/yardflow/door.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 var errStarting = errors.New("starting")
--- a/cmd/yardflow/endings_test.go
+++ b/cmd/yardflow/endings_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/standin/script"
+	"yardflow/internal/config"
+	"yardflow/internal/standin/script"
 )
 
 // A request that is half written when SIGTERM comes, and one that comes behind it on the same
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -41,9 +41,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/invariant"
-	"linnetlift/internal/standin/roster"
+	"yardflow/internal/config"
+	"yardflow/internal/invariant"
+	"yardflow/internal/standin/roster"
 )
 
 const (
--- a/cmd/yardflow/main.go
+++ b/cmd/yardflow/main.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/haproxy"
-	"linnetlift/internal/invariant"
+	"yardflow/internal/config"
+	"yardflow/internal/haproxy"
+	"yardflow/internal/invariant"
 )
 
 func main() {
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/console"
-	"linnetlift/internal/haproxy"
+	"yardflow/internal/config"
+	"yardflow/internal/console"
+	"yardflow/internal/haproxy"
 )
 
 const job = "POST /issue-loan HTTP/1.1\nHost: h\nX-Request-ID: %s\nX-Priority-Class: issue-loan\nX-Tenant-Id: univ-vltava\nX-Timeout: 5\n\nx"
--- a/cmd/yardflow/share.go
+++ b/cmd/yardflow/share.go
@@ -7,7 +7,7 @@
 	"log"
 	"slices"
 
-	"linnetlift/internal/console"
+	"yardflow/internal/console"
 )
 
 // sockets parts the descriptors that one of n processes may hold: a few in
--- a/cmd/yardflow/signals_test.go
+++ b/cmd/yardflow/signals_test.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"testing"
 
-	"linnetlift/internal/standin/roster"
-	"linnetlift/internal/standin/script"
+	"yardflow/internal/standin/roster"
+	"yardflow/internal/standin/script"
 )
 
 // asProgram is set for the test's own binary when it is to run as the program.
--- a/cmd/yardflow/sources_test.go
+++ b/cmd/yardflow/sources_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/standin/dnsd"
+	"yardflow/internal/config"
+	"yardflow/internal/standin/dnsd"
 )
 
 // named gives the stage a DNS server, and an operator's file that follows it.
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/steps.go
@@ -11,13 +11,13 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/internal/policy"
-	"linnetlift/internal/serve/flows"
+	"yardflow/internal/config"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/internal/policy"
+	"yardflow/internal/serve/flows"
 )
 
 // weighFlows tells what keeps a policy's workflows from being run under a configuration; nil: nothing.
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden files were written at b99a1ea: what is stored and sent keeps its bytes whatever the Go names are.
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/pools"
+	"yardflow/internal/pools"
 )
 
 const (
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	fleet "linnetlift/internal/fleet/start/memory"
-	"linnetlift/internal/gossip"
+	fleet "yardflow/internal/fleet/start/memory"
+	"yardflow/internal/gossip"
 )
 
 const ms = time.Millisecond
--- a/example_test.go
+++ b/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // host is a scheduler's side of the library: it carries out what the
--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -13,8 +13,8 @@
 import (
 	"time"
 
-	"linnetlift/internal/fleet/grant"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/grant"
+	"yardflow/internal/keeper"
 )
 
 // Drift is the bound on how much faster or slower one monotonic clock runs than another.
--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // A lease holds from before it was asked for, less twice the drift, and is looked at when work
--- a/internal/accord/explore.go
+++ b/internal/accord/explore.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
 )
 
 // Fault is a mistake planted on purpose.
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -19,12 +19,12 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/invariant"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/timers"
-	"linnetlift/internal/verdict"
+	"yardflow"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/invariant"
+	"yardflow/internal/quota"
+	"yardflow/internal/timers"
+	"yardflow/internal/verdict"
 )
 
 // Margin is how long before a request's deadline its last attempt is ended:
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"linnetlift"
-	"linnetlift/internal/invariant"
+	"yardflow"
+	"yardflow/internal/invariant"
 )
 
 func settings() linnetlift.Settings {
--- a/internal/broker/budget.go
+++ b/internal/broker/budget.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/quota"
+	"yardflow"
+	"yardflow/internal/quota"
 )
 
 // Contract bounds what one team may ask for.
--- a/internal/broker/job.go
+++ b/internal/broker/job.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // Request is a job as the core knows it.
--- a/internal/broker/list.go
+++ b/internal/broker/list.go
@@ -9,10 +9,10 @@
 	"hash/fnv"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/invariant"
-	"linnetlift/internal/verdict"
+	"yardflow"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/invariant"
+	"yardflow/internal/verdict"
 )
 
 // Worker is one entry of the worker list.
--- a/internal/broker/room_test.go
+++ b/internal/broker/room_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/room"
-	"linnetlift/internal/standin/machine"
-	"linnetlift/internal/standin/worker"
+	"yardflow"
+	"yardflow/internal/room"
+	"yardflow/internal/standin/machine"
+	"yardflow/internal/standin/worker"
 )
 
 // Room is held through the broker, in virtual time, on stand-in workers: at half of
--- a/internal/broker/serve.go
+++ b/internal/broker/serve.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/invariant"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/verdict"
+	"yardflow"
+	"yardflow/internal/invariant"
+	"yardflow/internal/quota"
+	"yardflow/internal/verdict"
 )
 
 // decision is what the module decided next on one request.
--- a/internal/broker/sink.go
+++ b/internal/broker/sink.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/invariant"
+	"yardflow"
+	"yardflow/internal/invariant"
 )
 
 // sink carries out the module's actions. It runs in the owner's goroutine.
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -6,8 +6,8 @@
 import (
 	"cmp"
 
-	"linnetlift"
-	"linnetlift/internal/verdict"
+	"yardflow"
+	"yardflow/internal/verdict"
 )
 
 // Witness sets who notes what is seen of workers, by the clock of Limit. Before any request.
--- a/internal/broker/verdicts_test.go
+++ b/internal/broker/verdicts_test.go
@@ -6,9 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/verdict"
+	"yardflow"
+	"yardflow/internal/quota"
+	"yardflow/internal/verdict"
 )
 
 // A verdict holds for one life of a worker, a trial is one job and its outcome is said with its
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,7 +21,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // Config is all that a dispatcher is told at its start.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,9 +20,9 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"linnetlift/internal/membership"
-	"linnetlift/internal/room"
-	"linnetlift/internal/srv"
+	"yardflow/internal/membership"
+	"yardflow/internal/room"
+	"yardflow/internal/srv"
 )
 
 // Membership is how the sources of loan workers are merged.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // settings mirrors the keys of the start message that bear on decisions.
--- a/internal/control/cluster/bench_test.go
+++ b/internal/control/cluster/bench_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // script returns commands that carry jobs of four tasks through a cluster of 48 workers and 8 sessions.
--- a/internal/control/cluster/cluster.go
+++ b/internal/control/cluster/cluster.go
@@ -8,7 +8,7 @@
 import (
 	"slices"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // Session is a dispatcher's session.
--- a/internal/control/cluster/cluster_test.go
+++ b/internal/control/cluster/cluster_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // yard is a cluster with sessions and workers for tests.
--- a/internal/control/cluster/commands.go
+++ b/internal/control/cluster/commands.go
@@ -1,8 +1,8 @@
 package cluster
 
 import (
-	"linnetlift/internal/control/patch"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/patch"
+	"yardflow/scheduling/job"
 )
 
 // SessionID names a dispatcher's session: one life of its process, as long as it keeps in touch.
--- a/internal/control/cluster/configurations.go
+++ b/internal/control/cluster/configurations.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"crypto/sha256"
 
-	"linnetlift/internal/control/patch"
+	"yardflow/internal/control/patch"
 )
 
 // keptDigests is how many configurations are remembered as acknowledged: some minutes of changes in quick
--- a/internal/control/cluster/copies_test.go
+++ b/internal/control/cluster/copies_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // copies plays nodes whose commands reach the state at once, and again as copies at any later time, as by members that
--- a/internal/control/cluster/fuzz_test.go
+++ b/internal/control/cluster/fuzz_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // FuzzApply applies arbitrary commands to a cluster at work: an outcome, never a panic, and no worker over its room.
--- a/internal/control/cluster/gang_test.go
+++ b/internal/control/cluster/gang_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // TestEndsOfALargeGangAreFewUpdates: one good end stands for all of a gang, and each of the others tells only of itself.
--- a/internal/control/cluster/given_up_test.go
+++ b/internal/control/cluster/given_up_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // TestFailedEndOfAGivenUpRunCounts: a run that was given up turns out to have ended failed. It counts as an attempt,
--- a/internal/control/cluster/golden_test.go
+++ b/internal/control/cluster/golden_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden files were written at b99a1ea: commands stand in logs, and the state in snapshots, of every control machine.
--- a/internal/control/cluster/jobs.go
+++ b/internal/control/cluster/jobs.go
@@ -1,6 +1,6 @@
 package cluster
 
-import "linnetlift/scheduling/job"
+import "yardflow/scheduling/job"
 
 // submit accepts a job. One that is known already stays as it is.
 func (c *Cluster) submit(command *Submit) Result {
--- a/internal/control/cluster/late_test.go
+++ b/internal/control/cluster/late_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // stamped returns a command with the fences of a dispatcher's session.
--- a/internal/control/cluster/leaving_test.go
+++ b/internal/control/cluster/leaving_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // read takes in a reading of the platform's list.
--- a/internal/control/cluster/updates.go
+++ b/internal/control/cluster/updates.go
@@ -1,8 +1,8 @@
 package cluster
 
 import (
-	"linnetlift/internal/control/patch"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/patch"
+	"yardflow/scheduling/job"
 )
 
 // Update tells dispatchers what has changed; one field is set.
--- a/internal/control/cluster/workers.go
+++ b/internal/control/cluster/workers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // instances takes in what the reader has read. Only the present reader is heard.
--- a/internal/control/link/changes_test.go
+++ b/internal/control/link/changes_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sebdah/goldie/v2"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // bodyOf returns a configuration with so many routes, as operators write them.
--- a/internal/control/link/fuzz_test.go
+++ b/internal/control/link/fuzz_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/job"
 )
 
 // FuzzDecode hands arbitrary bytes to the decoders of inner messages; what can be read can be written again.
--- a/internal/control/link/golden_test.go
+++ b/internal/control/link/golden_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden files were written at b99a1ea: messages between processes of mixed versions keep their bytes.
--- a/internal/control/link/link.go
+++ b/internal/control/link/link.go
@@ -5,9 +5,9 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/cluster"
+	"yardflow/coordination/chain"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/cluster"
 )
 
 // Paths at a control machine's address.
--- a/internal/control/link/pack_test.go
+++ b/internal/control/link/pack_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 func TestPackedUpdatesComeInOrder(t *testing.T) {
--- a/internal/control/server/away_test.go
+++ b/internal/control/server/away_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"linnetlift/coordination/view"
+	"yardflow/coordination/view"
 )
 
 // viewed returns a resting server that has learned of a view of three other electors and, if it is one, itself.
--- a/internal/control/server/changes.go
+++ b/internal/control/server/changes.go
@@ -1,6 +1,6 @@
 package server
 
-import "linnetlift/internal/control/cluster"
+import "yardflow/internal/control/cluster"
 
 // keptChanges is how many changes of the configuration are kept for dispatchers that come back: those of some
 // seconds in which changes come in quick succession.
--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/coordination/segment"
+	"yardflow/coordination/chain"
+	"yardflow/coordination/segment"
 )
 
 // diskJob is one thing to make durable; done is called by the engine afterwards.
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -8,10 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
 )
 
 // Spans of connections with dispatchers.
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -11,13 +11,13 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/segment"
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/chain"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/segment"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
 )
 
 // Spans of the engine.
--- a/internal/control/server/fetch.go
+++ b/internal/control/server/fetch.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/link"
 )
 
 // fetchAgain is how long a lesson is waited for before it is asked for anew.
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden file was written at b99a1ea: operators' dashboards read these fields.
--- a/internal/control/server/head.go
+++ b/internal/control/server/head.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"linnetlift/coordination/segment"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/segment"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
 )
 
 // headTick ends sessions of dispatchers that are out of touch, and lets the state age.
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/frame"
+	"yardflow/internal/control/link"
 )
 
 // Spans of heartbeats.
--- a/internal/control/server/notices.go
+++ b/internal/control/server/notices.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rs/zerolog"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // logNotices writes what the state machine tells operators of. Of all replicas the head does so.
--- a/internal/control/server/operator.go
+++ b/internal/control/server/operator.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/configuration"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/configuration"
 )
 
 // Bounds of the operator's calls.
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
 )
 
 // Bounds of what is on its way to one dispatcher.
--- a/internal/control/server/outbox_test.go
+++ b/internal/control/server/outbox_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/scheduling/job"
 )
 
 func enter(o *outbox, update cluster.Update) { o.addUpdate(&update, link.Encode(update)) }
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -7,9 +7,9 @@
 
 	"github.com/juju/errors"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/link"
 )
 
 // Spans of connections among control machines.
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/segment"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/segment"
+	"yardflow/internal/settings"
 )
 
 // Process is a control process from its start on. While its disk refuses, as a full one does, it waits outside
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/internal/control/server"
-	"linnetlift/internal/emulator"
-	"linnetlift/internal/settings"
+	"yardflow/internal/control/server"
+	"yardflow/internal/emulator"
+	"yardflow/internal/settings"
 )
 
 func ask(handler http.Handler, path string) (int, server.Status) {
--- a/internal/control/server/requests.go
+++ b/internal/control/server/requests.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/chain"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
 )
 
 // request is a command on its way through the chain.
--- a/internal/control/server/server_test.go
+++ b/internal/control/server/server_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/coordination/frame"
-	"linnetlift/coordination/segment"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/chain"
+	"yardflow/coordination/frame"
+	"yardflow/coordination/segment"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/settings"
 )
 
 // resting returns a server whose engine does not run, so that a test can call what belongs to it.
--- a/internal/control/server/views.go
+++ b/internal/control/server/views.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"linnetlift/coordination/chain"
-	"linnetlift/coordination/view"
-	"linnetlift/internal/control/link"
+	"yardflow/coordination/chain"
+	"yardflow/coordination/view"
+	"yardflow/internal/control/link"
 )
 
 func (s *Server) installView(v view.View) {
--- a/internal/dataplane/config.go
+++ b/internal/dataplane/config.go
@@ -1,8 +1,8 @@
 package dataplane
 
 import (
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/configuration"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/configuration"
 )
 
 // setConfig takes in a configuration that is in force from now on. It is read by the next flush, so that of many
--- a/internal/dataplane/config_test.go
+++ b/internal/dataplane/config_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/patch"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/patch"
 )
 
 func configOf(version int64, routes int) []byte {
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -13,10 +13,10 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/settings"
-	"linnetlift/scheduling/job"
-	"linnetlift/scheduling/worker"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/settings"
+	"yardflow/scheduling/job"
+	"yardflow/scheduling/worker"
 )
 
 // deaf is a network on which nobody answers.
--- a/internal/dataplane/dispatcher.go
+++ b/internal/dataplane/dispatcher.go
@@ -9,14 +9,14 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/configuration"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
-	"linnetlift/scheduling/job"
-	"linnetlift/scheduling/placement"
-	"linnetlift/scheduling/wallclock"
+	"yardflow/coordination/frame"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/configuration"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
+	"yardflow/scheduling/job"
+	"yardflow/scheduling/placement"
+	"yardflow/scheduling/wallclock"
 )
 
 // tickEvery is the pace at which timers are looked at.
--- a/internal/dataplane/expected_test.go
+++ b/internal/dataplane/expected_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/settings"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/settings"
+	"yardflow/scheduling/job"
 )
 
 const expectedID = "0123456789abcdef"
--- a/internal/dataplane/intake.go
+++ b/internal/dataplane/intake.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/configuration"
-	"linnetlift/internal/settings"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/configuration"
+	"yardflow/internal/settings"
+	"yardflow/scheduling/job"
 )
 
 // Bounds of the clients' calls.
--- a/internal/dataplane/jobs.go
+++ b/internal/dataplane/jobs.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/job"
-	"linnetlift/scheduling/placement"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/job"
+	"yardflow/scheduling/placement"
 )
 
 // ownedJob is a job that this dispatcher schedules.
--- a/internal/dataplane/objective.go
+++ b/internal/dataplane/objective.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // chains returns for each step how long the longest chain of steps takes that begins with it, by the
--- a/internal/dataplane/reader.go
+++ b/internal/dataplane/reader.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/job"
 )
 
 // Bounds of reading the platform's list.
--- a/internal/dataplane/serve.go
+++ b/internal/dataplane/serve.go
@@ -8,8 +8,8 @@
 
 	"github.com/juju/errors"
 
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
 )
 
 // Spans of a stop in order.
--- a/internal/dataplane/stop_test.go
+++ b/internal/dataplane/stop_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
-	"linnetlift/scheduling/worker"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
+	"yardflow/scheduling/worker"
 )
 
 // TestCallsAreAnsweredBeforeTheStop: a call that waits for its outcome is told that there is none yet, before the
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/scheduling/placement"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/scheduling/placement"
 )
 
 // receiveUpdates takes in what the control machine tells.
--- a/internal/dataplane/uplink.go
+++ b/internal/dataplane/uplink.go
@@ -5,10 +5,10 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/frame"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
 )
 
 // Spans of the connection with the control machines.
--- a/internal/dataplane/uplink_test.go
+++ b/internal/dataplane/uplink_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/frame"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/internal/settings"
 )
 
 // idle returns a dispatcher whose engine does not run, so that a test can call what belongs to it.
--- a/internal/dataplane/workers.go
+++ b/internal/dataplane/workers.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/worker"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/worker"
 )
 
 // Bounds of calls to workers.
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 func (y *Yard) call(method, url, body string, within time.Duration, match string) (int, string) {
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"linnetlift/coordination/segment"
+	"yardflow/coordination/segment"
 )
 
 // Disk is a machine's disk. It keeps what was synced over a loss of power.
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // Judge sees what workers, clients and operators see, and notes each broken rule.
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 const (
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -8,7 +8,7 @@
 
 	"github.com/juju/errors"
 
-	"linnetlift/coordination/frame"
+	"yardflow/coordination/frame"
 )
 
 // Loopback connects the machines of a yard by real TCP on the loopback address, for demonstrations. It
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"linnetlift/coordination/frame"
+	"yardflow/coordination/frame"
 )
 
 // latency is the one-way delay between any two machines.
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"linnetlift/internal/control/server"
-	"linnetlift/internal/dataplane"
+	"yardflow/internal/control/server"
+	"yardflow/internal/dataplane"
 )
 
 // core is a control machine.
--- a/internal/emulator/slowlink_test.go
+++ b/internal/emulator/slowlink_test.go
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/control/cluster"
-	"linnetlift/internal/control/link"
-	"linnetlift/internal/control/server"
+	"yardflow/coordination/frame"
+	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/link"
+	"yardflow/internal/control/server"
 )
 
 // attach opens a session at a control machine, as a dispatcher without clients would, and keeps it until stop is closed.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // Worker is an emulated worker. It reports starts and ends to the judge.
--- a/internal/emulator/yard.go
+++ b/internal/emulator/yard.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"linnetlift/coordination/frame"
-	"linnetlift/internal/settings"
+	"yardflow/coordination/frame"
+	"yardflow/internal/settings"
 )
 
 // Shape says how large a yard is.
--- a/internal/fleet/flow/expand/expand.go
+++ b/internal/fleet/flow/expand/expand.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // State is how far one step of a flow is.
--- a/internal/fleet/flow/expand/grow.go
+++ b/internal/fleet/flow/expand/grow.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // settle looks at all that waits in the last item of a chain.
--- a/internal/fleet/flow/graph/graph.go
+++ b/internal/fleet/flow/graph/graph.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // Scope is one fan-out, or the flow itself (the first).
--- a/internal/fleet/flow/hand/hand.go
+++ b/internal/fleet/flow/hand/hand.go
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/grant"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/grant"
 )
 
 // stage is how far a claimed step is here.
--- a/internal/fleet/flow/hand/hand_test.go
+++ b/internal/fleet/flow/hand/hand_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/ledger"
 )
 
 // A claim whose answer is lost, or comes after a lapse, is asked for again although nothing else is
--- a/internal/fleet/flow/ledger/bench_test.go
+++ b/internal/fleet/flow/ledger/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // BenchmarkSteps claims, marks and ends steps of a wide flow, 64 a word.
--- a/internal/fleet/flow/ledger/claims.go
+++ b/internal/fleet/flow/ledger/claims.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/age"
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/age"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // Who names one life of a dispatcher.
--- a/internal/fleet/flow/ledger/command.go
+++ b/internal/fleet/flow/ledger/command.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/expand"
 )
 
 // Command is one of the commands below; just one of its parts is set.
--- a/internal/fleet/flow/ledger/ledger.go
+++ b/internal/fleet/flow/ledger/ledger.go
@@ -20,10 +20,10 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/age"
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/age"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // MostFlows are under way at the most; MostEnded are remembered after their end.
--- a/internal/fleet/flow/ledger/ledger_test.go
+++ b/internal/fleet/flow/ledger/ledger_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // bench is a ledger with one dispatcher that is always heard of.
--- a/internal/fleet/flow/ledger/show.go
+++ b/internal/fleet/flow/ledger/show.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/expand"
 )
 
 // mostViews is how many flows, or steps of one, are shown at the most.
--- a/internal/fleet/flow/ledger/staff.go
+++ b/internal/fleet/flow/ledger/staff.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/expand"
 )
 
 func (l *Ledger) flow(key string) (*Flow, error) {
--- a/internal/fleet/flow/storm/dispatchers.go
+++ b/internal/fleet/flow/storm/dispatchers.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"linnetlift/internal/fleet/flow/hand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/flow/hand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
 )
 
 // clock is a dispatcher's own.
--- a/internal/fleet/flow/storm/end.go
+++ b/internal/fleet/flow/storm/end.go
@@ -2,7 +2,7 @@
 
 // This file owns what must hold of a play when it is over.
 
-import "linnetlift/internal/fleet/flow/ledger"
+import "yardflow/internal/fleet/flow/ledger"
 
 // done tells whether all flows have ended, or wait for an operator.
 func (p *play) done(keys map[string]int) bool {
--- a/internal/fleet/flow/storm/faults.go
+++ b/internal/fleet/flow/storm/faults.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
 )
 
 // harm draws what goes wrong next.
--- a/internal/fleet/flow/storm/keepers.go
+++ b/internal/fleet/flow/storm/keepers.go
@@ -6,9 +6,9 @@
 	"bytes"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
 )
 
 func (p *play) tick() {
--- a/internal/fleet/flow/storm/storm.go
+++ b/internal/fleet/flow/storm/storm.go
@@ -14,10 +14,10 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/hand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/flow/hand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/keeper"
 )
 
 // Planted is a fault that is in the play on purpose.
--- a/internal/fleet/start/desk.go
+++ b/internal/fleet/start/desk.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/fleet/start/memory"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/fleet/start/turns"
+	"yardflow/internal/fleet/start/memory"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/fleet/start/turns"
 )
 
 // unfitAfter calls in a row that bring nothing, a reader gives its seat up.
--- a/internal/fleet/start/start.go
+++ b/internal/fleet/start/start.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/start/memory"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/fleet/start/turns"
+	"yardflow/internal/fleet/start/memory"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/fleet/start/turns"
 )
 
 // Settings are a policy's [start].
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden file was written at b99a1ea: dispatchers of mixed versions exchange these datagrams.
--- a/internal/haproxy/haproxy_test.go
+++ b/internal/haproxy/haproxy_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"linnetlift"
-	"linnetlift/internal/config"
+	"yardflow"
+	"yardflow/internal/config"
 )
 
 // What is imported is a configuration that the program takes, and every
--- a/internal/keeper/change.go
+++ b/internal/keeper/change.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/ops/fault"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/ops/fault"
 )
 
 func (s *State) say(c *Say) (r Result) {
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -6,13 +6,13 @@
 import (
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/ops/fault"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/ops/fault"
+	"yardflow/internal/quota"
+	"yardflow/internal/verdict"
 )
 
 // Command is one of the commands below; just one of its parts is set.
--- a/internal/keeper/flows.go
+++ b/internal/keeper/flows.go
@@ -9,8 +9,8 @@
 import (
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/start/relay"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/start/relay"
 )
 
 type flows struct{ quiet }
--- a/internal/keeper/golden_test.go
+++ b/internal/keeper/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden files were written at b99a1ea: commands stand in the coordinators' logs, the state in their snapshots and
--- a/internal/keeper/judges.go
+++ b/internal/keeper/judges.go
@@ -3,8 +3,8 @@
 // This file owns verdicts on workers as a part of the state.
 
 import (
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/verdict"
 )
 
 type judges struct{ quiet }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -28,11 +28,11 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/quota"
+	"yardflow/internal/verdict"
 )
 
 // Fence is what becomes of a dispatcher that holds no lease.
--- a/internal/keeper/limits.go
+++ b/internal/keeper/limits.go
@@ -2,7 +2,7 @@
 
 // This file owns the limits of the fleet as a part of the state.
 
-import "linnetlift/internal/quota"
+import "yardflow/internal/quota"
 
 type limits struct{ quiet }
 
--- a/internal/keeper/parts.go
+++ b/internal/keeper/parts.go
@@ -4,7 +4,7 @@
 // beside policies and leases, each with the same few moments. No part knows another, and the rest of
 // the state knows none of them but as a part.
 
-import "linnetlift/internal/fleet/start/relay"
+import "yardflow/internal/fleet/start/relay"
 
 // part is one of them, at each of its moments. Where a policy never had any, it does nothing.
 type part interface {
--- a/internal/keeper/starts.go
+++ b/internal/keeper/starts.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
 )
 
 type starts struct{ quiet }
--- a/internal/keeper/wire.go
+++ b/internal/keeper/wire.go
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/verdict"
 )
 
 // News is what a watch tells of: a hint, from a state that may be a little old, by which a holder
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
 )
 
 // Client calls keepers, another one where one does not answer.
--- a/internal/link/holder.go
+++ b/internal/link/holder.go
@@ -11,13 +11,13 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/timers"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/accord"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
+	"yardflow/internal/quota"
+	"yardflow/internal/timers"
+	"yardflow/internal/verdict"
 )
 
 // Hooks are what a holder does with policies.
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/accord"
+	"yardflow/internal/keeper"
 )
 
 const patience = 10 * time.Second
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/timers"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
+	"yardflow/internal/timers"
 )
 
 // Keepers is what a server offers: package quorum's part of it.
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden file was written at b99a1ea: a process hands its members to the one that takes over from it.
--- a/internal/ops/fault/walk_test.go
+++ b/internal/ops/fault/walk_test.go
@@ -12,10 +12,10 @@
 )
 
 // typed are the packages whose every error is a type with advice.
-var typed = []string{"linnetlift/internal/serve/...", "linnetlift/internal/fleet/...", "linnetlift/internal/workers/...", "linnetlift/internal/quota", "linnetlift/internal/ops/fault"}
+var typed = []string{"yardflow/internal/serve/...", "yardflow/internal/fleet/...", "yardflow/internal/workers/...", "yardflow/internal/quota", "yardflow/internal/ops/fault"}
 
 // listed are those whose types stand in the operators' table, too.
-var listed = append([]string{"linnetlift/internal/platform"}, typed...)
+var listed = append([]string{"yardflow/internal/platform"}, typed...)
 
 func load(t *testing.T, patterns []string) []*packages.Package {
 	t.Helper()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"linnetlift/internal/gossip"
+	"yardflow/internal/gossip"
 )
 
 // waiting is how many messages may wait to be sent.
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/invariant"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/invariant"
 )
 
 const (
--- a/internal/platform/endings_test.go
+++ b/internal/platform/endings_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/standin/script"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/standin/script"
 )
 
 // endings is a dispatcher's front on real connections, with one scripted worker behind it.
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
 )
 
 const (
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"linnetlift/internal/testing/wiretest"
+	"yardflow/internal/testing/wiretest"
 )
 
 // The golden file was written at b99a1ea: the list of workers as it is handed to the next process.
--- a/internal/platform/job.go
+++ b/internal/platform/job.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"net/url"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
 )
 
 // Job is a job that no client has asked for.
--- a/internal/platform/listfault.go
+++ b/internal/platform/listfault.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"linnetlift/internal/ops/fault"
+	"yardflow/internal/ops/fault"
 )
 
 // ListError is a call for the server table that brought no list.
--- a/internal/platform/move_test.go
+++ b/internal/platform/move_test.go
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/sources"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/sources"
 )
 
 // directory is discovery for many dispatchers: calls for the whole list are handled in
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -19,11 +19,11 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/cadence"
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/cadence"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
 )
 
 func testConfig() *config.Config {
--- a/internal/platform/relayed_test.go
+++ b/internal/platform/relayed_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
 )
 
 // transport is discovery as a function.
--- a/internal/platform/shared.go
+++ b/internal/platform/shared.go
@@ -9,9 +9,9 @@
 	"fmt"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/membership"
-	"linnetlift/internal/timers"
+	"yardflow"
+	"yardflow/internal/membership"
+	"yardflow/internal/timers"
 )
 
 // Turns says when discovery may be called: package start's Desk.
--- a/internal/platform/staleness_test.go
+++ b/internal/platform/staleness_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/config"
+	"yardflow/internal/config"
 )
 
 // The timer of a start may run before the start itself has ended the list's use, as it did once beside other work: no word
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
 )
 
 // Table follows discovery.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -13,10 +13,10 @@
 	"net/http"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/cadence"
-	"linnetlift/internal/ops/fault"
-	"linnetlift/internal/timers"
+	"yardflow"
+	"yardflow/internal/cadence"
+	"yardflow/internal/ops/fault"
+	"yardflow/internal/timers"
 )
 
 const (
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -14,10 +14,10 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
 )
 
 // quiet is discovery whose open watches fall silent once, at a moment, and which may go on saying
--- a/internal/platform/workerconns.go
+++ b/internal/platform/workerconns.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/config"
+	"yardflow"
+	"yardflow/internal/config"
 )
 
 // doubtTime is how long kept connections are not trusted with a request that
--- a/internal/policy/flow.go
+++ b/internal/policy/flow.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/fleet/flow/template"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/fleet/flow/template"
 )
 
 // Flow is one template of workflows.
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,12 +17,12 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/turns"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/room"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/turns"
+	"yardflow/internal/quota"
+	"yardflow/internal/room"
+	"yardflow/internal/verdict"
 )
 
 // form is the newest form of a document that this program knows; a build may be told less, to
--- a/internal/quorum/apply.go
+++ b/internal/quorum/apply.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // handle does what raft asks: durable first, then sent, then applied.
--- a/internal/quorum/ask.go
+++ b/internal/quorum/ask.go
@@ -8,7 +8,7 @@
 	"encoding/binary"
 	"time"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // Do has a command carried out, and returns its answer once a majority has it. Any keeper
--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // writtenVersion is the version of the policy in force in testdata/keeper.db.gz.
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // closeBehind is how few entries a learner may be behind to be given a say.
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -21,7 +21,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // Config is one keeper's.
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 func alone(t *testing.T, dir string, fresh bool, change func(*Config)) (*Quorum, error) {
--- a/internal/quorum/record.go
+++ b/internal/quorum/record.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // sealed puts a checksum before a record, by its key, so that one in another's place shows.
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // Restored is what came of a restore, for staff.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -20,7 +20,7 @@
 	"strconv"
 	"time"
 
-	"linnetlift/internal/fleet/grant"
+	"yardflow/internal/fleet/grant"
 )
 
 // Kind is what a limit counts.
--- a/internal/serve/flows/faults.go
+++ b/internal/serve/flows/faults.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"linnetlift/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/ledger"
 )
 
 // SettingsError is a step that this dispatcher's settings have no class, or no tenant, for.
--- a/internal/serve/flows/flows.go
+++ b/internal/serve/flows/flows.go
@@ -12,15 +12,15 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/fleet/flow/hand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/pool"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/ops/fault"
-	"linnetlift/internal/platform"
-	"linnetlift/internal/timers"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/fleet/flow/hand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/pool"
+	"yardflow/internal/keeper"
+	"yardflow/internal/ops/fault"
+	"yardflow/internal/platform"
+	"yardflow/internal/timers"
 )
 
 const (
--- a/internal/serve/flows/step.go
+++ b/internal/serve/flows/step.go
@@ -10,13 +10,13 @@
 	"slices"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/ops/fault"
-	"linnetlift/internal/platform"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/ops/fault"
+	"yardflow/internal/platform"
 )
 
 // job is what a worker is sent of a step.
--- a/internal/sources/sources.go
+++ b/internal/sources/sources.go
@@ -18,11 +18,11 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
-	"linnetlift/internal/srv"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
+	"yardflow/internal/srv"
 )
 
 // Hooks are what the list's changes mean to others.
--- a/internal/sources/sources_test.go
+++ b/internal/sources/sources_test.go
@@ -13,11 +13,11 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/membership"
-	"linnetlift/internal/srv"
+	"yardflow"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/membership"
+	"yardflow/internal/srv"
 )
 
 // desk is a merger over a real broker, with one list in DNS that the test words.
--- a/internal/srv/resolver.go
+++ b/internal/srv/resolver.go
@@ -15,7 +15,7 @@
 
 	"github.com/miekg/dns"
 
-	"linnetlift/internal/timers"
+	"yardflow/internal/timers"
 )
 
 // Config is one service to follow.
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/miekg/dns"
 
-	"linnetlift/internal/standin/dnsd"
+	"yardflow/internal/standin/dnsd"
 )
 
 const service = "_loans._tcp.shop.test."
--- a/internal/sse/front.go
+++ b/internal/sse/front.go
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/broker"
-	"linnetlift/internal/config"
-	"linnetlift/internal/invariant"
-	"linnetlift/internal/platform"
+	"yardflow/internal/broker"
+	"yardflow/internal/config"
+	"yardflow/internal/invariant"
+	"yardflow/internal/platform"
 )
 
 // Names of the events sent to clients; what a worker names otherwise goes on
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 	gosse "github.com/tmaxmax/go-sse"
 
-	"linnetlift/internal/config"
+	"yardflow/internal/config"
 )
 
 // all reads a stream's events, its bytes coming one by one or at once.
--- a/internal/standin/day/day.go
+++ b/internal/standin/day/day.go
@@ -17,8 +17,8 @@
 	"slices"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/standin/machine"
+	"yardflow"
+	"yardflow/internal/standin/machine"
 )
 
 // Class is one class of jobs.
--- a/internal/standin/day/day_test.go
+++ b/internal/standin/day/day_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"linnetlift"
-	"linnetlift/internal/room"
+	"yardflow"
+	"yardflow/internal/room"
 )
 
 // busy is a day on which large jobs need room: 8 workers of 2 and 3 slots, a
--- a/internal/standin/day/fleet_test.go
+++ b/internal/standin/day/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // fleet is a day of many dispatchers that each meet every worker seldom.
--- a/internal/standin/day/policies.go
+++ b/internal/standin/day/policies.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // Policy is a way to choose workers.
--- a/internal/standin/day/talk_test.go
+++ b/internal/standin/day/talk_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift"
+	"yardflow"
 )
 
 // room is a day in one server room: two dispatchers, eight markers of two slots and two
--- a/internal/standin/roster/roster.go
+++ b/internal/standin/roster/roster.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/timers"
+	"yardflow/internal/timers"
 )
 
 // Entry is one loan worker as discovery words it.
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -25,9 +25,9 @@
 	"syscall"
 	"time"
 
-	"linnetlift/internal/standin/dnsd"
-	"linnetlift/internal/standin/roster"
-	"linnetlift/internal/standin/worker"
+	"yardflow/internal/standin/dnsd"
+	"yardflow/internal/standin/roster"
+	"yardflow/internal/standin/worker"
 )
 
 // Shop is one installation.
--- a/internal/standin/worker/engine.go
+++ b/internal/standin/worker/engine.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/standin/machine"
-	"linnetlift/internal/timers"
+	"yardflow/internal/standin/machine"
+	"yardflow/internal/timers"
 )
 
 // Engine runs one machine in time.
--- a/internal/standin/worker/engine_test.go
+++ b/internal/standin/worker/engine_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"linnetlift/internal/standin/machine"
+	"yardflow/internal/standin/machine"
 )
 
 // The engine in virtual time: a job of two slots waits at the head until it fits,
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/internal/standin/machine"
+	"yardflow/internal/standin/machine"
 )
 
 // Arrival is one request that came.
--- a/internal/workers/relayed/relayed.go
+++ b/internal/workers/relayed/relayed.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/membership"
-	"linnetlift/internal/ops/fault"
-	"linnetlift/internal/platform"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
+	"yardflow/internal/membership"
+	"yardflow/internal/ops/fault"
+	"yardflow/internal/platform"
 )
 
 // Keepers are where lists are handed on.
--- a/lab/demo-system/main.go
+++ b/lab/demo-system/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"linnetlift/internal/emulator"
+	"yardflow/internal/emulator"
 )
 
 func main() {
--- a/lab/demo/main.go
+++ b/lab/demo/main.go
@@ -15,8 +15,8 @@
 	"text/tabwriter"
 	"time"
 
-	"linnetlift/internal/standin/dnsd"
-	"linnetlift/internal/standin/shop"
+	"yardflow/internal/standin/dnsd"
+	"yardflow/internal/standin/shop"
 )
 
 const (
--- a/lab/prove-flows/keepers.go
+++ b/lab/prove-flows/keepers.go
@@ -16,13 +16,13 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/lab/rig/prove"
-	"linnetlift/lab/rig/stage"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/lab/rig/prove"
+	"yardflow/lab/rig/stage"
 )
 
 // proveSize measures memory and bytes, without processes.
--- a/lab/prove-flows/main.go
+++ b/lab/prove-flows/main.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/fleet/flow/storm"
-	"linnetlift/lab/rig/prove"
+	"yardflow/internal/fleet/flow/storm"
+	"yardflow/lab/rig/prove"
 )
 
 var (
--- a/lab/prove-flows/plans.go
+++ b/lab/prove-flows/plans.go
@@ -11,12 +11,12 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/fleet/flow/age"
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/graph"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/lab/rig/prove"
+	"yardflow/internal/fleet/flow/age"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/graph"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/lab/rig/prove"
 )
 
 const (
--- a/lab/prove-limits/main.go
+++ b/lab/prove-limits/main.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/quota"
-	"linnetlift/lab/rig/prove"
+	"yardflow/internal/keeper"
+	"yardflow/internal/quota"
+	"yardflow/lab/rig/prove"
 )
 
 var seed = flag.Uint64("seed", 1, "of what is drawn")
--- a/lab/prove-policy/main.go
+++ b/lab/prove-policy/main.go
@@ -19,10 +19,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/lab/rig/stage"
+	"yardflow/internal/accord"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/lab/rig/stage"
 )
 
 var (
--- a/lab/prove-room/main.go
+++ b/lab/prove-room/main.go
@@ -13,9 +13,9 @@
 	"text/tabwriter"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/room"
-	"linnetlift/internal/standin/day"
+	"yardflow"
+	"yardflow/internal/room"
+	"yardflow/internal/standin/day"
 )
 
 var (
--- a/lab/prove-sites/main.go
+++ b/lab/prove-sites/main.go
@@ -14,8 +14,8 @@
 	"text/tabwriter"
 	"time"
 
-	"linnetlift"
-	"linnetlift/internal/standin/day"
+	"yardflow"
+	"yardflow/internal/standin/day"
 )
 
 const ms = time.Millisecond
--- a/lab/prove-srv/main.go
+++ b/lab/prove-srv/main.go
@@ -19,10 +19,10 @@
 
 	"github.com/miekg/dns"
 
-	"linnetlift/internal/srv"
-	"linnetlift/internal/standin/dnsd"
-	"linnetlift/internal/standin/roster"
-	"linnetlift/internal/standin/shop"
+	"yardflow/internal/srv"
+	"yardflow/internal/standin/dnsd"
+	"yardflow/internal/standin/roster"
+	"yardflow/internal/standin/shop"
 )
 
 const service = "_loans._tcp.example.test"
--- a/lab/prove-start/main.go
+++ b/lab/prove-start/main.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"linnetlift/lab/rig/prove"
-	"linnetlift/lab/rig/stage"
+	"yardflow/lab/rig/prove"
+	"yardflow/lab/rig/stage"
 )
 
 const (
--- a/lab/prove-verdicts/main.go
+++ b/lab/prove-verdicts/main.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"linnetlift/lab/rig/prove"
-	"linnetlift/lab/rig/stage"
+	"yardflow/lab/rig/prove"
+	"yardflow/lab/rig/stage"
 )
 
 var (
--- a/lab/rig/main.go
+++ b/lab/rig/main.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"linnetlift/lab/rig/stage"
+	"yardflow/lab/rig/stage"
 )
 
 var (
--- a/lab/rig/prove/prove.go
+++ b/lab/rig/prove/prove.go
@@ -9,7 +9,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"linnetlift/lab/rig/stage"
+	"yardflow/lab/rig/stage"
 )
 
 // Table is one.
--- a/lab/rig/stage/coldstart.go
+++ b/lab/rig/stage/coldstart.go
@@ -15,15 +15,15 @@
 	"syscall"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/internal/membership"
-	"linnetlift/internal/platform"
-	"linnetlift/internal/standin/roster"
-	"linnetlift/internal/workers/relayed"
+	"yardflow/internal/accord"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/internal/membership"
+	"yardflow/internal/platform"
+	"yardflow/internal/standin/roster"
+	"yardflow/internal/workers/relayed"
 )
 
 // startCalls is what the list service is stated to take a second.
--- a/lab/rig/stage/dispatchers.go
+++ b/lab/rig/stage/dispatchers.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/standin/roster"
+	"yardflow/internal/standin/roster"
 )
 
 // This file owns what a dispatcher of the stage is given: its links, its files and the lists that
--- a/lab/rig/stage/flowplays.go
+++ b/lab/rig/stage/flowplays.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/standin/worker"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
+	"yardflow/internal/standin/worker"
 )
 
 // Flows that nothing happens to: submitted at two keepers at once by one key, many in a second, a
--- a/lab/rig/stage/flows.go
+++ b/lab/rig/stage/flows.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/fleet/flow/expand"
-	"linnetlift/internal/fleet/flow/ledger"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 // course is a reading list: a loan a title, never twice; then its package; then one collection.
--- a/lab/rig/stage/folders.go
+++ b/lab/rig/stage/folders.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 // A folder that is lost, another's or damaged is refused by name, and nothing is made anew.
--- a/lab/rig/stage/history.go
+++ b/lab/rig/stage/history.go
@@ -3,10 +3,10 @@
 import (
 	"cmp"
 	"fmt"
-	"linnetlift/internal/quota"
 	"math"
 	"slices"
 	"time"
+	"yardflow/internal/quota"
 )
 
 // This file owns what is judged of the history of admissions. It must never start or end anything.
--- a/lab/rig/stage/jury.go
+++ b/lab/rig/stage/jury.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/verdict"
+	"yardflow/internal/verdict"
 )
 
 // Jury is one run.
--- a/lab/rig/stage/keepers.go
+++ b/lab/rig/stage/keepers.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
+	"yardflow/internal/accord"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
 )
 
 // The keeper that leads is killed while a change is under way, then the next one stands still
--- a/lab/rig/stage/limits.go
+++ b/lab/rig/stage/limits.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // force puts a policy in force, and waits until all serve under it.
--- a/lab/rig/stage/links.go
+++ b/lab/rig/stage/links.go
@@ -2,11 +2,11 @@
 
 import (
 	"io"
-	"linnetlift/internal/link"
 	"net"
 	"slices"
 	"sync"
 	"time"
+	"yardflow/internal/link"
 )
 
 // This file owns the links between processes: each its own relay, which can be cut either way,
--- a/lab/rig/stage/proposer.go
+++ b/lab/rig/stage/proposer.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"strings"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 // Whoever proposes is killed after each thing that it says: a change ends without it, and another
--- a/lab/rig/stage/scenarios.go
+++ b/lab/rig/stage/scenarios.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/quota"
+	"yardflow/internal/keeper"
+	"yardflow/internal/quota"
 )
 
 // T is who hears what a scenario finds: a test, or whoever plays one by hand.
--- a/lab/rig/stage/sim.go
+++ b/lab/rig/stage/sim.go
@@ -21,9 +21,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/quorum"
+	"yardflow/internal/accord"
+	"yardflow/internal/keeper"
+	"yardflow/internal/quorum"
 )
 
 // Sim is one schedule.
--- a/lab/rig/stage/sim_test.go
+++ b/lab/rig/stage/sim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/keeper"
+	"yardflow/internal/keeper"
 )
 
 func schedule(seed uint64) Sim {
--- a/lab/rig/stage/stage.go
+++ b/lab/rig/stage/stage.go
@@ -23,15 +23,15 @@
 	"sync/atomic"
 	"time"
 
-	"linnetlift/internal/fleet/flow/template"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/internal/policy"
-	"linnetlift/internal/quota"
-	"linnetlift/internal/standin/roster"
-	"linnetlift/internal/standin/worker"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/internal/policy"
+	"yardflow/internal/quota"
+	"yardflow/internal/standin/roster"
+	"yardflow/internal/standin/worker"
+	"yardflow/internal/verdict"
 )
 
 // Patience is the limit of whatever must happen in the end.
@@ -66,7 +66,7 @@
 // Build builds the programs that a stage needs from the module's root into a folder.
 func Build(root, dir string) error {
 	for _, args := range [][]string{{"-o", dir + "/", "./cmd/yardflow", "./cmd/keeper"},
-		{"-ldflags", "-X linnetlift/internal/policy.form=1", "-o", filepath.Join(dir, oldProgram), "./cmd/yardflow"}} {
+		{"-ldflags", "-X yardflow/internal/policy.form=1", "-o", filepath.Join(dir, oldProgram), "./cmd/yardflow"}} {
 		cmd := exec.Command("go", append([]string{"build"}, args...)...)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
--- a/lab/rig/stage/startsim.go
+++ b/lab/rig/stage/startsim.go
@@ -12,12 +12,12 @@
 	"sort"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/cadence"
-	"linnetlift/internal/fleet/start"
-	"linnetlift/internal/fleet/start/relay"
-	"linnetlift/internal/fleet/start/turns"
-	"linnetlift/internal/keeper"
+	"yardflow/internal/accord"
+	"yardflow/internal/cadence"
+	"yardflow/internal/fleet/start"
+	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/fleet/start/turns"
+	"yardflow/internal/keeper"
 )
 
 // ColdStart is one play.
--- a/lab/rig/stage/verdicts.go
+++ b/lab/rig/stage/verdicts.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/accord"
-	"linnetlift/internal/keeper"
-	"linnetlift/internal/link"
-	"linnetlift/internal/standin/worker"
-	"linnetlift/internal/verdict"
+	"yardflow/internal/accord"
+	"yardflow/internal/keeper"
+	"yardflow/internal/link"
+	"yardflow/internal/standin/worker"
+	"yardflow/internal/verdict"
 )
 
 const judged = "[verdicts]\nenabled = true\nhearing = \"800ms\"\npace = \"400ms\"\n"
--- a/lab/soak/main.go
+++ b/lab/soak/main.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"linnetlift/internal/emulator"
-	"linnetlift/lab/soak/play"
+	"yardflow/internal/emulator"
+	"yardflow/lab/soak/play"
 )
 
 func main() {
--- a/lab/soak/play/client.go
+++ b/lab/soak/play/client.go
@@ -13,7 +13,7 @@
 
 	"github.com/juju/errors"
 
-	"linnetlift/internal/emulator"
+	"yardflow/internal/emulator"
 )
 
 // Bounds of clients.
--- a/lab/soak/play/client_test.go
+++ b/lab/soak/play/client_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/emulator"
+	"yardflow/internal/emulator"
 )
 
 // callerAt returns a client of a yard without processes, connected to a front that answers each request by a function.
--- a/lab/soak/play/process.go
+++ b/lab/soak/play/process.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetlift/internal/settings"
+	"yardflow/internal/settings"
 )
 
 // Bounds of processes.
--- a/lab/soak/play/soak.go
+++ b/lab/soak/play/soak.go
@@ -17,7 +17,7 @@
 
 	"github.com/juju/errors"
 
-	"linnetlift/internal/emulator"
+	"yardflow/internal/emulator"
 )
 
 // Spans of a soak.
--- a/linnetlift.go
+++ b/linnetlift.go
@@ -15,7 +15,7 @@
 	"fmt"
 	"time"
 
-	"linnetlift/internal/room"
+	"yardflow/internal/room"
 )
 
 // RequestID names a request; the host never uses one twice.
--- a/scheduling/placement/find.go
+++ b/scheduling/placement/find.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // slowness returns how many times as long (ln) work takes at the worker as at a usual one.
--- a/scheduling/placement/placement.go
+++ b/scheduling/placement/placement.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"linnetlift/scheduling/achq"
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/achq"
+	"yardflow/scheduling/job"
 )
 
 // Bounds of a decision.
--- a/scheduling/placement/placement_test.go
+++ b/scheduling/placement/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // yard returns a placer with workers in racks of three; every third is of kind b.
--- a/scheduling/placement/reserve.go
+++ b/scheduling/placement/reserve.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 // measure keeps which part of the work is urgent.
--- a/scheduling/placement/worker.go
+++ b/scheduling/placement/worker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"linnetlift/scheduling/job"
+	"yardflow/scheduling/job"
 )
 
 func (w *Worker) room() job.Resources { return w.Capacity.Minus(w.Used).Minus(w.Reserved) }
--- a/scheduling/worker/answers.go
+++ b/scheduling/worker/answers.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/job"
 )
 
 // StartAnswered enters how an order to start came out.
--- a/scheduling/worker/bench_test.go
+++ b/scheduling/worker/bench_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // bench plays one agent against a worker, with a timeline of a column each.
--- a/scheduling/worker/messages.go
+++ b/scheduling/worker/messages.go
@@ -1,6 +1,6 @@
 package worker
 
-import "linnetlift/internal/control/cluster"
+import "yardflow/internal/control/cluster"
 
 // Hold is a call that renews the hold and asks for both lists.
 type Hold struct {
--- a/scheduling/worker/notes_test.go
+++ b/scheduling/worker/notes_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // TestIdleWorkerIsToldOfNotedEnds keeps that the last ends at a worker are taken note of though nothing runs there any
--- a/scheduling/worker/orders.go
+++ b/scheduling/worker/orders.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/control/cluster"
-	"linnetlift/scheduling/job"
+	"yardflow/internal/control/cluster"
+	"yardflow/scheduling/job"
 )
 
 // act orders whatever can be ordered now.
--- a/scheduling/worker/over_test.go
+++ b/scheduling/worker/over_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // answerOtherLife lets another life at the address answer the oldest look.
--- a/scheduling/worker/worker.go
+++ b/scheduling/worker/worker.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 // Bounds of an agent.
--- a/scheduling/worker/worker_test.go
+++ b/scheduling/worker/worker_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"linnetlift/internal/control/cluster"
+	"yardflow/internal/control/cluster"
 )
 
 const (
--- a/state.go
+++ b/state.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"linnetlift/internal/estimate"
-	"linnetlift/internal/gossip"
-	"linnetlift/internal/pools"
-	"linnetlift/internal/room"
+	"yardflow/internal/estimate"
+	"yardflow/internal/gossip"
+	"yardflow/internal/pools"
+	"yardflow/internal/room"
 )
 
 type attempt struct {
