--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,11 @@
 .PHONY: build test lint known-red run check clean demo demo-system fuzz soak prove-system prove-flows prove-limits prove-policy prove-room prove-sites prove-srv prove-start prove-verdicts
 
 # HTTP/2 is spoken on no side, and its code would lie in memory all the same.
-# Linked dynamically against the C library, as deploy/balancer.toml does.
+# Linked dynamically against the C library, as deploy/balancer.toml does. The links are the programs' former names,
+# which operators' scripts may still call.
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -tags nethttpomithttp2 -ldflags=-linkmode=external -o bin/ ./cmd/...
+	ln -sf scheduler bin/yard && ln -sf coordinator bin/keeper
 
 lint:
 	@test -z "$$(gofmt -l .)" || { echo "gofmt is due:"; gofmt -l .; exit 1; }
@@ -35,18 +37,18 @@
 # What comes from outside, thrown at its reader: make fuzz FUZZTIME=1m for long.
 FUZZTIME = 10s
 fuzz:
-	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME) ./internal/srv
-	go test -run '^$$' -fuzz FuzzHear -fuzztime $(FUZZTIME) ./internal/gossip
-	go test -run '^$$' -fuzz FuzzCommand -fuzztime $(FUZZTIME) ./internal/keeper
+	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME) ./internal/discovery/srv
+	go test -run '^$$' -fuzz FuzzHear -fuzztime $(FUZZTIME) ./coordination/gossip
+	go test -run '^$$' -fuzz FuzzCommand -fuzztime $(FUZZTIME) ./internal/fleet/statemachine
 	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/control/configuration
 	go test -run '^$$' -fuzz FuzzRequest -fuzztime $(FUZZTIME) ./scheduling/job
 	go test -run '^$$' -fuzz FuzzName -fuzztime $(FUZZTIME) ./scheduling/job
-	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME) ./internal/control/link
-	go test -run '^$$' -fuzz FuzzUnpack -fuzztime $(FUZZTIME) ./internal/control/link
+	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME) ./internal/control/protocol
+	go test -run '^$$' -fuzz FuzzUnpack -fuzztime $(FUZZTIME) ./internal/control/protocol
 	go test -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME) ./internal/control/patch
-	go test -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME) ./internal/control/cluster
+	go test -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME) ./internal/control/statemachine
 	go test -run '^$$' -fuzz FuzzOpen -fuzztime $(FUZZTIME) ./coordination/segment
-	go test -run '^$$' -fuzz FuzzLoad -fuzztime $(FUZZTIME) ./internal/settings
+	go test -run '^$$' -fuzz FuzzLoad -fuzztime $(FUZZTIME) ./internal/platform/settings
 
 # The whole at work on this machine, with stand-ins on loopback; ends by itself.
 demo: build
@@ -59,7 +61,7 @@
 # Seeded schedules of the whole system in virtual time; no rule may be broken.
 SCHEDULES = 2000
 prove-system:
-	PROVE_SCHEDULES=$(SCHEDULES) go test -timeout 60m -run TestSchedules ./internal/emulator
+	PROVE_SCHEDULES=$(SCHEDULES) go test -timeout 60m -run TestSchedules ./internal/testing/emulator
 
 # Yards of real processes on loopback under overlapping signals, restarts and changes. By hand, 50 seeds or more:
 # make soak SOAK_SEEDS=50 SOAK_AT_ONCE=8, and one of all that the machine bears:
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Adapter hosts linnetlift dispatchers on the wire of the users' bench. It
+// Adapter hosts dispatchers of package dispatch on the wire of the users' bench. It
 // translates both ways and decides nothing.
 package main
 
@@ -11,9 +11,9 @@
 	"runtime/debug"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/config"
-	"yardflow/internal/wire"
+	"yardflow/internal/gateway/simwire"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 func main() {
@@ -27,8 +27,8 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	h := &host{dispatchers: map[uint32]linnetlift.Dispatcher{}}
+	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
+	h := &host{dispatchers: map[uint32]dispatch.Dispatcher{}}
 	for {
 		b, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -52,16 +52,16 @@
 // host carries the dispatchers of this process. It is the Actions sink of the
 // one whose events are being handled.
 type host struct {
-	dispatchers map[uint32]linnetlift.Dispatcher
-	reply       wire.Reply
+	dispatchers map[uint32]dispatch.Dispatcher
+	reply       simwire.Reply
 	current     uint32
 	named       bool // the reply's last For names current
-	event       wire.Event
-	workers     []linnetlift.Worker
+	event       simwire.Event
+	workers     []dispatch.Worker
 	load        []float64
 }
 
-func (h *host) answer(b *wire.Batch) error {
+func (h *host) answer(b *simwire.Batch) error {
 	h.reply.Reset()
 	now := ms(b.Clock)
 	h.current, h.named = 0, false
@@ -79,21 +79,21 @@
 func (h *host) deliver(now time.Duration) error {
 	e := &h.event
 	switch e.Code {
-	case wire.Select:
+	case simwire.Select:
 		h.current, h.named = e.Instance, false
 		return nil
-	case wire.Up:
+	case simwire.Up:
 		s, err := config.ParseSettings(e.Settings)
 		if err != nil {
 			return fmt.Errorf("settings at offset 18: %w", err)
 		}
-		d, err := linnetlift.New(s, e.Seed)
+		d, err := dispatch.New(s, e.Seed)
 		if err != nil {
 			return fmt.Errorf("settings at offset 18: %w", err)
 		}
 		h.dispatchers[h.current] = d
 		return nil
-	case wire.Exit:
+	case simwire.Exit:
 		delete(h.dispatchers, h.current)
 		return nil
 	}
@@ -101,38 +101,38 @@
 	if d == nil {
 		return nil // events for an instance that is down
 	}
-	id := linnetlift.RequestID(e.Xid)
+	id := dispatch.RequestID(e.Xid)
 	switch e.Code {
-	case wire.Targets:
+	case simwire.Targets:
 		h.workers = h.workers[:0]
 		for _, t := range e.Entries {
-			h.workers = append(h.workers, linnetlift.Worker{
-				ID: linnetlift.WorkerID(t.Worker), Zone: int(t.Zone), Kind: int(t.Kind), Cell: int(t.Cell),
+			h.workers = append(h.workers, dispatch.Worker{
+				ID: dispatch.WorkerID(t.Worker), Zone: int(t.Zone), Kind: int(t.Kind), Cell: int(t.Cell),
 				State: state(t.Status), Weight: float64(t.Capacity), Launched: ms(t.LaunchedMillis)})
 		}
 		d.List(now, form(e.Form), h.workers, h)
-	case wire.Ask:
-		r := linnetlift.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), Left: ms(e.LeftMs),
-			Slots: float64(e.Slots), Memory: float64(e.Memory), Retry: e.Flags&wire.FlagRetry != 0}
-		if e.Flags&wire.FlagHint != 0 {
+	case simwire.Ask:
+		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), Left: ms(e.LeftMs),
+			Slots: float64(e.Slots), Memory: float64(e.Memory), Retry: e.Flags&simwire.FlagRetry != 0}
+		if e.Flags&simwire.FlagHint != 0 {
 			r.Hint = ms(e.HintMs)
 		}
 		d.Arrive(now, r, h)
-	case wire.HeadReceived:
+	case simwire.HeadReceived:
 		d.StreamStarted(now, id, int(e.Copy), h)
-	case wire.Settled:
-		d.Outcome(now, linnetlift.Outcome{ID: id, Attempt: int(e.Copy), Worker: linnetlift.WorkerID(e.Worker),
+	case simwire.Settled:
+		d.Outcome(now, dispatch.Outcome{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
 			Code: code(e.State), Latency: ms(e.Latency), Ended: e.Ended, Load: h.floats(e.Load)}, h)
-	case wire.TimedOutClient:
+	case simwire.TimedOutClient:
 		d.ClientGone(now, id, h)
-	case wire.Alarm:
+	case simwire.Alarm:
 		d.Timer(now, e.Tag, h)
-	case wire.Pong:
-		d.Probed(now, linnetlift.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
-	case wire.PeerData:
+	case simwire.Pong:
+		d.Probed(now, dispatch.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
+	case simwire.PeerData:
 		d.PeerMessage(now, int(e.Sender), e.Content, h)
-	case wire.HintUpdate:
-		d.Note(now, linnetlift.Note{ID: id, Attempt: int(e.Copy), Worker: linnetlift.WorkerID(e.Worker),
+	case simwire.HintUpdate:
+		d.Note(now, dispatch.Note{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
 			Kind: note(e.Topic), Share: float64(e.Value)}, h)
 	}
 	return nil
@@ -154,22 +154,22 @@
 	}
 }
 
-func (h *host) Send(id linnetlift.RequestID, w linnetlift.WorkerID, within time.Duration) {
+func (h *host) Send(id dispatch.RequestID, w dispatch.WorkerID, within time.Duration) {
 	h.name()
-	h.reply.SubmitTo(uint64(id), wire.Worker(w), millis(within))
+	h.reply.SubmitTo(uint64(id), simwire.Worker(w), millis(within))
 }
 
-func (h *host) Refuse(id linnetlift.RequestID, comeBack time.Duration) {
+func (h *host) Refuse(id dispatch.RequestID, comeBack time.Duration) {
 	h.name()
 	h.reply.SayNo(uint64(id), millis(comeBack))
 }
 
-func (h *host) Fail(id linnetlift.RequestID) {
+func (h *host) Fail(id dispatch.RequestID) {
 	h.name()
 	h.reply.ReportFailure(uint64(id))
 }
 
-func (h *host) Cancel(id linnetlift.RequestID, attempt int) {
+func (h *host) Cancel(id dispatch.RequestID, attempt int) {
 	h.name()
 	h.reply.DropAttempt(uint64(id), uint16(attempt))
 }
@@ -184,9 +184,9 @@
 	h.reply.Observe(true)
 }
 
-func (h *host) Probe(w linnetlift.WorkerID) {
+func (h *host) Probe(w dispatch.WorkerID) {
 	h.name()
-	h.reply.AskLoad(wire.Worker(w))
+	h.reply.AskLoad(simwire.Worker(w))
 }
 
 func (h *host) Tell(msg []byte) {
@@ -202,56 +202,56 @@
 func ms(v float64) time.Duration     { return time.Duration(v * float64(time.Millisecond)) }
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func state(s uint8) linnetlift.WorkerState {
+func state(s uint8) dispatch.WorkerState {
 	switch s {
 	case 0:
-		return linnetlift.Ready
+		return dispatch.Ready
 	case 2:
-		return linnetlift.Gone
+		return dispatch.Gone
 	}
-	return linnetlift.Draining // an unknown state is not one to send to
+	return dispatch.Draining // an unknown state is not one to send to
 }
 
-func form(f uint8) linnetlift.ListForm {
+func form(f uint8) dispatch.ListForm {
 	switch f {
 	case 0:
-		return linnetlift.ListDelta
+		return dispatch.ListDelta
 	case 2:
-		return linnetlift.ListFull
+		return dispatch.ListFull
 	case 3:
-		return linnetlift.ListCached
+		return dispatch.ListCached
 	}
-	return linnetlift.ListFailed
+	return dispatch.ListFailed
 }
 
-func note(t uint8) linnetlift.NoteKind {
+func note(t uint8) dispatch.NoteKind {
 	switch t {
 	case 1:
-		return linnetlift.NoteStarted
+		return dispatch.NoteStarted
 	case 2:
-		return linnetlift.NoteProgress
+		return dispatch.NoteProgress
 	}
-	return linnetlift.NoteOther
+	return dispatch.NoteOther
 }
 
-func code(c uint16) linnetlift.Code {
+func code(c uint16) dispatch.Code {
 	switch c {
 	case 0:
-		return linnetlift.OK
+		return dispatch.OK
 	case 1:
-		return linnetlift.Cancelled
+		return dispatch.Cancelled
 	case 4:
-		return linnetlift.TimedOut
+		return dispatch.TimedOut
 	case 8:
-		return linnetlift.Full
+		return dispatch.Full
 	case 9:
-		return linnetlift.NeverSent
+		return dispatch.NeverSent
 	case 10:
-		return linnetlift.Broken
+		return dispatch.Broken
 	case 13:
-		return linnetlift.Failed
+		return dispatch.Failed
 	case 14:
-		return linnetlift.ConnectFailed
+		return dispatch.ConnectFailed
 	}
-	return linnetlift.Unknown
+	return dispatch.Unknown
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"yardflow"
+	"yardflow/scheduling/dispatch"
 
-	"yardflow/internal/config"
+	"yardflow/internal/platform/config"
 )
 
 const testSettings = `{"Balancers": 2, "MyNumber": 1, "RoundMs": 5, "UnknownKey": {"x": [1]},
@@ -28,10 +28,10 @@
 	if s.Dispatchers != 2 || s.Me != 1 || !s.MustSubscribe || s.MaxRetryAfter != 0 || s.MaxAttempts != 6 {
 		t.Errorf("got %+v", s)
 	}
-	if c := s.Classes[1]; c.Semantics != linnetlift.Fragile || c.Kind != 2 || c.Stretch != 2 || c.Priority != 1 {
+	if c := s.Classes[1]; c.Semantics != dispatch.Fragile || c.Kind != 2 || c.Stretch != 2 || c.Priority != 1 {
 		t.Errorf("class %+v", c)
 	}
-	if f := s.LoadFields; len(f) != 3 || f[1] != linnetlift.LoadFreeSlots || f[2] != linnetlift.LoadOther {
+	if f := s.LoadFields; len(f) != 3 || f[1] != dispatch.LoadFreeSlots || f[2] != dispatch.LoadOther {
 		t.Errorf("fields %v", f)
 	}
 	for _, bad := range []string{`{`, `[]`, `{"Classes": [{"Semantics": "often"}]}`} {
--- a/cmd/keeper/config.go
+++ b/cmd/coordinator/config.go
@@ -14,9 +14,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"yardflow/internal/config"
-	"yardflow/internal/keeper"
-	"yardflow/internal/quorum"
+	"yardflow/internal/fleet/consensus"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/platform/config"
 )
 
 type keeperConfig struct {
@@ -35,7 +35,7 @@
 		Addr string `toml:"addr"`
 	} `toml:"keeper"`
 
-	fence keeper.Fence
+	fence statemachine.Fence
 }
 
 func (c *keeperConfig) members() map[uint64]string {
@@ -47,9 +47,9 @@
 }
 
 // quorum is what the file says of this keeper's part.
-func (c *keeperConfig) quorum() quorum.Config {
-	return quorum.Config{Fleet: c.Fleet, Member: c.Member, Members: c.members(), Dir: c.Folder,
-		State: keeper.Config{Lease: c.Lease.Duration, Answer: c.Answer.Duration, Fence: c.fence, Keep: c.Keep},
+func (c *keeperConfig) quorum() consensus.Config {
+	return consensus.Config{Fleet: c.Fleet, Member: c.Member, Members: c.members(), Dir: c.Folder,
+		State: statemachine.Config{Lease: c.Lease.Duration, Answer: c.Answer.Duration, Fence: c.fence, Keep: c.Keep},
 		Log:   func(s string) { log.Print(s) }, Tick: c.Tick.Duration, Snapshot: uint64(c.Snapshot)}
 }
 
@@ -101,7 +101,7 @@
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		wrong(line("listen"), "listen: %v; expected host:port", err)
 	}
-	if c.fence, err = keeper.ParseFence(c.Fence); err != nil {
+	if c.fence, err = statemachine.ParseFence(c.Fence); err != nil {
 		wrong(line("fence"), "fence: %v", err)
 	}
 	for _, d := range []struct {
--- a/cmd/keeper/flow.go
+++ b/cmd/coordinator/flow.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 func (c *calls) flowCommand() *cobra.Command {
@@ -31,9 +31,9 @@
 }
 
 // flow has one command on workflows carried out.
-func (c *calls) flow(f func(a ledger.Answer) error, cmd ledger.Command) error {
-	return c.call(func(ctx context.Context, cl *link.Client) error {
-		r, err := c.do(ctx, cl, keeper.Command{Flow: &cmd})
+func (c *calls) flow(f func(a claims.Answer) error, cmd claims.Command) error {
+	return c.call(func(ctx context.Context, cl *transport.Client) error {
+		r, err := c.do(ctx, cl, statemachine.Command{Flow: &cmd})
 		if err != nil {
 			return err
 		}
@@ -48,16 +48,16 @@
 	var key, who string
 	var lists, counts, moments []string
 	cmd := &cobra.Command{Use: "submit TEMPLATE", Short: "have a workflow begin; by the same key asked twice it is asked once", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		s := &ledger.Submit{Key: key, Template: args[0], Who: who, Inputs: map[string]expand.Input{}, Moments: map[string]time.Duration{}}
+		s := &claims.Submit{Key: key, Template: args[0], Who: who, Inputs: map[string]expansion.Input{}, Moments: map[string]time.Duration{}}
 		err := errors.Join(
 			pairs(lists, func(name, text string) error {
 				items, err := list(text)
-				s.Inputs[name] = expand.Input{Items: items}
+				s.Inputs[name] = expansion.Input{Items: items}
 				return err
 			}),
 			pairs(counts, func(name, text string) error {
 				n, err := strconv.Atoi(text)
-				s.Inputs[name] = expand.Input{Count: n}
+				s.Inputs[name] = expansion.Input{Count: n}
 				return err
 			}),
 			pairs(moments, func(name, text string) error {
@@ -68,14 +68,14 @@
 		if err != nil {
 			return &coded{exitUsage, err}
 		}
-		return c.flow(func(a ledger.Answer) error {
+		return c.flow(func(a claims.Answer) error {
 			if a.Known {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s was submitted before\n", key)
 			} else {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s submitted\n", key)
 			}
 			return nil
-		}, ledger.Command{Submit: s})
+		}, claims.Command{Submit: s})
 	}}
 	cmd.Flags().StringVar(&key, "key", "", "the flow's name, chosen by who submits it")
 	cmd.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
@@ -121,7 +121,7 @@
 func (c *calls) flowShow() *cobra.Command {
 	return &cobra.Command{Use: "show [KEY]", Short: "how far a flow is, or all of them", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		key := strings.Join(args, "")
-		return c.flow(func(a ledger.Answer) error {
+		return c.flow(func(a claims.Answer) error {
 			out := cmd.OutOrStdout()
 			if c.json {
 				return json.NewEncoder(out).Encode(a)
@@ -135,11 +135,11 @@
 				return err
 			}
 			return steps(out, a.Views[0].Steps)
-		}, ledger.Command{Show: &ledger.Show{Flow: key}})
+		}, claims.Command{Show: &claims.Show{Flow: key}})
 	}}
 }
 
-func steps(out io.Writer, all []ledger.StepView) error {
+func steps(out io.Writer, all []claims.StepView) error {
 	if len(all) == 0 {
 		return nil
 	}
@@ -152,7 +152,7 @@
 }
 
 // place names a step as settle takes it: its name, and its item's place in each fan-out around it.
-func place(name string, r expand.Ref) string {
+func place(name string, r expansion.Ref) string {
 	last := len(r.Path)
 	for last > 0 && r.Path[last-1] == 0 {
 		last--
@@ -170,10 +170,10 @@
 func (c *calls) flowCancel() *cobra.Command {
 	var who string
 	cmd := &cobra.Command{Use: "cancel KEY", Short: "begin nothing more of a flow", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return c.flow(func(ledger.Answer) error {
+		return c.flow(func(claims.Answer) error {
 			fmt.Fprintln(cmd.OutOrStdout(), "nothing more of it is begun; what is out is waited for")
 			return nil
-		}, ledger.Command{Cancel: &ledger.Cancel{Flow: args[0], Who: who}})
+		}, claims.Command{Cancel: &claims.Cancel{Flow: args[0], Who: who}})
 	}}
 	cmd.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
 	return cmd
@@ -182,25 +182,25 @@
 func (c *calls) flowSettle() *cobra.Command {
 	var who string
 	cmd := &cobra.Command{Use: "settle KEY STEP done|failed|again", Short: "say how a step has ended that nobody knows of, or have it sent again", Args: cobra.ExactArgs(3), RunE: func(cmd *cobra.Command, args []string) error {
-		as, ok := map[string]ledger.Outcome{"done": ledger.Done, "failed": ledger.Failed, "again": ledger.Back}[args[2]]
+		as, ok := map[string]claims.Outcome{"done": claims.Done, "failed": claims.Failed, "again": claims.Back}[args[2]]
 		if !ok {
 			return &coded{exitUsage, fmt.Errorf("%q: expected done, failed or again", args[2])}
 		}
-		var found *ledger.StepView
-		err := c.flow(func(a ledger.Answer) error {
-			if i := slices.IndexFunc(a.Views[0].Steps, func(s ledger.StepView) bool { return place(s.Name, s.Ref) == args[1] }); i >= 0 {
+		var found *claims.StepView
+		err := c.flow(func(a claims.Answer) error {
+			if i := slices.IndexFunc(a.Views[0].Steps, func(s claims.StepView) bool { return place(s.Name, s.Ref) == args[1] }); i >= 0 {
 				found = &a.Views[0].Steps[i]
 				return nil
 			}
 			return notDone("step %q is not under way: flow show %s names those that are", args[1], args[0])
-		}, ledger.Command{Show: &ledger.Show{Flow: args[0]}})
+		}, claims.Command{Show: &claims.Show{Flow: args[0]}})
 		if err != nil {
 			return err
 		}
-		return c.flow(func(ledger.Answer) error {
+		return c.flow(func(claims.Answer) error {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[1], args[2])
 			return nil
-		}, ledger.Command{Settle: &ledger.Settle{Flow: args[0], Who: who, Ref: found.Ref, As: as}})
+		}, claims.Command{Settle: &claims.Settle{Flow: args[0], Who: who, Ref: found.Ref, As: as}})
 	}}
 	cmd.Flags().StringVar(&who, "who", os.Getenv("USER"), "who says so")
 	return cmd
--- a/cmd/keeper/limits.go
+++ b/cmd/coordinator/limits.go
@@ -13,16 +13,16 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/keeper"
-	"yardflow/internal/policy"
-	"yardflow/internal/quota"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/policy"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/statemachine"
 )
 
 func (c *calls) limitsCommand() *cobra.Command {
 	l := &cobra.Command{Use: "limits", Short: "limits of the whole fleet"}
 	l.AddCommand(&cobra.Command{Use: "show", Short: "each limit, what is out of it, and by how much it may be exceeded", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return c.look(func(s *keeper.State, _ uint64) error {
+		return c.look(func(s *statemachine.State, _ uint64) error {
 			if c.json {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(s.Quota)
 			}
@@ -45,7 +45,7 @@
 		if err != nil {
 			return &coded{exitUsage, fmt.Errorf("%s: %w", args[0], err)}
 		}
-		return c.look(func(s *keeper.State, _ uint64) error {
+		return c.look(func(s *statemachine.State, _ uint64) error {
 			return limitsTable(cmd.OutOrStdout(), limits, nil, int64(len(s.Living())), s.Config.Lease)
 		})
 	}})
@@ -54,20 +54,20 @@
 
 func (c *calls) verdictsCommand() *cobra.Command {
 	return &cobra.Command{Use: "verdicts", Short: "the workers condemned, and those accused", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return c.look(func(s *keeper.State, _ uint64) error {
+		return c.look(func(s *statemachine.State, _ uint64) error {
 			out := cmd.OutOrStdout()
 			l := s.Verdicts
 			switch {
 			case c.json:
 				return json.NewEncoder(out).Encode(l)
 			case l == nil || l.Settings == nil:
-				return notDone("%v", verdict.ErrOff)
+				return notDone("%v", outlier.ErrOff)
 			}
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "worker\tsince\twitnesses against it\tin\ttrials passed\tnext trial in")
 			for _, v := range l.Sentences {
 				in := "all zones"
-				if v.Zone != verdict.Everywhere {
+				if v.Zone != outlier.Everywhere {
 					in = fmt.Sprint("zone ", v.Zone)
 				}
 				next := max(v.Next-s.Now, 0).Round(time.Millisecond).String()
--- a/cmd/keeper/main.go
+++ b/cmd/coordinator/main.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
 )
 
 // The exit codes.
@@ -74,20 +74,20 @@
 }
 
 // call runs f with the caller's side, for as long as it has.
-func (c *calls) call(f func(ctx context.Context, cl *link.Client) error) error {
+func (c *calls) call(f func(ctx context.Context, cl *transport.Client) error) error {
 	if c.fleet == "" || len(c.keepers) == 0 {
 		return &coded{exitUsage, errors.New("--fleet and --keepers are needed")}
 	}
 	ctx, stop := context.WithTimeout(context.Background(), c.within)
 	defer stop()
-	cl := link.NewClient(c.fleet, c.keepers)
+	cl := transport.NewClient(c.fleet, c.keepers)
 	defer cl.Close()
 	return f(ctx, cl)
 }
 
 // look runs f on the keepers' state.
-func (c *calls) look(f func(s *keeper.State, leader uint64) error) error {
-	return c.call(func(ctx context.Context, cl *link.Client) error {
+func (c *calls) look(f func(s *statemachine.State, leader uint64) error) error {
+	return c.call(func(ctx context.Context, cl *transport.Client) error {
 		s, leader, err := c.state(ctx, cl)
 		if err != nil {
 			return err
@@ -97,8 +97,8 @@
 }
 
 // state asks for the keepers' state, of as many as it takes.
-func (c *calls) state(ctx context.Context, cl *link.Client) (s *keeper.State, leader uint64, err error) {
-	err = link.Tries(ctx, func(ctx context.Context) error {
+func (c *calls) state(ctx context.Context, cl *transport.Client) (s *statemachine.State, leader uint64, err error) {
+	err = transport.Tries(ctx, func(ctx context.Context) error {
 		s, leader, err = cl.State(ctx)
 		return err
 	})
@@ -108,8 +108,8 @@
 	return s, leader, nil
 }
 
-func (c *calls) do(ctx context.Context, cl *link.Client, cmd keeper.Command) (r keeper.Result, err error) {
-	err = link.Tries(ctx, func(ctx context.Context) error {
+func (c *calls) do(ctx context.Context, cl *transport.Client, cmd statemachine.Command) (r statemachine.Result, err error) {
+	err = transport.Tries(ctx, func(ctx context.Context) error {
 		r, err = cl.Do(ctx, cmd)
 		return err
 	})
@@ -123,7 +123,7 @@
 }
 
 func (c *calls) status(cmd *cobra.Command, _ []string) error {
-	return c.look(func(s *keeper.State, leader uint64) error {
+	return c.look(func(s *statemachine.State, leader uint64) error {
 		out := cmd.OutOrStdout()
 		if c.json {
 			return json.NewEncoder(out).Encode(map[string]any{"leader": leader, "revision": s.Revision, "in_force": s.InForce(), "change": s.Change, "holders": s.Holders, "now": s.Now})
@@ -144,7 +144,7 @@
 }
 
 // describe words what is in force, and what is under way and held up by whom.
-func describe(out io.Writer, s *keeper.State) {
+func describe(out io.Writer, s *statemachine.State) {
 	if p := s.InForce(); p.Version == 0 {
 		fmt.Fprintln(out, "no policy was ever made")
 	} else {
--- a/cmd/keeper/members.go
+++ b/cmd/coordinator/members.go
@@ -12,13 +12,13 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
 )
 
 func (c *calls) membersCommand() *cobra.Command {
 	m := &cobra.Command{Use: "members", Short: "the keepers: who they are, and how far", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return c.call(func(ctx context.Context, cl *link.Client) error {
+		return c.call(func(ctx context.Context, cl *transport.Client) error {
 			all, err := c.members(ctx, cl)
 			if err != nil {
 				return err
@@ -41,8 +41,8 @@
 			return w.Flush()
 		})
 	}}
-	step := func(ctx context.Context, cl *link.Client, what string, id uint64, addr string) (r keeper.Result, err error) {
-		err = link.Tries(ctx, func(ctx context.Context) error {
+	step := func(ctx context.Context, cl *transport.Client, what string, id uint64, addr string) (r statemachine.Result, err error) {
+		err = transport.Tries(ctx, func(ctx context.Context) error {
 			r, err = cl.Member(ctx, what, id, addr)
 			return err
 		})
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		return c.call(func(ctx context.Context, cl *link.Client) error {
+		return c.call(func(ctx context.Context, cl *transport.Client) error {
 			out := cmd.OutOrStdout()
 			r, err := step(ctx, cl, "learn", id, args[1])
 			if err == nil && r.Err != "" {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return err
 		}
-		return c.call(func(ctx context.Context, cl *link.Client) error {
+		return c.call(func(ctx context.Context, cl *transport.Client) error {
 			r, err := step(ctx, cl, "remove", id, "")
 			switch {
 			case err != nil:
@@ -111,8 +111,8 @@
 }
 
 // members asks for the keepers' members, until the one that leads is found.
-func (c *calls) members(ctx context.Context, cl *link.Client) (all []keeper.Member, err error) {
-	err = link.Tries(ctx, func(ctx context.Context) error {
+func (c *calls) members(ctx context.Context, cl *transport.Client) (all []statemachine.Member, err error) {
+	err = transport.Tries(ctx, func(ctx context.Context) error {
 		all, err = cl.Members(ctx)
 		return err
 	})
--- a/cmd/keeper/policy.go
+++ b/cmd/coordinator/policy.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
-	"yardflow/internal/policy"
+	"yardflow/internal/fleet/policy"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
 )
 
 func (c *calls) policyCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 		if err != nil {
 			return &coded{exitUsage, err}
 		}
-		return c.propose(cmd.OutOrStdout(), args[0], text, keeper.Propose{ID: id, Who: who, Why: why, WithoutSilent: without}, dry)
+		return c.propose(cmd.OutOrStdout(), args[0], text, statemachine.Propose{ID: id, Who: who, Why: why, WithoutSilent: without}, dry)
 	}}
 	back := &cobra.Command{Use: "back VERSION", Short: "have an earlier version put in force again, as a change like any other", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		n, err := strconv.ParseUint(args[0], 10, 64)
@@ -36,7 +36,7 @@
 			return &coded{exitUsage, fmt.Errorf("%q: expected a version's number", args[0])}
 		}
 		var text []byte
-		if err := c.look(func(s *keeper.State, _ uint64) error {
+		if err := c.look(func(s *statemachine.State, _ uint64) error {
 			old, ok := s.Find(n)
 			if !ok {
 				return notDone("version %d is not remembered", n)
@@ -46,7 +46,7 @@
 		}); err != nil {
 			return err
 		}
-		return c.propose(cmd.OutOrStdout(), "version "+args[0], text, keeper.Propose{ID: id, Who: who, Why: "back to version " + args[0] + ": " + why, WithoutSilent: without}, dry)
+		return c.propose(cmd.OutOrStdout(), "version "+args[0], text, statemachine.Propose{ID: id, Who: who, Why: "back to version " + args[0] + ": " + why, WithoutSilent: without}, dry)
 	}}
 	for _, f := range []*cobra.Command{propose, back} {
 		f.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
@@ -56,8 +56,8 @@
 		f.Flags().BoolVar(&without, "without-silent", false, "do without dispatchers that say nothing, once their leases have ended")
 	}
 	withdraw := &cobra.Command{Use: "withdraw ID", Short: "end a change that is not closing yet", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return c.call(func(ctx context.Context, cl *link.Client) error {
-			_, err := c.do(ctx, cl, keeper.Command{Withdraw: &keeper.Withdraw{ID: args[0], Who: who, Why: why}})
+		return c.call(func(ctx context.Context, cl *transport.Client) error {
+			_, err := c.do(ctx, cl, statemachine.Command{Withdraw: &statemachine.Withdraw{ID: args[0], Who: who, Why: why}})
 			if err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "withdrawn")
 			}
@@ -66,24 +66,24 @@
 	}}
 	withdraw.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
 	withdraw.Flags().StringVar(&why, "why", "", "and why")
-	show := func(use, short string, f func(out io.Writer, s *keeper.State) error) *cobra.Command {
+	show := func(use, short string, f func(out io.Writer, s *statemachine.State) error) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.look(func(s *keeper.State, _ uint64) error { return f(cmd.OutOrStdout(), s) })
+			return c.look(func(s *statemachine.State, _ uint64) error { return f(cmd.OutOrStdout(), s) })
 		}}
 	}
 	p.AddCommand(propose, back, withdraw,
-		show("status", "the change under way, and what holds it up", func(out io.Writer, s *keeper.State) error {
+		show("status", "the change under way, and what holds it up", func(out io.Writer, s *statemachine.State) error {
 			if c.json {
 				return json.NewEncoder(out).Encode(map[string]any{"in_force": s.InForce(), "change": s.Change, "waits_for": s.Holdup()})
 			}
 			describe(out, s)
 			return nil
 		}),
-		show("show", "the text in force", func(out io.Writer, s *keeper.State) error {
+		show("show", "the text in force", func(out io.Writer, s *statemachine.State) error {
 			_, err := out.Write(s.InForce().Text)
 			return err
 		}),
-		show("history", "the versions remembered", func(out io.Writer, s *keeper.State) error {
+		show("history", "the versions remembered", func(out io.Writer, s *statemachine.State) error {
 			if c.json {
 				return json.NewEncoder(out).Encode(s.Policies)
 			}
@@ -96,16 +96,18 @@
 }
 
 // propose checks a policy, asks for it, and follows it to its end.
-func (c *calls) propose(out io.Writer, from string, text []byte, p keeper.Propose, dry bool) error {
+func (c *calls) propose(out io.Writer, from string, text []byte, p statemachine.Propose, dry bool) error {
 	doc, err := policy.Parse(text)
 	if err != nil {
 		return &coded{exitUsage, fmt.Errorf("%s: %w", from, err)}
 	}
-	return c.call(func(ctx context.Context, cl *link.Client) error { return c.follow(ctx, cl, out, doc, text, p, dry) })
+	return c.call(func(ctx context.Context, cl *transport.Client) error {
+		return c.follow(ctx, cl, out, doc, text, p, dry)
+	})
 }
 
 // follow asks for the change, and says how far it is until it has ended.
-func (c *calls) follow(ctx context.Context, cl *link.Client, out io.Writer, doc policy.Document, text []byte, p keeper.Propose, dry bool) error {
+func (c *calls) follow(ctx context.Context, cl *transport.Client, out io.Writer, doc policy.Document, text []byte, p statemachine.Propose, dry bool) error {
 	s, _, err := c.state(ctx, cl)
 	if err != nil {
 		return err
@@ -121,14 +123,14 @@
 		return nil
 	}
 	if p.ID == "" {
-		p.ID = fmt.Sprintf("%.8s-%d", keeper.Digest(text), s.Revision) // another after each change that ended
+		p.ID = fmt.Sprintf("%.8s-%d", statemachine.Digest(text), s.Revision) // another after each change that ended
 	}
 	p.Text, p.Base = text, s.InForce().Version
 	if p.Limits, err = doc.Limits(); err != nil {
 		return &coded{exitUsage, err}
 	}
 	p.Judges, p.Start, p.Flows, p.Pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
-	if _, err := c.do(ctx, cl, keeper.Command{Propose: &p}); err != nil {
+	if _, err := c.do(ctx, cl, statemachine.Command{Propose: &p}); err != nil {
 		return err
 	}
 	said := ""
@@ -150,10 +152,10 @@
 			said = line
 		}
 		switch s.Change.Stage {
-		case keeper.InForce:
+		case statemachine.InForce:
 			fmt.Fprintf(out, "version %d in force from revision %d\n", s.Change.Policy.Version, s.Change.Policy.Revision)
 			return nil
-		case keeper.Withdrawn:
+		case statemachine.Withdrawn:
 			return notDone("withdrawn: %s", s.Change.Reason)
 		}
 		cl.Watch(ctx, s.Revision, s.InForce().Version, time.Second)
--- a/cmd/keeper/serve.go
+++ b/cmd/coordinator/serve.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"yardflow/internal/link"
-	"yardflow/internal/quorum"
+	"yardflow/internal/fleet/consensus"
+	"yardflow/internal/fleet/transport"
 )
 
 func serveCommand() *cobra.Command {
@@ -46,13 +46,13 @@
 	}
 	own := cfg.quorum()
 	own.New, own.Join = fresh, join
-	q, err := quorum.Open(own)
+	q, err := consensus.Open(own)
 	if err != nil {
 		return notDone("%v", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(quorum.Path, q)
-	mux.Handle("/", link.Handler(cfg.Fleet, q, 20*cfg.Tick.Duration+time.Second))
+	mux.Handle(consensus.Path, q)
+	mux.Handle("/", transport.Handler(cfg.Fleet, q, 20*cfg.Tick.Duration+time.Second))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	go server.Serve(l)
 	log.Printf("keeper %d of %s serves on %s", cfg.Member, cfg.Fleet, l.Addr())
@@ -81,7 +81,7 @@
 		if err != nil {
 			return &coded{exitUsage, err}
 		}
-		got, err := quorum.Restore(cfg.quorum(), from, skip, accept)
+		got, err := consensus.Restore(cfg.quorum(), from, skip, accept)
 		if err != nil {
 			return notDone("%v", err)
 		}
--- a/cmd/yard/main.go
+++ b/cmd/scheduler/main.go
@@ -20,8 +20,8 @@
 	"yardflow/coordination/frame"
 	"yardflow/coordination/segment"
 	"yardflow/internal/control/server"
-	"yardflow/internal/dataplane"
-	"yardflow/internal/settings"
+	"yardflow/internal/dispatcher"
+	"yardflow/internal/platform/settings"
 )
 
 // version is the system's version.
@@ -118,7 +118,7 @@
 
 func runDispatcher(s *settings.Settings, logger zerolog.Logger) error {
 	limitMemory(s)
-	return errors.Trace(dataplane.New(s, frame.TCP{}, logger).Serve(stopSignal()))
+	return errors.Trace(dispatcher.New(s, frame.TCP{}, logger).Serve(stopSignal()))
 }
 
 func runControl(s *settings.Settings, logger zerolog.Logger) error {
--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -11,22 +11,22 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/accord"
-	"yardflow/internal/broker"
-	"yardflow/internal/cadence"
-	"yardflow/internal/config"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/memory"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/handover"
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
-	"yardflow/internal/policy"
-	"yardflow/internal/quota"
-	"yardflow/internal/timers"
-	"yardflow/internal/verdict"
-	"yardflow/internal/workers/relayed"
+	"yardflow/internal/discovery/backoff"
+	"yardflow/internal/discovery/relayedlist"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/coldstart/speeds"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/policy"
+	"yardflow/internal/fleet/policylease"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/gateway/hotrestart"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/timers"
 )
 
 // under is a configuration with what a policy takes from it and adds to it.
@@ -87,7 +87,7 @@
 }
 
 // weigh tells whether a policy could be run here.
-func (n *node) weigh(p keeper.Policy) (policy.Document, error) {
+func (n *node) weigh(p statemachine.Policy) (policy.Document, error) {
 	doc, err := policy.Parse(p.Text)
 	if err == nil {
 		if limits, _ := doc.Limits(); !slices.Equal(limits, p.Limits) {
@@ -111,7 +111,7 @@
 
 // takePolicy runs by a policy from here on. Open requests keep their class and what they
 // have tried.
-func (n *node) takePolicy(p keeper.Policy) error {
+func (n *node) takePolicy(p statemachine.Policy) error {
 	doc, err := n.weigh(p)
 	if err != nil {
 		return err
@@ -144,30 +144,30 @@
 	began := time.Now()
 	n.desk, n.deskNow = quota.NewDesk(), func() time.Duration { return time.Since(began) }
 	n.broker.Limit(n.desk, n.deskNow)
-	n.witness = verdict.NewWitness(verdict.Default().HalfLife, uint64(began.UnixNano()))
+	n.witness = outlier.NewWitness(outlier.Default().HalfLife, uint64(began.UnixNano()))
 	n.witness.Set(0) // until a policy has workers judged
 	n.broker.Witness(n.witness)
 	// What the keepers have said of workers is not used for longer than a lease.
 	n.stale = time.AfterFunc(time.Hour, func() { n.broker.Judged(nil, false) })
-	fence, _ := keeper.ParseFence(cfg.Keepers.Fence) // checked with the file
-	half := accord.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.Form()), fence)
-	var more link.Hooks
+	fence, _ := statemachine.ParseFence(cfg.Keepers.Fence) // checked with the file
+	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.Form()), fence)
+	var more transport.Hooks
 	n.carry(cfg, half.Life(), &more)
 	apply := n.takePolicy
 	// Where nothing is admitted without a lease no list is needed before one: then the keepers are
 	// waited for as long as a list may be old. Else but a moment.
 	patience := time.Second
-	if fence == keeper.Refuse {
+	if fence == statemachine.Refuse {
 		patience = max(cfg.Module.AskWithin, patience)
 	}
-	n.starts = start.NewDesk(n.deskNow, patience+cadence.First(cfg.Module.Dispatchers, rand.Float64()))
-	if kept := handover.OpenPolicy(dir, cfg.Name); fence == keeper.Last {
+	n.starts = coldstart.NewDesk(n.deskNow, patience+backoff.First(cfg.Module.Dispatchers, rand.Float64()))
+	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.Last {
 		if p, ok := n.lastPolicy(kept); ok {
 			half.Restore(p)
 			log.Printf("policy: version %d (%.12s) of the process before, until the keepers are asked", p.Version, p.Digest)
 		}
-		apply = func(p keeper.Policy) error {
-			text, err := keeper.Encode(p)
+		apply = func(p statemachine.Policy) error {
+			text, err := statemachine.Encode(p)
 			if err == nil {
 				err = n.takePolicy(p)
 			}
@@ -180,9 +180,9 @@
 			return nil
 		}
 	}
-	var carrier *relayed.Carrier
-	hooks := link.Hooks{
-		Check: func(p keeper.Policy) error { _, err := n.weigh(p); return err },
+	var carrier *relayedlist.Carrier
+	hooks := transport.Hooks{
+		Check: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
 		Apply: apply, Log: func(s string) { log.Print(s) },
 		Wants: func() []quota.Want {
 			n.desk.AtMost(int64(n.broker.Fullest()))
@@ -194,7 +194,7 @@
 			n.broker.Rebound()
 		},
 		Zone: cfg.Module.Zone, Asks: n.starts.Want, Has: n.starts.Has,
-		Start: func(asked, until time.Duration, w *start.Word) {
+		Start: func(asked, until time.Duration, w *coldstart.Word) {
 			list, speeds := n.starts.Hear(asked, until, w)
 			carrier.Take(list)
 			if speeds != nil {
@@ -204,15 +204,15 @@
 		},
 		List:    func(u *relay.Update) { carrier.Take(n.starts.News(u)) },
 		Starved: func() bool { return n.desk.Starved() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
-		Saw: func(hold *keeper.Hold) {
+		Saw: func(hold *statemachine.Hold) {
 			if n.judged.Load() {
 				hold.Workers, hold.Saw = n.broker.Workers(), n.witness.Reports(n.deskNow())
 			}
 		},
 		Unsaid:   n.witness.Unsaid,
 		Verdicts: n.heardVerdicts, Stay: more.Stay, Steps: more.Steps}
-	n.holder = link.NewHolder(link.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
-	carrier = relayed.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
+	n.holder = transport.NewHolder(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
+	carrier = relayedlist.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
 	n.table.Share(n.starts, carrier.Told)
 	n.reader.Gate(func() (uint64, time.Time, bool) {
 		held, at := n.holder.Admits()
@@ -241,7 +241,7 @@
 		select {
 		case <-tick.C:
 			if n.starts.Bound() {
-				n.starts.Learned(memory.From(n.broker.Memory(200 * time.Millisecond)))
+				n.starts.Learned(speeds.From(n.broker.Memory(200 * time.Millisecond)))
 			}
 		case <-ctx.Done():
 			return
@@ -250,12 +250,12 @@
 }
 
 // heardVerdicts takes in the verdicts that hold here, until then.
-func (n *node) heardVerdicts(until time.Duration, all []verdict.Verdict, accused []verdict.Life, news bool) {
+func (n *node) heardVerdicts(until time.Duration, all []outlier.Verdict, accused []outlier.Life, news bool) {
 	if !n.judged.Load() {
 		return
 	}
-	own := slices.DeleteFunc(slices.Clone(all), func(v verdict.Verdict) bool {
-		return v.Zone != verdict.Everywhere && v.Zone != n.cfg.Module.Zone
+	own := slices.DeleteFunc(slices.Clone(all), func(v outlier.Verdict) bool {
+		return v.Zone != outlier.Everywhere && v.Zone != n.cfg.Module.Zone
 	})
 	n.witness.Pardon(n.verdicts, own)
 	n.verdicts = own
@@ -267,10 +267,10 @@
 }
 
 // lastPolicy takes up the policy that the process before ran by, if there is one.
-func (n *node) lastPolicy(kept *handover.Policy) (p keeper.Policy, ok bool) {
+func (n *node) lastPolicy(kept *hotrestart.Policy) (p statemachine.Policy, ok bool) {
 	text, err := kept.Read()
 	if err == nil && len(text) > 0 {
-		if err = keeper.Decode(text, &p); err == nil {
+		if err = statemachine.Decode(text, &p); err == nil {
 			err = n.takePolicy(p)
 		}
 		ok = err == nil
--- a/cmd/yardflow/door.go
+++ b/cmd/yardflow/door.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"yardflow"
+	"yardflow/scheduling/dispatch"
 )
 
 var errStarting = errors.New("starting")
@@ -51,7 +51,7 @@
 	clock := func(at time.Duration) string { return d.n.broker.Clock(at).UTC().Format("15:04:05.000") }
 	for _, r := range held.Reservations {
 		out = append(out, fmt.Sprintf("%v slots at %s for job %d since %s, free by %s, until %s, %.1f slot seconds idle", r.Slots,
-			d.n.broker.Name(linnetlift.WorkerID(r.Worker)), r.Job, clock(r.Made), clock(r.Shadow), clock(r.Until), r.Idle))
+			d.n.broker.Name(dispatch.WorkerID(r.Worker)), r.Job, clock(r.Made), clock(r.Shadow), clock(r.Until), r.Idle))
 	}
 	return strings.Join(out, "; "), nil
 }
--- a/cmd/yardflow/endings_test.go
+++ b/cmd/yardflow/endings_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/standin/script"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/testing/standin/script"
 )
 
 // A request that is half written when SIGTERM comes, and one that comes behind it on the same
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -41,9 +41,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"yardflow/internal/config"
-	"yardflow/internal/invariant"
-	"yardflow/internal/standin/roster"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/invariant"
+	"yardflow/internal/testing/standin/listservice"
 )
 
 const (
@@ -86,14 +86,14 @@
 	node       *node
 
 	workers    map[string]string // address by id
-	arrivals   chan *dispatch
-	dispatches map[string]*dispatch
+	arrivals   chan *dispatchedJob
+	dispatches map[string]*dispatchedJob
 	clients    map[string]*client
 
-	roster *roster.Roster
+	roster *listservice.Roster
 }
 
-type dispatch struct {
+type dispatchedJob struct {
 	head, rest string
 	conn       net.Conn
 	closed     chan struct{}
@@ -107,8 +107,8 @@
 }
 
 func newStage(t *testing.T) *stage {
-	s := &stage{t: t, workers: map[string]string{}, arrivals: make(chan *dispatch, 16), dispatches: map[string]*dispatch{},
-		clients: map[string]*client{}, roster: roster.Start()}
+	s := &stage{t: t, workers: map[string]string{}, arrivals: make(chan *dispatchedJob, 16), dispatches: map[string]*dispatchedJob{},
+		clients: map[string]*client{}, roster: listservice.Start()}
 	t.Cleanup(s.roster.Close)
 	text, err := os.ReadFile("testdata/settings.json")
 	s.must(err)
@@ -161,7 +161,7 @@
 			lines = append(lines, name+": "+strings.Join(v, ", "))
 		}
 		slices.Sort(lines)
-		s.arrivals <- &dispatch{conn: conn, closed: closed, rest: string(body),
+		s.arrivals <- &dispatchedJob{conn: conn, closed: closed, rest: string(body),
 			head: req.Method + " " + req.RequestURI + "\n" + strings.Join(lines, "\n")}
 	}
 }
@@ -281,12 +281,12 @@
 // tell changes the list and waits until the node has it: its next watch asks
 // from the new generation.
 func (s *stage) tell(text string) {
-	var list []roster.Entry
+	var list []listservice.Entry
 	for line := range strings.Lines(text) {
 		f := append(strings.Fields(line), "1")
 		cell, err := strconv.Atoi(f[2])
 		s.must(err)
-		list = append(list, roster.Entry{ID: f[0], Addr: s.worker(f[0]), Zone: "praha-holesovice", Kind: "dual-fast", Cell: cell, Lifecycle: f[1], Weight: 1})
+		list = append(list, listservice.Entry{ID: f[0], Addr: s.worker(f[0]), Zone: "praha-holesovice", Kind: "dual-fast", Cell: cell, Lifecycle: f[1], Weight: 1})
 	}
 	generation := s.roster.Set(list...)
 	if s.node == nil {
--- a/cmd/yardflow/main.go
+++ b/cmd/yardflow/main.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/haproxy"
-	"yardflow/internal/invariant"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/haproxy"
+	"yardflow/internal/platform/invariant"
 )
 
 func main() {
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -16,20 +16,20 @@
 	"syscall"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/console"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/handover"
-	"yardflow/internal/link"
-	"yardflow/internal/peers"
-	"yardflow/internal/platform"
-	"yardflow/internal/policy"
-	"yardflow/internal/quota"
-	"yardflow/internal/serve/flows"
-	"yardflow/internal/sources"
-	"yardflow/internal/sse"
-	"yardflow/internal/verdict"
+	"yardflow/internal/discovery/sources"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/policy"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/transport"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/gateway/datagram"
+	"yardflow/internal/gateway/hotrestart"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/gateway/ssefront"
+	"yardflow/internal/gateway/workflowsteps"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/console"
 )
 
 // reserve is for what is neither a client's nor a loan worker's: the standard
@@ -44,33 +44,33 @@
 	live        *config.Live   // in force
 	longest     time.Duration  // longest deadline of any request that may be open
 	broker      *broker.Broker
-	table       *platform.Table
+	table       *httpfront.Table
 	sources     *sources.Sources
-	guard       *platform.Guard
-	reader      *platform.Reader
-	lines       *platform.WorkerConns
-	front       *platform.Frontend
+	guard       *httpfront.Guard
+	reader      *httpfront.Reader
+	lines       *httpfront.WorkerConns
+	front       *httpfront.Frontend
 	mu          sync.Mutex
 	servers     []*http.Server
-	listeners   []*platform.Listener
+	listeners   []*httpfront.Listener
 	console     *console.Console
 	limitMemory func(bytes int64)
-	bans        *handover.Bans
-	peers       *handover.Peers
-	holder      *link.Holder   // of the policy agreed on with keepers; nil: none is
-	release     func()         // gives its lease back
-	base        *config.Config // in force, before the policy; reloads' and the policy's, under policyMu
+	bans        *hotrestart.Bans
+	peers       *hotrestart.Peers
+	holder      *transport.Holder // of the policy agreed on with keepers; nil: none is
+	release     func()            // gives its lease back
+	base        *config.Config    // in force, before the policy; reloads' and the policy's, under policyMu
 	policyMu    sync.Mutex
-	starts      *start.Desk // of turns at the list service and the relayed list; nil: no keepers
-	desk        *quota.Desk // of the limits of the fleet
+	starts      *coldstart.Desk // of turns at the list service and the relayed list; nil: no keepers
+	desk        *quota.Desk     // of the limits of the fleet
 	deskNow     func() time.Duration
-	witness     *verdict.Witness
+	witness     *outlier.Witness
 	judged      atomic.Bool       // the policy in force has workers judged
-	verdicts    []verdict.Verdict // that hold here; the holder's alone
+	verdicts    []outlier.Verdict // that hold here; the holder's alone
 	stale       *time.Timer       // ends them
 	policy      policy.Document
-	talk        *peers.Link   // with the other dispatchers; nil: they don't talk
-	flows       *flows.Runner // of workflows' steps; nil: no keepers
+	talk        *datagram.Link        // with the other dispatchers; nil: they don't talk
+	flows       *workflowsteps.Runner // of workflows' steps; nil: no keepers
 	serving     atomic.Bool
 
 	addr, sseAddr, consoleAddr net.Addr // where the parts listen; nil: off
@@ -88,7 +88,7 @@
 	// Before anything grows: from here on a process that runs already keeps to its
 	// half. It knows a newer list than the configuration's.
 	var state []byte
-	n.peers, state = handover.Meet(dir, cfg.Name, logLine)
+	n.peers, state = hotrestart.Meet(dir, cfg.Name, logLine)
 	var before inheritance
 	if len(state) > 0 {
 		if err := json.Unmarshal(state, &before); err != nil {
@@ -110,12 +110,12 @@
 		n.broker.Trace(logLine)
 	}
 	if cfg.Talks() {
-		if n.talk, err = peers.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.Heard, n.peers.TellSaid); err != nil {
+		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.Heard, n.peers.TellSaid); err != nil {
 			return nil, err
 		}
 		n.broker.Peers(n.talk.Tell)
 	}
-	if n.bans, err = handover.OpenBans(dir, cfg.Name); err != nil {
+	if n.bans, err = hotrestart.OpenBans(dir, cfg.Name); err != nil {
 		return nil, err
 	}
 	// The console comes first: whoever asks while the rest starts gets a no.
@@ -133,7 +133,7 @@
 	}
 	hooks := sources.Hooks{Log: logLine, Moved: func(addr string) { n.lines.Part(addr) }}
 	clients, workers := n.sockets(1 + n.peers.Others())
-	n.lines = platform.NewWorkerConns(n.live, workers)
+	n.lines = httpfront.NewWorkerConns(n.live, workers)
 	if n.sources, err = sources.New(n.live, n.broker, hooks); err != nil {
 		return nil, err
 	}
@@ -147,12 +147,12 @@
 	if len(before.Learned) > 0 {
 		n.broker.Recall(before.Learned)
 	}
-	if n.table, err = platform.NewTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
+	if n.table, err = httpfront.NewTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
 		return nil, err
 	}
-	n.guard = platform.NewGuard(clients)
-	n.reader = platform.NewReader(n.live, n.guard)
-	n.front = platform.NewFrontend(n.broker, n.lines, n.reader)
+	n.guard = httpfront.NewGuard(clients)
+	n.reader = httpfront.NewReader(n.live, n.guard)
+	n.front = httpfront.NewFrontend(n.broker, n.lines, n.reader)
 	n.front.AwaitStart(n.table.Started)
 	if len(cfg.Keepers.Addresses) > 0 {
 		n.hold(cfg, dir)
@@ -163,7 +163,7 @@
 	}
 	n.addr = n.serve(l, n.front.Server())
 	if cfg.SSE.Enabled {
-		server := n.front.Serve(sse.New(n.live, n.broker, n.lines, n.reader).Session)
+		server := n.front.Serve(ssefront.New(n.live, n.broker, n.lines, n.reader).Session)
 		l, err := net.Listen("tcp", cfg.SSE.Listen)
 		switch {
 		case err == nil:
@@ -183,7 +183,7 @@
 	n.sources.Follow()
 	n.serving.Store(true)
 	// The name in dir goes over last: a process that failed before is not met.
-	if err := n.peers.Serve(handover.Hooks{State: n.inheritance, Shared: n.share, Bans: n.rereadBans, Said: n.broker.Heard}); err != nil {
+	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, Shared: n.share, Bans: n.rereadBans, Said: n.broker.Heard}); err != nil {
 		log.Printf("the next process can't meet this one: %v", err)
 	}
 	return n, nil
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/console"
-	"yardflow/internal/haproxy"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/console"
+	"yardflow/internal/platform/haproxy"
 )
 
 const job = "POST /issue-loan HTTP/1.1\nHost: h\nX-Request-ID: %s\nX-Priority-Class: issue-loan\nX-Tenant-Id: univ-vltava\nX-Timeout: 5\n\nx"
@@ -37,7 +37,7 @@
 }
 
 // arrival waits for the next dispatch.
-func (s *stage) arrival() *dispatch {
+func (s *stage) arrival() *dispatchedJob {
 	s.t.Helper()
 	select {
 	case d := <-s.arrivals:
@@ -49,7 +49,7 @@
 }
 
 // done answers a dispatch as its loan worker.
-func (d *dispatch) done(id string) {
+func (d *dispatchedJob) done(id string) {
 	body := fmt.Sprintf(`{"id":%q,"state":"done","result":"ok"}`, id) + "\n"
 	fmt.Fprintf(d.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -263,7 +263,7 @@
 	if got := second.conn.LocalAddr().String(); got != s.workers["s-2"] {
 		t.Error("went to", got)
 	}
-	for id, d := range map[string]*dispatch{"r1": first, "r2": second} {
+	for id, d := range map[string]*dispatchedJob{"r1": first, "r2": second} {
 		d.done(id)
 	}
 	for _, name := range []string{"a", "b"} {
--- a/cmd/yardflow/share.go
+++ b/cmd/yardflow/share.go
@@ -7,7 +7,7 @@
 	"log"
 	"slices"
 
-	"yardflow/internal/console"
+	"yardflow/internal/platform/console"
 )
 
 // sockets parts the descriptors that one of n processes may hold: a few in
--- a/cmd/yardflow/signals_test.go
+++ b/cmd/yardflow/signals_test.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"testing"
 
-	"yardflow/internal/standin/roster"
-	"yardflow/internal/standin/script"
+	"yardflow/internal/testing/standin/listservice"
+	"yardflow/internal/testing/standin/script"
 )
 
 // asProgram is set for the test's own binary when it is to run as the program.
@@ -32,9 +32,9 @@
 // program starts the program as a process of its own, with one worker that discovery tells of. It
 // gives the process and its standard error.
 func program(t *testing.T, worker string) (*exec.Cmd, *bufio.Scanner) {
-	list := roster.Start()
+	list := listservice.Start()
 	t.Cleanup(list.Close)
-	list.Set(roster.Entry{ID: "s-1", Addr: worker, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
+	list.Set(listservice.Entry{ID: "s-1", Addr: worker, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/yardflow/sources_test.go
+++ b/cmd/yardflow/sources_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/standin/dnsd"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/testing/standin/dnsserver"
 )
 
 // named gives the stage a DNS server, and an operator's file that follows it.
-func (s *stage) named(more string) *dnsd.Server {
-	d, err := dnsd.Start()
+func (s *stage) named(more string) *dnsserver.Server {
+	d, err := dnsserver.Start()
 	s.must(err)
 	s.t.Cleanup(d.Close)
 	s.operator = fmt.Sprintf(`
@@ -34,7 +34,7 @@
 }
 
 // zone puts a list of workers in DNS, each as id or id=address.
-func (s *stage) zone(d *dnsd.Server, ttl int, workers ...string) {
+func (s *stage) zone(d *dnsserver.Server, ttl int, workers ...string) {
 	text := ""
 	for _, w := range workers {
 		id, addr, other := strings.Cut(w, "=")
@@ -67,7 +67,7 @@
 }
 
 // served hands in a job, which must go to that worker, and sees it answered.
-func (s *stage) served(id, worker string) *dispatch {
+func (s *stage) served(id, worker string) *dispatchedJob {
 	s.t.Helper()
 	s.step("client a sends", fmt.Sprintf(job, id))
 	d := s.arrival()
@@ -176,7 +176,7 @@
 	s.step("list", "s-2 SERVING")
 	s.until("worker s-1", "draining, by roster: gone")
 	s.step("console exclude s-2", "SUCCESS exclude s-2")
-	d.Behave(dnsd.Always(dnsd.Fault{Drop: true}))
+	d.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
 	s.until("worker s-3", "serving, by loans: lapsed")
 	s.start()
 	s.until("worker s-3", "serving, by loans: lapsed")
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/steps.go
@@ -11,17 +11,17 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/fleet/flow/template"
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
-	"yardflow/internal/policy"
-	"yardflow/internal/serve/flows"
+	"yardflow/internal/fleet/policy"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/fleet/workflow/template"
+	"yardflow/internal/gateway/workflowsteps"
+	"yardflow/internal/platform/config"
 )
 
 // weighFlows tells what keeps a policy's workflows from being run under a configuration; nil: nothing.
-func weighFlows(cfg *config.Config, doc policy.Document, p keeper.Policy) error {
+func weighFlows(cfg *config.Config, doc policy.Document, p statemachine.Policy) error {
 	if all := doc.Flows(); len(all)+len(p.Flows) > 0 && !reflect.DeepEqual(all, p.Flows) {
 		return &template.Error{Step: -1, Key: "flow", What: "the templates agreed on are not those of the text", Expected: "both alike"}
 	}
@@ -40,9 +40,11 @@
 }
 
 // carry makes the runner of steps; hooks of the lease's holder are added to.
-func (n *node) carry(cfg *config.Config, life uint64, hooks *link.Hooks) {
-	n.flows = flows.New(n.broker, flows.Hooks{Name: cfg.Name, Life: life, Now: n.deskNow, Live: n.live, Lines: n.lines, Log: func(s string) { log.Print(s) },
-		Call: func(ctx context.Context, c keeper.Command) (keeper.Result, error) { return n.holder.Do(ctx, c) },
+func (n *node) carry(cfg *config.Config, life uint64, hooks *transport.Hooks) {
+	n.flows = workflowsteps.New(n.broker, workflowsteps.Hooks{Name: cfg.Name, Life: life, Now: n.deskNow, Live: n.live, Lines: n.lines, Log: func(s string) { log.Print(s) },
+		Call: func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
+			return n.holder.Do(ctx, c)
+		},
 		Gate: func() (uint64, time.Time, bool) {
 			held, at := n.holder.Admits()
 			return held.Version, at, held.Admits
--- a/internal/control/link/changes_test.go
+++ b/internal/control/protocol/changes_test.go
@@ -1,4 +1,4 @@
-package link
+package protocol
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sebdah/goldie/v2"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 )
 
 // bodyOf returns a configuration with so many routes, as operators write them.
@@ -31,8 +31,8 @@
 	return append(text, `],"Services":[{"Name":"huvo11a","HealthPath":"/health","Guards":true}]}`...)
 }
 
-func packedSize(update *cluster.ConfigUpdate) int {
-	return len(Pack([]cbor.RawMessage{Encode(cluster.Update{Config: update})}))
+func packedSize(update *statemachine.ConfigUpdate) int {
+	return len(Pack([]cbor.RawMessage{Encode(statemachine.Update{Config: update})}))
 }
 
 // TestBytesOfChanges makes the table of what configurations cost on the way to a dispatcher, in the chain and in the
@@ -45,11 +45,11 @@
 			if routes*changes > 125_000 { // a change costs the same whatever came before it
 				continue
 			}
-			c := cluster.New(10)
+			c := statemachine.New(10)
 			sent, logged := 0, 0
 			for version := int64(1); version <= int64(changes); version++ {
-				command := &cluster.Command{Configure: c.NewConfigure(version, version-1, bodyOf(version, routes))}
-				if c.Apply(command).Code != cluster.OK {
+				command := &statemachine.Command{Configure: c.NewConfigure(version, version-1, bodyOf(version, routes))}
+				if c.Apply(command).Code != statemachine.OK {
 					t.Fatal("a change is refused")
 				}
 				if version > 1 {
--- a/internal/control/link/golden_test.go
+++ b/internal/control/protocol/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package protocol
 
 import (
 	"errors"
--- a/internal/control/link/link.go
+++ b/internal/control/protocol/link.go
@@ -1,13 +1,13 @@
-// Package link has the messages between dispatchers and control machines, and
+// Package protocol has the messages between dispatchers and control machines, and
 // those among control machines. All travel as CBOR in frames.
-package link
+package protocol
 
 import (
 	"github.com/fxamacker/cbor/v2"
 
 	"yardflow/coordination/chain"
 	"yardflow/coordination/view"
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 )
 
 // Paths at a control machine's address.
@@ -46,29 +46,29 @@
 
 // Outcome answers a Tagged.
 type Outcome struct {
-	Tag    uint64         `cbor:"1,keyasint"`
-	Result cluster.Result `cbor:"2,keyasint"`
+	Tag    uint64              `cbor:"1,keyasint"`
+	Result statemachine.Result `cbor:"2,keyasint"`
 }
 
 // Down goes from a control machine to a dispatcher. An empty one is a heartbeat.
 type Down struct {
-	Session  cluster.SessionID `cbor:"1,keyasint,omitempty"` // the updates are a whole snapshot for this session
-	Updates  []cbor.RawMessage `cbor:"2,keyasint,omitempty"`
-	Outcomes []Outcome         `cbor:"3,keyasint,omitempty"`
-	Controls []string          `cbor:"4,keyasint,omitempty"` // addresses of all control machines
-	Refused  bool              `cbor:"5,keyasint,omitempty"` // try another control machine
+	Session  statemachine.SessionID `cbor:"1,keyasint,omitempty"` // the updates are a whole snapshot for this session
+	Updates  []cbor.RawMessage      `cbor:"2,keyasint,omitempty"`
+	Outcomes []Outcome              `cbor:"3,keyasint,omitempty"`
+	Controls []string               `cbor:"4,keyasint,omitempty"` // addresses of all control machines
+	Refused  bool                   `cbor:"5,keyasint,omitempty"` // try another control machine
 }
 
 // Peer goes from one control machine to another.
 type Peer struct {
-	Ping     *view.Ping          `cbor:"1,keyasint,omitempty"`
-	Sessions []cluster.SessionID `cbor:"2,keyasint,omitempty"` // dispatchers in touch with the sender, with a ping
-	Broken   []cluster.SessionID `cbor:"6,keyasint,omitempty"` // dispatchers whose connections ended all at once
-	View     *view.Message       `cbor:"3,keyasint,omitempty"`
-	Chain    *chain.Message      `cbor:"4,keyasint,omitempty"`
-	Fetch    *chain.Fetch        `cbor:"7,keyasint,omitempty"`
-	Lesson   *chain.Lesson       `cbor:"8,keyasint,omitempty"`
-	Forward  []chain.Proposal    `cbor:"5,keyasint,omitempty"`
+	Ping     *view.Ping               `cbor:"1,keyasint,omitempty"`
+	Sessions []statemachine.SessionID `cbor:"2,keyasint,omitempty"` // dispatchers in touch with the sender, with a ping
+	Broken   []statemachine.SessionID `cbor:"6,keyasint,omitempty"` // dispatchers whose connections ended all at once
+	View     *view.Message            `cbor:"3,keyasint,omitempty"`
+	Chain    *chain.Message           `cbor:"4,keyasint,omitempty"`
+	Fetch    *chain.Fetch             `cbor:"7,keyasint,omitempty"`
+	Lesson   *chain.Lesson            `cbor:"8,keyasint,omitempty"`
+	Forward  []chain.Proposal         `cbor:"5,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
--- a/internal/control/link/pack_test.go
+++ b/internal/control/protocol/pack_test.go
@@ -1,4 +1,4 @@
-package link
+package protocol
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 )
 
 func TestPackedUpdatesComeInOrder(t *testing.T) {
 	var many []cbor.RawMessage
 	for i := range 500 {
-		many = append(many, Encode(cluster.Update{WorkerGone: fmt.Sprint("worker-", i)}))
+		many = append(many, Encode(statemachine.Update{WorkerGone: fmt.Sprint("worker-", i)}))
 	}
-	single := []cbor.RawMessage{Encode(cluster.Update{JobGone: "a"})}
+	single := []cbor.RawMessage{Encode(statemachine.Update{JobGone: "a"})}
 	packed := []cbor.RawMessage{Pack(single), Pack(many), Pack(single)}
 	if len(packed[1]) > 6000 {
 		t.Errorf("500 updates pack to %d bytes", len(packed[1]))
@@ -32,7 +32,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add([]byte(Pack([]cbor.RawMessage{Encode(cluster.Update{JobGone: "a"}), Encode(cluster.Update{JobGone: "b"})})))
+	f.Add([]byte(Pack([]cbor.RawMessage{Encode(statemachine.Update{JobGone: "a"}), Encode(statemachine.Update{JobGone: "b"})})))
 	f.Add([]byte{0x41, 0x00})
 	f.Fuzz(func(t *testing.T, item []byte) {
 		Unpack([]cbor.RawMessage{item}) // whatever comes, it ends
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -10,8 +10,8 @@
 
 	"yardflow/coordination/frame"
 	"yardflow/coordination/view"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 )
 
 // Spans of connections with dispatchers.
@@ -24,12 +24,12 @@
 // dispatcher is a connected dispatcher. It belongs to the engine.
 type dispatcher struct {
 	conn     *frame.Conn
-	hello    link.Hello
-	session  cluster.SessionID
+	hello    protocol.Hello
+	session  statemachine.SessionID
 	snapshot bool  // its session is open, and the snapshot is due
 	config   int64 // version that it has acknowledged
 	outbox   outbox
-	outcomes []link.Outcome // of commands that were just applied; they follow the updates of the same commands
+	outcomes []protocol.Outcome // of commands that were just applied; they follow the updates of the same commands
 	quiet    int
 }
 
@@ -59,8 +59,8 @@
 			broken = !errors.Is(err, os.ErrDeadlineExceeded)
 			return
 		}
-		up := &link.Up{}
-		if !link.Decode(data, up) {
+		up := &protocol.Up{}
+		if !protocol.Decode(data, up) {
 			return
 		}
 		s.do(func() { s.receiveUp(d, up) })
@@ -69,17 +69,17 @@
 
 // reportBroken tells the head that a dispatcher's connection has ended. An end that its machine has
 // told mostly means that the process is gone.
-func (s *Server) reportBroken(id cluster.SessionID) {
+func (s *Server) reportBroken(id statemachine.SessionID) {
 	s.broken[id] = s.now()
-	s.peers.broadcast(link.Encode(&link.Peer{Broken: []cluster.SessionID{id}}))
+	s.peers.broadcast(protocol.Encode(&protocol.Peer{Broken: []statemachine.SessionID{id}}))
 }
 
-func (s *Server) receiveUp(d *dispatcher, up *link.Up) {
+func (s *Server) receiveUp(d *dispatcher, up *protocol.Up) {
 	if up.Hello != nil {
 		s.attach(d, up.Hello)
 	}
 	if up.Goodbye && d.session != 0 {
-		s.submit(&cluster.Command{CloseSession: &cluster.CloseSession{Session: d.session}}, func(cluster.Result) {})
+		s.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}}, func(statemachine.Result) {})
 	}
 	if !s.dispatchers[d] {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *Server) attach(d *dispatcher, hello *link.Hello) {
+func (s *Server) attach(d *dispatcher, hello *protocol.Hello) {
 	d.hello = *hello
 	d.outbox.acknowledges = hello.Acknowledges
 	switch {
@@ -108,13 +108,13 @@
 }
 
 // openSession opens a dispatcher's session behind the newest one that its node has had.
-func (s *Server) openSession(d *dispatcher, behind cluster.SessionID) {
-	open := &cluster.Command{OpenSession: &cluster.OpenSession{Node: d.hello.Node, Zone: d.hello.Zone, Life: d.hello.Life,
+func (s *Server) openSession(d *dispatcher, behind statemachine.SessionID) {
+	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.hello.Node, Zone: d.hello.Zone, Life: d.hello.Life,
 		Behind: behind}}
-	s.submitFor(d, open, link.Encode(open), func(result cluster.Result) {
+	s.submitFor(d, open, protocol.Encode(open), func(result statemachine.Result) {
 		switch {
 		case !s.dispatchers[d]:
-		case result.Code == cluster.Conflict:
+		case result.Code == statemachine.Conflict:
 			s.openSession(d, result.Session) // there was a newer one, which this replica had not applied
 		default:
 			d.session, d.snapshot = result.Session, true
@@ -138,7 +138,7 @@
 // sendAway tells a dispatcher to try another control machine.
 func (s *Server) sendAway(d *dispatcher) {
 	delete(s.waiting, d)
-	d.conn.Send(link.Encode(link.Down{Refused: true, Controls: s.controls()}))
+	d.conn.Send(protocol.Encode(protocol.Down{Refused: true, Controls: s.controls()}))
 }
 
 // isOutside reports whether the newest view known here has this machine not in its chain, so that no dispatcher can be
@@ -148,15 +148,15 @@
 	return !s.register.First() && s.register.View().InChain(s.register.Me().ID) < 0
 }
 
-func (s *Server) receiveCommand(d *dispatcher, tagged *link.Tagged) {
-	command := &cluster.Command{}
-	if !link.Decode(tagged.Command, command) {
-		d.outcomes = append(d.outcomes, link.Outcome{Tag: tagged.Tag, Result: cluster.Result{Code: cluster.Invalid}})
+func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.Tagged) {
+	command := &statemachine.Command{}
+	if !protocol.Decode(tagged.Command, command) {
+		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tagged.Tag, Result: statemachine.Result{Code: statemachine.Invalid}})
 		return
 	}
 	tag := tagged.Tag
-	s.submitFor(d, command, tagged.Command, func(result cluster.Result) {
-		d.outcomes = append(d.outcomes, link.Outcome{Tag: tag, Result: result})
+	s.submitFor(d, command, tagged.Command, func(result statemachine.Result) {
+		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tag, Result: result})
 	})
 }
 
@@ -199,8 +199,8 @@
 	return addresses
 }
 
-func (s *Server) sessionsInTouch() []cluster.SessionID {
-	ids := []cluster.SessionID{}
+func (s *Server) sessionsInTouch() []statemachine.SessionID {
+	ids := []statemachine.SessionID{}
 	for id := range s.bySession {
 		ids = append(ids, id)
 	}
@@ -229,8 +229,8 @@
 	}
 }
 
-func (s *Server) sendDown(d *dispatcher, down link.Down) {
-	message := link.Encode(down)
+func (s *Server) sendDown(d *dispatcher, down protocol.Down) {
+	message := protocol.Encode(down)
 	d.conn.Send(message)
 	d.outbox.noteSent(len(message))
 	d.quiet = 0
@@ -240,14 +240,14 @@
 	for _, addressed := range s.updates {
 		if addressed.To != 0 {
 			if d := s.bySession[addressed.To]; d != nil && !d.snapshot {
-				d.outbox.addUpdate(&addressed.Update, link.Encode(addressed.Update))
+				d.outbox.addUpdate(&addressed.Update, protocol.Encode(addressed.Update))
 			}
 			continue
 		}
 		if len(s.bySession) == 0 {
 			continue
 		}
-		encoded := link.Pack([]cbor.RawMessage{link.Encode(addressed.Update)})
+		encoded := protocol.Pack([]cbor.RawMessage{protocol.Encode(addressed.Update)})
 		for d := range s.dispatchers {
 			if d.session != 0 && !d.snapshot {
 				d.outbox.addUpdate(&addressed.Update, encoded)
@@ -267,14 +267,14 @@
 // sendSnapshot tells a dispatcher whose session is open the whole state that concerns it.
 func (s *Server) sendSnapshot(d *dispatcher, shared *sharedSnapshot) {
 	if shared.state == nil {
-		shared.state = link.Pack(encodeAll(s.cluster.SharedSnapshot()))
+		shared.state = protocol.Pack(encodeAll(s.cluster.SharedSnapshot()))
 	}
 	d.snapshot = false
 	updates := append(s.configFor(d, shared), shared.state)
 	if own := s.cluster.OwnSnapshot(d.session); len(own) > 0 {
-		updates = append(updates, link.Pack(encodeAll(own)))
+		updates = append(updates, protocol.Pack(encodeAll(own)))
 	}
-	s.sendDown(d, link.Down{Session: d.session, Controls: s.controls(), Updates: updates})
+	s.sendDown(d, protocol.Down{Session: d.session, Controls: s.controls(), Updates: updates})
 }
 
 // configFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
@@ -285,18 +285,18 @@
 		return nil
 	}
 	if since := s.changes.since(d.hello.Config); since != nil {
-		return []cbor.RawMessage{link.Pack(encodeAll(since))}
+		return []cbor.RawMessage{protocol.Pack(encodeAll(since))}
 	}
 	if shared.config == nil {
-		shared.config = link.Pack(encodeAll([]cluster.Update{{Config: whole}}))
+		shared.config = protocol.Pack(encodeAll([]statemachine.Update{{Config: whole}}))
 	}
 	return []cbor.RawMessage{shared.config}
 }
 
-func encodeAll(updates []cluster.Update) []cbor.RawMessage {
+func encodeAll(updates []statemachine.Update) []cbor.RawMessage {
 	encoded := make([]cbor.RawMessage, len(updates))
 	for i := range updates {
-		encoded[i] = link.Encode(updates[i])
+		encoded[i] = protocol.Encode(updates[i])
 	}
 	return encoded
 }
@@ -304,7 +304,7 @@
 func (s *Server) dispatcherTick() {
 	for d := range s.dispatchers {
 		if d.quiet++; d.quiet >= heartbeatTicks {
-			s.sendDown(d, link.Down{Controls: s.controls()})
+			s.sendDown(d, protocol.Down{Controls: s.controls()})
 		}
 	}
 }
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -15,9 +15,9 @@
 	"yardflow/coordination/frame"
 	"yardflow/coordination/segment"
 	"yardflow/coordination/view"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 )
 
 // Spans of the engine.
@@ -45,7 +45,7 @@
 	register *view.Register
 	detector *view.Detector
 	replica  *chain.Replica
-	cluster  *cluster.Cluster
+	cluster  *statemachine.Cluster
 
 	leaving       bool   // the process is to stop, and hands its place in the chain over
 	restartedIn   uint64 // epoch in whose view this life has no part
@@ -64,13 +64,13 @@
 	pending     map[uint64]*request
 	nextTag     uint64
 	outgoing    []chain.Proposal // for the head
-	updates     []cluster.Addressed
+	updates     []statemachine.Addressed
 	changes     recentChanges
 	dispatchers map[*dispatcher]bool
-	bySession   map[cluster.SessionID]*dispatcher
-	seen        map[cluster.SessionID]time.Duration // by the head: when a session was last in touch
-	waiting     map[*dispatcher]time.Duration       // dispatchers that came while this replica did not serve
-	broken      map[cluster.SessionID]time.Duration // when a session's connection ended
+	bySession   map[statemachine.SessionID]*dispatcher
+	seen        map[statemachine.SessionID]time.Duration // by the head: when a session was last in touch
+	waiting     map[*dispatcher]time.Duration            // dispatchers that came while this replica did not serve
+	broken      map[statemachine.SessionID]time.Duration // when a session's connection ended
 	viewSince   time.Duration
 	agedAt      time.Duration
 	ended       chan struct{}
@@ -86,10 +86,10 @@
 	if recovered.Fresh {
 		durable.Me = view.Member{ID: rand.Uint64() | 1, Node: s.Node, Address: s.Listen.Control, Zone: s.Zone}
 		durable.First = s.Bootstrap
-		if err := store.SaveMeta(link.Encode(durable)); err != nil {
+		if err := store.SaveMeta(protocol.Encode(durable)); err != nil {
 			return nil, errors.Trace(err)
 		}
-	} else if !link.Decode(recovered.Meta, &durable) {
+	} else if !protocol.Decode(recovered.Meta, &durable) {
 		return nil, errors.Errorf("%s: the metadata can't be read; replace this disk, or empty the folder so that this machine joins anew", s.DataDir)
 	}
 	keepAges := uint64((s.Bounds.StatusS + jobMargin.Seconds()) / ageEvery.Seconds())
@@ -100,13 +100,13 @@
 		began:       time.Now(),
 		inbox:       make(chan func(), 4096),
 		register:    view.NewRegister(durable),
-		cluster:     cluster.New(keepAges),
+		cluster:     statemachine.New(keepAges),
 		restartedIn: durable.View.Epoch,
 		pending:     map[uint64]*request{},
 		dispatchers: map[*dispatcher]bool{},
-		bySession:   map[cluster.SessionID]*dispatcher{},
-		seen:        map[cluster.SessionID]time.Duration{},
-		broken:      map[cluster.SessionID]time.Duration{},
+		bySession:   map[statemachine.SessionID]*dispatcher{},
+		seen:        map[statemachine.SessionID]time.Duration{},
+		broken:      map[statemachine.SessionID]time.Duration{},
 		waiting:     map[*dispatcher]time.Duration{},
 		nextTag:     rand.Uint64() >> 8,
 		ended:       make(chan struct{}),
@@ -152,8 +152,8 @@
 // Handler serves all that a control process answers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+link.CorePath, s.peers.accept)
-	mux.HandleFunc("POST "+link.DispatcherPath, s.acceptDispatcher)
+	mux.HandleFunc("POST "+protocol.CorePath, s.peers.accept)
+	mux.HandleFunc("POST "+protocol.DispatcherPath, s.acceptDispatcher)
 	mux.HandleFunc("PUT /-/config", s.putConfig)
 	mux.HandleFunc("GET /-/config", s.getConfig)
 	mux.HandleFunc("GET "+statusPath, s.status)
@@ -244,7 +244,7 @@
 		act()
 		return true
 	}
-	s.disk.add(diskJob{meta: link.Encode(out.Save), done: act})
+	s.disk.add(diskJob{meta: protocol.Encode(out.Save), done: act})
 	return true
 }
 
@@ -253,7 +253,7 @@
 		s.register.Receive(send.To, &send.Message)
 		return
 	}
-	s.peers.send(send.To, &link.Peer{View: &send.Message})
+	s.peers.send(send.To, &protocol.Peer{View: &send.Message})
 }
 
 func (s *Server) flushChain() bool {
@@ -271,7 +271,7 @@
 		s.disk.add(diskJob{entries: write.Entries, committed: s.replica.Committed(), done: func() { s.replica.Written(last, generation) }})
 	}
 	for _, send := range out.Sends {
-		s.peers.send(send.To, &link.Peer{Chain: &send.Message})
+		s.peers.send(send.To, &protocol.Peer{Chain: &send.Message})
 	}
 	if out.Complete {
 		epoch := s.replica.Epoch()
@@ -279,7 +279,7 @@
 		saved := s.register.Take()
 		done := func() { s.replica.CompletePersisted(epoch) }
 		if saved.Save != nil {
-			s.disk.add(diskJob{meta: link.Encode(saved.Save), done: done})
+			s.disk.add(diskJob{meta: protocol.Encode(saved.Save), done: done})
 		} else {
 			done()
 		}
@@ -314,8 +314,8 @@
 
 // restoreState puts the state of a snapshot in force, and reports whether it can be read.
 func (s *Server) restoreState(data []byte) bool {
-	state := cluster.State{}
-	if !link.Decode(data, &state) {
+	state := statemachine.State{}
+	if !protocol.Decode(data, &state) {
 		return false
 	}
 	s.cluster.Restore(state)
@@ -324,10 +324,10 @@
 }
 
 func (s *Server) apply(entry *chain.Entry) {
-	command := &cluster.Command{}
+	command := &statemachine.Command{}
 	s.applied = entry.Index
 	s.logBytes += len(entry.Data)
-	if !link.Decode(entry.Data, command) {
+	if !protocol.Decode(entry.Data, command) {
 		return
 	}
 	result := s.cluster.Apply(command)
--- a/internal/control/server/fetch.go
+++ b/internal/control/server/fetch.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"yardflow/coordination/view"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
 )
 
 // fetchAgain is how long a lesson is waited for before it is asked for anew.
@@ -35,7 +35,7 @@
 	if !outside || s.register.View().Epoch == 0 || s.restarted() || !s.pace.ask(s.now()) {
 		return
 	}
-	s.peers.send(member, &link.Peer{Fetch: &fetch})
+	s.peers.send(member, &protocol.Peer{Fetch: &fetch})
 }
 
 // fetchSome asks the last live member of the chain, which has least to do.
--- a/internal/control/server/head.go
+++ b/internal/control/server/head.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"yardflow/coordination/segment"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 )
 
 // headTick ends sessions of dispatchers that are out of touch, and lets the state age.
@@ -24,7 +24,7 @@
 			delete(s.broken, id)
 			s.seen[id] = now // asked for once
 			s.logger.Info().Uint64("session", id).Str("node", s.cluster.Sessions[id].Node).Msg("session over: silent")
-			s.submit(&cluster.Command{CloseSession: &cluster.CloseSession{Session: id}}, func(cluster.Result) {})
+			s.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: id}}, func(statemachine.Result) {})
 		}
 	}
 	for id := range s.seen {
@@ -35,8 +35,8 @@
 	}
 	if now-s.agedAt >= ageEvery {
 		s.agedAt = now
-		age := &cluster.Age{Count: s.cluster.AgeCount + 1}
-		s.submit(&cluster.Command{Age: age}, func(cluster.Result) {})
+		age := &statemachine.Age{Count: s.cluster.AgeCount + 1}
+		s.submit(&statemachine.Command{Age: age}, func(statemachine.Result) {})
 	}
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	s.compacting = true
-	data := link.Encode(&s.cluster.State)
+	data := protocol.Encode(&s.cluster.State)
 	index := s.applied
 	s.logBytes, s.snapshotBytes = 0, len(data)
 	snapshot := &segment.Snapshot{Index: index, Epoch: s.replica.EpochAt(index), Data: data}
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
 )
 
 // Spans of heartbeats.
@@ -35,7 +35,7 @@
 	empty []byte // for dispatchers
 }
 
-func newHeartbeats() *heartbeats { return &heartbeats{empty: link.Encode(link.Down{})} }
+func newHeartbeats() *heartbeats { return &heartbeats{empty: protocol.Encode(protocol.Down{})} }
 
 // repeat sends the last heartbeat again where the next one is late, and reports whether it did.
 func (h *heartbeats) repeat(now time.Duration) bool {
@@ -68,7 +68,7 @@
 
 // beat sends a heartbeat to all peers, and keeps it for the time that the engine is busy.
 func (s *Server) beat() {
-	next := &heartbeat{at: s.now(), ping: link.Encode(s.ping())}
+	next := &heartbeat{at: s.now(), ping: protocol.Encode(s.ping())}
 	s.peers.broadcast(next.ping)
 	for _, other := range s.peers.byAddress {
 		if other.conn != nil {
--- a/internal/control/server/notices.go
+++ b/internal/control/server/notices.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rs/zerolog"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 )
 
 // logNotices writes what the state machine tells operators of. Of all replicas the head does so.
@@ -14,14 +14,14 @@
 	}
 	for i := range notices {
 		line := s.logger.Info()
-		if notices[i].Kind == cluster.EndPassedOver {
+		if notices[i].Kind == statemachine.EndPassedOver {
 			line = s.logger.Debug() // owners tell ends again until they have an outcome: there may be a thousand a day
 		}
 		logNotice(line, &notices[i])
 	}
 }
 
-func logNotice(line *zerolog.Event, n *cluster.Notice) {
+func logNotice(line *zerolog.Event, n *statemachine.Notice) {
 	line.Str("worker", n.Worker)
 	if n.Address != "" {
 		line.Str("address", n.Address).Uint64("reader", n.Reader).Uint64("reading", n.Reading).Int("placed", n.Placed)
--- a/internal/control/server/operator.go
+++ b/internal/control/server/operator.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/control/cluster"
 	"yardflow/internal/control/configuration"
+	"yardflow/internal/control/statemachine"
 )
 
 // Bounds of the operator's calls.
@@ -20,13 +20,13 @@
 
 // ask sends a command through the chain and waits for its outcome, which is Unknown where none comes in time.
 // The command is made by the engine, from the state here.
-func (s *Server) ask(command func() *cluster.Command) cluster.Result {
-	answer := make(chan cluster.Result, 1)
+func (s *Server) ask(command func() *statemachine.Command) statemachine.Result {
+	answer := make(chan statemachine.Result, 1)
 	s.do(func() {
 		if s.inTouch() {
-			s.submit(command(), func(result cluster.Result) { answer <- result })
+			s.submit(command(), func(result statemachine.Result) { answer <- result })
 		} else {
-			answer <- cluster.Result{Code: cluster.Unknown}
+			answer <- statemachine.Result{Code: statemachine.Unknown}
 		}
 	})
 	timer := time.NewTimer(answerWithin)
@@ -35,7 +35,7 @@
 	case result := <-answer:
 		return result
 	case <-timer.C:
-		return cluster.Result{Code: cluster.Unknown}
+		return statemachine.Result{Code: statemachine.Unknown}
 	}
 }
 
@@ -59,17 +59,17 @@
 		http.Error(w, fault.Error(), http.StatusBadRequest)
 		return
 	}
-	result := s.ask(func() *cluster.Command {
-		return &cluster.Command{Configure: s.cluster.NewConfigure(configured.Version, match, body)}
+	result := s.ask(func() *statemachine.Command {
+		return &statemachine.Command{Configure: s.cluster.NewConfigure(configured.Version, match, body)}
 	})
 	switch result.Code {
-	case cluster.Unknown:
+	case statemachine.Unknown:
 		http.Error(w, "no outcome yet; send the same again", http.StatusServiceUnavailable)
-	case cluster.Conflict:
+	case statemachine.Conflict:
 		http.Error(w, "another version is current", http.StatusPreconditionFailed)
-	case cluster.Invalid:
+	case statemachine.Invalid:
 		http.Error(w, "Version: must be above the current one", http.StatusBadRequest)
-	case cluster.OK:
+	case statemachine.OK:
 		s.logger.Info().Int64("version", configured.Version).Msg("configuration acknowledged")
 		w.WriteHeader(http.StatusOK)
 	default:
@@ -79,13 +79,13 @@
 }
 
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	result := s.ask(func() *cluster.Command {
-		return &cluster.Command{ReadConfig: &cluster.ReadConfig{}}
+	result := s.ask(func() *statemachine.Command {
+		return &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}
 	})
 	switch result.Code {
-	case cluster.NotFound:
+	case statemachine.NotFound:
 		http.Error(w, "no configuration yet", http.StatusNotFound)
-	case cluster.OK:
+	case statemachine.OK:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("ETag", `"`+strconv.FormatInt(s.version(result.Body), 10)+`"`)
 		w.Write(result.Body)
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 )
 
 // Bounds of what is on its way to one dispatcher.
@@ -36,7 +36,7 @@
 // news is one update or one outcome. One that a newer one has replaced has neither.
 type news struct {
 	update  cbor.RawMessage
-	outcome *link.Outcome
+	outcome *protocol.Outcome
 	worker  string // whose use it tells
 }
 
@@ -48,7 +48,7 @@
 }
 
 // addUpdate enters an update with its encoding.
-func (o *outbox) addUpdate(update *cluster.Update, encoded cbor.RawMessage) {
+func (o *outbox) addUpdate(update *statemachine.Update, encoded cbor.RawMessage) {
 	place := o.first + uint64(len(o.waiting))
 	added := news{update: encoded}
 	switch {
@@ -74,7 +74,7 @@
 }
 
 // addOutcome enters the outcome of a command of the dispatcher.
-func (o *outbox) addOutcome(outcome link.Outcome) { o.add(news{outcome: &outcome}) }
+func (o *outbox) addOutcome(outcome protocol.Outcome) { o.add(news{outcome: &outcome}) }
 
 func (o *outbox) add(added news) {
 	o.waiting = append(o.waiting, added)
@@ -106,8 +106,8 @@
 func (o *outbox) overflows() bool { return o.bytes > backlogBytes }
 
 // next returns the next message that may go out now, and false while there is none.
-func (o *outbox) next() (link.Down, bool) {
-	down, size := link.Down{}, 0
+func (o *outbox) next() (protocol.Down, bool) {
+	down, size := protocol.Down{}, 0
 	if o.underWay() < urgentBytes {
 		down.Updates, o.urgent = o.urgent, nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // fill moves what waits to a message until that is as large as it may be.
-func (o *outbox) fill(down *link.Down, size int) {
+func (o *outbox) fill(down *protocol.Down, size int) {
 	taken := 0
 	for ; taken < len(o.waiting); taken++ {
 		told := &o.waiting[taken]
--- a/internal/control/server/outbox_test.go
+++ b/internal/control/server/outbox_test.go
@@ -7,30 +7,30 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/job"
 )
 
-func enter(o *outbox, update cluster.Update) { o.addUpdate(&update, link.Encode(update)) }
+func enter(o *outbox, update statemachine.Update) { o.addUpdate(&update, protocol.Encode(update)) }
 
 // gone returns an update of about so many bytes.
-func gone(name string, size int) cluster.Update {
-	return cluster.Update{JobGone: name + strings.Repeat("x", size)}
+func gone(name string, size int) statemachine.Update {
+	return statemachine.Update{JobGone: name + strings.Repeat("x", size)}
 }
 
-func used(worker string, amount int64) cluster.Update {
-	return cluster.Update{Used: &cluster.Used{Worker: worker, Amount: job.Resources{MemMb: amount}}}
+func used(worker string, amount int64) statemachine.Update {
+	return statemachine.Update{Used: &statemachine.Used{Worker: worker, Amount: job.Resources{MemMb: amount}}}
 }
 
 // send hands out all that may go out now, and returns it with the bytes of each message.
-func send(o *outbox) (updates []cluster.Update, outcomes []link.Outcome, sizes []int) {
+func send(o *outbox) (updates []statemachine.Update, outcomes []protocol.Outcome, sizes []int) {
 	for down, due := o.next(); due; down, due = o.next() {
-		message := link.Encode(down)
+		message := protocol.Encode(down)
 		o.noteSent(len(message))
 		sizes = append(sizes, len(message))
-		for _, raw := range link.Unpack(down.Updates) {
-			update := cluster.Update{}
+		for _, raw := range protocol.Unpack(down.Updates) {
+			update := statemachine.Update{}
 			if cbor.Unmarshal(raw, &update) == nil {
 				updates = append(updates, update)
 			}
@@ -44,7 +44,7 @@
 	o := outbox{acknowledges: true}
 	enter(&o, gone("a", 0))
 	enter(&o, used("w", 1))
-	o.addOutcome(link.Outcome{Tag: 7})
+	o.addOutcome(protocol.Outcome{Tag: 7})
 	updates, outcomes, sizes := send(&o)
 	if len(updates) != 2 || len(outcomes) != 1 || len(sizes) != 1 {
 		t.Errorf("%d updates and %d outcomes in %d messages", len(updates), len(outcomes), len(sizes))
@@ -62,7 +62,7 @@
 	for i := range storm {
 		enter(&o, gone(fmt.Sprintf("%04d-", i), size))
 	}
-	var all []cluster.Update
+	var all []statemachine.Update
 	for sent := uint64(0); ; {
 		updates, _, sizes := send(&o)
 		if len(updates) == 0 {
@@ -78,7 +78,7 @@
 			t.Fatalf("%d bytes under way", o.underWay())
 		}
 		all = append(all, updates...)
-		enter(&o, cluster.Update{Config: &cluster.ConfigUpdate{Version: int64(len(all))}})
+		enter(&o, statemachine.Update{Config: &statemachine.ConfigUpdate{Version: int64(len(all))}})
 		if updates, _, _ := send(&o); len(updates) != 1 || updates[0].Config == nil {
 			t.Fatalf("behind %d updates a configuration waits", len(all))
 		}
@@ -103,7 +103,7 @@
 	o.noteSent(windowBytes)
 	for i := range 1000 {
 		enter(&o, used(fmt.Sprint("w", i%10), int64(i)))
-		enter(&o, cluster.Update{Sessions: []cluster.SessionID{1, cluster.SessionID(i)}})
+		enter(&o, statemachine.Update{Sessions: []statemachine.SessionID{1, statemachine.SessionID(i)}})
 	}
 	if o.bytes > 2000 {
 		t.Errorf("%d bytes wait", o.bytes)
@@ -132,7 +132,7 @@
 	o := outbox{acknowledges: true}
 	for i := range 400 {
 		enter(&o, gone(fmt.Sprint(i, "-"), 300))
-		o.addOutcome(link.Outcome{Tag: uint64(i + 1)})
+		o.addOutcome(protocol.Outcome{Tag: uint64(i + 1)})
 	}
 	seen := 0
 	for {
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -9,7 +9,7 @@
 
 	"yardflow/coordination/frame"
 	"yardflow/coordination/view"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
 )
 
 // Spans of connections among control machines.
@@ -72,7 +72,7 @@
 }
 
 func (p *peers) dial(other *peer) {
-	conn, err := frame.Dial(p.server.network, other.address, link.CorePath, dialWithin)
+	conn, err := frame.Dial(p.server.network, other.address, protocol.CorePath, dialWithin)
 	p.server.do(func() {
 		other.dialing = false
 		if err != nil {
@@ -82,7 +82,7 @@
 			return
 		}
 		other.conn = conn
-		other.conn.Send(link.Encode(p.server.ping()))
+		other.conn.Send(protocol.Encode(p.server.ping()))
 		for id, address := range p.addresses {
 			if address == other.address {
 				p.server.replica.Reconnected(id)
@@ -136,8 +136,8 @@
 		if err != nil {
 			return
 		}
-		message := &link.Peer{}
-		if !link.Decode(data, message) {
+		message := &protocol.Peer{}
+		if !protocol.Decode(data, message) {
 			return
 		}
 		if message.Ping != nil {
@@ -161,12 +161,12 @@
 }
 
 // send sends a message to a member, as far as there is a connection to it.
-func (p *peers) send(to view.MemberID, message *link.Peer) {
+func (p *peers) send(to view.MemberID, message *protocol.Peer) {
 	other := p.byAddress[p.addresses[to]]
 	if other == nil || other.conn == nil {
 		return
 	}
-	if !other.conn.Send(link.Encode(message)) {
+	if !other.conn.Send(protocol.Encode(message)) {
 		other.conn = nil
 	}
 }
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -11,7 +11,7 @@
 
 	"yardflow/coordination/frame"
 	"yardflow/coordination/segment"
-	"yardflow/internal/settings"
+	"yardflow/internal/platform/settings"
 )
 
 // Process is a control process from its start on. While its disk refuses, as a full one does, it waits outside
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"yardflow/internal/control/server"
-	"yardflow/internal/emulator"
-	"yardflow/internal/settings"
+	"yardflow/internal/platform/settings"
+	"yardflow/internal/testing/emulator"
 )
 
 func ask(handler http.Handler, path string) (int, server.Status) {
--- a/internal/control/server/requests.go
+++ b/internal/control/server/requests.go
@@ -6,21 +6,21 @@
 	"time"
 
 	"yardflow/coordination/chain"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 )
 
 // request is a command on its way through the chain.
 type request struct {
 	data    []byte
 	read    bool
-	command *cluster.Command
-	from    *dispatcher          // whose command it is; nil: this machine's own or an operator's
-	done    func(cluster.Result) // called by the engine
+	command *statemachine.Command
+	from    *dispatcher               // whose command it is; nil: this machine's own or an operator's
+	done    func(statemachine.Result) // called by the engine
 	sentAt  time.Duration
 }
 
-func (s *Server) answer(tag uint64, result cluster.Result) {
+func (s *Server) answer(tag uint64, result statemachine.Result) {
 	if waiting := s.pending[tag]; waiting != nil {
 		delete(s.pending, tag)
 		waiting.done(result)
@@ -35,13 +35,13 @@
 
 // submit sends a command through the chain. It is sent again until it has an outcome, so
 // every command must be one that may be carried out twice.
-func (s *Server) submit(command *cluster.Command, done func(cluster.Result)) {
-	s.submitFor(nil, command, link.Encode(command), done)
+func (s *Server) submit(command *statemachine.Command, done func(statemachine.Result)) {
+	s.submitFor(nil, command, protocol.Encode(command), done)
 }
 
 // submitFor sends a dispatcher's command through the chain. The dispatcher sends it again itself once it has
 // another connection, so nothing of it is kept here after that.
-func (s *Server) submitFor(from *dispatcher, command *cluster.Command, data []byte, done func(cluster.Result)) {
+func (s *Server) submitFor(from *dispatcher, command *statemachine.Command, data []byte, done func(statemachine.Result)) {
 	s.nextTag++
 	waiting := &request{data: data, command: command, read: command.IsRead(), from: from, done: done, sentAt: s.now()}
 	s.pending[s.nextTag] = waiting
@@ -56,7 +56,7 @@
 	s.pending, s.outgoing = map[uint64]*request{}, nil
 	for _, waiting := range given {
 		if waiting.from == nil {
-			waiting.done(cluster.Result{Code: cluster.Unknown})
+			waiting.done(statemachine.Result{Code: statemachine.Unknown})
 		}
 	}
 }
@@ -99,6 +99,6 @@
 		return
 	}
 	if head := s.replica.Head(); head != 0 {
-		s.peers.send(head, &link.Peer{Forward: proposals})
+		s.peers.send(head, &protocol.Peer{Forward: proposals})
 	}
 }
--- a/internal/control/server/server_test.go
+++ b/internal/control/server/server_test.go
@@ -11,8 +11,8 @@
 	"yardflow/coordination/chain"
 	"yardflow/coordination/frame"
 	"yardflow/coordination/segment"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 )
 
 // resting returns a server whose engine does not run, so that a test can call what belongs to it.
@@ -31,13 +31,13 @@
 // that has grown old: operators are told that the outcome is unknown, dispatchers send again by themselves.
 func TestMemberWithoutMajorityGivesUpWhatIsPending(t *testing.T) {
 	s := resting(t)
-	told := cluster.Result{}
-	s.submit(&cluster.Command{ReadConfig: &cluster.ReadConfig{}}, func(result cluster.Result) { told = result })
-	s.submitFor(&dispatcher{}, &cluster.Command{Cancel: &cluster.Cancel{Job: "a"}}, nil, func(cluster.Result) {
+	told := statemachine.Result{}
+	s.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(result statemachine.Result) { told = result })
+	s.submitFor(&dispatcher{}, &statemachine.Command{Cancel: &statemachine.Cancel{Job: "a"}}, nil, func(statemachine.Result) {
 		t.Error("a dispatcher that is gone is answered")
 	})
 	s.tick()
-	if told.Code != cluster.Unknown {
+	if told.Code != statemachine.Unknown {
 		t.Errorf("the operator is told %d", told.Code)
 	}
 	s.resend(0)
@@ -51,9 +51,9 @@
 	gone, other := &dispatcher{}, &dispatcher{}
 	s.dispatchers[gone], s.dispatchers[other] = true, true
 	for range 3 {
-		s.submitFor(gone, &cluster.Command{Cancel: &cluster.Cancel{Job: "a"}}, nil, func(cluster.Result) {})
+		s.submitFor(gone, &statemachine.Command{Cancel: &statemachine.Cancel{Job: "a"}}, nil, func(statemachine.Result) {})
 	}
-	s.submitFor(other, &cluster.Command{Cancel: &cluster.Cancel{Job: "b"}}, nil, func(cluster.Result) {})
+	s.submitFor(other, &statemachine.Command{Cancel: &statemachine.Cancel{Job: "b"}}, nil, func(statemachine.Result) {})
 	s.removeDispatcher(gone)
 	if len(s.pending) != 1 {
 		t.Errorf("%d commands are kept, want that of the other dispatcher", len(s.pending))
@@ -64,7 +64,7 @@
 func TestProposedAgainInOrder(t *testing.T) {
 	s := resting(t)
 	for i := range 50 {
-		s.submit(&cluster.Command{Cancel: &cluster.Cancel{Job: fmt.Sprint(i)}}, func(cluster.Result) {})
+		s.submit(&statemachine.Command{Cancel: &statemachine.Cancel{Job: fmt.Sprint(i)}}, func(statemachine.Result) {})
 	}
 	s.outgoing = nil
 	s.resend(0)
@@ -124,17 +124,17 @@
 	}
 	for _, version := range []int64{4, 7, 9} {
 		base := map[int64]int64{4: 2, 7: 4, 9: 7}[version]
-		changes.add(&cluster.ConfigUpdate{Version: version, Base: base})
+		changes.add(&statemachine.ConfigUpdate{Version: version, Base: base})
 	}
 	if versions(4) != "7 9 " || versions(2) != "4 7 9 " || versions(3) != "" || versions(9) != "" {
 		t.Errorf("since 4: %s; since 2: %s; since 3: %s", versions(4), versions(2), versions(3))
 	}
-	changes.add(&cluster.ConfigUpdate{Version: 20, Base: 15}) // behind a snapshot
+	changes.add(&statemachine.ConfigUpdate{Version: 20, Base: 15}) // behind a snapshot
 	if versions(4) != "" || versions(15) != "20 " {
 		t.Error("changes with a gap between them are told")
 	}
 	for version := int64(20); version < 500; version++ {
-		changes.add(&cluster.ConfigUpdate{Version: version + 1, Base: version})
+		changes.add(&statemachine.ConfigUpdate{Version: version + 1, Base: version})
 	}
 	if len(changes.list) != keptChanges {
 		t.Errorf("%d changes are kept", len(changes.list))
@@ -162,7 +162,7 @@
 	answered := func(sameTags bool) bool {
 		former := life()
 		first := former.nextTag
-		former.submit(&cluster.Command{ReadConfig: &cluster.ReadConfig{}}, func(cluster.Result) {})
+		former.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) {})
 		present := life()
 		if present.register.Me().ID != former.register.Me().ID {
 			t.Fatal("the member has another name in its next life")
@@ -171,7 +171,7 @@
 			present.nextTag = first
 		}
 		taken := false
-		present.submit(&cluster.Command{ReadConfig: &cluster.ReadConfig{}}, func(cluster.Result) { taken = true })
+		present.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) { taken = true })
 		present.answerRead(chain.Read{Origin: present.register.Me().ID, Tag: former.nextTag})
 		return taken
 	}
--- a/internal/control/server/views.go
+++ b/internal/control/server/views.go
@@ -5,7 +5,7 @@
 
 	"yardflow/coordination/chain"
 	"yardflow/coordination/view"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
 )
 
 func (s *Server) installView(v view.View) {
@@ -44,12 +44,12 @@
 // probeDisk writes to a disk that was slow, to see whether it still is.
 func (s *Server) probeDisk() {
 	if s.disk.sick() && s.disk.idle() {
-		s.disk.add(diskJob{meta: link.Encode(s.register.Durable())})
+		s.disk.add(diskJob{meta: protocol.Encode(s.register.Durable())})
 	}
 }
 
-func (s *Server) ping() *link.Peer {
-	return &link.Peer{Sessions: s.sessionsInTouch(), Ping: &view.Ping{From: s.register.Me(),
+func (s *Server) ping() *protocol.Peer {
+	return &protocol.Peer{Sessions: s.sessionsInTouch(), Ping: &view.Ping{From: s.register.Me(),
 		Epoch: s.register.View().Epoch, First: s.register.First(), Stalled: s.stalled(), Restarted: s.restarted(),
 		Last: s.replica.Last(), Hears: s.detector.Hears(s.now()), Leaving: s.leaving}}
 }
@@ -99,7 +99,7 @@
 }
 
 // receivePeer takes in a message of another control machine that arrived at the given time.
-func (s *Server) receivePeer(at time.Duration, from view.Member, message *link.Peer) {
+func (s *Server) receivePeer(at time.Duration, from view.Member, message *protocol.Peer) {
 	now := s.now()
 	switch {
 	case message.Ping != nil:
@@ -111,7 +111,7 @@
 		}
 		if message.Ping.Epoch < s.register.View().Epoch {
 			tell := s.register.Tell()
-			s.peers.send(from.ID, &link.Peer{View: &tell})
+			s.peers.send(from.ID, &protocol.Peer{View: &tell})
 		}
 		for _, id := range message.Sessions {
 			s.seen[id] = max(s.seen[id], at)
@@ -126,7 +126,7 @@
 		s.replica.Receive(from.ID, message.Chain)
 	case message.Fetch != nil:
 		if lesson := s.replica.Teach(*message.Fetch); lesson != nil {
-			s.peers.send(from.ID, &link.Peer{Lesson: lesson})
+			s.peers.send(from.ID, &protocol.Peer{Lesson: lesson})
 		}
 	case message.Lesson != nil:
 		before := s.replica.Committed()
--- a/internal/control/cluster/cluster.go
+++ b/internal/control/statemachine/cluster.go
@@ -1,9 +1,9 @@
-// Package cluster is the state that the control machines replicate: the
+// Package statemachine is the state that the control machines replicate: the
 // configuration, sessions, workers with their owners and room, and jobs with
 // their tasks. It is a deterministic state machine: the same commands in the
 // same order give the same state, results and updates on every replica. It has
 // no I/O, clock or randomness.
-package cluster
+package statemachine
 
 import (
 	"slices"
--- a/internal/control/cluster/notices.go
+++ b/internal/control/statemachine/notices.go
@@ -1,4 +1,4 @@
-package cluster
+package statemachine
 
 // NoticeKind says what a Notice is about.
 type NoticeKind uint8
--- a/internal/control/cluster/workers.go
+++ b/internal/control/statemachine/workers.go
@@ -1,4 +1,4 @@
-package cluster
+package statemachine
 
 import (
 	"slices"
--- a/internal/cadence/cadence.go
+++ b/internal/discovery/backoff/cadence.go
@@ -1,4 +1,4 @@
-// Package cadence says how long one of many dispatchers leaves the list service to
+// Package backoff says how long one of many dispatchers leaves the list service to
 // the others before it begins a watch there. They cannot talk, and the service handles
 // calls in turn and fails those that have waited too long; one that fails has taken
 // its turn all the same. Past what it can do, nearly every call fails and none is told
@@ -19,7 +19,7 @@
 // ends it. It has no state, clock or randomness (which is why the library for backing off
 // that srv uses does not serve here), and it must never say whether to call at all: the
 // module does.
-package cadence
+package backoff
 
 import "time"
 
--- a/internal/cadence/cadence_test.go
+++ b/internal/discovery/backoff/cadence_test.go
@@ -1,4 +1,4 @@
-package cadence
+package backoff
 
 import (
 	"cmp"
--- a/internal/workers/relayed/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -1,25 +1,25 @@
-// Package relayed carries one zone's list of loan workers between the dispatcher that reads it
+// Package relayedlist carries one zone's list of loan workers between the dispatcher that reads it
 // and all others, by the keepers: what the table was told goes out under the reader's seat, what
 // others were told comes in. It owns the goroutine that talks to the keepers of it; it must never
 // make the table wait, decide who reads (package start does), or hand on half a list as a whole.
-package relayed
+package relayedlist
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
-	"yardflow/internal/membership"
-	"yardflow/internal/ops/fault"
-	"yardflow/internal/platform"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/platform/fault"
 )
 
 // Keepers are where lists are handed on.
 type Keepers interface {
-	Do(ctx context.Context, cmd keeper.Command) (keeper.Result, error)
+	Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error)
 	Life() uint64
 }
 
@@ -32,7 +32,7 @@
 type Carrier struct {
 	name    string
 	zone    int
-	desk    *start.Desk
+	desk    *coldstart.Desk
 	table   Table
 	keepers Keepers
 	log     func(string)
@@ -46,13 +46,13 @@
 }
 
 // New makes the carrier of a dispatcher in a zone.
-func New(name string, zone int, desk *start.Desk, table Table, keepers Keepers, log func(string)) *Carrier {
+func New(name string, zone int, desk *coldstart.Desk, table Table, keepers Keepers, log func(string)) *Carrier {
 	return &Carrier{name: name, zone: zone, desk: desk, table: table, keepers: keepers, log: log, poke: make(chan struct{}, 1)}
 }
 
 // Told hands on what the table was told, if this dispatcher reads for its zone. The table calls
 // it while it takes a word in, so it returns at once.
-func (c *Carrier) Told(t platform.Told) {
+func (c *Carrier) Told(t httpfront.Told) {
 	seat, whole := c.desk.Told()
 	if seat == 0 {
 		return
@@ -85,7 +85,7 @@
 		if w == nil {
 			continue
 		}
-		r, err := c.keepers.Do(ctx, keeper.Command{Relay: &keeper.Relay{Name: c.name, Life: c.keepers.Life(), Zone: c.zone, Fence: seat, Word: *w}})
+		r, err := c.keepers.Do(ctx, statemachine.Command{Relay: &statemachine.Relay{Name: c.name, Life: c.keepers.Life(), Zone: c.zone, Fence: seat, Word: *w}})
 		if err == nil && r.Err == "" {
 			c.desk.Said(seat, true)
 			c.refused = false
--- a/internal/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -18,11 +18,11 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
-	"yardflow/internal/srv"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/discovery/srv"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // Hooks are what the list's changes mean to others.
@@ -148,7 +148,7 @@
 	err := s.book.Configure(s.live.Get().Sources())
 	if err == nil {
 		clear(s.shown) // places may be others: all is told anew
-		s.publish(linnetlift.ListAmend, nil)
+		s.publish(dispatch.ListAmend, nil)
 	}
 	s.mu.Unlock()
 	s.Follow()
@@ -156,15 +156,15 @@
 }
 
 // Roster takes in the roster's word, of the given form, and hands it on at once.
-func (s *Sources) Roster(form linnetlift.ListForm, workers []membership.Worker) {
+func (s *Sources) Roster(form dispatch.ListForm, workers []membership.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if form == linnetlift.ListFailed {
+	if form == dispatch.ListFailed {
 		s.book.Silent(time.Now(), membership.Roster, true)
 		s.broker.List(form, nil)
 		return
 	}
-	whole := form == linnetlift.ListFull || form == linnetlift.ListCached
+	whole := form == dispatch.ListFull || form == dispatch.ListCached
 	if err := s.book.Tell(time.Now(), membership.Roster, whole, workers); err != nil {
 		s.hooks.Log("server table: " + err.Error())
 	}
@@ -226,7 +226,7 @@
 		s.look(rest)
 		return
 	}
-	s.publish(linnetlift.ListAmend, nil)
+	s.publish(dispatch.ListAmend, nil)
 }
 
 // look sets the timer, unless it fires sooner already. The caller holds mu.
@@ -246,10 +246,10 @@
 
 // publish merges, and hands the broker the list in the given form: whole, or what
 // has changed together with those that the roster named. The caller holds mu.
-func (s *Sources) publish(form linnetlift.ListForm, named []membership.Worker) {
+func (s *Sources) publish(form dispatch.ListForm, named []membership.Worker) {
 	now := time.Now()
 	list := s.book.Merge(now)
-	whole := form == linnetlift.ListFull || form == linnetlift.ListCached
+	whole := form == dispatch.ListFull || form == dispatch.ListCached
 	want := map[string]bool{}
 	for _, w := range named {
 		want[w.ID] = true
@@ -281,7 +281,7 @@
 	}
 	for _, w := range named { // told as gone, or never known
 		if _, ok := next[w.ID]; !ok && !whole && w.ID != "" {
-			out = append(out, broker.Worker{ID: w.ID, Addr: w.Addr, State: linnetlift.Gone})
+			out = append(out, broker.Worker{ID: w.ID, Addr: w.Addr, State: dispatch.Gone})
 		}
 	}
 	for _, e := range s.list.Entries {
@@ -290,14 +290,14 @@
 		}
 		s.minus++
 		if !whole && !want[e.ID] {
-			out = append(out, broker.Worker{ID: e.ID, State: linnetlift.Gone})
+			out = append(out, broker.Worker{ID: e.ID, State: dispatch.Gone})
 		}
 	}
 	s.list, s.shown = list, next
 	s.watch.Store(len(s.names) > 0 || len(levels) > 1)
 	s.ban(banned)
 	// The list service's own word goes on even if it is empty: it answers a call.
-	if form != linnetlift.ListAmend || len(out) > 0 {
+	if form != dispatch.ListAmend || len(out) > 0 {
 		s.told = now
 		s.times++
 		s.broker.List(form, out)
@@ -321,9 +321,9 @@
 func (s *Sources) worker(e membership.Entry) broker.Worker {
 	cfg := s.live.Get()
 	w := broker.Worker{ID: e.ID, Addr: e.Addr, Cell: e.Cell, Weight: e.Weight, Started: e.Started,
-		Zone: slices.Index(cfg.Zones, e.Zone), Kind: slices.Index(cfg.Kinds, e.Kind), State: linnetlift.Draining}
+		Zone: slices.Index(cfg.Zones, e.Zone), Kind: slices.Index(cfg.Kinds, e.Kind), State: dispatch.Draining}
 	if e.Told == membership.Serving {
-		w.State = linnetlift.Ready
+		w.State = dispatch.Ready
 	}
 	return w
 }
@@ -335,7 +335,7 @@
 	defer s.mu.Unlock()
 	s.bans = slices.Clone(names)
 	s.book.Ban(names)
-	s.publish(linnetlift.ListAmend, nil)
+	s.publish(dispatch.ListAmend, nil)
 }
 
 // ban tells the broker whom the operators' words concern. The caller holds mu.
--- a/internal/sources/sources_test.go
+++ b/internal/discovery/sources/sources_test.go
@@ -13,11 +13,11 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
-	"yardflow/internal/srv"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/discovery/srv"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // desk is a merger over a real broker, with one list in DNS that the test words.
@@ -32,7 +32,7 @@
 func newDesk(t *testing.T) *desk {
 	t.Helper()
 	dir := t.TempDir()
-	settings, err := os.ReadFile("../../cmd/yardflow/testdata/settings.json")
+	settings, err := os.ReadFile("../../../cmd/yardflow/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,14 +106,14 @@
 func TestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(linnetlift.ListFull, roster(membership.Serving, "a", "b"))
+		d.Roster(dispatch.ListFull, roster(membership.Serving, "a", "b"))
 		before, after := 0, 0
 		d.locked(func() { before = d.times })
 		for i := range 200 {
 			d.finds(time.Second, "a=10.0.0.1:1", "e=10.0.0.1:3", []string{"c=10.0.0.1:2", "d=10.0.0.1:4"}[i%2])
 			time.Sleep(100 * time.Millisecond)
 			if i == 101 { // between two tellings
-				d.Roster(linnetlift.ListDelta, roster(membership.Draining, "a"))
+				d.Roster(dispatch.ListDelta, roster(membership.Draining, "a"))
 				if text, err := d.Worker("a"); err != nil || !strings.Contains(text, "draining, by roster") {
 					t.Error(text, err)
 				}
@@ -138,7 +138,7 @@
 func TestSilenceInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(linnetlift.ListCached, nil)
+		d.Roster(dispatch.ListCached, nil)
 		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
 		ready := func(want int) {
 			t.Helper()
@@ -186,7 +186,7 @@
 func TestEmptyAnswerIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(linnetlift.ListCached, nil)
+		d.Roster(dispatch.ListCached, nil)
 		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
 		time.Sleep(time.Second)
 		d.finds(0)
--- a/internal/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -15,7 +15,7 @@
 
 	"github.com/miekg/dns"
 
-	"yardflow/internal/timers"
+	"yardflow/internal/platform/timers"
 )
 
 // Config is one service to follow.
--- a/internal/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/miekg/dns"
 
-	"yardflow/internal/standin/dnsd"
+	"yardflow/internal/testing/standin/dnsserver"
 )
 
 const service = "_loans._tcp.shop.test."
@@ -33,9 +33,9 @@
 // known is what zone says, as host:port by target.
 var known = []string{"w1.shop.test 127.0.0.11:7001 0 10", "w2.shop.test 127.0.0.12:7002 0 30", "w3.shop.test [::1]:7003 5 0"}
 
-func start(t *testing.T, text string) *dnsd.Server {
+func start(t *testing.T, text string) *dnsserver.Server {
 	t.Helper()
-	s, err := dnsd.Start()
+	s, err := dnsserver.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return s
 }
 
-func resolver(servers ...*dnsd.Server) *Resolver {
+func resolver(servers ...*dnsserver.Server) *Resolver {
 	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, Floor: time.Second, Ceiling: time.Hour, Stale: time.Hour,
 		Families: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
 	for _, s := range servers {
@@ -67,30 +67,30 @@
 // TCP, or from the next server. What was not an answer is counted.
 func TestAnswersInSpiteOfFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault dnsd.Fault
+		fault dnsserver.Fault
 		count func(*Counts) int64
 	}{
-		"none":            {dnsd.Fault{}, nil},
-		"no glue":         {dnsd.Fault{NoGlue: true}, nil},
-		"truncated":       {dnsd.Fault{Truncate: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
-		"other id":        {dnsd.Fault{OtherID: true}, func(c *Counts) int64 { return c.OtherID.Load() }},
-		"other question":  {dnsd.Fault{OtherQuestion: true}, func(c *Counts) int64 { return c.OtherQuestion.Load() }},
-		"other address":   {dnsd.Fault{OtherAddr: true}, func(c *Counts) int64 { return c.OtherAddr.Load() }},
-		"garbage":         {dnsd.Fault{Garbage: true}, func(c *Counts) int64 { return c.Broken.Load() }},
-		"only other ids":  {dnsd.Fault{OtherID: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"only garbage":    {dnsd.Fault{Garbage: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"cut short":       {dnsd.Fault{Cut: true}, func(c *Counts) int64 { return c.Broken.Load() }},
-		"black hole":      {dnsd.Fault{Drop: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"too slow":        {dnsd.Fault{Delay: 400 * time.Millisecond}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"SERVFAIL":        {dnsd.Fault{Rcode: dns.RcodeServerFailure}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
-		"REFUSED":         {dnsd.Fault{Rcode: dns.RcodeRefused}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
-		"TCP closed":      {dnsd.Fault{Truncate: true, RefuseTCP: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
-		"FORMERR to EDNS": {dnsd.Fault{Rcode: dns.RcodeFormatError}, func(c *Counts) int64 { return c.Questions.Load() - 1 }},
+		"none":            {dnsserver.Fault{}, nil},
+		"no glue":         {dnsserver.Fault{NoGlue: true}, nil},
+		"truncated":       {dnsserver.Fault{Truncate: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
+		"other id":        {dnsserver.Fault{OtherID: true}, func(c *Counts) int64 { return c.OtherID.Load() }},
+		"other question":  {dnsserver.Fault{OtherQuestion: true}, func(c *Counts) int64 { return c.OtherQuestion.Load() }},
+		"other address":   {dnsserver.Fault{OtherAddr: true}, func(c *Counts) int64 { return c.OtherAddr.Load() }},
+		"garbage":         {dnsserver.Fault{Garbage: true}, func(c *Counts) int64 { return c.Broken.Load() }},
+		"only other ids":  {dnsserver.Fault{OtherID: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
+		"only garbage":    {dnsserver.Fault{Garbage: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
+		"cut short":       {dnsserver.Fault{Cut: true}, func(c *Counts) int64 { return c.Broken.Load() }},
+		"black hole":      {dnsserver.Fault{Drop: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
+		"too slow":        {dnsserver.Fault{Delay: 400 * time.Millisecond}, func(c *Counts) int64 { return c.TimedOut.Load() }},
+		"SERVFAIL":        {dnsserver.Fault{Rcode: dns.RcodeServerFailure}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
+		"REFUSED":         {dnsserver.Fault{Rcode: dns.RcodeRefused}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
+		"TCP closed":      {dnsserver.Fault{Truncate: true, RefuseTCP: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
+		"FORMERR to EDNS": {dnsserver.Fault{Rcode: dns.RcodeFormatError}, func(c *Counts) int64 { return c.Questions.Load() - 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			bad, good := start(t, zone), start(t, zone)
-			bad.Behave(dnsd.Always(c.fault))
+			bad.Behave(dnsserver.Always(c.fault))
 			r := resolver(bad, good)
 			records, next, err := r.round(t.Context())
 			if diff := cmp.Diff(known, lines(records)); diff != "" || err != nil {
@@ -110,8 +110,8 @@
 // closed is found out at once, not by a time-out.
 func TestServersInTroubleComeLast(t *testing.T) {
 	hole, failing, good := start(t, zone), start(t, zone), start(t, zone)
-	hole.Behave(dnsd.Always(dnsd.Fault{Drop: true}))
-	failing.Behave(dnsd.Always(dnsd.Fault{Rcode: dns.RcodeServerFailure}))
+	hole.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
+	failing.Behave(dnsserver.Always(dnsserver.Fault{Rcode: dns.RcodeServerFailure}))
 	r := resolver(hole, failing, good)
 	r.client.servers[0].pause.RandomizationFactor, r.client.servers[1].pause.RandomizationFactor = 0, 0 // no luck in it
 	for range 3 {
@@ -140,7 +140,7 @@
 	const alias = service + " 30 IN CNAME real.shop.test.\nreal.shop.test. 60 IN SRV 0 0 7001 w1.shop.test.\nw1.shop.test. 60 IN A 127.0.0.11\n"
 	for name, c := range map[string]struct {
 		zone  string
-		fault dnsd.Fault
+		fault dnsserver.Fault
 		want  []string
 		fails bool
 		life  time.Duration // at most, of what holds
@@ -154,13 +154,13 @@
 		"lifetime of 2^31-1": {zone: service + " 2147483647 IN SRV 0 0 7001 w1.\nw1. 2147483647 IN A 127.0.0.11", want: []string{"w1 127.0.0.11:7001 0 0"}, life: time.Hour},
 		"alias":              {zone: alias, want: []string{"w1.shop.test 127.0.0.11:7001 0 0"}, life: 30 * time.Second},
 		"same record twice":  {zone: service + " 9 IN SRV 0 0 7001 w1.\n" + service + " 9 IN SRV 0 0 7001 W1.\nw1. 60 IN A 127.0.0.11", want: []string{"w1 127.0.0.11:7001 0 0"}, life: 9 * time.Second},
-		"endless aliases":    {zone: zone, fault: dnsd.Fault{Chain: true}, fails: true},
-		"nobody answers":     {zone: zone, fault: dnsd.Fault{Rcode: dns.RcodeServerFailure}, fails: true},
+		"endless aliases":    {zone: zone, fault: dnsserver.Fault{Chain: true}, fails: true},
+		"nobody answers":     {zone: zone, fault: dnsserver.Fault{Rcode: dns.RcodeServerFailure}, fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := start(t, c.zone)
-			s.Behave(dnsd.Always(c.fault))
+			s.Behave(dnsserver.Always(c.fault))
 			r := resolver(s)
 			records, next, err := r.round(t.Context())
 			if diff := cmp.Diff(c.want, lines(records)); diff != "" || (err != nil) != c.fails {
@@ -197,11 +197,11 @@
 // target's address stays in use while it is one of its addresses.
 func TestTargetsOfTheirOwn(t *testing.T) {
 	s := start(t, zone)
-	s.Behave(func(q dns.Question, _ bool) dnsd.Fault {
+	s.Behave(func(q dns.Question, _ bool) dnsserver.Fault {
 		if q.Name == "w1.shop.test." {
-			return dnsd.Fault{Rcode: dns.RcodeServerFailure}
+			return dnsserver.Fault{Rcode: dns.RcodeServerFailure}
 		}
-		return dnsd.Fault{NoGlue: true}
+		return dnsserver.Fault{NoGlue: true}
 	})
 	r := resolver(s)
 	records, next, err := r.round(t.Context())
@@ -273,7 +273,7 @@
 	if second := until("told again", true); second.At.After(first.Records[0].Until) {
 		t.Error("asked only after the end of the lifetime")
 	}
-	s.Behave(dnsd.Always(dnsd.Fault{Drop: true}))
+	s.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
 	until("told of the silence", false)
 	s.Behave(nil)
 	if u := until("told of the answer", true); len(u.Records) != 3 {
--- a/internal/dataplane/absences.go
+++ b/internal/dispatcher/absences.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 // Bounds of what readings without a worker show.
 const (
--- a/internal/dataplane/config.go
+++ b/internal/dispatcher/config.go
@@ -1,13 +1,13 @@
-package dataplane
+package dispatcher
 
 import (
-	"yardflow/internal/control/cluster"
 	"yardflow/internal/control/configuration"
+	"yardflow/internal/control/statemachine"
 )
 
 // setConfig takes in a configuration that is in force from now on. It is read by the next flush, so that of many
 // that come at once only the newest is.
-func (d *Dispatcher) setConfig(update *cluster.ConfigUpdate) {
+func (d *Dispatcher) setConfig(update *statemachine.ConfigUpdate) {
 	if update.Version <= d.bodyVersion {
 		return // a process never goes back
 	}
--- a/internal/dataplane/config_test.go
+++ b/internal/dispatcher/config_test.go
@@ -1,11 +1,11 @@
-package dataplane
+package dispatcher
 
 import (
 	"fmt"
 	"testing"
 
-	"yardflow/internal/control/cluster"
 	"yardflow/internal/control/patch"
+	"yardflow/internal/control/statemachine"
 )
 
 func configOf(version int64, routes int) []byte {
@@ -20,15 +20,15 @@
 }
 
 // change returns the update from one configuration to another.
-func change(from, to int64, routesBefore, routes int) *cluster.ConfigUpdate {
+func change(from, to int64, routesBefore, routes int) *statemachine.ConfigUpdate {
 	made := patch.Make(configOf(from, routesBefore), configOf(to, routes))
-	return &cluster.ConfigUpdate{Version: to, Base: from, Patch: &made}
+	return &statemachine.ConfigUpdate{Version: to, Base: from, Patch: &made}
 }
 
 // TestOnlyTheNewestOfManyChangesIsRead keeps that a dispatcher that is behind goes to the newest at once.
 func TestOnlyTheNewestOfManyChangesIsRead(t *testing.T) {
 	d := idle()
-	d.setConfig(&cluster.ConfigUpdate{Version: 1, Body: configOf(1, 3)})
+	d.setConfig(&statemachine.ConfigUpdate{Version: 1, Body: configOf(1, 3)})
 	for version := int64(1); version < 50; version++ {
 		d.setConfig(change(version, version+1, int(version)+2, int(version)+3))
 	}
@@ -50,14 +50,14 @@
 // dispatcher then says that it has nothing, so that it is sent the whole.
 func TestChangeOfAnotherBaseAsksForTheWhole(t *testing.T) {
 	d := idle()
-	d.setConfig(&cluster.ConfigUpdate{Version: 5, Body: configOf(5, 3)})
+	d.setConfig(&statemachine.ConfigUpdate{Version: 5, Body: configOf(5, 3)})
 	d.readConfig()
 	d.setConfig(change(6, 7, 9, 10))
 	d.readConfig()
 	if d.configInForce() != 5 || d.bodyVersion != 0 {
 		t.Errorf("in force %d, told %d", d.configInForce(), d.bodyVersion)
 	}
-	d.setConfig(&cluster.ConfigUpdate{Version: 7, Body: configOf(7, 10)})
+	d.setConfig(&statemachine.ConfigUpdate{Version: 7, Body: configOf(7, 10)})
 	d.readConfig()
 	if d.configInForce() != 7 {
 		t.Errorf("in force %d", d.configInForce())
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dispatcher/dataplane_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"net"
@@ -13,8 +13,8 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 	"yardflow/scheduling/job"
 	"yardflow/scheduling/worker"
 )
@@ -47,7 +47,7 @@
 	if configured {
 		done := make(chan struct{})
 		d.do(func() {
-			d.setConfig(&cluster.ConfigUpdate{Version: 3, Body: []byte(config)})
+			d.setConfig(&statemachine.ConfigUpdate{Version: 3, Body: []byte(config)})
 			d.readConfig()
 			close(done)
 		})
@@ -110,7 +110,7 @@
 	d := lonely(t, true)
 	done := make(chan struct{})
 	d.do(func() {
-		d.setConfig(&cluster.ConfigUpdate{Version: 2, Body: []byte(strings.Replace(config, `"Version":3`, `"Version":2`, 1))})
+		d.setConfig(&statemachine.ConfigUpdate{Version: 2, Body: []byte(strings.Replace(config, `"Version":3`, `"Version":2`, 1))})
 		d.readConfig()
 		close(done)
 	})
@@ -175,7 +175,7 @@
 func TestSnapshotOfAJobThatIsOver(t *testing.T) {
 	d := New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, deaf{}, zerolog.Nop())
 	step := job.Step{Count: 1, Cpu: 1000}
-	d.setWorker(0, &cluster.Worker{Instance: cluster.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
+	d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
 	d.setJob(0, &job.Job{ID: "known", Service: "s", State: job.Running, Request: job.Request{Steps: []job.Step{step}},
 		Tasks: map[job.Key]*job.Task{{}: {Worker: "w1", Run: 1}}})
 	if len(d.jobs["known"].running) != 1 {
@@ -183,7 +183,7 @@
 	}
 	stale := d.markStale()
 	for _, id := range []string{"known", "unknown"} {
-		d.receiveUpdate(0, &cluster.Update{JobState: &cluster.JobState{Job: id, State: job.Completed}}, stale)
+		d.receiveUpdate(0, &statemachine.Update{JobState: &statemachine.JobState{Job: id, State: job.Completed}}, stale)
 	}
 	d.dropStale(0, stale)
 	if known := d.jobs["known"]; known == nil || known.State != job.Completed || len(known.running) != 0 {
--- a/internal/dataplane/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dataplane runs a dispatcher of the system: it takes jobs in from
+// Package dispatcher runs a dispatcher of the system: it takes jobs in from
 // clients, decides by ACHQ where their tasks go, and owns a share of the workers.
-package dataplane
+package dispatcher
 
 import (
 	"math/rand/v2"
@@ -10,10 +10,10 @@
 	"github.com/rs/zerolog"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/control/cluster"
 	"yardflow/internal/control/configuration"
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 	"yardflow/scheduling/job"
 	"yardflow/scheduling/placement"
 	"yardflow/scheduling/wallclock"
@@ -36,12 +36,12 @@
 	inbox    chan func()
 
 	uplink   *uplink
-	sessions []cluster.SessionID
+	sessions []statemachine.SessionID
 	config   atomic.Pointer[configuration.Configuration]
 	body     []byte // the newest configuration told, of version bodyVersion; it is read by the next flush
 
 	bodyVersion int64
-	workers     map[string]*cluster.Worker
+	workers     map[string]*statemachine.Worker
 	placers     map[string]*placement.Placer // by service
 	jobs        map[string]*ownedJob
 	dirty       map[string]bool // jobs to look through for ready tasks
@@ -69,7 +69,7 @@
 		hurried:  make(chan struct{}),
 		began:    time.Now(),
 		inbox:    make(chan func(), 4096),
-		workers:  map[string]*cluster.Worker{},
+		workers:  map[string]*statemachine.Worker{},
 		placers:  map[string]*placement.Placer{},
 		jobs:     map[string]*ownedJob{},
 		dirty:    map[string]bool{},
@@ -187,7 +187,7 @@
 // attempt is one attempt to open the session at a control machine.
 type attempt struct {
 	address string // "": none is known
-	hello   link.Hello
+	hello   protocol.Hello
 }
 
 // nextControl returns the control machine to dial next: those in the own zone can't be told from
--- a/internal/dataplane/expected_test.go
+++ b/internal/dispatcher/expected_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"net/http"
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 	"yardflow/scheduling/job"
 )
 
@@ -20,7 +20,7 @@
 func attachedDispatcher() *Dispatcher {
 	d := New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, deaf{}, zerolog.Nop())
 	d.uplink.attached, d.uplink.session = true, 7
-	d.setWorker(0, &cluster.Worker{Instance: cluster.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
+	d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
 	return d
 }
 
@@ -31,7 +31,7 @@
 
 // handIn does what a call that hands a job in does, and lets the event's decisions follow.
 func handIn(d *Dispatcher) (submitted uint64) {
-	submitted = d.uplink.submit(&cluster.Command{Submit: &cluster.Submit{Job: expectedJob()}}, func(cluster.Result) {
+	submitted = d.uplink.submit(&statemachine.Command{Submit: &statemachine.Submit{Job: expectedJob()}}, func(statemachine.Result) {
 		d.dropExpected(expectedID)
 	})
 	d.expectJob(0, expectedJob())
@@ -55,10 +55,10 @@
 	return strings.Join(list, " ")
 }
 
-func outcomeOf(d *Dispatcher, tag uint64, code cluster.Code) {
+func outcomeOf(d *Dispatcher, tag uint64, code statemachine.Code) {
 	waiting := d.uplink.pending[tag]
 	delete(d.uplink.pending, tag)
-	waiting.done(cluster.Result{Code: code})
+	waiting.done(statemachine.Result{Code: code})
 }
 
 func TestFirstPlacementsFollowTheSubmit(t *testing.T) {
@@ -72,9 +72,9 @@
 	told.State, told.Number = job.Running, 3
 	told.Tasks = map[job.Key]*job.Task{{Index: 0}: {Worker: "w1", Run: 1}, {Index: 1}: {Worker: "w1", Run: 1}}
 	d.setJob(time.Millisecond, &told)
-	outcomeOf(d, submitted, cluster.OK)
-	outcomeOf(d, submitted+1, cluster.OK)
-	outcomeOf(d, submitted+2, cluster.OK)
+	outcomeOf(d, submitted, statemachine.OK)
+	outcomeOf(d, submitted+1, statemachine.OK)
+	outcomeOf(d, submitted+2, statemachine.OK)
 	d.enqueueReady(time.Millisecond)
 	d.decide(time.Millisecond)
 	known := d.jobs[expectedID]
@@ -93,9 +93,9 @@
 	told := expectedJob()
 	told.Tasks = map[job.Key]*job.Task{{Index: 0}: {Worker: "w1", Run: 1}}
 	d.setJob(time.Millisecond, &told)
-	outcomeOf(d, submitted, cluster.OK)
-	outcomeOf(d, submitted+1, cluster.OK)
-	outcomeOf(d, submitted+2, cluster.NoRoom)
+	outcomeOf(d, submitted, statemachine.OK)
+	outcomeOf(d, submitted+1, statemachine.OK)
+	outcomeOf(d, submitted+2, statemachine.NoRoom)
 	d.enqueueReady(time.Millisecond)
 	d.decide(time.Millisecond)
 	if got := commands(d); got != "place" {
@@ -106,8 +106,8 @@
 // Nothing is left of a job that was refused, that is another dispatcher's, or for which nobody waits any more.
 func TestExpectedJobThatIsNotTold(t *testing.T) {
 	for name, end := range map[string]func(d *Dispatcher, submitted uint64){
-		"refused":               func(d *Dispatcher, submitted uint64) { outcomeOf(d, submitted, cluster.Invalid) },
-		"another dispatcher's":  func(d *Dispatcher, submitted uint64) { outcomeOf(d, submitted, cluster.OK) },
+		"refused":               func(d *Dispatcher, submitted uint64) { outcomeOf(d, submitted, statemachine.Invalid) },
+		"another dispatcher's":  func(d *Dispatcher, submitted uint64) { outcomeOf(d, submitted, statemachine.OK) },
 		"not in a new snapshot": func(d *Dispatcher, _ uint64) { d.dropStale(0, d.markStale()) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -117,10 +117,10 @@
 			if d.jobs[expectedID] != nil {
 				t.Fatal("the job is still there")
 			}
-			d.setWorker(0, &cluster.Worker{Instance: cluster.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
+			d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Capacity: job.Resources{Cpu: 4000}}})
 			for tag := submitted + 1; tag <= submitted+2; tag++ {
 				if d.uplink.pending[tag] != nil {
-					outcomeOf(d, tag, cluster.Conflict)
+					outcomeOf(d, tag, statemachine.Conflict)
 				}
 			}
 			d.enqueueReady(0)
--- a/internal/dataplane/intake.go
+++ b/internal/dispatcher/intake.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/control/cluster"
 	"yardflow/internal/control/configuration"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 	"yardflow/scheduling/job"
 )
 
@@ -100,14 +100,14 @@
 }
 
 // ask sends a command to the control machines and waits for its outcome.
-func (d *Dispatcher) ask(r *http.Request, wait time.Duration, command func() *cluster.Command) (cluster.Result, outcome) {
+func (d *Dispatcher) ask(r *http.Request, wait time.Duration, command func() *statemachine.Command) (statemachine.Result, outcome) {
 	return d.askThen(r, wait, command, func() {})
 }
 
 // askThen does so too; the engine calls over once the outcome is known or nobody waits for it any more.
-func (d *Dispatcher) askThen(r *http.Request, wait time.Duration, command func() *cluster.Command, over func()) (cluster.Result, outcome) {
+func (d *Dispatcher) askThen(r *http.Request, wait time.Duration, command func() *statemachine.Command, over func()) (statemachine.Result, outcome) {
 	type reply struct {
-		result cluster.Result
+		result statemachine.Result
 		sent   bool
 	}
 	answers := make(chan reply, 1)
@@ -117,7 +117,7 @@
 			answers <- reply{}
 			return
 		}
-		tag = d.uplink.submit(command(), func(result cluster.Result) {
+		tag = d.uplink.submit(command(), func(result statemachine.Result) {
 			over()
 			answers <- reply{result, true}
 		})
@@ -140,7 +140,7 @@
 		d.uplink.forget(tag)
 		over()
 	})
-	return cluster.Result{}, unknown
+	return statemachine.Result{}, unknown
 }
 
 func (d *Dispatcher) submit(w http.ResponseWriter, r *http.Request, config *configuration.Configuration,
@@ -167,10 +167,10 @@
 	began := d.now()
 	submitted := job.Job{ID: id, Route: route.Key(), Service: route.Service, Priority: route.Priority,
 		MaxAttempts: route.MaxAttempts, Stretch: route.Stretch, TargetMs: route.TargetLatencyMs, Request: request}
-	result, how := d.askThen(r, patience(r, route), func() *cluster.Command {
+	result, how := d.askThen(r, patience(r, route), func() *statemachine.Command {
 		submitted.Owner = d.uplink.session
 		d.expectJob(d.now(), submitted)
-		return &cluster.Command{Submit: &cluster.Submit{Job: submitted}}
+		return &statemachine.Command{Submit: &statemachine.Submit{Job: submitted}}
 	}, func() { d.dropExpected(id) })
 	d.logger.Debug().Str("job", id).Int("priority", route.Priority).Int64("work", request.Work()).Int("times", request.Repeat).
 		Bool("lasting", request.Steps[0].LongRunning).Float64("stretch", route.Stretch).Int64("target", route.TargetLatencyMs).Stringer("outcome", how).Dur("took", d.now()-began).Msg("submit")
@@ -179,7 +179,7 @@
 		refuse(w, "the control machines are out of reach")
 	case how == unknown:
 		http.Error(w, "no outcome yet; send the same again", http.StatusGatewayTimeout)
-	case result.Code != cluster.OK:
+	case result.Code != statemachine.OK:
 		http.Error(w, "no job that can be carried out", http.StatusBadRequest)
 	default:
 		w.WriteHeader(http.StatusOK)
@@ -202,13 +202,13 @@
 		writeState(w, state)
 		return
 	}
-	result, how := d.ask(r, patience(r, route), func() *cluster.Command {
-		return &cluster.Command{ReadJob: &cluster.ReadJob{Job: id}}
+	result, how := d.ask(r, patience(r, route), func() *statemachine.Command {
+		return &statemachine.Command{ReadJob: &statemachine.ReadJob{Job: id}}
 	})
 	switch {
 	case how != answered:
 		refuse(w, "the control machines are out of reach")
-	case result.Code == cluster.NotFound:
+	case result.Code == statemachine.NotFound:
 		http.Error(w, "no such job", http.StatusGone)
 	default:
 		d.rememberFinal(id, result.State)
@@ -237,15 +237,15 @@
 }
 
 func (d *Dispatcher) cancel(w http.ResponseWriter, r *http.Request, route *configuration.Route, id string) {
-	result, how := d.ask(r, patience(r, route), func() *cluster.Command {
-		return &cluster.Command{Cancel: &cluster.Cancel{Job: id}}
+	result, how := d.ask(r, patience(r, route), func() *statemachine.Command {
+		return &statemachine.Command{Cancel: &statemachine.Cancel{Job: id}}
 	})
 	switch {
 	case how == unsent:
 		refuse(w, "the control machines are out of reach")
 	case how == unknown:
 		http.Error(w, "no outcome yet; send the same again", http.StatusGatewayTimeout)
-	case result.Code == cluster.NotFound:
+	case result.Code == statemachine.NotFound:
 		http.Error(w, "no such job", http.StatusGone)
 	default:
 		w.WriteHeader(http.StatusOK)
@@ -253,8 +253,8 @@
 }
 
 func (d *Dispatcher) queue(w http.ResponseWriter, r *http.Request, route *configuration.Route) {
-	result, how := d.ask(r, patience(r, route), func() *cluster.Command {
-		return &cluster.Command{ReadQueue: &cluster.ReadQueue{Route: route.Key()}}
+	result, how := d.ask(r, patience(r, route), func() *statemachine.Command {
+		return &statemachine.Command{ReadQueue: &statemachine.ReadQueue{Route: route.Key()}}
 	})
 	if how != answered {
 		refuse(w, "the control machines are out of reach")
--- a/internal/dataplane/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -1,11 +1,11 @@
-package dataplane
+package dispatcher
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/job"
 	"yardflow/scheduling/placement"
 )
@@ -62,7 +62,7 @@
 	known.Number, known.State = told.Number, told.State
 	for key, task := range told.Tasks {
 		*known.Task(key) = *task
-		d.follow(now, known, key, task, cluster.Stopped)
+		d.follow(now, known, key, task, statemachine.Stopped)
 	}
 	d.dirty[told.ID] = true
 	return true
@@ -88,7 +88,7 @@
 		known.queued = map[job.Key]bool{}
 	}
 	for key, task := range told.Tasks {
-		d.follow(now, known, key, task, cluster.Stopped)
+		d.follow(now, known, key, task, statemachine.Stopped)
 	}
 	d.dirty[told.ID] = true
 }
@@ -112,7 +112,7 @@
 }
 
 // setJobState takes in a job's state. In a snapshot it stands for all of a job that is over.
-func (d *Dispatcher) setJobState(update *cluster.JobState, inSnapshot bool) {
+func (d *Dispatcher) setJobState(update *statemachine.JobState, inSnapshot bool) {
 	known := d.jobs[update.Job]
 	if known == nil {
 		d.keepFinal(update.Job, update.State)
@@ -128,7 +128,7 @@
 	}
 }
 
-func (d *Dispatcher) setTask(now time.Duration, update *cluster.TaskUpdate) {
+func (d *Dispatcher) setTask(now time.Duration, update *statemachine.TaskUpdate) {
 	known := d.jobs[update.Job]
 	if known == nil || !known.Has(update.Key) {
 		return
@@ -145,7 +145,7 @@
 }
 
 // follow keeps the placer's picture of own running tasks, and lets it learn from their ends.
-func (d *Dispatcher) follow(now time.Duration, known *ownedJob, key job.Key, task *job.Task, how cluster.How) {
+func (d *Dispatcher) follow(now time.Duration, known *ownedJob, key job.Key, task *job.Task, how statemachine.How) {
 	placer := d.placer(known.Service)
 	step := &known.Request.Steps[key.Step]
 	run, runs := known.running[key]
@@ -165,23 +165,23 @@
 	}
 }
 
-func (d *Dispatcher) learn(now time.Duration, known *ownedJob, key job.Key, run started, how cluster.How) {
+func (d *Dispatcher) learn(now time.Duration, known *ownedJob, key job.Key, run started, how statemachine.How) {
 	placer := d.placer(known.Service)
 	step := &known.Request.Steps[key.Step]
 	switch how {
-	case cluster.Done:
+	case statemachine.Done:
 		worker := d.workers[run.worker]
 		near := worker != nil && (step.Affinity == "" || len(worker.Labels) > 1 && worker.Labels[1] == step.Affinity)
 		if near && !step.Gang && !step.LongRunning {
 			placer.Learn(run.worker, now-run.at, time.Duration(step.EstimateMs)*time.Millisecond)
 		}
-	case cluster.RunFailed:
+	case statemachine.RunFailed:
 		if !step.LongRunning {
 			placer.Blame(now, run.worker, 0.2)
 		}
-	case cluster.NotStarted:
+	case statemachine.NotStarted:
 		placer.Blame(now, run.worker, 0.5)
-	case cluster.Lost, cluster.Lapsed, cluster.Alone:
+	case statemachine.Lost, statemachine.Lapsed, statemachine.Alone:
 		placer.Blame(now, run.worker, 0.2)
 	}
 }
@@ -276,9 +276,9 @@
 		return
 	}
 	d.begunToldAt = now
-	began := &cluster.Began{Jobs: slices.Sorted(maps.Keys(d.begun))}
+	began := &statemachine.Began{Jobs: slices.Sorted(maps.Keys(d.begun))}
 	clear(d.begun)
-	d.uplink.submit(&cluster.Command{Began: began}, func(cluster.Result) {})
+	d.uplink.submit(&statemachine.Command{Began: began}, func(statemachine.Result) {})
 }
 
 // decide lets every placer decide, and brings the decisions to the control machines.
@@ -296,17 +296,17 @@
 func (d *Dispatcher) place(placer *placement.Placer, decision placement.Decision) {
 	unit := decision.Unit
 	known := d.jobs[unit.Job.ID]
-	command := &cluster.Place{Session: d.uplink.session, Job: unit.Job.ID}
+	command := &statemachine.Place{Session: d.uplink.session, Job: unit.Job.ID}
 	for i, index := range unit.Indices {
 		key := job.Key{Time: unit.Key.Time, Step: unit.Key.Step, Index: index}
-		command.Targets = append(command.Targets, cluster.Target{Task: key, Worker: decision.Workers[i], Others: decision.Others})
+		command.Targets = append(command.Targets, statemachine.Target{Task: key, Worker: decision.Workers[i], Others: decision.Others})
 		if known != nil {
 			known.Task(key).Worker = decision.Workers[i] // so that tasks decided upon next are kept apart from it
 		}
 	}
 	d.logger.Debug().Str("job", unit.Job.ID).Int("repeat", unit.Key.Time).Int("step", unit.Key.Step).Ints("tasks", unit.Indices).Msg("decided")
 	asks := unit.Step().Asks()
-	d.uplink.submit(&cluster.Command{Place: command}, func(result cluster.Result) {
+	d.uplink.submit(&statemachine.Command{Place: command}, func(result statemachine.Result) {
 		for _, target := range command.Targets {
 			placer.Release(target.Worker, asks)
 		}
@@ -315,7 +315,7 @@
 }
 
 // placed takes in the outcome of a placement; what became of the tasks was told by updates before.
-func (d *Dispatcher) placed(command *cluster.Place, result cluster.Result) {
+func (d *Dispatcher) placed(command *statemachine.Place, result statemachine.Result) {
 	known := d.jobs[command.Job]
 	if known == nil {
 		return
--- a/internal/dataplane/objective.go
+++ b/internal/dispatcher/objective.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"time"
--- a/internal/dataplane/reader.go
+++ b/internal/dispatcher/reader.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/job"
 )
 
@@ -133,12 +133,12 @@
 // report brings what has changed to the control machines.
 func (r *reader) report(list []instanceEntry) {
 	d := r.dispatcher
-	command := &cluster.Instances{Reader: d.uplink.session}
+	command := &statemachine.Instances{Reader: d.uplink.session}
 	listed := map[string]bool{}
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Id] = true
-		instance := cluster.Instance{ID: entry.Id, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
+		instance := statemachine.Instance{ID: entry.Id, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
 			Labels: entry.Labels, Capacity: entry.Capacity, Draining: entry.State == "draining"}
 		if instance.Draining {
 			instance.Leaves = entry.RemainingMs
@@ -158,11 +158,11 @@
 		d.logger.Info().Uint64("reading", r.readings).Int("listed", len(list)).Strs("changed", changedIDs(command)).
 			Strs("gone", command.Gone).Msg("list read")
 		command.Reading = r.readings
-		d.uplink.submit(&cluster.Command{Instances: command}, func(cluster.Result) {})
+		d.uplink.submit(&statemachine.Command{Instances: command}, func(statemachine.Result) {})
 	}
 }
 
-func changedIDs(command *cluster.Instances) []string {
+func changedIDs(command *statemachine.Instances) []string {
 	ids := make([]string, len(command.Changed))
 	for i := range command.Changed {
 		ids[i] = command.Changed[i].ID
@@ -171,7 +171,7 @@
 }
 
 // same reports whether the state already says what the list says. One that drains stays so.
-func same(known, read *cluster.Instance) bool {
+func same(known, read *statemachine.Instance) bool {
 	return known.Service == read.Service && known.Address == read.Address && known.Zone == read.Zone &&
 		known.Capacity == read.Capacity && (known.Draining || !read.Draining) &&
 		(len(known.Labels) == 0 && len(read.Labels) == 0 || reflect.DeepEqual(known.Labels, read.Labels))
--- a/internal/dataplane/serve.go
+++ b/internal/dispatcher/serve.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/juju/errors"
 
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/platform/settings"
 )
 
 // Spans of a stop in order.
@@ -82,7 +82,7 @@
 	done := make(chan struct{})
 	d.do(func() {
 		if d.uplink.conn != nil {
-			d.uplink.conn.Send(link.Encode(link.Up{Goodbye: true}))
+			d.uplink.conn.Send(protocol.Encode(protocol.Up{Goodbye: true}))
 		}
 		close(done)
 	})
--- a/internal/dataplane/stop_test.go
+++ b/internal/dispatcher/stop_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"net/http/httptest"
@@ -7,9 +7,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 	"yardflow/scheduling/worker"
 )
 
@@ -19,7 +19,7 @@
 	d := idle()
 	close(d.hurried)
 	call := httptest.NewRequest("DELETE", "/queue/00000000000000aa", nil)
-	_, how := d.ask(call, time.Hour, func() *cluster.Command { return cancel("00000000000000aa") })
+	_, how := d.ask(call, time.Hour, func() *statemachine.Command { return cancel("00000000000000aa") })
 	if how != unknown {
 		t.Errorf("outcome %v of a call under way", how)
 	}
@@ -44,21 +44,21 @@
 
 // TestEndsAreNotedOnceTheyAreTakenIn keeps that a worker forgets an end only when the control machines have it.
 func TestEndsAreNotedOnceTheyAreTakenIn(t *testing.T) {
-	for _, code := range []cluster.Code{cluster.OK, cluster.Conflict, cluster.Invalid} {
+	for _, code := range []statemachine.Code{statemachine.OK, statemachine.Conflict, statemachine.Invalid} {
 		d := idle()
-		w := newOwnedWorker(d, &cluster.Worker{Instance: cluster.Instance{ID: "w1", Address: "w1:1"}, Token: 5})
-		ended := cluster.Ended{Worker: "w1", Job: "00000000000000aa", Run: 1, How: cluster.RunFailed}
+		w := newOwnedWorker(d, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Address: "w1:1"}, Token: 5})
+		ended := statemachine.Ended{Worker: "w1", Job: "00000000000000aa", Run: 1, How: statemachine.RunFailed}
 		w.agent.HoldAnswered(0, worker.Hold{}, worker.Done, worker.Lists{Ended: []worker.End{{Number: 1,
-			Task: "00000000000000aa.0.0.0", Command: 1, How: cluster.RunFailed}}})
+			Task: "00000000000000aa.0.0.0", Command: 1, How: statemachine.RunFailed}}})
 		w.agent.Take()
 		w.report(worker.Report{Number: 1, Ended: ended})
-		d.uplink.receiveOutcome(link.Outcome{Tag: d.uplink.nextTag, Result: cluster.Result{Code: code}})
-		w.agent.Place(time.Second, cluster.Placement{Worker: "w1", Task: "00000000000000bb.0.0.0", Run: 1})
+		d.uplink.receiveOutcome(protocol.Outcome{Tag: d.uplink.nextTag, Result: statemachine.Result{Code: code}})
+		w.agent.Place(time.Second, statemachine.Placement{Worker: "w1", Task: "00000000000000bb.0.0.0", Run: 1})
 		holds := w.agent.Take().Holds
 		if len(holds) == 0 {
 			t.Fatal("no look at the worker")
 		}
-		if noted := holds[0].LastSeen == 1; noted != (code == cluster.OK) {
+		if noted := holds[0].LastSeen == 1; noted != (code == statemachine.OK) {
 			t.Errorf("outcome %d: the worker is told that %d ends are noted", code, holds[0].LastSeen)
 		}
 	}
--- a/internal/dataplane/updates.go
+++ b/internal/dispatcher/updates.go
@@ -1,23 +1,23 @@
-package dataplane
+package dispatcher
 
 import (
 	"time"
 
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/placement"
 )
 
 // receiveUpdates takes in what the control machine tells.
-func (d *Dispatcher) receiveUpdates(down *link.Down) {
+func (d *Dispatcher) receiveUpdates(down *protocol.Down) {
 	now := d.now()
 	var stale *staleness
 	if down.Session != 0 {
 		stale = d.markStale()
 	}
-	for _, raw := range link.Unpack(down.Updates) {
-		update := &cluster.Update{}
-		if link.Decode(raw, update) {
+	for _, raw := range protocol.Unpack(down.Updates) {
+		update := &statemachine.Update{}
+		if protocol.Decode(raw, update) {
 			d.receiveUpdate(now, update, stale)
 		}
 	}
@@ -26,7 +26,7 @@
 	}
 }
 
-func (d *Dispatcher) receiveUpdate(now time.Duration, update *cluster.Update, stale *staleness) {
+func (d *Dispatcher) receiveUpdate(now time.Duration, update *statemachine.Update, stale *staleness) {
 	switch {
 	case update.Sessions != nil:
 		d.setSessions(update.Sessions)
@@ -64,7 +64,7 @@
 	}
 }
 
-func (d *Dispatcher) setSessions(sessions []cluster.SessionID) {
+func (d *Dispatcher) setSessions(sessions []statemachine.SessionID) {
 	d.sessions = sessions
 	for _, placer := range d.placers {
 		placer.SetPeers(len(sessions))
@@ -88,7 +88,7 @@
 	return placer
 }
 
-func (d *Dispatcher) setWorker(now time.Duration, worker *cluster.Worker) {
+func (d *Dispatcher) setWorker(now time.Duration, worker *statemachine.Worker) {
 	d.workers[worker.ID] = worker
 	d.placer(worker.Service).SetWorker(worker.ID, worker.Service, worker.Labels, worker.Capacity, worker.Used, worker.Closed())
 	mine := d.owned[worker.ID]
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *staleness) keepPlacement(placed *cluster.Placement) {
+func (s *staleness) keepPlacement(placed *statemachine.Placement) {
 	if s == nil {
 		return
 	}
--- a/internal/dataplane/uplink.go
+++ b/internal/dispatcher/uplink.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"time"
@@ -6,9 +6,9 @@
 	"github.com/rs/zerolog"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 )
 
 // Spans of the connection with the control machines.
@@ -26,8 +26,8 @@
 
 // pendingCommand is a command without an outcome. It goes out again on each new connection.
 type pendingCommand struct {
-	command *cluster.Command
-	done    func(cluster.Result)
+	command *statemachine.Command
+	done    func(statemachine.Result)
 }
 
 // uplink keeps one connection to a control machine. Its state belongs to the engine.
@@ -35,11 +35,11 @@
 	dispatcher *Dispatcher
 	settings   *settings.Settings
 	logger     zerolog.Logger
-	hello      link.Hello
+	hello      protocol.Hello
 
 	conn     *frame.Conn
 	attached bool
-	session  cluster.SessionID
+	session  statemachine.SessionID
 	lostAt   time.Duration
 	sentAt   time.Duration
 	controls []string
@@ -54,12 +54,12 @@
 
 func newUplink(d *Dispatcher, life uint64) *uplink {
 	return &uplink{dispatcher: d, settings: d.settings, logger: d.logger, pending: map[uint64]*pendingCommand{},
-		hello: link.Hello{Node: d.settings.Node, Zone: d.settings.Zone, Life: life, Acknowledges: true}}
+		hello: protocol.Hello{Node: d.settings.Node, Zone: d.settings.Zone, Life: life, Acknowledges: true}}
 }
 
 // submit sends a command; done is called by the engine with its outcome. Every command is one
 // that may be carried out twice.
-func (u *uplink) submit(command *cluster.Command, done func(cluster.Result)) uint64 {
+func (u *uplink) submit(command *statemachine.Command, done func(statemachine.Result)) uint64 {
 	u.nextTag++
 	u.pending[u.nextTag] = &pendingCommand{command, done}
 	u.order = append(u.order, u.nextTag)
@@ -83,11 +83,11 @@
 }
 
 // encode writes a command with the fences of the present session.
-func (u *uplink) encode(tag uint64, command *cluster.Command, settled uint64) link.Tagged {
+func (u *uplink) encode(tag uint64, command *statemachine.Command, settled uint64) protocol.Tagged {
 	if !command.IsRead() {
 		command.Session, command.Number, command.Settled = u.session, tag, settled
 	}
-	return link.Tagged{Tag: tag, Command: link.Encode(command)}
+	return protocol.Tagged{Tag: tag, Command: protocol.Encode(command)}
 }
 
 // flush sends what has gathered.
@@ -101,7 +101,7 @@
 		return
 	}
 	u.sentAt, u.acknowledged = now, u.received
-	up := link.Up{Config: u.dispatcher.configInForce(), Received: u.received}
+	up := protocol.Up{Config: u.dispatcher.configInForce(), Received: u.received}
 	settled := u.settled()
 	for _, tag := range u.outgoing {
 		if waiting := u.pending[tag]; waiting != nil {
@@ -109,7 +109,7 @@
 		}
 	}
 	u.outgoing = nil
-	u.conn.Send(link.Encode(up))
+	u.conn.Send(protocol.Encode(up))
 }
 
 // run dials control machines, one after the other, for as long as the process lives.
@@ -131,12 +131,12 @@
 
 // serve carries one connection to its end, and reports whether it was of use.
 func (u *uplink) serve(next attempt) bool {
-	conn, err := frame.Dial(u.dispatcher.network, next.address, link.DispatcherPath, dialWithin)
+	conn, err := frame.Dial(u.dispatcher.network, next.address, protocol.DispatcherPath, dialWithin)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	conn.Send(link.Encode(link.Up{Hello: &next.hello}))
+	conn.Send(protocol.Encode(protocol.Up{Hello: &next.hello}))
 	stop := make(chan struct{})
 	defer close(stop)
 	go beat(conn, stop)
@@ -153,8 +153,8 @@
 		if err != nil {
 			break
 		}
-		down := &link.Down{}
-		if !link.Decode(data, down) {
+		down := &protocol.Down{}
+		if !protocol.Decode(data, down) {
 			break
 		}
 		if down.Refused {
@@ -176,7 +176,7 @@
 func beat(conn *frame.Conn, stop <-chan struct{}) {
 	ticker := time.NewTicker(heartbeat)
 	defer ticker.Stop()
-	empty := link.Encode(link.Up{})
+	empty := protocol.Encode(protocol.Up{})
 	for {
 		select {
 		case <-ticker.C:
@@ -188,7 +188,7 @@
 }
 
 // receive takes in a message, with which so many bytes have come on its connection.
-func (u *uplink) receive(conn *frame.Conn, down *link.Down, received uint64) {
+func (u *uplink) receive(conn *frame.Conn, down *protocol.Down, received uint64) {
 	u.learnControls(down.Controls)
 	if down.Session != 0 {
 		u.attach(conn, down.Session)
@@ -203,11 +203,11 @@
 	}
 }
 
-func (u *uplink) receiveOutcome(outcome link.Outcome) {
+func (u *uplink) receiveOutcome(outcome protocol.Outcome) {
 	waiting := u.pending[outcome.Tag]
 	switch {
 	case waiting == nil:
-	case outcome.Result.Code == cluster.Stale:
+	case outcome.Result.Code == statemachine.Stale:
 		u.reconnect() // the session is over; the command goes out again under the next one
 	default:
 		delete(u.pending, outcome.Tag)
@@ -215,7 +215,7 @@
 	}
 }
 
-func (u *uplink) attach(conn *frame.Conn, session cluster.SessionID) {
+func (u *uplink) attach(conn *frame.Conn, session statemachine.SessionID) {
 	if u.session != session {
 		u.logger.Info().Uint64("session", session).Msg("session open")
 	}
--- a/internal/dataplane/uplink_test.go
+++ b/internal/dispatcher/uplink_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"testing"
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/control/cluster"
-	"yardflow/internal/control/link"
-	"yardflow/internal/settings"
+	"yardflow/internal/control/protocol"
+	"yardflow/internal/control/statemachine"
+	"yardflow/internal/platform/settings"
 )
 
 // idle returns a dispatcher whose engine does not run, so that a test can call what belongs to it.
@@ -17,17 +17,19 @@
 	return New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, deaf{}, zerolog.Nop())
 }
 
-func cancel(id string) *cluster.Command { return &cluster.Command{Cancel: &cluster.Cancel{Job: id}} }
+func cancel(id string) *statemachine.Command {
+	return &statemachine.Command{Cancel: &statemachine.Cancel{Job: id}}
+}
 
 // sent returns the commands that would go out now, by tag.
-func (u *uplink) sent(t *testing.T) map[uint64]*cluster.Command {
+func (u *uplink) sent(t *testing.T) map[uint64]*statemachine.Command {
 	t.Helper()
-	commands := map[uint64]*cluster.Command{}
+	commands := map[uint64]*statemachine.Command{}
 	settled := u.settled()
 	for _, tag := range u.outgoing {
 		if waiting := u.pending[tag]; waiting != nil {
-			command := &cluster.Command{}
-			if !link.Decode(u.encode(tag, waiting.command, settled).Command, command) {
+			command := &statemachine.Command{}
+			if !protocol.Decode(u.encode(tag, waiting.command, settled).Command, command) {
 				t.Fatal("a command can't be read")
 			}
 			commands[tag] = command
@@ -40,17 +42,17 @@
 func TestCommandsAreFencedBySessionAndNumber(t *testing.T) {
 	u := idle().uplink
 	u.attach(&frame.Conn{}, 7)
-	first := u.submit(cancel("a"), func(cluster.Result) {})
-	second := u.submit(cancel("b"), func(cluster.Result) {})
+	first := u.submit(cancel("a"), func(statemachine.Result) {})
+	second := u.submit(cancel("b"), func(statemachine.Result) {})
 	sent := u.sent(t)
 	if sent[first].Session != 7 || sent[second].Number != second || sent[first].Settled != first-1 {
 		t.Errorf("sent %+v and %+v", sent[first], sent[second])
 	}
-	u.receiveOutcome(link.Outcome{Tag: second})
+	u.receiveOutcome(protocol.Outcome{Tag: second})
 	if settled := u.settled(); settled != first-1 {
 		t.Errorf("settled up to %d while %d waits", settled, first)
 	}
-	u.receiveOutcome(link.Outcome{Tag: first})
+	u.receiveOutcome(protocol.Outcome{Tag: first})
 	if settled := u.settled(); settled != second {
 		t.Errorf("settled up to %d, want %d", settled, second)
 	}
@@ -63,13 +65,13 @@
 	former, present := &frame.Conn{}, &frame.Conn{}
 	u.attach(former, 7)
 	answered := false
-	tag := u.submit(cancel("a"), func(cluster.Result) { answered = true })
+	tag := u.submit(cancel("a"), func(statemachine.Result) { answered = true })
 	u.attach(present, 7)
-	u.receive(former, &link.Down{Outcomes: []link.Outcome{{Tag: tag, Result: cluster.Result{Code: cluster.NotFound}}}}, 0)
+	u.receive(former, &protocol.Down{Outcomes: []protocol.Outcome{{Tag: tag, Result: statemachine.Result{Code: statemachine.NotFound}}}}, 0)
 	if answered || u.pending[tag] == nil {
 		t.Error("an answer of a former connection is taken")
 	}
-	u.receive(present, &link.Down{Outcomes: []link.Outcome{{Tag: tag}, {Tag: tag + 1}, {Tag: tag}}}, 0)
+	u.receive(present, &protocol.Down{Outcomes: []protocol.Outcome{{Tag: tag}, {Tag: tag + 1}, {Tag: tag}}}, 0)
 	if !answered {
 		t.Error("the answer is not taken")
 	}
@@ -81,10 +83,10 @@
 	u := idle().uplink
 	u.attach(&frame.Conn{}, 7)
 	answered := false
-	tag := u.submit(cancel("a"), func(cluster.Result) { answered = true })
+	tag := u.submit(cancel("a"), func(statemachine.Result) { answered = true })
 	u.sent(t)
 	u.conn = nil // as behind a connection that is given up
-	u.receiveOutcome(link.Outcome{Tag: tag, Result: cluster.Result{Code: cluster.Stale}})
+	u.receiveOutcome(protocol.Outcome{Tag: tag, Result: statemachine.Result{Code: statemachine.Stale}})
 	if answered {
 		t.Fatal("whoever waits is told that the session is over")
 	}
@@ -99,8 +101,8 @@
 func TestGivenUpCommandIsNotSentAgain(t *testing.T) {
 	u := idle().uplink
 	u.attach(&frame.Conn{}, 7)
-	given := u.submit(cancel("a"), func(cluster.Result) {})
-	kept := u.submit(cancel("b"), func(cluster.Result) {})
+	given := u.submit(cancel("a"), func(statemachine.Result) {})
+	kept := u.submit(cancel("b"), func(statemachine.Result) {})
 	u.sent(t)
 	u.forget(given)
 	u.attach(&frame.Conn{}, 7)
@@ -121,21 +123,21 @@
 		u.flush(now)
 		return u.acknowledged > before
 	}
-	u.receive(first, &link.Down{Session: 7}, 1000)
+	u.receive(first, &protocol.Down{Session: 7}, 1000)
 	u.flush(now)
-	u.receive(first, &link.Down{}, acknowledgeEvery/2)
+	u.receive(first, &protocol.Down{}, acknowledgeEvery/2)
 	if due() {
 		t.Error("little is acknowledged by a message of its own")
 	}
-	u.receive(first, &link.Down{}, acknowledgeEvery+1000)
+	u.receive(first, &protocol.Down{}, acknowledgeEvery+1000)
 	if !due() || u.acknowledged != acknowledgeEvery+1000 {
 		t.Errorf("%d bytes are acknowledged", u.acknowledged)
 	}
-	u.receive(first, &link.Down{}, acknowledgeEvery+2000)
+	u.receive(first, &protocol.Down{}, acknowledgeEvery+2000)
 	if now += heartbeat; !due() {
 		t.Error("a heartbeat does not acknowledge what has come")
 	}
-	u.receive(second, &link.Down{Session: 7}, 500)
+	u.receive(second, &protocol.Down{Session: 7}, 500)
 	if u.received != 500 || u.acknowledged != 0 {
 		t.Errorf("on a new connection %d bytes have come, %d are acknowledged", u.received, u.acknowledged)
 	}
--- a/internal/dataplane/workers.go
+++ b/internal/dispatcher/workers.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatcher
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/worker"
 )
 
@@ -36,7 +36,7 @@
 	reportedAt time.Duration
 }
 
-func newOwnedWorker(d *Dispatcher, told *cluster.Worker) *ownedWorker {
+func newOwnedWorker(d *Dispatcher, told *statemachine.Worker) *ownedWorker {
 	transport := &http.Transport{
 		DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
 			return d.network.Dial(address, connectWithin)
@@ -71,15 +71,15 @@
 		w.report(report)
 	}
 	for i := range calls.Checkpoints {
-		w.dispatcher.uplink.submit(&cluster.Command{Checkpoint: &calls.Checkpoints[i]}, func(cluster.Result) {})
+		w.dispatcher.uplink.submit(&statemachine.Command{Checkpoint: &calls.Checkpoints[i]}, func(statemachine.Result) {})
 	}
 	for _, id := range calls.Began {
 		w.dispatcher.begun[id] = true
 	}
 	if calls.Over {
 		w.dispatcher.logger.Info().Str("worker", w.id).Uint64("token", w.agent.Token()).Msg("another life answers at the worker's address")
-		over := &cluster.WorkerOver{Worker: w.id, Token: w.agent.Token()}
-		w.dispatcher.uplink.submit(&cluster.Command{WorkerOver: over}, func(cluster.Result) {})
+		over := &statemachine.WorkerOver{Worker: w.id, Token: w.agent.Token()}
+		w.dispatcher.uplink.submit(&statemachine.Command{WorkerOver: over}, func(statemachine.Result) {})
 	}
 	for _, weight := range calls.Blames {
 		w.dispatcher.placer(w.service).Blame(now, w.id, weight)
@@ -88,17 +88,17 @@
 
 func (w *ownedWorker) report(report worker.Report) {
 	ended := report.Ended
-	if ended.How == cluster.Lost {
+	if ended.How == statemachine.Lost {
 		w.dispatcher.logger.Info().Str("worker", w.id).Str("task", ended.Task.Name(ended.Job)).Uint64("run", ended.Run).
 			Uint64("token", ended.Token).Stringer("evidence", report.Evidence).Msg("run given up")
 	}
 	w.dispatcher.logger.Debug().Str("worker", w.id).Str("task", ended.Task.Name(ended.Job)).Uint64("run", ended.Run).
 		Stringer("how", ended.How).Msg("end told")
-	if ended.How < cluster.NotStarted {
+	if ended.How < statemachine.NotStarted {
 		delete(w.dispatcher.begun, ended.Job) // the end tells that it has begun
 	}
-	w.dispatcher.uplink.submit(&cluster.Command{Ended: &ended}, func(result cluster.Result) {
-		if result.Code == cluster.OK && report.Number > 0 && !w.closed {
+	w.dispatcher.uplink.submit(&statemachine.Command{Ended: &ended}, func(result statemachine.Result) {
+		if result.Code == statemachine.OK && report.Number > 0 && !w.closed {
 			w.agent.Noted(w.dispatcher.now(), report.Number)
 		}
 	})
@@ -253,7 +253,7 @@
 	for _, row := range rows {
 		entry, how := worker.End{}, ""
 		if len(row) >= 5 && decodeAll(row, &entry.Number, &entry.Task, &entry.Command, &how, &entry.Saved) {
-			entry.How = cluster.ParseHow(how)
+			entry.How = statemachine.ParseHow(how)
 			list = append(list, entry)
 		}
 	}
--- a/internal/fleet/start/turns/turns.go
+++ b/internal/fleet/coldstart/admission/turns.go
@@ -1,4 +1,4 @@
-// Package turns hands out calls at the list service: hundreds that start at one moment ask it one
+// Package admission hands out calls at the list service: hundreds that start at one moment ask it one
 // after the other, and never more of them in a second than it is stated to take.
 //
 // A turn is a stretch of Use at a moment of its own, given in the order of asking. Its holder
@@ -8,7 +8,7 @@
 // second holds at most Calls of such stretches: that is Bound, and a test checks it.
 //
 // It has no clock, draw or I/O; the time is the granter's, handed in.
-package turns
+package admission
 
 import (
 	"fmt"
--- a/internal/fleet/start/turns/turns_test.go
+++ b/internal/fleet/coldstart/admission/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package admission
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/start/desk.go
+++ b/internal/fleet/coldstart/desk.go
@@ -1,4 +1,4 @@
-package start
+package coldstart
 
 // This file owns a dispatcher's half: whether it may call the list service now, what it has of
 // the relayed list, and what it says of itself with the next call for its lease. It must never
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/fleet/start/memory"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/fleet/start/turns"
+	"yardflow/internal/fleet/coldstart/admission"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/coldstart/speeds"
 )
 
 // unfitAfter calls in a row that bring nothing, a reader gives its seat up.
@@ -25,14 +25,14 @@
 	relayed bool          // somebody reads for the zone, or will
 	seat    uint64
 	said    uint64 // the seat under which the whole list was handed on
-	turn    turns.Mine
+	turn    admission.Mine
 	wants   bool
 	alone   bool
 	has     relay.Mark
 	failed  int
 	unfit   uint64
 	blank   bool
-	learned *memory.Speeds
+	learned *speeds.Speeds
 	changed chan struct{}
 	now     func() time.Duration
 	first   time.Duration // until then nobody is asked but the keepers; 0: they have answered
@@ -87,7 +87,7 @@
 }
 
 // Learned notes what the module has learned, to be said once.
-func (d *Desk) Learned(s *memory.Speeds) {
+func (d *Desk) Learned(s *speeds.Speeds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.learned = s
@@ -95,7 +95,7 @@
 
 // Hear takes in what came with a lease that was asked for and holds until then. It returns what
 // is new of the list, and of speeds to one that has none.
-func (d *Desk) Hear(asked, until time.Duration, w *Word) (list *relay.Update, speeds *memory.Speeds) {
+func (d *Desk) Hear(asked, until time.Duration, w *Word) (list *relay.Update, speeds *speeds.Speeds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w == nil {
--- a/internal/fleet/start/memory/golden_test.go
+++ b/internal/fleet/coldstart/speeds/golden_test.go
@@ -1,4 +1,4 @@
-package memory
+package speeds
 
 import (
 	"testing"
--- a/internal/fleet/start/memory/memory.go
+++ b/internal/fleet/coldstart/speeds/memory.go
@@ -1,9 +1,9 @@
-// Package memory is what a fleet knows of speeds together, for whoever comes with nothing: how
+// Package speeds is what a fleet knows of speeds together, for whoever comes with nothing: how
 // long jobs run, how much work each class brings, and how fast and wide each kind of worker is.
 // Single workers are left out: what is known of one is its queue of the moment.
 //
 // It has no clock or I/O, and must never take in a figure that can't be one.
-package memory
+package speeds
 
 import (
 	"encoding/json"
--- a/internal/fleet/start/start.go
+++ b/internal/fleet/coldstart/start.go
@@ -1,24 +1,24 @@
-// Package start is how a fleet starts cold and spares what it starts on: who may ask the list
+// Package coldstart is how a fleet starts cold and spares what it starts on: who may ask the list
 // service when (turns), the list that one reader of a zone has for all others (relay), and what a
 // newcomer is told of speeds (memory). A Book is the keepers' half, a Desk a dispatcher's.
 //
 // It has no clock, draw or I/O, and makes nobody wait: a dispatcher without keepers starts by its
 // own drawn pauses (package cadence).
-package start
+package coldstart
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/start/memory"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/fleet/start/turns"
+	"yardflow/internal/fleet/coldstart/admission"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/coldstart/speeds"
 )
 
 // Settings are a policy's [start].
 type Settings struct {
-	turns.Settings
+	admission.Settings
 	Relay bool // one reader of a zone has the list for all others
 }
 
@@ -30,30 +30,30 @@
 	Has     relay.Mark     `cbor:"3,keyasint,omitempty"` // of the relayed list
 	Unfit   uint64         `cbor:"4,keyasint,omitempty"` // the seat that it gives up: it can't reach the service
 	Blank   bool           `cbor:"5,keyasint,omitempty"` // it knows nothing of speeds
-	Learned *memory.Speeds `cbor:"6,keyasint,omitempty"`
+	Learned *speeds.Speeds `cbor:"6,keyasint,omitempty"`
 }
 
 // Word is what it is told beside its lease.
 type Word struct {
-	Turn   turns.Turn     `cbor:"1,keyasint,omitempty"` // No 0: none
+	Turn   admission.Turn `cbor:"1,keyasint,omitempty"` // No 0: none
 	Seat   uint64         `cbor:"2,keyasint,omitempty"` // it reads for its zone, under this number; 0: it does not
 	Relay  bool           `cbor:"3,keyasint,omitempty"` // somebody reads for its zone, or will
 	List   *relay.Update  `cbor:"4,keyasint,omitempty"`
-	Speeds *memory.Speeds `cbor:"5,keyasint,omitempty"`
+	Speeds *speeds.Speeds `cbor:"5,keyasint,omitempty"`
 }
 
 // Book is the keepers' half.
 type Book struct {
 	Settings
-	Turns  *turns.Book
+	Turns  *admission.Book
 	Lists  map[int]*relay.List // by zone
-	Speeds memory.Speeds
+	Speeds speeds.Speeds
 	Base   uint64 // numbers of turns, seats and changes are over it: over all that keepers before a restore gave
 }
 
 // NewBook makes one by which nobody calls sooner than a moment, with numbers over base.
 func NewBook(s Settings, from time.Duration, base uint64) *Book {
-	return &Book{Settings: s, Turns: turns.New(s.Settings, from, base), Lists: map[int]*relay.List{}, Base: base}
+	return &Book{Settings: s, Turns: admission.New(s.Settings, from, base), Lists: map[int]*relay.List{}, Base: base}
 }
 
 // Mend makes what a snapshot leaves out where it is empty.
--- a/internal/quorum/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns what raft has agreed on and how it reaches the state: durable first, then sent,
 // then applied. It must never apply a command outside the log.
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // handle does what raft asks: durable first, then sent, then applied.
@@ -24,7 +24,7 @@
 		q.term = rd.HardState.GetTerm()
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		state, err := keeper.Restore(rd.Snapshot.GetData())
+		state, err := statemachine.Restore(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
@@ -164,10 +164,10 @@
 }
 
 // detach makes an answer that no later command changes.
-func detach(r keeper.Result) (out keeper.Result) {
-	text, err := keeper.Encode(r)
+func detach(r statemachine.Result) (out statemachine.Result) {
+	text, err := statemachine.Encode(r)
 	if err == nil {
-		err = keeper.Decode(text, &out)
+		err = statemachine.Decode(text, &out)
 	}
 	if err != nil {
 		out.Err = err.Error()
--- a/internal/quorum/ask.go
+++ b/internal/fleet/consensus/ask.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns those that ask: commands with their answers, and reads of the newest state. It
 // must never answer by a state that may be old, but where the caller says so (Look, Watch).
@@ -8,17 +8,17 @@
 	"encoding/binary"
 	"time"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Do has a command carried out, and returns its answer once a majority has it. Any keeper
 // takes commands; an error tells nothing of whether it was carried out.
-func (q *Quorum) Do(ctx context.Context, cmd keeper.Command) (keeper.Result, error) {
-	got := make(chan keeper.Result, 1)
+func (q *Quorum) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
+	got := make(chan statemachine.Result, 1)
 	q.mu.Lock()
 	if q.failed != nil {
 		q.mu.Unlock()
-		return keeper.Result{}, q.failed
+		return statemachine.Result{}, q.failed
 	}
 	q.last++
 	n := q.last
@@ -31,24 +31,24 @@
 	}()
 	text, err := q.word(n, cmd)
 	if err != nil {
-		return keeper.Result{}, err
+		return statemachine.Result{}, err
 	}
 	if err := q.node.Propose(ctx, text); err != nil {
-		return keeper.Result{}, err
+		return statemachine.Result{}, err
 	}
 	select {
 	case r := <-got:
 		return r, nil
 	case <-ctx.Done():
-		return keeper.Result{}, ctx.Err()
+		return statemachine.Result{}, ctx.Err()
 	case <-q.ended:
-		return keeper.Result{}, q.err()
+		return statemachine.Result{}, q.err()
 	}
 }
 
 // Read gives f the state as it is at this moment or later: a majority is asked whether this
 // keeper knows the newest. f must not keep it.
-func (q *Quorum) Read(ctx context.Context, f func(s *keeper.State)) error {
+func (q *Quorum) Read(ctx context.Context, f func(s *statemachine.State)) error {
 	got := make(chan uint64, 1)
 	q.mu.Lock()
 	q.last++
@@ -119,7 +119,7 @@
 }
 
 // Look gives f the state as this keeper has it, which may be old. f must not keep it.
-func (q *Quorum) Look(f func(s *keeper.State)) {
+func (q *Quorum) Look(f func(s *statemachine.State)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	f(q.state)
--- a/internal/quorum/between.go
+++ b/internal/fleet/consensus/between.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns what keepers say to each other: messages of raft in order, how far each has been
 // heard to be, and whose fleet and generation they are. It must never take a stranger's word.
--- a/internal/quorum/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"compress/gzip"
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // writtenVersion is the version of the policy in force in testdata/keeper.db.gz.
@@ -51,7 +51,7 @@
 	if v := version(t, q); v != writtenVersion {
 		t.Fatalf("version %d is in force, want %d", v, writtenVersion)
 	}
-	q.Look(func(s *keeper.State) {
+	q.Look(func(s *statemachine.State) {
 		if text := string(s.InForce().Text); text != "attempts = 45" {
 			t.Errorf("the policy in force is %q", text)
 		}
@@ -65,7 +65,7 @@
 // The same folder serves as the backup from which a lost majority is restored.
 func TestFolderWrittenBeforeTheRenamesIsRestored(t *testing.T) {
 	const skip = 100
-	config := Config{Fleet: "f", Member: 2, Members: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: keeper.Config{Keep: 100}, Log: func(string) {}}
+	config := Config{Fleet: "f", Member: 2, Members: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: statemachine.Config{Keep: 100}, Log: func(string) {}}
 	got, err := Restore(config, unpackFolder(t), skip, true)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/quorum/members.go
+++ b/internal/fleet/consensus/members.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns who the keepers are, one change at a time. It must never leave a fleet without a
 // majority that answers.
@@ -14,26 +14,26 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // closeBehind is how few entries a learner may be behind to be given a say.
 const closeBehind = 100
 
 // Members tells who the keepers are, and how far.
-func (q *Quorum) Members() (out []keeper.Member, err error) {
+func (q *Quorum) Members() (out []statemachine.Member, err error) {
 	st := q.node.Status()
 	if st.RaftState != raft.StateLeader {
-		return nil, fmt.Errorf("%w: %d does", keeper.ErrNotLeader, st.Lead)
+		return nil, fmt.Errorf("%w: %d does", statemachine.ErrNotLeader, st.Lead)
 	}
 	at := q.addresses()
 	at[q.cfg.Member] = q.cfg.Members[q.cfg.Member]
 	last := st.Progress[q.cfg.Member].Match
 	for id, p := range st.Progress {
-		out = append(out, keeper.Member{ID: id, Addr: at[id], Learner: p.IsLearner, Leads: id == q.cfg.Member,
+		out = append(out, statemachine.Member{ID: id, Addr: at[id], Learner: p.IsLearner, Leads: id == q.cfg.Member,
 			Active: q.active(id), Behind: last - min(p.Match, last)})
 	}
-	slices.SortFunc(out, func(a, b keeper.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b statemachine.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return out, nil
 }
 
@@ -55,7 +55,7 @@
 	left := q.state.Left[id]
 	q.mu.Unlock()
 	_, _, bad := net.SplitHostPort(addr)
-	switch at := slices.IndexFunc(all, func(m keeper.Member) bool { return m.ID == id }); {
+	switch at := slices.IndexFunc(all, func(m statemachine.Member) bool { return m.ID == id }); {
 	case id == 0 || bad != nil:
 		return fmt.Errorf("member %d at %q; expected a number, 1 and up, and host:port", id, addr)
 	case left:
@@ -121,7 +121,7 @@
 		return fmt.Errorf("without member %d, %d of %d would answer, no majority", id, active, voters)
 	case id == q.cfg.Member:
 		q.node.TransferLeadership(ctx, id, next)
-		return fmt.Errorf("%w any more: %d is to", keeper.ErrNotLeader, next)
+		return fmt.Errorf("%w any more: %d is to", statemachine.ErrNotLeader, next)
 	}
 	return q.change(ctx, raftpb.ConfChangeType_ConfChangeRemoveNode, id, "")
 }
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		at := slices.IndexFunc(all, func(m keeper.Member) bool { return m.ID == id })
+		at := slices.IndexFunc(all, func(m statemachine.Member) bool { return m.ID == id })
 		if kind == raftpb.ConfChangeType_ConfChangeRemoveNode && at < 0 || at >= 0 && all[at].Learner == (kind == raftpb.ConfChangeType_ConfChangeAddLearnerNode) {
 			return nil
 		}
--- a/internal/quorum/quorum.go
+++ b/internal/fleet/consensus/quorum.go
@@ -1,11 +1,11 @@
-// Package quorum keeps the keepers' state (package keeper) the same at 1, 3 or 5 of them: it
+// Package consensus keeps the keepers' state (package keeper) the same at 1, 3 or 5 of them: it
 // hosts the raft library on a log in bbolt, tells the state's time while it leads, and hands
 // each command's answer to whoever asked. What it has answered is kept by a majority's folders.
 //
 // It owns the folder, the connections between keepers and the loop that no other goroutine may
 // enter. It must never apply a command outside the log, answer by a state that may be old, or
 // go on after its folder could not be written.
-package quorum
+package consensus
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Config is one keeper's.
@@ -32,7 +32,7 @@
 	Dir     string
 	New     bool // this member never was one, and begins with the others that never were
 	Join    bool // this member never was one, and is taken in by those that are
-	State   keeper.Config
+	State   statemachine.Config
 	Log     func(string)
 
 	Tick     time.Duration // of raft; a leader is missed after ten
@@ -57,9 +57,9 @@
 	life  uint64            // marks this process's proposals
 
 	mu      sync.Mutex
-	state   *keeper.State
+	state   *statemachine.State
 	applied uint64
-	waiting map[uint64]chan keeper.Result
+	waiting map[uint64]chan statemachine.Result
 	last    uint64
 	changed chan struct{} // closed at each new revision
 	moved   chan struct{} // closed at the next entry that is applied; nil: nobody waits for it
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q := &Quorum{cfg: cfg, store: s, life: rand.Uint64(), state: keeper.New(cfg.State), waiting: map[uint64]chan keeper.Result{},
+	q := &Quorum{cfg: cfg, store: s, life: rand.Uint64(), state: statemachine.New(cfg.State), waiting: map[uint64]chan statemachine.Result{},
 		reads: map[uint64]chan uint64{}, seen: map[uint64]mark{}, spoke: map[uint64]time.Time{}, changed: make(chan struct{}), peers: map[uint64]*peer{}, done: make(chan struct{}), ended: make(chan struct{})}
 	q.ctx, q.cancel = context.WithCancel(context.Background())
 	snap, err := s.mem.Snapshot()
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	if !raft.IsEmptySnap(snap) {
-		if q.state, err = keeper.Restore(snap.GetData()); err != nil {
+		if q.state, err = statemachine.Restore(snap.GetData()); err != nil {
 			s.close()
 			return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 		}
@@ -181,7 +181,7 @@
 	if since.term != st.GetTerm() || idle { // or nobody waits for time
 		return reign{st.GetTerm(), now, since.no + 1} // one that is missing says that time was not told
 	}
-	text, err := q.word(0, keeper.Command{Tick: &keeper.Tick{Passed: now.Sub(since.told), Seen: seen, Lead: st.GetTerm(), No: since.no + 1}})
+	text, err := q.word(0, statemachine.Command{Tick: &statemachine.Tick{Passed: now.Sub(since.told), Seen: seen, Lead: st.GetTerm(), No: since.no + 1}})
 	if err != nil {
 		return since
 	}
@@ -194,8 +194,8 @@
 }
 
 // word is an entry: the process's mark, the number of its proposal, and the command.
-func (q *Quorum) word(n uint64, cmd keeper.Command) ([]byte, error) {
-	text, err := keeper.Encode(cmd)
+func (q *Quorum) word(n uint64, cmd statemachine.Command) ([]byte, error) {
+	text, err := statemachine.Encode(cmd)
 	out := binary.LittleEndian.AppendUint64(nil, q.life)
 	out = binary.LittleEndian.AppendUint64(out, n)
 	return append(out, text...), err
--- a/internal/quorum/quorum_test.go
+++ b/internal/fleet/consensus/quorum_test.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 func alone(t *testing.T, dir string, fresh bool, change func(*Config)) (*Quorum, error) {
 	t.Helper()
 	c := Config{Fleet: "f", Member: 1, Members: map[uint64]string{1: "127.0.0.1:1"}, Dir: dir, New: fresh, Tick: 5 * time.Millisecond, Snapshot: 20,
-		State: keeper.Config{Lease: time.Second, Answer: time.Second, Keep: 100}, Log: func(string) {}}
+		State: statemachine.Config{Lease: time.Second, Answer: time.Second, Keep: 100}, Log: func(string) {}}
 	if change != nil {
 		change(&c)
 	}
@@ -33,7 +33,7 @@
 	defer stop()
 	for {
 		one, end := context.WithTimeout(ctx, time.Second)
-		r, err := q.Do(one, keeper.Command{Propose: &keeper.Propose{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), Base: uint64(n - 1)}})
+		r, err := q.Do(one, statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), Base: uint64(n - 1)}})
 		end()
 		if err == nil && r.Err == "" {
 			return
@@ -48,7 +48,7 @@
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := q.Read(ctx, func(s *keeper.State) { v = s.InForce().Version }); err != nil {
+	if err := q.Read(ctx, func(s *statemachine.State) { v = s.InForce().Version }); err != nil {
 		t.Fatal(err)
 	}
 	return v
@@ -179,7 +179,7 @@
 			wg.Go(func() {
 				for read := false; !read && !t.Failed(); {
 					ctx, stop := context.WithTimeout(t.Context(), 5*time.Millisecond)
-					err := q.Read(ctx, func(s *keeper.State) {
+					err := q.Read(ctx, func(s *statemachine.State) {
 						if v := s.InForce().Version; v != n {
 							t.Errorf("version %d is read after a restart, %d was acknowledged", v, n)
 						}
--- a/internal/quorum/record.go
+++ b/internal/fleet/consensus/record.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns the form of records in the folder: each carries a checksum over its key and its content.
 
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // sealed puts a checksum before a record, by its key, so that one in another's place shows.
@@ -32,7 +32,7 @@
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // reword reads an entry's command, and who proposed it; nil: it has none.
-func reword(e *raftpb.Entry) (cmd *keeper.Command, life, n uint64, err error) {
+func reword(e *raftpb.Entry) (cmd *statemachine.Command, life, n uint64, err error) {
 	text := e.GetData()
 	if len(text) == 0 {
 		return nil, 0, 0, nil // a leader's first
@@ -40,8 +40,8 @@
 	if len(text) < 16 {
 		return nil, 0, 0, fmt.Errorf("%w: entry %d is cut off", ErrDamaged, e.GetIndex())
 	}
-	cmd = &keeper.Command{}
-	if err := keeper.Decode(text[16:], cmd); err != nil {
+	cmd = &statemachine.Command{}
+	if err := statemachine.Decode(text[16:], cmd); err != nil {
 		return nil, 0, 0, fmt.Errorf("%w: entry %d: %v", ErrDamaged, e.GetIndex(), err)
 	}
 	return cmd, binary.LittleEndian.Uint64(text), binary.LittleEndian.Uint64(text[8:]), nil
--- a/internal/quorum/restore.go
+++ b/internal/fleet/consensus/restore.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns the restore of one keeper's folder from another's, where the majority is lost for good. It must write nothing
 // without commit.
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Restored is what came of a restore, for staff.
@@ -45,10 +45,10 @@
 		return out, fmt.Errorf("%s: %w", path, err)
 	}
 	hard, conf, _ := old.mem.InitialState()
-	state := keeper.New(cfg.State)
+	state := statemachine.New(cfg.State)
 	snap, err := old.mem.Snapshot()
 	if err == nil && !raft.IsEmptySnap(snap) {
-		state, err = keeper.Restore(snap.GetData())
+		state, err = statemachine.Restore(snap.GetData())
 	}
 	if err != nil {
 		return out, fmt.Errorf("%s: %w: %v", path, ErrDamaged, err)
@@ -95,7 +95,7 @@
 	}
 	out.Entry, out.Term, out.Version, out.Members = last, term, state.InForce().Version, len(was)
 	out.Acked, out.Uncertain = min(hard.GetCommit(), last), last-min(hard.GetCommit(), last)
-	if ch := state.Change; ch != nil && ch.Stage < keeper.InForce {
+	if ch := state.Change; ch != nil && ch.Stage < statemachine.InForce {
 		out.Change = ch.ID
 	}
 	out.Generation = max(old.generation.Load(), 1) + 1
--- a/internal/quorum/store.go
+++ b/internal/fleet/consensus/store.go
@@ -1,4 +1,4 @@
-package quorum
+package consensus
 
 // This file owns a keeper's folder: the log, the hard state and the latest snapshot, in one
 // bbolt file. Each record carries a checksum. What is damaged, or another fleet's or keeper's,
--- a/internal/fleet/grant/grant.go
+++ b/internal/fleet/lease/grant.go
@@ -1,4 +1,4 @@
-// Package grant is leases with numbers, as all of the fleet's agreements have them: the granter's
+// Package lease is leases with numbers, as all of the fleet's agreements have them: the granter's
 // half, which knows what may still be held, and the holder's half, which knows what it may do now.
 //
 // A lease is numbered (the number fences: whoever acts by an older one is refused), and it counts
@@ -7,7 +7,7 @@
 // asked, on its own monotonic clock, and takes the lease as shorter by twice the drift.
 //
 // It has no clock, draw or I/O; times are handed in, each half's by its own clock.
-package grant
+package lease
 
 import (
 	"slices"
--- a/internal/verdict/verdict.go
+++ b/internal/fleet/outlier/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict is what a fleet of dispatchers knows of its workers together: each is a witness
+// Package outlier is what a fleet of dispatchers knows of its workers together: each is a witness
 // of what it has seen, and a worker that enough of them, independently, have seen fail is condemned
 // for all, or for one zone, until paced trials show that it is good again.
 //
@@ -11,7 +11,7 @@
 // are condemned at once, whatever is said.
 //
 // It has no clock, draw or I/O; it must never drop a worker from use by itself: the module is told.
-package verdict
+package outlier
 
 import (
 	"cmp"
--- a/internal/verdict/verdict_test.go
+++ b/internal/fleet/outlier/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 import (
 	"fmt"
--- a/internal/verdict/witness.go
+++ b/internal/fleet/outlier/witness.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 // This file owns the dispatcher's half: what it has seen itself of each worker, faded, and what it
 // is to say of it. It must never take another's word for its own.
--- a/internal/policy/flow.go
+++ b/internal/fleet/policy/flow.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // Flow is one template of workflows.
--- a/internal/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -17,12 +17,12 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/turns"
-	"yardflow/internal/quota"
-	"yardflow/internal/room"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/admission"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/scheduling/backfill"
 )
 
 // form is the newest form of a document that this program knows; a build may be told less, to
@@ -76,12 +76,12 @@
 }
 
 // Judges is how workers are judged; nil: they are not.
-func (d *Document) Judges() *verdict.Settings {
+func (d *Document) Judges() *outlier.Settings {
 	v := d.Verdicts
 	if v == nil || !v.Enabled {
 		return nil
 	}
-	s := verdict.Default()
+	s := outlier.Default()
 	orElse(&s.Witnesses, v.Witnesses)
 	orElse(&s.Failures, v.Failures)
 	orElse(&s.HalfLife, time.Duration(v.HalfLife))
@@ -102,11 +102,11 @@
 }
 
 // Starts is how a fleet starts cold; nil: each dispatcher by itself.
-func (d *Document) Starts() *start.Settings {
+func (d *Document) Starts() *coldstart.Settings {
 	if d.Start == nil {
 		return nil
 	}
-	s := &start.Settings{Settings: turns.Settings{Calls: d.Start.Calls, Use: 100 * time.Millisecond}, Relay: true}
+	s := &coldstart.Settings{Settings: admission.Settings{Calls: d.Start.Calls, Use: 100 * time.Millisecond}, Relay: true}
 	orElse(&s.Use, time.Duration(d.Start.Use))
 	if d.Start.Relay != nil {
 		s.Relay = *d.Start.Relay
@@ -206,12 +206,12 @@
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Settings is the room that is to be held; nil: none.
-func (r *Room) Settings() *room.Settings {
+func (r *Room) Settings() *backfill.Settings {
 	if !r.Enabled {
 		return nil
 	}
-	s := room.Default()
-	orElse(&s.Mode, room.Mode(r.Mode))
+	s := backfill.Default()
+	orElse(&s.Mode, backfill.Mode(r.Mode))
 	orElse(&s.Quantile, r.Quantile)
 	orElse(&s.Most, r.Most)
 	orElse(&s.Longest, time.Duration(r.Longest))
