--- a/internal/accord/accord.go
+++ b/internal/fleet/policylease/accord.go
@@ -1,4 +1,4 @@
-// Package accord is a dispatcher's half of the agreement with the keepers: the policy that it
+// Package policylease is a dispatcher's half of the agreement with the keepers: the policy that it
 // holds whole, the lease under which it may admit work, and what it does when it hears
 // nothing. It is a pure machine: messages and the time are handed in.
 //
@@ -8,17 +8,17 @@
 // look: what is asked before each request is Admits(now), never a flag that a timer clears.
 //
 // It must have no clock, draw or I/O, and never wait for a keeper.
-package accord
+package policylease
 
 import (
 	"time"
 
-	"yardflow/internal/fleet/grant"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/lease"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Drift is the bound on how much faster or slower one monotonic clock runs than another.
-const Drift = grant.Drift
+const Drift = lease.Drift
 
 // Held is a policy and what may be done under it now.
 type Held struct {
@@ -29,15 +29,15 @@
 
 // Accord is one life of a dispatcher.
 type Accord struct {
-	fence   keeper.Fence
+	fence   statemachine.Fence
 	name    string
 	program string
 	life    uint64
 	seq     uint64
 
-	policy keeper.Policy // held whole, and applied
-	ever   bool          // a lease was held under it, or the one before
-	lease  grant.Held
+	policy statemachine.Policy // held whole, and applied
+	ever   bool                // a lease was held under it, or the one before
+	lease  lease.Held
 	stop   bool   // nothing is admitted until a lease is given again
 	said   string // the change that was answered
 	era    uint64 // of the keepers, the latest heard of
@@ -50,13 +50,13 @@
 
 // New makes the half of a dispatcher that knows nothing yet. life must differ between all
 // processes that ever bear the name.
-func New(name string, life uint64, program string, fence keeper.Fence) *Accord {
+func New(name string, life uint64, program string, fence statemachine.Fence) *Accord {
 	return &Accord{name: name, life: life, program: program, fence: fence}
 }
 
 // Restore gives it a policy from before its start, by which it may go on under Last once it has
 // asked the keepers, and they have not answered.
-func (a *Accord) Restore(p keeper.Policy) { a.policy, a.ever, a.fresh = p, p.Version > 0, true }
+func (a *Accord) Restore(p statemachine.Policy) { a.policy, a.ever, a.fresh = p, p.Version > 0, true }
 
 // Silent notes that a call for a lease has brought no answer.
 func (a *Accord) Silent() { a.fresh = false }
@@ -67,7 +67,7 @@
 // Admits is what holds at this moment, asked before each request is admitted.
 func (a *Accord) Admits(now time.Duration) Held {
 	held := a.Holds(now)
-	return Held{Version: a.policy.Version, Admits: held || a.fence == keeper.Last && a.ever && !a.stop && !a.fresh, Marked: !held}
+	return Held{Version: a.policy.Version, Admits: held || a.fence == statemachine.Last && a.ever && !a.stop && !a.fresh, Marked: !held}
 }
 
 // Until is when the lease ends; 0: there is none.
@@ -82,7 +82,7 @@
 }
 
 // Policy is the one held.
-func (a *Accord) Policy() keeper.Policy { return a.policy }
+func (a *Accord) Policy() statemachine.Policy { return a.policy }
 
 // Life tells this process from all others that ever bore its name.
 func (a *Accord) Life() uint64 { return a.life }
@@ -94,9 +94,9 @@
 func (a *Accord) Every() time.Duration { return max(a.lease.Length()/3, 50*time.Millisecond) }
 
 // Ask words the next call for a lease. The caller remembers when it asked.
-func (a *Accord) Ask(now time.Duration) keeper.Hold {
+func (a *Accord) Ask(now time.Duration) statemachine.Hold {
 	a.seq++
-	h := keeper.Hold{Name: a.name, Life: a.life, Seq: a.seq, Knows: a.policy.Version, Program: a.program, Heard: a.grant}
+	h := statemachine.Hold{Name: a.name, Life: a.life, Seq: a.seq, Knows: a.policy.Version, Program: a.program, Heard: a.grant}
 	if a.Admits(now).Admits {
 		h.Serves = a.policy.Version
 		if h.Serves == 0 {
@@ -110,39 +110,39 @@
 const none = 1<<64 - 1
 
 // Leave words the last message of this life, after which it admits nothing.
-func (a *Accord) Leave() keeper.Leave {
+func (a *Accord) Leave() statemachine.Leave {
 	a.seq++
 	a.stop = true
 	a.lease.Leave()
-	return keeper.Leave{Name: a.name, Life: a.life, Seq: a.seq}
+	return statemachine.Leave{Name: a.name, Life: a.life, Seq: a.seq}
 }
 
 // Todo is what is left to the caller after an answer.
 type Todo struct {
-	Take  *keeper.Policy // take it in, say Took, and ask again at once
-	Weigh *keeper.Change // see whether it could be run, and tell the keepers by Say
-	Again bool           // ask again at once
+	Take  *statemachine.Policy // take it in, say Took, and ask again at once
+	Weigh *statemachine.Change // see whether it could be run, and tell the keepers by Say
+	Again bool                 // ask again at once
 }
 
 // Before tells whether an answer is of keepers from before they were restored, whose word is void.
-func (a *Accord) Before(r keeper.Result) bool { return r.Era < a.era }
+func (a *Accord) Before(r statemachine.Result) bool { return r.Era < a.era }
 
 // Heard takes in the answer to what was asked at a moment of its own clock.
-func (a *Accord) Heard(asked time.Duration, r keeper.Result) (t Todo) {
+func (a *Accord) Heard(asked time.Duration, r statemachine.Result) (t Todo) {
 	if a.Before(r) {
 		return Todo{}
 	}
 	a.Why, a.era, a.fresh = r.Why, r.Era, false
 	if r.Err != "" {
 		a.Why = r.Err
-		return Todo{Again: r.Err == keeper.ErrStale.Error()}
+		return Todo{Again: r.Err == statemachine.ErrStale.Error()}
 	}
 	if r.Change != nil && r.Change.ID != a.said {
 		t.Weigh = r.Change
 	}
 	if r.Stop {
 		// Under Last it is told so only while nobody may take up the next one: it goes on.
-		if a.fence == keeper.Refuse {
+		if a.fence == statemachine.Refuse {
 			t.Again = a.lease.Until() != 0 || r.Policy != nil // they wait to hear that it has stopped
 			a.stop = true
 			a.lease.Leave()
@@ -164,14 +164,14 @@
 
 // Told takes in what a watch has told, which may be old: it may make the holder stop, weigh or
 // take up something, but never gives a lease.
-func (a *Accord) Told(n keeper.News) (t Todo) {
+func (a *Accord) Told(n statemachine.News) (t Todo) {
 	if n.Era < a.era {
 		return Todo{}
 	}
 	if n.Change != nil && n.Change.ID != a.said {
 		t.Weigh = n.Change
 	}
-	if n.Closing && a.fence == keeper.Refuse && a.lease.Until() != 0 {
+	if n.Closing && a.fence == statemachine.Refuse && a.lease.Until() != 0 {
 		a.stop, t.Again = true, true
 		a.lease.Leave()
 	}
@@ -182,15 +182,15 @@
 }
 
 // Took notes that a policy is applied, from here on and as one.
-func (a *Accord) Took(p keeper.Policy) {
+func (a *Accord) Took(p statemachine.Policy) {
 	a.policy = p
 	a.lease.Leave()
 }
 
 // Say words what the keepers are told of a change; why is empty where it could be run.
-func (a *Accord) Say(c *keeper.Change, why string) keeper.Say {
+func (a *Accord) Say(c *statemachine.Change, why string) statemachine.Say {
 	a.said = c.ID
-	return keeper.Say{Name: a.name, Life: a.life, Change: c.ID, Why: why}
+	return statemachine.Say{Name: a.name, Life: a.life, Change: c.ID, Why: why}
 }
 
 // Unsaid notes that the word did not get through, so that it is said again.
--- a/internal/accord/accord_test.go
+++ b/internal/fleet/policylease/accord_test.go
@@ -1,17 +1,17 @@
-package accord
+package policylease
 
 import (
 	"testing"
 	"time"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // A lease holds from before it was asked for, less twice the drift, and is looked at when work
 // is admitted: whoever was stopped for longer finds it over.
 func TestLease(t *testing.T) {
 	const lease = 3 * time.Second
-	for _, fence := range []keeper.Fence{keeper.Refuse, keeper.Last} {
+	for _, fence := range []statemachine.Fence{statemachine.Refuse, statemachine.Last} {
 		a := New("n0", 1, "", fence)
 		if a.Admits(0).Admits {
 			t.Errorf("%v: admits before it has heard anything", fence)
@@ -20,19 +20,19 @@
 		if h.Serves != 0 || h.Seq != 1 {
 			t.Errorf("%v: asks %+v", fence, h)
 		}
-		a.Heard(time.Second, keeper.Result{Lease: lease})
+		a.Heard(time.Second, statemachine.Result{Lease: lease})
 		end := time.Second + time.Duration(float64(lease)*(1-2*Drift))
 		if got := a.Admits(end - 1); !got.Admits || got.Marked {
 			t.Errorf("%v: just before its end: %+v", fence, got)
 		}
-		if got := a.Admits(end); got.Admits != (fence == keeper.Last) || !got.Marked {
+		if got := a.Admits(end); got.Admits != (fence == statemachine.Last) || !got.Marked {
 			t.Errorf("%v: at its end: %+v", fence, got)
 		}
 		if h := a.Ask(end - 1); h.Serves == 0 {
 			t.Errorf("%v: says that it admits nothing, and does", fence)
 		}
-		a.Heard(end, keeper.Result{Stop: true})
-		if got := a.Admits(end); got.Admits != (fence == keeper.Last) {
+		a.Heard(end, statemachine.Result{Stop: true})
+		if got := a.Admits(end); got.Admits != (fence == statemachine.Last) {
 			t.Errorf("%v: told to stop: %+v", fence, got)
 		}
 		a.Leave()
@@ -44,17 +44,17 @@
 
 // An answer that is late, an error, or a policy to be taken in gives no right to admit.
 func TestAnswersThatGiveNothing(t *testing.T) {
-	a := New("n0", 1, "", keeper.Refuse)
+	a := New("n0", 1, "", statemachine.Refuse)
 	a.Ask(0)
-	a.Heard(0, keeper.Result{Lease: time.Second})
+	a.Heard(0, statemachine.Result{Lease: time.Second})
 	if a.Admits(2 * time.Second).Admits {
 		t.Error("a lease whose answer came after its end is used")
 	}
-	if todo := a.Heard(2*time.Second, keeper.Result{Err: keeper.ErrStale.Error(), Lease: time.Hour}); !todo.Again || a.Admits(2*time.Second).Admits {
+	if todo := a.Heard(2*time.Second, statemachine.Result{Err: statemachine.ErrStale.Error(), Lease: time.Hour}); !todo.Again || a.Admits(2*time.Second).Admits {
 		t.Error("an error gives a lease")
 	}
-	p := keeper.Policy{Version: 2, Text: []byte("x")}
-	if todo := a.Heard(2*time.Second, keeper.Result{Policy: &p, Lease: time.Hour}); todo.Take == nil || a.Admits(2*time.Second).Admits {
+	p := statemachine.Policy{Version: 2, Text: []byte("x")}
+	if todo := a.Heard(2*time.Second, statemachine.Result{Policy: &p, Lease: time.Hour}); todo.Take == nil || a.Admits(2*time.Second).Admits {
 		t.Error("a policy that is not applied yet is served under")
 	}
 	a.Took(p)
--- a/internal/accord/explore.go
+++ b/internal/fleet/policylease/explore.go
@@ -1,4 +1,4 @@
-package accord
+package policylease
 
 // This file owns the explorer: it runs the keepers' state and some holders through every order
 // of asking, delivering, losing, doubling, proposing and waiting, to a stated depth, and checks
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Fault is a mistake planted on purpose.
@@ -43,27 +43,27 @@
 // call is a message on its way to the keepers, or the answer on its way back.
 type call struct {
 	to     int // the holder that waits for its answer
-	cmd    keeper.Command
+	cmd    statemachine.Command
 	seq    uint64
 	asked  time.Duration
-	answer *keeper.Result
-	news   *keeper.News // of a watch, in the place of both
+	answer *statemachine.Result
+	news   *statemachine.News // of a watch, in the place of both
 }
 
 type side struct {
 	a     Accord
 	out   uint64 // the call whose answer it waits for; 0: none
-	admit keeper.Policy
+	admit statemachine.Policy
 	sees  Held // at its last look, for the fault of one that does not look again
 	left  bool
 	moved int // messages made, bounded
 }
 
 type world struct {
-	k     *keeper.State
-	now   time.Duration // real time
-	owed  time.Duration // real time that the leader has not read off its clock
-	tick  *keeper.Tick  // read, and on its way
+	k     *statemachine.State
+	now   time.Duration      // real time
+	owed  time.Duration      // real time that the leader has not read off its clock
+	tick  *statemachine.Tick // read, and on its way
 	sides []side
 	wire  []call
 	made  int // changes proposed
@@ -75,7 +75,7 @@
 	if err != nil {
 		panic(err)
 	}
-	k, err := keeper.Restore(text)
+	k, err := statemachine.Restore(text)
 	if err != nil {
 		panic(err)
 	}
@@ -88,11 +88,11 @@
 	h.Write(text)
 	fmt.Fprint(h, w.now, w.owed, w.tick, w.sides, w.made, w.told)
 	for _, c := range w.wire {
-		text, _ := keeper.Encode(c.cmd)
+		text, _ := statemachine.Encode(c.cmd)
 		h.Write(text)
-		text, _ = keeper.Encode(c.answer)
+		text, _ = statemachine.Encode(c.answer)
 		h.Write(text)
-		text, _ = keeper.Encode(c.news)
+		text, _ = statemachine.Encode(c.news)
 		h.Write(text)
 		fmt.Fprint(h, c.to, c.seq, c.asked)
 	}
@@ -106,15 +106,15 @@
 }
 
 func newWorld(holders int) *world {
-	first := &world{k: keeper.New(keeper.Config{Lease: 2 * step, Answer: 4 * step, Fence: keeper.Refuse, Keep: 4})}
+	first := &world{k: statemachine.New(statemachine.Config{Lease: 2 * step, Answer: 4 * step, Fence: statemachine.Refuse, Keep: 4})}
 	for i := range holders {
-		first.sides = append(first.sides, side{a: *New(fmt.Sprint("n", i), uint64(i+1), "", keeper.Refuse)})
+		first.sides = append(first.sides, side{a: *New(fmt.Sprint("n", i), uint64(i+1), "", statemachine.Refuse)})
 	}
 	// All hold a lease under version 0 to begin with: the ways there are the same as later ones.
 	for i := range first.sides {
 		s := &first.sides[i]
 		h := s.a.Ask(0)
-		s.a.Heard(0, first.k.Apply(keeper.Command{Hold: &h}))
+		s.a.Heard(0, first.k.Apply(statemachine.Command{Hold: &h}))
 		s.sees = s.a.Admits(0)
 	}
 	return first
@@ -236,7 +236,7 @@
 	}
 	if w.owed > 0 && w.tick == nil {
 		out = append(out, event{"the leader reads its clock", 4, func(w *world) {
-			w.tick = &keeper.Tick{Passed: w.owed, Seen: w.k.Grants}
+			w.tick = &statemachine.Tick{Passed: w.owed, Seen: w.k.Grants}
 			if fault == FastKeepers {
 				w.tick.Passed *= 2
 			}
@@ -247,7 +247,7 @@
 				for _, h := range w.k.Holders {
 					h.Until, h.Grant = 0, 0
 				}
-				w.k.Apply(keeper.Command{Tick: &keeper.Tick{}})
+				w.k.Apply(statemachine.Command{Tick: &statemachine.Tick{}})
 			}
 		}})
 	}
@@ -257,14 +257,14 @@
 			if fault == CountsAhead {
 				t.Seen = w.k.Grants
 			}
-			w.k.Apply(keeper.Command{Tick: &t})
+			w.k.Apply(statemachine.Command{Tick: &t})
 			w.tick = nil
 		}})
 	}
 	if w.made < 2 {
 		out = append(out, event{"a change is proposed", 2, func(w *world) {
 			w.made++
-			w.k.Apply(keeper.Command{Propose: &keeper.Propose{ID: fmt.Sprint("c", w.made), Text: []byte{byte(w.made)}, Base: w.k.InForce().Version, Who: "me"}})
+			w.k.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("c", w.made), Text: []byte{byte(w.made)}, Base: w.k.InForce().Version, Who: "me"}})
 		}})
 	}
 	for i := range w.sides {
@@ -278,7 +278,7 @@
 				s.sees = s.a.Admits(w.now)
 				s.moved++
 				s.out = h.Seq
-				w.wire = append(w.wire, call{to: i, cmd: keeper.Command{Hold: &h}, seq: h.Seq, asked: w.now})
+				w.wire = append(w.wire, call{to: i, cmd: statemachine.Command{Hold: &h}, seq: h.Seq, asked: w.now})
 			}})
 			if i == 0 {
 				out = append(out, event{"n0 leaves", 1, func(w *world) {
@@ -286,7 +286,7 @@
 					l := s.a.Leave()
 					s.left = true
 					s.sees = s.a.Admits(w.now)
-					w.k.Apply(keeper.Command{Leave: &l})
+					w.k.Apply(statemachine.Command{Leave: &l})
 				}})
 			}
 		} else if s.out != 0 {
@@ -296,9 +296,9 @@
 	if w.told < 4 && w.k.Change != nil {
 		for i := range w.sides {
 			out = append(out, event{fmt.Sprintf("n%d's watch sees revision %d", i, w.k.Revision), 2, func(w *world) {
-				text, _ := keeper.Encode(w.k.News(w.sides[i].a.policy.Version, 0, relay.Mark{})) // as it is now, however late it comes
-				n := &keeper.News{}
-				if err := keeper.Decode(text, n); err != nil {
+				text, _ := statemachine.Encode(w.k.News(w.sides[i].a.policy.Version, 0, relay.Mark{})) // as it is now, however late it comes
+				n := &statemachine.News{}
+				if err := statemachine.Decode(text, n); err != nil {
 					panic(err)
 				}
 				w.told++
@@ -341,17 +341,17 @@
 		cmd.Hold = &h
 	}
 	r := w.k.Apply(cmd)
-	if fault == NoClosing && w.k.Change != nil && w.k.Change.Stage == keeper.Closing {
+	if fault == NoClosing && w.k.Change != nil && w.k.Change.Stage == statemachine.Closing {
 		for _, h := range w.k.Holders {
 			h.Until, h.Grant = 0, 0
 		}
-		w.k.Apply(keeper.Command{Tick: &keeper.Tick{}})
+		w.k.Apply(statemachine.Command{Tick: &statemachine.Tick{}})
 	}
 	if cmd.Hold != nil && w.sides[c.to].out == c.seq { // else nobody waits for this answer
 		// What is told stays as it was told.
-		text, _ := keeper.Encode(r)
-		r = keeper.Result{}
-		if err := keeper.Decode(text, &r); err != nil {
+		text, _ := statemachine.Encode(r)
+		r = statemachine.Result{}
+		if err := statemachine.Decode(text, &r); err != nil {
 			panic(err)
 		}
 		w.wire = append(w.wire, call{to: c.to, seq: c.seq, asked: c.asked, answer: &r})
@@ -392,7 +392,7 @@
 	}
 	if t.Weigh != nil {
 		say := s.a.Say(t.Weigh, "")
-		w.wire = append(w.wire, call{to: to, cmd: keeper.Command{Say: &say}, asked: w.now})
+		w.wire = append(w.wire, call{to: to, cmd: statemachine.Command{Say: &say}, asked: w.now})
 		if fault == TakesEarly {
 			s.a.policy = t.Weigh.Policy
 		}
--- a/internal/accord/explore_test.go
+++ b/internal/fleet/policylease/explore_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package accord
+package policylease
 
 import (
 	"testing"
--- a/internal/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -20,7 +20,7 @@
 	"strconv"
 	"time"
 
-	"yardflow/internal/fleet/grant"
+	"yardflow/internal/fleet/lease"
 )
 
 // Kind is what a limit counts.
@@ -169,7 +169,7 @@
 
 // Party is one holder.
 type Party struct {
-	Grants grant.Leases
+	Grants lease.Leases
 	Limits map[string]bool // those of which it holds anything or wants some
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -37,7 +37,7 @@
 	gone bool // its dispatcher crashed: it runs on
 }
 
-const lease = time.Second
+const leaseTime = time.Second
 
 func newWorld(l Limit, holders int, evenly bool) *world {
 	w := &world{b: NewBook(), l: l}
@@ -58,9 +58,9 @@
 
 func (w *world) pass(d time.Duration) {
 	w.now += d
-	until := w.now + lease
+	until := w.now + leaseTime
 	if w.early {
-		until -= lease / 2
+		until -= leaseTime / 2
 	}
 	for who := range w.b.Parties {
 		w.b.Counted(who, w.grants, until)
@@ -179,11 +179,11 @@
 					w.ask(h, heard)
 				}
 			case h.grant != 0:
-				until := h.asked + lease*98/100
+				until := h.asked + leaseTime*98/100
 				if f == forever {
 					until = 1 << 60
 				} else if f == fromAnswer {
-					until = w.now + lease*98/100
+					until = w.now + leaseTime*98/100
 				}
 				w.hear(h, until)
 			}
@@ -232,7 +232,7 @@
 					for i, h := range w.side {
 						if n%3 == i%3 { // three calls a lease
 							w.ask(h, h.heard)
-							w.hear(h, w.now+lease)
+							w.hear(h, w.now+leaseTime)
 						}
 					}
 					w.pass(100 * time.Millisecond)
@@ -245,12 +245,12 @@
 				}
 				return float64(in) / span.Seconds() / 40
 			}
-			used(w.side[:1], 2*lease)
-			if got := used(w.side[:1], 2*lease); got < 0.75 { // the static shares of the others stay theirs
+			used(w.side[:1], 2*leaseTime)
+			if got := used(w.side[:1], 2*leaseTime); got < 0.75 { // the static shares of the others stay theirs
 				t.Errorf("%v, evenly %t: one uses %.2f", kind, evenly, got)
 			}
-			used(w.side[1:], 2*lease)
-			if got := used(w.side[1:], 2*lease); got < 0.95 {
+			used(w.side[1:], 2*leaseTime)
+			if got := used(w.side[1:], 2*leaseTime); got < 0.95 {
 				t.Errorf("%v, evenly %t: %.2f used two leases after demand has moved", kind, evenly, got)
 			}
 		}
--- a/internal/keeper/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -1,4 +1,4 @@
-package keeper
+package statemachine
 
 // This file owns a change of policy: proposed, weighed by all that live, in force or withdrawn. It
 // must never put one in force that a living holder can't run.
@@ -7,8 +7,8 @@
 	"fmt"
 	"slices"
 
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/ops/fault"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/platform/fault"
 )
 
 func (s *State) say(c *Say) (r Result) {
--- a/internal/keeper/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -1,4 +1,4 @@
-package keeper
+package statemachine
 
 // This file owns what the keepers are asked and what they answer: the commands of the log, each a
 // small typed value, and their result. It must never act on one.
@@ -6,13 +6,13 @@
 import (
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/flow/template"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/ops/fault"
-	"yardflow/internal/quota"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/template"
+	"yardflow/internal/platform/fault"
 )
 
 // Command is one of the commands below; just one of its parts is set.
@@ -24,7 +24,7 @@
 	Propose  *Propose        `cbor:"5,keyasint,omitempty"`
 	Withdraw *Withdraw       `cbor:"6,keyasint,omitempty"`
 	Relay    *Relay          `cbor:"7,keyasint,omitempty"`
-	Flow     *ledger.Command `cbor:"8,keyasint,omitempty"`
+	Flow     *claims.Command `cbor:"8,keyasint,omitempty"`
 }
 
 // Tick tells that time has passed, by a clock that was read when so many grants were seen.
@@ -47,8 +47,8 @@
 	Wants   []quota.Want // of the limits of the fleet
 	Zone    int
 	Workers int              // that it knows
-	Saw     []verdict.Report // of them
-	Start   *start.Want
+	Saw     []outlier.Report // of them
+	Start   *coldstart.Want
 }
 
 // Relay is what the reader of a zone was told by the list service.
@@ -80,8 +80,8 @@
 	ID            string
 	Text          []byte
 	Limits        []quota.Limit // as the text has them; a holder that reads others can't run it
-	Judges        *verdict.Settings
-	Start         *start.Settings
+	Judges        *outlier.Settings
+	Start         *coldstart.Settings
 	Flows         []template.Template
 	Pools         []string // that the text has
 	Base          uint64
@@ -101,10 +101,10 @@
 	Lease    time.Duration // of the lease given, from when it was asked for; 0: none was given
 	Grant    uint64        // its number
 	Parts    []quota.Part  // of the limits of the fleet, for as long
-	Verdicts []verdict.Verdict
-	Accused  []verdict.Life // of whom it is to say what it knows
-	Start    *start.Word
-	Flow     *ledger.Answer
+	Verdicts []outlier.Verdict
+	Accused  []outlier.Life // of whom it is to say what it knows
+	Start    *coldstart.Word
+	Flow     *claims.Answer
 	Stay     time.Duration // its claims on workflows are its own for so long from when it asked; 0: there are none
 	Steps    bool          // of workflows are ready
 	Why      string        // none was given
--- a/internal/keeper/flows.go
+++ b/internal/fleet/statemachine/flows.go
@@ -1,4 +1,4 @@
-package keeper
+package statemachine
 
 // This file owns workflows as a part of the state: their ledger (package ledger), how long a
 // dispatcher's claims are its own, and when those of one that is lost are taken back.
@@ -9,8 +9,8 @@
 import (
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/workflow/claims"
 )
 
 type flows struct{ quiet }
@@ -29,7 +29,7 @@
 
 func (flows) rule(s *State, p Policy) {
 	if s.Flows == nil && len(p.Flows) > 0 {
-		s.Flows = ledger.New()
+		s.Flows = claims.New()
 	}
 	if s.Flows != nil {
 		s.Flows.Set(p.Version, p.Flows)
@@ -93,13 +93,13 @@
 
 // flow carries out a command on workflows. Those who watch are told only where the first step has
 // become ready: a revision for each word would have all of them ask again.
-func (s *State) flow(c *ledger.Command) (r Result) {
+func (s *State) flow(c *claims.Command) (r Result) {
 	if s.Flows == nil {
-		r.fault(&ledger.NoneError{})
+		r.fault(&claims.NoneError{})
 		return r
 	}
 	s.Grants++ // a telling of time that has seen it is of after it
-	a, news, err := s.Flows.Apply(s.Now, s.Grants, *c, ledger.Lives{Claim: s.live, Hold: s.stays})
+	a, news, err := s.Flows.Apply(s.Now, s.Grants, *c, claims.Lives{Claim: s.live, Hold: s.stays})
 	if news {
 		s.Revision++
 	}
@@ -110,9 +110,9 @@
 }
 
 // ShowFlows answers a command that changes nothing.
-func (s *State) ShowFlows(c *ledger.Command) (r Result) {
+func (s *State) ShowFlows(c *claims.Command) (r Result) {
 	if s.Flows == nil {
-		r.fault(&ledger.NoneError{})
+		r.fault(&claims.NoneError{})
 		return r
 	}
 	a, err := s.Flows.Show(s.Now, c.Show)
--- a/internal/keeper/judges.go
+++ b/internal/fleet/statemachine/judges.go
@@ -1,17 +1,17 @@
-package keeper
+package statemachine
 
 // This file owns verdicts on workers as a part of the state.
 
 import (
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/outlier"
 )
 
 type judges struct{ quiet }
 
 func (judges) rule(s *State, p Policy) {
 	if s.Verdicts == nil && p.Judges != nil {
-		s.Verdicts = verdict.NewLedger()
+		s.Verdicts = outlier.NewLedger()
 	}
 	if s.Verdicts != nil {
 		s.Verdicts.Set(p.Judges)
--- a/internal/keeper/keeper.go
+++ b/internal/fleet/statemachine/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper is the state that the keepers agree on: the policies that were in force,
+// Package statemachine is the state that the keepers agree on: the policies that were in force,
 // the change of policy that is under way, and who holds a lease to serve under one. It is a
 // pure machine: commands come in one order (package quorum sees to that), the same commands
 // give the same state, and whatever happens is told as the answer to one.
@@ -17,7 +17,7 @@
 //   - a change that a living holder can't run never comes into force.
 //
 // It must have no clock, draw or I/O, and never iterate a map where the order shows.
-package keeper
+package statemachine
 
 import (
 	"crypto/sha256"
@@ -28,11 +28,11 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/flow/template"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/quota"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // Fence is what becomes of a dispatcher that holds no lease.
@@ -92,8 +92,8 @@
 	Digest   string // SHA-256 of Text, in hex
 	Text     []byte
 	Limits   []quota.Limit // of the fleet, as the text has them
-	Judges   *verdict.Settings
-	Start    *start.Settings // how a fleet starts cold
+	Judges   *outlier.Settings
+	Start    *coldstart.Settings // how a fleet starts cold
 	Flows    []template.Template
 	Who, Why string
 }
@@ -143,9 +143,9 @@
 	Shut     time.Duration     // no lease is given before then
 	Era      uint64            // grows with each restore
 	Quota    *quota.Book       // the limits in force, and who has what of them; nil: there never were any
-	Verdicts *verdict.Ledger   // on workers; nil: none were ever judged
-	Start    *start.Book       // turns and relayed lists; nil: there never were any
-	Flows    *ledger.Ledger    // workflows; nil: there never were any
+	Verdicts *outlier.Ledger   // on workers; nil: none were ever judged
+	Start    *coldstart.Book   // turns and relayed lists; nil: there never were any
+	Flows    *claims.Ledger    // workflows; nil: there never were any
 }
 
 // New makes the state of keepers that have agreed on nothing yet.
--- a/internal/keeper/keeper_test.go
+++ b/internal/fleet/statemachine/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package statemachine
 
 import (
 	"fmt"
--- a/internal/keeper/limits.go
+++ b/internal/fleet/statemachine/limits.go
@@ -1,8 +1,8 @@
-package keeper
+package statemachine
 
 // This file owns the limits of the fleet as a part of the state.
 
-import "yardflow/internal/quota"
+import "yardflow/internal/fleet/quota"
 
 type limits struct{ quiet }
 
--- a/internal/keeper/parts.go
+++ b/internal/fleet/statemachine/parts.go
@@ -1,10 +1,10 @@
-package keeper
+package statemachine
 
 // This file owns how the keepers run their parts: limits, verdicts, cold starts and workflows, each
 // beside policies and leases, each with the same few moments. No part knows another, and the rest of
 // the state knows none of them but as a part.
 
-import "yardflow/internal/fleet/start/relay"
+import "yardflow/internal/fleet/coldstart/relay"
 
 // part is one of them, at each of its moments. Where a policy never had any, it does nothing.
 type part interface {
--- a/internal/keeper/starts.go
+++ b/internal/fleet/statemachine/starts.go
@@ -1,12 +1,12 @@
-package keeper
+package statemachine
 
 // This file owns cold starts as a part of the state: turns at the list service, and relayed lists.
 
 import (
 	"slices"
 
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/relay"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
 )
 
 type starts struct{ quiet }
@@ -20,7 +20,7 @@
 		if s.Era > 0 || slices.ContainsFunc(s.Policies, func(q Policy) bool { return q.Version < p.Version && q.Start != nil }) {
 			from += s.Config.Lease // turns of a policy before, or of keepers before a restore, are over by then
 		}
-		s.Start = start.NewBook(*p.Start, from, s.Revision)
+		s.Start = coldstart.NewBook(*p.Start, from, s.Revision)
 	default:
 		s.Start.Set(*p.Start)
 	}
--- a/internal/keeper/wire.go
+++ b/internal/fleet/statemachine/wire.go
@@ -1,4 +1,4 @@
-package keeper
+package statemachine
 
 // This file owns the form of what leaves the state: news for those that watch, snapshots, and the
 // one codec of log and links. It must never change the state.
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/outlier"
 )
 
 // News is what a watch tells of: a hint, from a state that may be a little old, by which a holder
@@ -19,7 +19,7 @@
 	Change        *Change // proposed, and to be weighed
 	Closing       bool
 	Policy        *Policy // in force, where the one who watches does not have it
-	Verdicts      []verdict.Verdict
+	Verdicts      []outlier.Verdict
 	List          *relay.Update
 	Steps         bool // of workflows are ready
 }
--- a/internal/link/client.go
+++ b/internal/fleet/transport/client.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 // This file owns a caller of keepers, which goes on to another where one does not answer.
 
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // Client calls keepers, another one where one does not answer.
@@ -91,60 +91,60 @@
 }
 
 // Do has a command carried out by one keeper. After an error it may have been, or may yet.
-func (c *Client) Do(ctx context.Context, cmd keeper.Command) (r keeper.Result, err error) {
-	text, err := keeper.Encode(cmd)
+func (c *Client) Do(ctx context.Context, cmd statemachine.Command) (r statemachine.Result, err error) {
+	text, err := statemachine.Encode(cmd)
 	if err != nil {
 		return r, err
 	}
 	if text, _, err = c.call(ctx, http.MethodPost, doPath, text); err != nil {
 		return r, err
 	}
-	return r, keeper.Decode(text, &r)
+	return r, statemachine.Decode(text, &r)
 }
 
 // Watch waits until one keeper's state is past a revision, or for so long, and tells what there
 // is for a holder that has a version whole.
-func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n keeper.News, err error) {
+func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n statemachine.News, err error) {
 	return c.WatchList(ctx, past, knows, 0, relay.Mark{}, wait)
 }
 
 // WatchList is Watch for one that has its zone's relayed list up to a mark.
-func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n keeper.News, err error) {
+func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n statemachine.News, err error) {
 	text, _, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, knows, zone, has.Seq, wait.Milliseconds()), nil)
 	if err != nil {
 		return n, err
 	}
-	return n, keeper.Decode(text, &n)
+	return n, statemachine.Decode(text, &n)
 }
 
 // State is the keepers' state as it is now, and who leads.
-func (c *Client) State(ctx context.Context) (*keeper.State, uint64, error) {
+func (c *Client) State(ctx context.Context) (*statemachine.State, uint64, error) {
 	text, head, err := c.call(ctx, http.MethodGet, statePath, nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	s, err := keeper.Restore(text)
+	s, err := statemachine.Restore(text)
 	leader, _ := strconv.ParseUint(head.Get("X-Leader"), 10, 64)
 	return s, leader, err
 }
 
 // Members tells who the keepers are.
-func (c *Client) Members(ctx context.Context) (all []keeper.Member, err error) {
+func (c *Client) Members(ctx context.Context) (all []statemachine.Member, err error) {
 	text, _, err := c.call(ctx, http.MethodGet, membsPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	return all, keeper.Decode(text, &all)
+	return all, statemachine.Decode(text, &all)
 }
 
 // Member asks for one step of a change of members: learn, promote or remove.
-func (c *Client) Member(ctx context.Context, what string, id uint64, addr string) (r keeper.Result, err error) {
+func (c *Client) Member(ctx context.Context, what string, id uint64, addr string) (r statemachine.Result, err error) {
 	form := url.Values{"what": {what}, "id": {strconv.FormatUint(id, 10)}, "addr": {addr}}
 	text, _, err := c.call(ctx, http.MethodPost, membsPath+"?"+form.Encode(), nil)
 	if err != nil {
 		return r, err
 	}
-	return r, keeper.Decode(text, &r)
+	return r, statemachine.Decode(text, &r)
 }
 
 // Tries calls f until it succeeds or ctx ends, at another keeper each time.
--- a/internal/link/holder.go
+++ b/internal/fleet/transport/holder.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 // This file owns a dispatcher's lease over time: when it is asked for, and what an answer asks in
 // turn. It must never be waited for by whoever admits work.
@@ -11,34 +11,34 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/accord"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
-	"yardflow/internal/quota"
-	"yardflow/internal/timers"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/policylease"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/platform/timers"
 )
 
 // Hooks are what a holder does with policies.
 type Hooks struct {
-	Check func(p keeper.Policy) error // whether it could run one
-	Apply func(p keeper.Policy) error // runs it from here on; checked before
+	Check func(p statemachine.Policy) error // whether it could run one
+	Apply func(p statemachine.Policy) error // runs it from here on; checked before
 	Log   func(line string)
 
 	Wants   func() []quota.Want                           // of the limits of the fleet; nil: nothing
 	Parts   func(until time.Duration, parts []quota.Part) // takes in what may be used until then
 	Starved func() bool                                   // whether to ask for more soon
 
-	Saw      func(hold *keeper.Hold)        // words what was seen of workers; nil: nothing
-	Unsaid   func(reports []verdict.Report) // they may not have arrived
-	Verdicts func(until time.Duration, verdicts []verdict.Verdict, accused []verdict.Life, news bool)
+	Saw      func(hold *statemachine.Hold)  // words what was seen of workers; nil: nothing
+	Unsaid   func(reports []outlier.Report) // they may not have arrived
+	Verdicts func(until time.Duration, verdicts []outlier.Verdict, accused []outlier.Life, news bool)
 
-	Zone  int                                             // that the dispatcher is in
-	Asks  func() *start.Want                              // of turns and the relayed list; nil: nothing
-	Start func(asked, until time.Duration, w *start.Word) // takes in what came of it
-	Has   func() relay.Mark                               // of the relayed list
-	List  func(u *relay.Update)                           // what a watch has told of it
+	Zone  int                                                 // that the dispatcher is in
+	Asks  func() *coldstart.Want                              // of turns and the relayed list; nil: nothing
+	Start func(asked, until time.Duration, w *coldstart.Word) // takes in what came of it
+	Has   func() relay.Mark                                   // of the relayed list
+	List  func(u *relay.Update)                               // what a watch has told of it
 
 	Stay  func(asked, length time.Duration, era uint64, ready bool) // of claims on workflows, and whether steps are ready
 	Steps func()                                                    // some are, by what a watch has told
@@ -51,7 +51,7 @@
 	base   time.Time
 
 	mu      sync.Mutex
-	a       *accord.Accord
+	a       *policylease.Accord
 	past    uint64 // the newest revision that was heard of
 	rewatch func() // ends the watch that is out
 }
@@ -63,13 +63,13 @@
 const callWithin = time.Second
 
 // NewHolder makes the side of the accord a, which knows nothing yet. Its clock counts from base.
-func NewHolder(c *Client, a *accord.Accord, base time.Time, h Hooks) *Holder {
+func NewHolder(c *Client, a *policylease.Accord, base time.Time, h Hooks) *Holder {
 	return &Holder{client: c, hooks: h, base: base, a: a}
 }
 
 // Admits is what holds now, and the moment of this process's clock that it was asked for. It
 // waits for nobody.
-func (h *Holder) Admits() (accord.Held, time.Time) {
+func (h *Holder) Admits() (policylease.Held, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -93,7 +93,7 @@
 
 // Run keeps the lease until ctx ends, and gives it back then.
 func (h *Holder) Run(ctx context.Context) {
-	news := make(chan keeper.News)
+	news := make(chan statemachine.News)
 	go h.watch(ctx, news)
 	fails, warned := 0, false
 	due := time.Now()
@@ -172,12 +172,12 @@
 	h.mu.Unlock()
 	last, stop := context.WithTimeout(context.Background(), callWithin)
 	defer stop()
-	h.client.Do(last, keeper.Command{Leave: &leave})
+	h.client.Do(last, statemachine.Command{Leave: &leave})
 	h.client.Close()
 }
 
 // Do carries a command of this dispatcher's to one keeper. After an error it may have been done.
-func (h *Holder) Do(ctx context.Context, cmd keeper.Command) (keeper.Result, error) {
+func (h *Holder) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
 	one, stop := context.WithTimeout(ctx, callWithin)
 	defer stop()
 	return h.client.Do(one, cmd)
@@ -206,7 +206,7 @@
 }
 
 // once asks for a lease, and does what the answer asks.
-func (h *Holder) once(ctx context.Context) (r keeper.Result, again bool, err error) {
+func (h *Holder) once(ctx context.Context) (r statemachine.Result, again bool, err error) {
 	h.mu.Lock()
 	asked := time.Since(h.base) // before anything is sent
 	hold := h.a.Ask(asked)
@@ -223,7 +223,7 @@
 	}
 	one, stop := context.WithTimeout(ctx, callWithin)
 	defer stop()
-	if r, err = h.client.Do(one, keeper.Command{Hold: &hold}); err != nil {
+	if r, err = h.client.Do(one, statemachine.Command{Hold: &hold}); err != nil {
 		h.mu.Lock()
 		h.a.Silent()
 		h.mu.Unlock()
@@ -257,13 +257,13 @@
 }
 
 // do does what the accord leaves to it, and tells whether to ask for a lease at once.
-func (h *Holder) do(ctx context.Context, todo accord.Todo) (again bool, err error) {
+func (h *Holder) do(ctx context.Context, todo policylease.Todo) (again bool, err error) {
 	again = todo.Again
 	if todo.Weigh != nil {
 		why := ""
 		if err := h.hooks.Check(todo.Weigh.Policy); err != nil {
 			why = err.Error()
-		} else if keeper.Digest(todo.Weigh.Policy.Text) != todo.Weigh.Policy.Digest {
+		} else if statemachine.Digest(todo.Weigh.Policy.Text) != todo.Weigh.Policy.Digest {
 			why = "its text is not that of its digest"
 		}
 		h.mu.Lock()
@@ -271,7 +271,7 @@
 		h.mu.Unlock()
 		one, stop := context.WithTimeout(ctx, callWithin)
 		defer stop()
-		if _, err := h.client.Do(one, keeper.Command{Say: &say}); err != nil {
+		if _, err := h.client.Do(one, statemachine.Command{Say: &say}); err != nil {
 			h.mu.Lock()
 			h.a.Unsaid()
 			h.mu.Unlock()
@@ -295,7 +295,7 @@
 }
 
 // watch hands on what there is that is new.
-func (h *Holder) watch(ctx context.Context, news chan<- keeper.News) {
+func (h *Holder) watch(ctx context.Context, news chan<- statemachine.News) {
 	var last uint64
 	for ctx.Err() == nil {
 		one, stop := context.WithTimeout(ctx, 12*time.Second)
--- a/internal/link/link.go
+++ b/internal/fleet/transport/link.go
@@ -1,11 +1,11 @@
-// Package link carries commands and answers between the keepers and whoever calls them: HTTP/1.1
+// Package transport carries commands and answers between the keepers and whoever calls them: HTTP/1.1
 // and one codec, reads bounded, any keeper as good as another. Doubled and late messages are the
 // state's to tell apart (package keeper); here nothing is sent again after it may have arrived
 // but as a new call.
 //
 // It must never make a request of a client's wait: whoever admits work asks Holder.Admits, which
 // waits for nobody.
-package link
+package transport
 
 import (
 	"time"
--- a/internal/link/link_test.go
+++ b/internal/fleet/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"yardflow/internal/accord"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/policylease"
+	"yardflow/internal/fleet/statemachine"
 )
 
 const patience = 10 * time.Second
@@ -21,16 +21,16 @@
 type one struct {
 	Keepers // what is not asked here
 	mu      sync.Mutex
-	s       *keeper.State
+	s       *statemachine.State
 	changed chan struct{}
 	down    bool
 }
 
-func (o *one) Do(_ context.Context, cmd keeper.Command) (keeper.Result, error) {
+func (o *one) Do(_ context.Context, cmd statemachine.Command) (statemachine.Result, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return keeper.Result{}, errors.New("down")
+		return statemachine.Result{}, errors.New("down")
 	}
 	before := o.s.Revision
 	r := o.s.Apply(cmd)
@@ -41,14 +41,14 @@
 	return r, nil
 }
 
-func (o *one) Read(_ context.Context, f func(*keeper.State)) error {
+func (o *one) Read(_ context.Context, f func(*statemachine.State)) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o.s)
 	return nil
 }
 
-func (o *one) Look(f func(*keeper.State)) { o.Read(context.Background(), f) }
+func (o *one) Look(f func(*statemachine.State)) { o.Read(context.Background(), f) }
 
 func (o *one) Watch(ctx context.Context, past uint64) uint64 {
 	for {
@@ -69,7 +69,7 @@
 func (o *one) Leader() uint64 { return 1 }
 
 func serve(t *testing.T) (*one, string) {
-	o := &one{s: keeper.New(keeper.Config{Lease: time.Minute, Answer: time.Minute, Keep: 5}), changed: make(chan struct{})}
+	o := &one{s: statemachine.New(statemachine.Config{Lease: time.Minute, Answer: time.Minute, Keep: 5}), changed: make(chan struct{})}
 	server := httptest.NewServer(Handler("f", o, time.Second))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	return o, server.Listener.Addr().String()
@@ -78,7 +78,7 @@
 // What is not a call of this fleet's, or not one that callers may make, changes nothing.
 func TestHandlerRefuses(t *testing.T) {
 	o, addr := serve(t)
-	tick, err := keeper.Encode(keeper.Command{Tick: &keeper.Tick{Passed: time.Hour}})
+	tick, err := statemachine.Encode(statemachine.Command{Tick: &statemachine.Tick{Passed: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,14 +123,14 @@
 	client.at = 0
 	var mu sync.Mutex
 	var ran []string
-	h := NewHolder(client, accord.New("n", 1, "", keeper.Refuse), time.Now(), Hooks{
-		Check: func(p keeper.Policy) error {
+	h := NewHolder(client, policylease.New("n", 1, "", statemachine.Refuse), time.Now(), Hooks{
+		Check: func(p statemachine.Policy) error {
 			if strings.HasPrefix(string(p.Text), "bad") {
 				return errors.New("unknown")
 			}
 			return nil
 		},
-		Apply: func(p keeper.Policy) error {
+		Apply: func(p statemachine.Policy) error {
 			mu.Lock()
 			defer mu.Unlock()
 			ran = append(ran, string(p.Text))
@@ -153,17 +153,17 @@
 		return func() bool { held, _ := h.Admits(); return held.Admits && held.Version == version }
 	}
 	until("a lease", under(0))
-	stage := func(want keeper.Stage) func() bool {
+	stage := func(want statemachine.Stage) func() bool {
 		return func() bool {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			return o.s.Change != nil && o.s.Change.Stage == want
 		}
 	}
-	o.Do(ctx, keeper.Command{Propose: &keeper.Propose{ID: "a", Text: []byte("bad"), Base: 0}})
-	until("the first is withdrawn", stage(keeper.Withdrawn))
-	o.Do(ctx, keeper.Command{Propose: &keeper.Propose{ID: "b", Text: []byte("good"), Base: 0}})
-	until("the second is in force", stage(keeper.InForce))
+	o.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: "a", Text: []byte("bad"), Base: 0}})
+	until("the first is withdrawn", stage(statemachine.Withdrawn))
+	o.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: "b", Text: []byte("good"), Base: 0}})
+	until("the second is in force", stage(statemachine.InForce))
 	until("it serves under it", under(1))
 	mu.Lock()
 	if len(ran) != 1 || ran[0] != "good" {
--- a/internal/link/server.go
+++ b/internal/fleet/transport/server.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 // This file owns what a keeper answers callers. It must never carry out a command itself.
 
@@ -11,20 +11,20 @@
 	"strconv"
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
-	"yardflow/internal/timers"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/platform/timers"
 )
 
 // Keepers is what a server offers: package quorum's part of it.
 type Keepers interface {
-	Do(ctx context.Context, cmd keeper.Command) (keeper.Result, error)
-	Read(ctx context.Context, f func(s *keeper.State)) error
+	Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error)
+	Read(ctx context.Context, f func(s *statemachine.State)) error
 	Watch(ctx context.Context, past uint64) uint64
-	Look(f func(s *keeper.State))
+	Look(f func(s *statemachine.State))
 	Leader() uint64
-	Members() ([]keeper.Member, error)
+	Members() ([]statemachine.Member, error)
 	Learn(ctx context.Context, id uint64, addr string) error
 	Promote(ctx context.Context, id uint64) error
 	Remove(ctx context.Context, id uint64) error
@@ -49,8 +49,8 @@
 		if err != nil {
 			return err
 		}
-		var cmd keeper.Command
-		if err := keeper.Decode(text, &cmd); err != nil {
+		var cmd statemachine.Command
+		if err := statemachine.Decode(text, &cmd); err != nil {
 			return err
 		}
 		if cmd.Tick != nil {
@@ -58,9 +58,9 @@
 		}
 		if nothing := false; cmd.Flow != nil && cmd.Flow.Claim != nil {
 			// Many ask after the same news: those for whom nothing is left cost no entry of the log.
-			k.Look(func(s *keeper.State) { nothing = s.Flows != nil && s.Flows.Nothing(cmd.Flow.Claim) })
+			k.Look(func(s *statemachine.State) { nothing = s.Flows != nil && s.Flows.Nothing(cmd.Flow.Claim) })
 			if nothing {
-				return answer(w, keeper.Result{Flow: &ledger.Answer{}})
+				return answer(w, statemachine.Result{Flow: &claims.Answer{}})
 			}
 		}
 		ctx, stop := context.WithTimeout(r.Context(), within)
@@ -68,7 +68,7 @@
 		if cmd.Flow != nil && cmd.Flow.Show != nil { // changes nothing: read, and never in the log
 			var text []byte
 			var wording error
-			if err := k.Read(ctx, func(s *keeper.State) { text, wording = keeper.Encode(s.ShowFlows(cmd.Flow)) }); err != nil {
+			if err := k.Read(ctx, func(s *statemachine.State) { text, wording = statemachine.Encode(s.ShowFlows(cmd.Flow)) }); err != nil {
 				return err
 			}
 			if wording == nil {
@@ -95,7 +95,9 @@
 		defer stop()
 		k.Watch(ctx, past)
 		var text []byte
-		k.Look(func(s *keeper.State) { text, err = keeper.Encode(s.News(knows, zone, relay.Mark{Seq: has})) }) // worded before it can change
+		k.Look(func(s *statemachine.State) {
+			text, err = statemachine.Encode(s.News(knows, zone, relay.Mark{Seq: has}))
+		}) // worded before it can change
 		if err == nil {
 			_, err = w.Write(text)
 		}
@@ -106,7 +108,7 @@
 		defer stop()
 		var text []byte
 		var wording error
-		if err := k.Read(ctx, func(s *keeper.State) { text, wording = s.Snapshot() }); err != nil {
+		if err := k.Read(ctx, func(s *statemachine.State) { text, wording = s.Snapshot() }); err != nil {
 			return err
 		}
 		if wording != nil {
@@ -128,7 +130,7 @@
 		defer stop()
 		id, err := strconv.ParseUint(r.FormValue("id"), 10, 64)
 		if err != nil {
-			return answer(w, keeper.Result{Err: "id: " + err.Error()})
+			return answer(w, statemachine.Result{Err: "id: " + err.Error()})
 		}
 		switch what := r.FormValue("what"); what {
 		case "learn":
@@ -141,18 +143,18 @@
 			err = fmt.Errorf("%q; expected learn, promote or remove", what)
 		}
 		switch {
-		case errors.Is(err, keeper.ErrNotLeader) || ctx.Err() != nil:
+		case errors.Is(err, statemachine.ErrNotLeader) || ctx.Err() != nil:
 			return err // ask another, or again
 		case err != nil:
-			return answer(w, keeper.Result{Err: err.Error()})
+			return answer(w, statemachine.Result{Err: err.Error()})
 		}
-		return answer(w, keeper.Result{})
+		return answer(w, statemachine.Result{})
 	}))
 	return mux
 }
 
 func answer(w http.ResponseWriter, v any) error {
-	text, err := keeper.Encode(v)
+	text, err := statemachine.Encode(v)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/flow/age/age.go
+++ b/internal/fleet/workflow/aging/age.go
@@ -1,4 +1,4 @@
-// Package age is the order in which ready steps are handed out: by how soon each must begin for its
+// Package aging is the order in which ready steps are handed out: by how soon each must begin for its
 // flow to end in the time wanted, and never later than by its age, so that none waits for ever. It
 // has no clock, draw or I/O.
 //
@@ -6,7 +6,7 @@
 // critical path), but not before it became ready, and not later than Most after that. Steps that
 // become ready later than a step's place are never before it, so it waits at the most for what was
 // ready, or became ready within Most, before it.
-package age
+package aging
 
 import (
 	"cmp"
--- a/internal/fleet/flow/hand/hand.go
+++ b/internal/fleet/workflow/claimant/hand.go
@@ -1,4 +1,4 @@
-// Package hand is a dispatcher's half of workflows: which steps it has claimed, which of them may be
+// Package claimant is a dispatcher's half of workflows: which steps it has claimed, which of them may be
 // sent now, and what it has yet to tell the keepers. The other half is package ledger.
 //
 // A step is sent only once the keepers have written that it may have run, only while the stay holds
@@ -7,15 +7,15 @@
 // trusted until the keepers have told of it again: they may have given it to another.
 //
 // It has no clock, draw or I/O; moments are of the dispatcher's own monotonic clock.
-package hand
+package claimant
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/grant"
+	"yardflow/internal/fleet/lease"
+	"yardflow/internal/fleet/workflow/claims"
 )
 
 // stage is how far a claimed step is here.
@@ -29,11 +29,11 @@
 )
 
 type step struct {
-	ledger.Task
+	claims.Task
 	told time.Duration // no later than this it was given
 	at   stage
-	mark ledger.Marked
-	end  ledger.Ended
+	mark claims.Marked
+	end  claims.Ended
 	void bool // it may be another's by now
 }
 
@@ -41,7 +41,7 @@
 type Hand struct {
 	Name  string
 	Life  uint64
-	stay  grant.Held
+	stay  lease.Held
 	era   uint64 // of the keepers
 	lapse uint64 // how often the stay has lapsed
 	calls uint64 // claims asked for
@@ -99,27 +99,27 @@
 }
 
 // Claim asks, at a moment, for so many steps to be held at once, those held already among them.
-func (h *Hand) Claim(now time.Duration, want int, pools []string) (*ledger.Claim, Asked) {
+func (h *Hand) Claim(now time.Duration, want int, pools []string) (*claims.Claim, Asked) {
 	h.calls++
 	h.blind = true // until its answer is taken in
-	return &ledger.Claim{Name: h.Name, Life: h.Life, Want: want, Heard: h.heard, Pools: pools}, Asked{now, h.lapse, h.heard, h.calls}
+	return &claims.Claim{Name: h.Name, Life: h.Life, Want: want, Heard: h.heard, Pools: pools}, Asked{now, h.lapse, h.heard, h.calls}
 }
 
 // Took takes in the answer to a claim, and tells the steps to begin. Those held that the answer
 // should have told of again and has not are gone. An answer to what was asked before a lapse, or
 // before a later claim, tells nothing: it may be older than what is known.
-func (h *Hand) Took(a Asked, tasks []ledger.Task) (begin []ledger.Task) {
+func (h *Hand) Took(a Asked, tasks []claims.Task) (begin []claims.Task) {
 	if a.lapse != h.lapse || a.heard != h.heard || a.calls != h.calls {
 		return nil // told again at the next
 	}
 	heard := a.heard
 	h.blind = false
 	last := uint64(1<<64 - 1)
-	if len(tasks) == ledger.MostTasks {
+	if len(tasks) == claims.MostTasks {
 		last = tasks[len(tasks)-1].No
 	}
 	for no, s := range h.steps { // each by itself
-		if s.void && no > heard && no <= last && !slices.ContainsFunc(tasks, func(t ledger.Task) bool { return t.No == no }) {
+		if s.void && no > heard && no <= last && !slices.ContainsFunc(tasks, func(t claims.Task) bool { return t.No == no }) {
 			delete(h.steps, no)
 		}
 	}
@@ -153,7 +153,7 @@
 }
 
 // Ask wants a step's mark written. Another mark than the last is one anew.
-func (h *Hand) Ask(m ledger.Marked) {
+func (h *Hand) Ask(m claims.Marked) {
 	s := h.steps[m.No]
 	if s == nil || s.at == ended {
 		return
@@ -177,16 +177,16 @@
 func (h *Hand) Void(no uint64) bool { s := h.steps[no]; return s == nil || s.void }
 
 // End notes how a step has ended here.
-func (h *Hand) End(e ledger.Ended) {
+func (h *Hand) End(e claims.Ended) {
 	if s := h.steps[e.No]; s != nil && s.at != ended {
 		s.at, s.end = ended, e
 	}
 }
 
 // Say is what the keepers are to be told next, at most so many words; nil: nothing.
-func (h *Hand) Say(most int) *ledger.Command {
-	var marks []ledger.Marked
-	var ends []ledger.Ended
+func (h *Hand) Say(most int) *claims.Command {
+	var marks []claims.Marked
+	var ends []claims.Ended
 	for _, no := range slices.Sorted(maps.Keys(h.steps)) {
 		switch s := h.steps[no]; {
 		case s.void:
@@ -199,16 +199,16 @@
 	switch {
 	case len(marks) > 0 && (len(ends) == 0 || !h.told):
 		h.told = true
-		return &ledger.Command{Mark: &ledger.Mark{Name: h.Name, Life: h.Life, All: marks}}
+		return &claims.Command{Mark: &claims.Mark{Name: h.Name, Life: h.Life, All: marks}}
 	case len(ends) > 0:
 		h.told = false
-		return &ledger.Command{End: &ledger.End{Name: h.Name, Life: h.Life, All: ends}}
+		return &claims.Command{End: &claims.End{Name: h.Name, Life: h.Life, All: ends}}
 	}
 	return nil
 }
 
 // Said takes in the keepers' answer to what Say gave. Words without an answer are said again.
-func (h *Hand) Said(c *ledger.Command, a ledger.Answer) {
+func (h *Hand) Said(c *claims.Command, a claims.Answer) {
 	if c.Mark != nil {
 		for _, m := range c.Mark.All {
 			s := h.steps[m.No]
--- a/internal/fleet/flow/hand/hand_test.go
+++ b/internal/fleet/workflow/claimant/hand_test.go
@@ -1,10 +1,10 @@
-package hand
+package claimant
 
 import (
 	"testing"
 	"time"
 
-	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/workflow/claims"
 )
 
 // A claim whose answer is lost, or comes after a lapse, is asked for again although nothing else is
@@ -22,7 +22,7 @@
 	if h.Look(2 * time.Second) {
 		t.Error("the stay holds after its end")
 	}
-	if got := h.Took(asked, []ledger.Task{{No: 7}}); got != nil || !h.Doubts() {
+	if got := h.Took(asked, []claims.Task{{No: 7}}); got != nil || !h.Doubts() {
 		t.Errorf("after a lapse %v is begun; it doubts: %t", got, h.Doubts())
 	}
 	h.Renew(2*time.Second, 2*time.Second, time.Second, 0)
@@ -30,7 +30,7 @@
 	if c.Heard != 0 {
 		t.Errorf("it has heard of %d", c.Heard)
 	}
-	if got := h.Took(asked, []ledger.Task{{No: 7}}); len(got) != 1 || h.Doubts() {
+	if got := h.Took(asked, []claims.Task{{No: 7}}); len(got) != 1 || h.Doubts() {
 		t.Errorf("told again, %v is begun; it doubts: %t", got, h.Doubts())
 	}
 }
--- a/internal/fleet/flow/hand/share.go
+++ b/internal/fleet/workflow/claimant/share.go
@@ -1,4 +1,4 @@
-package hand
+package claimant
 
 // This file owns how many steps a dispatcher holds at once beside fresh work. It must never starve
 // either: with fresh work waiting steps keep to their share, of which one is always theirs.
--- a/internal/fleet/flow/ledger/bench_test.go
+++ b/internal/fleet/workflow/claims/bench_test.go
@@ -1,12 +1,12 @@
-package ledger
+package claims
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/expansion"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // BenchmarkSteps claims, marks and ends steps of a wide flow, 64 a word.
@@ -25,7 +25,7 @@
 		return a
 	}
 	for i := range 1 + b.N/1000000 {
-		apply(Command{Submit: &Submit{Key: fmt.Sprint(i), Template: "f", Inputs: map[string]expand.Input{"in": {Count: 500_000}}}})
+		apply(Command{Submit: &Submit{Key: fmt.Sprint(i), Template: "f", Inputs: map[string]expansion.Input{"in": {Count: 500_000}}}})
 	}
 	for n := 0; n < b.N; {
 		a := apply(Command{Claim: &Claim{Name: "d", Life: 1, Want: 64, Pools: []string{""}, Heard: l.No}})
--- a/internal/fleet/flow/ledger/claims.go
+++ b/internal/fleet/workflow/claims/claims.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 // This file owns claims: who runs which step, until when, and what becomes of a step whose holder
 // is lost. It must never give out one that may have run and is not to be repeated.
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/age"
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/aging"
+	"yardflow/internal/fleet/workflow/expansion"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // Who names one life of a dispatcher.
@@ -43,7 +43,7 @@
 			break
 		}
 		l.No++
-		run.State, run.Since, run.Claim, run.Turn = expand.Claimed, now, l.No, 0
+		run.State, run.Since, run.Claim, run.Turn = expansion.Claimed, now, l.No, 0
 		l.Claims[l.No] = &held{f.Key, who, s.ref, grants}
 		l.of[who] = append(l.of[who], l.No)
 		f.Out++
@@ -53,11 +53,11 @@
 	return a, nil
 }
 
-func (l *Ledger) task(now time.Duration, f *Flow, r expand.Ref, no uint64) Task {
+func (l *Ledger) task(now time.Duration, f *Flow, r expansion.Ref, no uint64) Task {
 	n := &f.g.Nodes[r.Step]
 	run := f.Tree.Run(r)
 	t := Task{No: no, Flow: f.Key, Template: f.g.Template.Name, Tenant: f.g.Template.Tenant, Team: f.g.Template.Team, Step: n.Name, Class: n.Class, Pool: n.Pool,
-		Ref: r, Values: f.Tree.Values(r), Cell: run.Cell, Doubt: f.Doubt && !run.Sure, Share: f.g.Template.Share, Takes: n.Takes, Aged: now >= run.From+age.Most}
+		Ref: r, Values: f.Tree.Values(r), Cell: run.Cell, Doubt: f.Doubt && !run.Sure, Share: f.g.Template.Share, Takes: n.Takes, Aged: now >= run.From+aging.Most}
 	if run.Until > 0 {
 		t.Left = max(run.Until-now, 1)
 	}
@@ -66,7 +66,7 @@
 }
 
 // held is a claim that a dispatcher holds; nil: it does not.
-func (l *Ledger) held(who string, no uint64) (*Flow, *held, *expand.Run) {
+func (l *Ledger) held(who string, no uint64) (*Flow, *held, *expansion.Run) {
 	h := l.Claims[no]
 	if h == nil || h.Who != who {
 		l.Late++
@@ -91,7 +91,7 @@
 			a.Refused = append(a.Refused, m.No)
 			l.drop(f, m.No)
 			if run.Marked > 0 && f.State > Held {
-				l.over(now, f, h.Ref, expand.Unknown, nil, nil, "its flow was ended before it was repeated")
+				l.over(now, f, h.Ref, expansion.Unknown, nil, nil, "its flow was ended before it was repeated")
 			} else {
 				l.back(now, f, h.Ref, run, 0)
 			}
@@ -110,7 +110,7 @@
 			}
 			if run.Until <= now && !again {
 				l.drop(f, m.No)
-				l.over(now, f, h.Ref, expand.Unknown, nil, nil, "the time is over in which it may be repeated")
+				l.over(now, f, h.Ref, expansion.Unknown, nil, nil, "the time is over in which it may be repeated")
 				l.look(now, f)
 				a.Refused = append(a.Refused, m.No)
 				continue
@@ -163,14 +163,14 @@
 		case Done:
 			items, bad := results(&f.g.Nodes[h.Ref.Step], &f.g.Template, e.Result)
 			if bad != nil {
-				l.over(now, f, h.Ref, expand.Failed, nil, nil, bad.Error())
+				l.over(now, f, h.Ref, expansion.Failed, nil, nil, bad.Error())
 			} else {
-				l.over(now, f, h.Ref, expand.Done, e.Result, items, "")
+				l.over(now, f, h.Ref, expansion.Done, e.Result, items, "")
 			}
 		case Failed:
-			l.again(now, f, h.Ref, run, expand.Failed, e.Why, e.Repeats)
+			l.again(now, f, h.Ref, run, expansion.Failed, e.Why, e.Repeats)
 		case Unknown:
-			l.again(now, f, h.Ref, run, expand.Unknown, e.Why, e.Repeats)
+			l.again(now, f, h.Ref, run, expansion.Unknown, e.Why, e.Repeats)
 		case Back:
 			// It has not run under this claim; where it had under none before, it never has.
 			if run.Turn > 0 {
@@ -210,39 +210,39 @@
 }
 
 // back makes a step ready again that has not run under its last claim.
-func (l *Ledger) back(now time.Duration, f *Flow, r expand.Ref, run *expand.Run, after time.Duration) {
+func (l *Ledger) back(now time.Duration, f *Flow, r expansion.Ref, run *expansion.Run, after time.Duration) {
 	if f.State > Held {
-		run.State = expand.Waiting // its flow begins nothing more
+		run.State = expansion.Waiting // its flow begins nothing more
 		return
 	}
-	run.State, run.Since = expand.Ready, now+min(max(after, 0), time.Minute)
+	run.State, run.Since = expansion.Ready, now+min(max(after, 0), time.Minute)
 	l.queue(f, r, run)
 }
 
 // again is for a step that has failed, or of which nobody knows: it is tried again where its class
 // may be repeated, in the time that is left for that and as often as its template lets it.
-func (l *Ledger) again(now time.Duration, f *Flow, r expand.Ref, run *expand.Run, how expand.State, why string, repeats bool) {
+func (l *Ledger) again(now time.Duration, f *Flow, r expansion.Ref, run *expansion.Run, how expansion.State, why string, repeats bool) {
 	n := &f.g.Nodes[r.Step]
 	if repeats && f.State == Running && run.Until > now && run.Tries < n.Most() {
 		l.back(now, f, r, run, 100*time.Millisecond<<run.Tries)
 		return
 	}
-	if repeats && run.Tries >= n.Most() && how == expand.Unknown {
-		how, why = expand.Failed, fmt.Sprintf("tried %d times, the last time: %s", run.Tries, why)
+	if repeats && run.Tries >= n.Most() && how == expansion.Unknown {
+		how, why = expansion.Failed, fmt.Sprintf("tried %d times, the last time: %s", run.Tries, why)
 	}
 	l.over(now, f, r, how, nil, nil, why)
 }
 
 // over ends a step, and does to its flow what the template says.
-func (l *Ledger) over(now time.Duration, f *Flow, r expand.Ref, how expand.State, result []byte, items []string, why string) {
+func (l *Ledger) over(now time.Duration, f *Flow, r expansion.Ref, how expansion.State, result []byte, items []string, why string) {
 	n := &f.g.Nodes[r.Step]
 	act := n.OnFailed.Act
-	if how == expand.Unknown {
+	if how == expansion.Unknown {
 		act = n.OnUnknown.Act
 	}
 	run := f.Tree.Run(r)
 	run.Why = why
-	if how == expand.Done || f.State == Closing {
+	if how == expansion.Done || f.State == Closing {
 		f.Tree.End(now, r, how, result, items)
 		l.fresh(f)
 		return
@@ -253,7 +253,7 @@
 	}
 	switch act {
 	case template.Hold:
-		if run.State, run.Was, run.Since = expand.Stuck, how, now; f.Stuck == 0 {
+		if run.State, run.Was, run.Since = expansion.Stuck, how, now; f.Stuck == 0 {
 			f.State, f.Why = Held, fmt.Sprintf("%s is %v: %s", where, how, why)
 		}
 		f.Stuck++
@@ -278,9 +278,9 @@
 	if f.State == Running {
 		f.Why = why
 	}
-	f.Tree.Each(func(o expand.Ref, run *expand.Run) {
-		if run.State == expand.Ready && !f.g.Nodes[o.Step].Undoes {
-			run.State = expand.Waiting
+	f.Tree.Each(func(o expansion.Ref, run *expansion.Run) {
+		if run.State == expansion.Ready && !f.g.Nodes[o.Step].Undoes {
+			run.State = expansion.Waiting
 		}
 	})
 }
@@ -294,9 +294,9 @@
 		return
 	}
 	f.State, f.Then, f.Why, f.Tree.Shut = Closing, as, why, true
-	f.Tree.Each(func(_ expand.Ref, run *expand.Run) {
-		if run.State == expand.Ready {
-			run.State = expand.Waiting
+	f.Tree.Each(func(_ expansion.Ref, run *expansion.Run) {
+		if run.State == expansion.Ready {
+			run.State = expansion.Waiting
 		}
 	})
 }
@@ -313,7 +313,7 @@
 		if run.Turn == 0 {
 			l.back(now, f, h.Ref, run, 0)
 		} else {
-			l.again(now, f, h.Ref, run, expand.Unknown, "its dispatcher "+who+" was lost while it may have run", run.Until > 0)
+			l.again(now, f, h.Ref, run, expansion.Unknown, "its dispatcher "+who+" was lost while it may have run", run.Until > 0)
 		}
 		l.look(now, f)
 	}
--- a/internal/fleet/flow/ledger/command.go
+++ b/internal/fleet/workflow/claims/command.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 // This file owns what the ledger is asked and what it answers, each a small typed value. It must
 // never act on one.
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 // Command is one of the commands below; just one of its parts is set.
@@ -24,8 +24,8 @@
 type Submit struct {
 	Key      string
 	Template string
-	Inputs   map[string]expand.Input  `cbor:",omitempty"`
-	Moments  map[string]time.Duration `cbor:",omitempty"` // from now on
+	Inputs   map[string]expansion.Input `cbor:",omitempty"`
+	Moments  map[string]time.Duration   `cbor:",omitempty"` // from now on
 	Who      string
 }
 
@@ -91,7 +91,7 @@
 // Settle says how a step has ended that nobody knows of, or has a held flow go on.
 type Settle struct {
 	Flow, Who string
-	Ref       expand.Ref
+	Ref       expansion.Ref
 	As        Outcome // Done or Failed; Back: it is sent again, at the operator's word
 }
 
@@ -112,7 +112,7 @@
 // StepView is how far a step is.
 type StepView struct {
 	Name   string
-	Ref    expand.Ref
+	Ref    expansion.Ref
 	Values []string
 	State  string
 	For    time.Duration
@@ -123,24 +123,24 @@
 
 // Task is one claimed step as its dispatcher is told.
 type Task struct {
-	No       uint64                  `cbor:"1,keyasint"`
-	Flow     string                  `cbor:"2,keyasint"`
-	Template string                  `cbor:"3,keyasint"`
-	Tenant   string                  `cbor:"4,keyasint,omitempty"`
-	Team     string                  `cbor:"17,keyasint,omitempty"`
-	Step     string                  `cbor:"5,keyasint"`
-	Class    string                  `cbor:"6,keyasint"`
-	Pool     string                  `cbor:"7,keyasint,omitempty"`
-	Ref      expand.Ref              `cbor:"8,keyasint"`
-	Values   []string                `cbor:"9,keyasint,omitempty"` // the items around it
-	Results  map[string]string       `cbor:"10,keyasint,omitempty"`
-	Tallies  map[string]expand.Tally `cbor:"11,keyasint,omitempty"`
-	Cell     int                     `cbor:"12,keyasint,omitempty"` // one more than the one that it may be repeated in; 0: any
-	Left     time.Duration           `cbor:"13,keyasint,omitempty"` // in which it may be repeated; 0: no matter
-	Doubt    bool                    `cbor:"14,keyasint,omitempty"` // it may have run before the keepers were restored
-	Share    float64                 `cbor:"15,keyasint,omitempty"`
-	Takes    bool                    `cbor:"16,keyasint,omitempty"` // its result goes to later steps
-	Aged     bool                    `cbor:"18,keyasint,omitempty"` // it has waited for its age: it is due among fresh work
+	No       uint64                     `cbor:"1,keyasint"`
+	Flow     string                     `cbor:"2,keyasint"`
+	Template string                     `cbor:"3,keyasint"`
+	Tenant   string                     `cbor:"4,keyasint,omitempty"`
+	Team     string                     `cbor:"17,keyasint,omitempty"`
+	Step     string                     `cbor:"5,keyasint"`
+	Class    string                     `cbor:"6,keyasint"`
+	Pool     string                     `cbor:"7,keyasint,omitempty"`
+	Ref      expansion.Ref              `cbor:"8,keyasint"`
+	Values   []string                   `cbor:"9,keyasint,omitempty"` // the items around it
+	Results  map[string]string          `cbor:"10,keyasint,omitempty"`
+	Tallies  map[string]expansion.Tally `cbor:"11,keyasint,omitempty"`
+	Cell     int                        `cbor:"12,keyasint,omitempty"` // one more than the one that it may be repeated in; 0: any
+	Left     time.Duration              `cbor:"13,keyasint,omitempty"` // in which it may be repeated; 0: no matter
+	Doubt    bool                       `cbor:"14,keyasint,omitempty"` // it may have run before the keepers were restored
+	Share    float64                    `cbor:"15,keyasint,omitempty"`
+	Takes    bool                       `cbor:"16,keyasint,omitempty"` // its result goes to later steps
+	Aged     bool                       `cbor:"18,keyasint,omitempty"` // it has waited for its age: it is due among fresh work
 }
 
 // Answer is what came of a command.
--- a/internal/fleet/flow/ledger/faults.go
+++ b/internal/fleet/workflow/claims/faults.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 // This file owns the ledger's faults, each with what an operator can do.
 
--- a/internal/fleet/flow/ledger/ledger.go
+++ b/internal/fleet/workflow/claims/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is what the keepers agree on of workflows: which there are, which of their steps
+// Package claims is what the keepers agree on of workflows: which there are, which of their steps
 // are ready, who has claimed which until when, and how each has ended. It is a pure machine like the
 // rest of the keepers' state: no clock, draw or I/O, no order of a map that shows.
 //
@@ -11,7 +11,7 @@
 //   - a word under an older claim counts for nothing;
 //   - nothing is ready before all that it needs has ended;
 //   - a flow that was acknowledged ends as done, failed or cancelled, or is held for an operator.
-package ledger
+package claims
 
 import (
 	"cmp"
@@ -20,10 +20,10 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/age"
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/aging"
+	"yardflow/internal/fleet/workflow/expansion"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // MostFlows are under way at the most; MostEnded are remembered after their end.
@@ -62,11 +62,11 @@
 	State    State
 	Then     State // what Closing ends as
 	Why      string
-	Tree     *expand.Tree // nil: it has ended
-	Out      int          // claims that are out
-	Turn     uint64       // how often it has gone on after it was held
-	Stuck    int          // steps to be settled
-	Doubt    bool         // it may have run further, before the keepers were restored
+	Tree     *expansion.Tree // nil: it has ended
+	Out      int             // claims that are out
+	Turn     uint64          // how often it has gone on after it was held
+	Stuck    int             // steps to be settled
+	Doubt    bool            // it may have run further, before the keepers were restored
 	Ended    time.Duration
 	Ends     [4]int // steps by how they have ended, of one that has ended
 	Makespan time.Duration
@@ -77,7 +77,7 @@
 type held struct {
 	Key   string
 	Who   string
-	Ref   expand.Ref
+	Ref   expansion.Ref
 	Grant uint64 // number among all grants of when its holder was told of it last
 }
 
@@ -103,9 +103,9 @@
 	Lead    uint64        // by whom time was told last, and how often in a row
 	Told    uint64
 
-	of     map[string][]uint64         // claims by who holds them, in order
-	ready  map[string]*age.Queue[spot] // by pool
-	later  age.Queue[spot]             // not before a moment
+	of     map[string][]uint64           // claims by who holds them, in order
+	ready  map[string]*aging.Queue[spot] // by pool
+	later  aging.Queue[spot]             // not before a moment
 	graphs map[string]*graph.Graph
 	woke   bool // a pool has steps that had none
 }
@@ -114,7 +114,7 @@
 type spot struct {
 	key   string
 	no    uint64 // of the flow
-	ref   expand.Ref
+	ref   expansion.Ref
 	since time.Duration
 	turn  uint64 // of its flow
 }
@@ -144,7 +144,7 @@
 	for _, no := range slices.Sorted(maps.Keys(l.Claims)) {
 		l.of[l.Claims[no].Who] = append(l.of[l.Claims[no].Who], no)
 	}
-	l.ready, l.later, l.graphs, l.woke = map[string]*age.Queue[spot]{}, age.Queue[spot]{}, map[string]*graph.Graph{}, false
+	l.ready, l.later, l.graphs, l.woke = map[string]*aging.Queue[spot]{}, aging.Queue[spot]{}, map[string]*graph.Graph{}, false
 	for _, name := range slices.Sorted(maps.Keys(l.Forms)) {
 		g, err := graph.Compile(l.Forms[name].Template)
 		if err != nil {
@@ -159,8 +159,8 @@
 		}
 		f.g = l.graphs[f.Form]
 		f.Tree.G = f.g
-		f.Tree.Each(func(r expand.Ref, run *expand.Run) {
-			if run.State == expand.Ready {
+		f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+			if run.State == expansion.Ready {
 				l.queue(f, r, run)
 			}
 		})
@@ -237,7 +237,7 @@
 	if l.Seen, l.Lead, l.Told = seen, lead, told; !whole {
 		for _, f := range l.Flows { // each by itself
 			if f.Tree != nil {
-				f.Tree.Each(func(_ expand.Ref, run *expand.Run) {
+				f.Tree.Each(func(_ expansion.Ref, run *expansion.Run) {
 					if run.Until > 0 && run.Until < forever {
 						run.Until = min(run.Until, now)
 					}
@@ -274,13 +274,13 @@
 }
 
 // find is a spot's flow and step; nil where it is not ready any more, or anew.
-func (l *Ledger) find(s spot) (*Flow, *expand.Run) {
+func (l *Ledger) find(s spot) (*Flow, *expansion.Run) {
 	f := l.Flows[s.key]
 	if f == nil || f.Tree == nil || f.No != s.no || f.Turn != s.turn {
 		return nil, nil
 	}
 	run := f.Tree.Run(s.ref)
-	if run == nil || run.State != expand.Ready || run.Since != s.since {
+	if run == nil || run.State != expansion.Ready || run.Since != s.since {
 		return nil, nil
 	}
 	return f, run
@@ -292,13 +292,13 @@
 }
 
 // queue puts a ready step where it waits.
-func (l *Ledger) queue(f *Flow, r expand.Ref, run *expand.Run) {
+func (l *Ledger) queue(f *Flow, r expansion.Ref, run *expansion.Run) {
 	n := &f.g.Nodes[r.Step]
 	not := max(run.From+n.NotBefore, run.Since) // sent back for a while
 	if n.At != "" {
 		not = max(not, f.Moments[n.At])
 	}
-	l.later.Push(age.Entry[spot]{Place: not, No: f.No, Of: spot{f.Key, f.No, r, run.Since, f.Turn}})
+	l.later.Push(aging.Entry[spot]{Place: not, No: f.No, Of: spot{f.Key, f.No, r, run.Since, f.Turn}})
 	l.due()
 }
 
@@ -317,11 +317,11 @@
 	}
 }
 
-func (l *Ledger) put(f *Flow, s spot, run *expand.Run) {
+func (l *Ledger) put(f *Flow, s spot, run *expansion.Run) {
 	n := &f.g.Nodes[s.ref.Step]
 	q := l.ready[n.Pool]
 	if q == nil {
-		q = &age.Queue[spot]{}
+		q = &aging.Queue[spot]{}
 		l.ready[n.Pool] = q
 	}
 	latest := time.Duration(0)
@@ -331,12 +331,12 @@
 	if _, ok := l.first(q); !ok {
 		l.woke = true
 	}
-	q.Push(age.Entry[spot]{Place: age.Place(run.From, latest), No: f.No, Of: s})
+	q.Push(aging.Entry[spot]{Place: aging.Place(run.From, latest), No: f.No, Of: s})
 }
 
 // first is the first of a queue that may be claimed; those before it that were overtaken, or whose
 // flow goes on no more or is held, are let go of (a flow that is settled is queued anew).
-func (l *Ledger) first(q *age.Queue[spot]) (e age.Entry[spot], ok bool) {
+func (l *Ledger) first(q *aging.Queue[spot]) (e aging.Entry[spot], ok bool) {
 	for {
 		if e, ok = q.First(); !ok {
 			return e, false
@@ -349,9 +349,9 @@
 }
 
 // take gives out the first ready step of some pools.
-func (l *Ledger) take(pools []string) (f *Flow, s spot, run *expand.Run, ok bool) {
-	var best *age.Queue[spot]
-	var least age.Entry[spot]
+func (l *Ledger) take(pools []string) (f *Flow, s spot, run *expansion.Run, ok bool) {
+	var best *aging.Queue[spot]
+	var least aging.Entry[spot]
 	for _, p := range pools {
 		if q := l.ready[p]; q != nil {
 			if e, ok := l.first(q); ok && (best == nil || e.Place < least.Place || e.Place == least.Place && e.No < least.No) {
@@ -370,7 +370,7 @@
 // fresh queues what has become ready in a flow.
 func (l *Ledger) fresh(f *Flow) {
 	for _, r := range f.Tree.Fresh() {
-		if run := f.Tree.Run(r); run != nil && run.State == expand.Ready {
+		if run := f.Tree.Run(r); run != nil && run.State == expansion.Ready {
 			l.queue(f, r, run)
 		}
 	}
@@ -448,7 +448,7 @@
 		moments[m] = now + max(d, 0)
 	}
 	l.No++
-	f := &Flow{Key: c.Key, No: l.No, Form: name, Who: c.Who, At: now, Moments: moments, g: g, Tree: expand.New(g, c.Inputs)}
+	f := &Flow{Key: c.Key, No: l.No, Form: name, Who: c.Who, At: now, Moments: moments, g: g, Tree: expansion.New(g, c.Inputs)}
 	l.Flows[c.Key] = f
 	l.Forms[name].Flows++
 	l.Active++
@@ -465,7 +465,7 @@
 		return
 	case f.State == Closing && f.Out == 0:
 		l.close(now, f, f.Then)
-	case f.undoing() && f.State == Running && f.Out == 0 && !f.Tree.Any(expand.Ready):
+	case f.undoing() && f.State == Running && f.Out == 0 && !f.Tree.Any(expansion.Ready):
 		l.close(now, f, Broken)
 	case f.State == Running && f.Out == 0 && f.Stuck == 0 && f.Tree.Over():
 		l.close(now, f, Finished)
--- a/internal/fleet/flow/ledger/ledger_test.go
+++ b/internal/fleet/workflow/claims/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/expansion"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // bench is a ledger with one dispatcher that is always heard of.
@@ -38,7 +38,7 @@
 	return a, err
 }
 
-func (b *bench) submit(key, form string, in map[string]expand.Input) {
+func (b *bench) submit(key, form string, in map[string]expansion.Input) {
 	b.t.Helper()
 	if _, err := b.apply(Command{Submit: &Submit{Key: key, Template: form, Inputs: in}}); err != nil {
 		b.t.Fatal(err)
@@ -139,7 +139,7 @@
 
 // What becomes of a flow where a step fails is what its template says.
 func TestReactions(t *testing.T) {
-	items := map[string]expand.Input{"in": {Items: []string{"a", "b", "c"}}}
+	items := map[string]expansion.Input{"in": {Items: []string{"a", "b", "c"}}}
 	for _, c := range []struct {
 		name string
 		t    template.Template
@@ -222,13 +222,13 @@
 			}
 			return Ended{}
 		}
-		b.submit("k", "f", map[string]expand.Input{"in": {Items: []string{"a", "b", "c"}}})
+		b.submit("k", "f", map[string]expansion.Input{"in": {Items: []string{"a", "b", "c"}}})
 		b.play(4)
 		b.ends("k", Held, [4]int{2, 0, 0, 0})
-		if _, err := b.apply(Command{Settle: &Settle{Flow: "k", Ref: expand.Ref{Step: 0}, As: c.as, Who: "o"}}); err == nil {
+		if _, err := b.apply(Command{Settle: &Settle{Flow: "k", Ref: expansion.Ref{Step: 0}, As: c.as, Who: "o"}}); err == nil {
 			t.Error("a step is settled that is not stuck")
 		}
-		if _, err := b.apply(Command{Settle: &Settle{Flow: "k", Ref: expand.Ref{Step: 0, Path: [3]int{1}}, As: c.as, Who: "o"}}); err != nil {
+		if _, err := b.apply(Command{Settle: &Settle{Flow: "k", Ref: expansion.Ref{Step: 0, Path: [3]int{1}}, As: c.as, Who: "o"}}); err != nil {
 			t.Error(err)
 		}
 		b.play(4)
@@ -236,7 +236,7 @@
 	}
 	b := newBench(t, form)
 	b.on = func(Task) Ended { return Ended{How: Unknown} }
-	b.submit("k", "f", map[string]expand.Input{"in": {Items: []string{"a", "b"}}})
+	b.submit("k", "f", map[string]expansion.Input{"in": {Items: []string{"a", "b"}}})
 	b.turn()
 	for range 2 {
 		if _, err := b.apply(Command{Cancel: &Cancel{Flow: "k", Who: "o"}}); err != nil {
@@ -325,7 +325,7 @@
 // Submitted twice by one key it is submitted once; what a template can't take is refused by type.
 func TestSubmit(t *testing.T) {
 	b := newBench(t, flow("f", step("one", "any", each("in"), func(s *template.Step) { s.At = "term" })))
-	sound := Submit{Key: "k", Template: "f", Inputs: map[string]expand.Input{"in": {Count: 2}}, Moments: map[string]time.Duration{"term": time.Minute}}
+	sound := Submit{Key: "k", Template: "f", Inputs: map[string]expansion.Input{"in": {Count: 2}}, Moments: map[string]time.Duration{"term": time.Minute}}
 	for i := range 2 {
 		if a, err := b.apply(Command{Submit: &sound}); err != nil || a.Known != (i == 1) {
 			t.Error(a, err)
@@ -340,7 +340,7 @@
 	}
 	var in *InputError
 	for what, s := range map[string]Submit{"key": {Key: "", Template: "f"}, "a header's end": {Key: "a\r\nX-Tenant-Id: other", Template: "f"}, "a slash": {Key: "a/b", Template: "f"}, "in": {Key: "x", Template: "f"}, "term": {Key: "x", Template: "f", Inputs: sound.Inputs},
-		"many": {Key: "x", Template: "f", Inputs: map[string]expand.Input{"in": {Count: 10001}}}, "other": {Key: "x", Template: "f", Inputs: map[string]expand.Input{"in": {}, "out": {}}}} {
+		"many": {Key: "x", Template: "f", Inputs: map[string]expansion.Input{"in": {Count: 10001}}}, "other": {Key: "x", Template: "f", Inputs: map[string]expansion.Input{"in": {}, "out": {}}}} {
 		if _, err := b.apply(Command{Submit: &s}); !errors.As(err, &in) {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -368,7 +368,7 @@
 // Keepers restored from an older folder: what was claimed by it is unknown, all else in doubt.
 func TestRestored(t *testing.T) {
 	b := newBench(t, flow("f", step("one", "once", each("in"), unknown(template.Pass)), step("two", "any", needs("one"), when(template.Any))))
-	b.submit("k", "f", map[string]expand.Input{"in": {Count: 4}})
+	b.submit("k", "f", map[string]expansion.Input{"in": {Count: 4}})
 	if _, err := b.apply(Command{Claim: &Claim{Name: "d", Life: 1, Want: 2, Pools: []string{""}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -395,7 +395,7 @@
 	big := flow("f", step("one", "any", each("in")), step("two", "any", each("in"), needs("one")))
 	big.Fan, big.Most = 500_000, 50
 	b := newBench(t, big)
-	b.submit("k", "f", map[string]expand.Input{"in": {Count: 500_000}})
+	b.submit("k", "f", map[string]expansion.Input{"in": {Count: 500_000}})
 	for range 200 {
 		b.turn()
 	}
@@ -436,9 +436,9 @@
 		if len(l.Live) == 0 {
 			t.Skip("no such graph")
 		}
-		in := map[string]expand.Input{}
+		in := map[string]expansion.Input{}
 		for _, i := range l.graphs["1/f"].Inputs() {
-			in[i] = expand.Input{Count: rapid.IntRange(0, 4).Draw(t, "items")}
+			in[i] = expansion.Input{Count: rapid.IntRange(0, 4).Draw(t, "items")}
 		}
 		now := time.Second
 		apply := func(c Command) Answer {
@@ -449,7 +449,7 @@
 			return a
 		}
 		apply(Command{Submit: &Submit{Key: "k", Template: "f", Inputs: in}})
-		out := map[expand.Ref]bool{}
+		out := map[expansion.Ref]bool{}
 		for range 4000 {
 			if l.Flows["k"].State >= Finished {
 				return
--- a/internal/fleet/flow/ledger/show.go
+++ b/internal/fleet/workflow/claims/show.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 // This file owns what operators are shown of flows. It must never change one.
 
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 // mostViews is how many flows, or steps of one, are shown at the most.
@@ -21,12 +21,12 @@
 		}
 		v := l.view(now, f)
 		if f.Tree != nil {
-			f.Tree.Each(func(r expand.Ref, run *expand.Run) {
-				if len(v.Steps) == mostViews || run.State.Ended() || run.State == expand.Waiting {
+			f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+				if len(v.Steps) == mostViews || run.State.Ended() || run.State == expansion.Waiting {
 					return
 				}
 				s := StepView{Name: f.g.Nodes[r.Step].Name, Ref: r, Values: f.Tree.Values(r), State: run.State.String(), For: max(now-run.Since, 0), Why: run.Why, MayRun: run.Marked > 0}
-				if h := l.Claims[run.Claim]; run.State == expand.Claimed && h != nil {
+				if h := l.Claims[run.Claim]; run.State == expansion.Claimed && h != nil {
 					s.Who = h.Who
 				}
 				v.Steps = append(v.Steps, s)
--- a/internal/fleet/flow/ledger/staff.go
+++ b/internal/fleet/workflow/claims/staff.go
@@ -1,4 +1,4 @@
-package ledger
+package claims
 
 // This file owns what operators do with flows: cancel one, settle a step that nobody knows of, and
 // what becomes of all where the keepers go on from an older folder.
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 func (l *Ledger) flow(key string) (*Flow, error) {
@@ -31,8 +31,8 @@
 	case f.Tree == nil || f.State == Closing:
 		return &StateError{c.Flow, f.State.String(), "one that has not ended"}
 	}
-	f.Tree.Each(func(r expand.Ref, run *expand.Run) {
-		if run.State == expand.Stuck {
+	f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+		if run.State == expansion.Stuck {
 			f.Tree.End(now, r, run.Was, nil, nil)
 		}
 	})
@@ -52,7 +52,7 @@
 		return &StateError{c.Flow, f.State.String(), "one that is held"}
 	}
 	run := f.Tree.Run(c.Ref)
-	if run == nil || run.State != expand.Stuck {
+	if run == nil || run.State != expansion.Stuck {
 		return &StateError{c.Flow, "that step is not to be settled", "one that keeper flow show names as stuck"}
 	}
 	f.Stuck--
@@ -65,20 +65,20 @@
 	}
 	switch c.As {
 	case Done:
-		f.Tree.End(now, c.Ref, expand.Done, nil, nil)
+		f.Tree.End(now, c.Ref, expansion.Done, nil, nil)
 	case Back:
 		// By an operator's word alone: who knows that it has not run.
 		run.Marked, run.Until, run.Cell, run.Tries, run.Sure = 0, 0, 0, 0, true
-		run.State, run.Since = expand.Ready, now
+		run.State, run.Since = expansion.Ready, now
 		l.queue(f, c.Ref, run)
 	default:
-		f.Tree.End(now, c.Ref, expand.Failed, nil, nil)
+		f.Tree.End(now, c.Ref, expansion.Failed, nil, nil)
 	}
 	run.Why = fmt.Sprintf("settled by %s", c.Who)
 	if f.State == Running {
 		f.Tree.Wake(now)
-		f.Tree.Each(func(r expand.Ref, run *expand.Run) {
-			if run.State == expand.Ready {
+		f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+			if run.State == expansion.Ready {
 				l.queue(f, r, run)
 			}
 		})
@@ -98,7 +98,7 @@
 		f := l.Flows[h.Key]
 		run := f.Tree.Run(h.Ref)
 		l.drop(f, no)
-		l.again(now, f, h.Ref, run, expand.Unknown, "it was claimed when the keepers were restored", run.Until > 0)
+		l.again(now, f, h.Ref, run, expansion.Unknown, "it was claimed when the keepers were restored", run.Until > 0)
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.Flows)) {
 		if f := l.Flows[key]; f.Tree != nil {
--- a/internal/fleet/flow/expand/expand.go
+++ b/internal/fleet/workflow/expansion/expand.go
@@ -1,16 +1,16 @@
-// Package expand is a flow as it grows: the generator that makes steps of a graph one item of a
+// Package expansion is a flow as it grows: the generator that makes steps of a graph one item of a
 // fan-out after the other, so that a flow of a million steps is never whole in memory, and forgets
 // an item once all in it has ended. What it holds is bounded by the template's window.
 //
 // It must never decide who runs a step (package ledger), and has no clock, draw or I/O.
-package expand
+package expansion
 
 import (
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // State is how far one step of a flow is.
--- a/internal/fleet/flow/expand/grow.go
+++ b/internal/fleet/workflow/expansion/grow.go
@@ -1,4 +1,4 @@
-package expand
+package expansion
 
 // This file owns how a flow grows from an end: what becomes ready, which items are opened, which are let
 // go of. It must never hold more than the window lets it.
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"yardflow/internal/fleet/flow/graph"
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/graph"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // settle looks at all that waits in the last item of a chain.
--- a/internal/fleet/flow/graph/graph.go
+++ b/internal/fleet/workflow/graph/graph.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/fleet/flow/template"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // Scope is one fan-out, or the flow itself (the first).
--- a/internal/fleet/flow/storm/dispatchers.go
+++ b/internal/fleet/workflow/simulation/dispatchers.go
@@ -1,4 +1,4 @@
-package storm
+package simulation
 
 // This file owns what the dispatchers of a play do, and the judgement of each send as it is made.
 
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"yardflow/internal/fleet/flow/hand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claimant"
+	"yardflow/internal/fleet/workflow/claims"
 )
 
 // clock is a dispatcher's own.
@@ -19,7 +19,7 @@
 func (p *play) begin(d *dispatcher) {
 	p.lives++
 	d.life, d.up, d.seq, d.grant = p.lives, true, 0, 0
-	d.hand, d.out, d.saying, d.claiming = hand.New(d.name, d.life), map[uint64]*try{}, false, false
+	d.hand, d.out, d.saying, d.claiming = claimant.New(d.name, d.life), map[uint64]*try{}, false, false
 	p.renew(d, d.life)
 	p.work(d, d.life)
 }
@@ -37,7 +37,7 @@
 		asked := p.clock(d)
 		d.seq++
 		v := p.s.InForce().Version
-		p.send(d, keeper.Command{Hold: &keeper.Hold{Name: d.name, Life: d.life, Seq: d.seq, Knows: v, Serves: v, Heard: d.grant}}, func(r keeper.Result) {
+		p.send(d, statemachine.Command{Hold: &statemachine.Hold{Name: d.name, Life: d.life, Seq: d.seq, Knows: v, Serves: v, Heard: d.grant}}, func(r statemachine.Result) {
 			if r.Stay > 0 {
 				if p.plant == Uncounted {
 					asked = p.clock(d)
@@ -59,12 +59,12 @@
 	for _, no := range d.held() {
 		if t := d.out[no]; t.at != nil && t.task.Class != "once" && !t.over {
 			t.at.to = min(t.at.to, p.now)
-			p.end(d, no, t, ledger.Ended{How: ledger.Unknown, Repeats: true, Why: "called off"})
+			p.end(d, no, t, claims.Ended{How: claims.Unknown, Repeats: true, Why: "called off"})
 		}
 	}
 }
 
-func (p *play) end(d *dispatcher, no uint64, t *try, e ledger.Ended) {
+func (p *play) end(d *dispatcher, no uint64, t *try, e claims.Ended) {
 	t.over = true
 	e.No = no
 	d.hand.End(e)
@@ -97,14 +97,14 @@
 	}
 	d.saying = true
 	life := d.life
-	p.send(d, keeper.Command{Flow: c}, func(r keeper.Result) {
+	p.send(d, statemachine.Command{Flow: c}, func(r statemachine.Result) {
 		d.saying = false
 		if r.Flow != nil {
 			d.hand.Said(c, *r.Flow)
 			if c.Mark != nil && p.stormy() && p.rnd.IntN(60) == 0 {
 				d.thaw = max(d.thaw, p.now+p.pause(3*lease)) // between the keepers' word and the first byte
 			}
-		} else if r.Code == (&ledger.LeaseError{}).Code() {
+		} else if r.Code == (&claims.LeaseError{}).Code() {
 			d.hand.Doubt()
 			p.lapse(d)
 		}
@@ -125,7 +125,7 @@
 	d.claiming = true
 	life, told := d.life, p.clock(d)
 	c, asked := d.hand.Claim(told, want, []string{""})
-	p.send(d, keeper.Command{Flow: &ledger.Command{Claim: c}}, func(r keeper.Result) {
+	p.send(d, statemachine.Command{Flow: &claims.Command{Claim: c}}, func(r statemachine.Result) {
 		d.claiming = false
 		if r.Flow == nil {
 			return
@@ -140,7 +140,7 @@
 	p.after(200*time.Millisecond, func() { p.at(d, life, func() { d.claiming = false }) })
 }
 
-func name(t *ledger.Task) string { return fmt.Sprintf("%s/%s%v", t.Flow, t.Step, t.Ref.Path) }
+func name(t *claims.Task) string { return fmt.Sprintf("%s/%s%v", t.Flow, t.Step, t.Ref.Path) }
 
 // carry takes one step as far as it goes now.
 func (p *play) carry(d *dispatcher, no uint64, t *try) {
@@ -149,13 +149,13 @@
 	case t.at != nil:
 		return
 	case d.hand.Void(no) && p.plant != Unlooked && p.plant != Unfenced:
-		p.end(d, no, t, ledger.Ended{How: ledger.Back})
+		p.end(d, no, t, claims.Ended{How: claims.Back})
 		return
 	case t.task.Class == "keyed" && t.task.Left > 0 && now-t.told >= t.task.Left:
-		p.end(d, no, t, ledger.Ended{How: ledger.Unknown, Repeats: true})
+		p.end(d, no, t, claims.Ended{How: claims.Unknown, Repeats: true})
 		return
 	}
-	m := ledger.Marked{No: no, Once: t.task.Class == "once", Anew: t.task.Left == 0}
+	m := claims.Marked{No: no, Once: t.task.Class == "once", Anew: t.task.Left == 0}
 	if t.task.Class == "keyed" {
 		if t.task.Cell > 0 {
 			t.cell = t.task.Cell - 1
@@ -174,7 +174,7 @@
 		return
 	}
 	if p.rnd.IntN(12) == 0 { // it can't be reached: it has not run
-		p.end(d, no, t, ledger.Ended{How: ledger.Back, After: 20 * time.Millisecond})
+		p.end(d, no, t, claims.Ended{How: claims.Back, After: 20 * time.Millisecond})
 		return
 	}
 	long := 400 * time.Millisecond
@@ -196,12 +196,12 @@
 			if t.over {
 				return
 			}
-			e := ledger.Ended{How: ledger.Done, Repeats: t.task.Class != "once"}
+			e := claims.Ended{How: claims.Done, Repeats: t.task.Class != "once"}
 			switch {
 			case lost:
-				e.How, e.Why = ledger.Unknown, "its answer was lost"
+				e.How, e.Why = claims.Unknown, "its answer was lost"
 			case !r.ok:
-				e.How, e.Why = ledger.Failed, "failed"
+				e.How, e.Why = claims.Failed, "failed"
 			}
 			p.end(d, no, t, e)
 		})
--- a/internal/fleet/flow/storm/end.go
+++ b/internal/fleet/workflow/simulation/end.go
@@ -1,8 +1,8 @@
-package storm
+package simulation
 
 // This file owns what must hold of a play when it is over.
 
-import "yardflow/internal/fleet/flow/ledger"
+import "yardflow/internal/fleet/workflow/claims"
 
 // done tells whether all flows have ended, or wait for an operator.
 func (p *play) done(keys map[string]int) bool {
@@ -11,7 +11,7 @@
 	}
 	for key := range keys {
 		f := p.s.Flows.Flows[key]
-		if f == nil || f.State < ledger.Finished && f.State != ledger.Held {
+		if f == nil || f.State < claims.Finished && f.State != claims.Held {
 			return false
 		}
 	}
@@ -26,10 +26,10 @@
 		case f == nil:
 			p.wrong("flow %s is lost", key)
 			continue
-		case f.State < ledger.Finished && f.State != ledger.Held:
+		case f.State < claims.Finished && f.State != claims.Held:
 			p.wrong("flow %s is %v in the end: %+v", key, f.State, f.Ends)
 			continue
-		case f.State != ledger.Finished:
+		case f.State != claims.Finished:
 			continue
 		}
 		p.res.Steps += f.Ends[0] + f.Ends[1] + f.Ends[2] + f.Ends[3]
--- a/internal/fleet/flow/storm/faults.go
+++ b/internal/fleet/workflow/simulation/faults.go
@@ -1,4 +1,4 @@
-package storm
+package simulation
 
 // This file owns what goes wrong, and what is judged while it does.
 
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 // harm draws what goes wrong next.
@@ -49,7 +49,7 @@
 		p.stalled = p.now + p.pause(lease)
 	case 8:
 		if p.plant == Early {
-			p.s.Flows.Gone(p.s.Now, ledger.Who(d.name, d.life))
+			p.s.Flows.Gone(p.s.Now, claims.Who(d.name, d.life))
 		}
 	case 9:
 		if p.plant == Ready {
@@ -87,20 +87,20 @@
 func (p *play) operate() {
 	for _, key := range slices.Sorted(maps.Keys(p.s.Flows.Flows)) {
 		f := p.s.Flows.Flows[key]
-		var stuck *expand.Ref
-		if f.Tree != nil && f.State == ledger.Held {
-			f.Tree.Each(func(r expand.Ref, run *expand.Run) {
-				if run.State == expand.Stuck {
+		var stuck *expansion.Ref
+		if f.Tree != nil && f.State == claims.Held {
+			f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+				if run.State == expansion.Stuck {
 					stuck = &r
 				}
 			})
 		}
 		if stuck != nil {
-			p.apply(keeper.Command{Flow: &ledger.Command{Settle: &ledger.Settle{Flow: key, Who: "o", Ref: *stuck, As: ledger.Failed}}})
+			p.apply(statemachine.Command{Flow: &claims.Command{Settle: &claims.Settle{Flow: key, Who: "o", Ref: *stuck, As: claims.Failed}}})
 			return
 		}
 		if f.Tree != nil && p.rnd.IntN(60) == 0 {
-			p.apply(keeper.Command{Flow: &ledger.Command{Cancel: &ledger.Cancel{Flow: key, Who: "o"}}})
+			p.apply(statemachine.Command{Flow: &claims.Command{Cancel: &claims.Cancel{Flow: key, Who: "o"}}})
 			return
 		}
 	}
@@ -110,8 +110,8 @@
 func (p *play) forget() {
 	for _, f := range p.s.Flows.Flows {
 		if f.Tree != nil {
-			f.Tree.Each(func(_ expand.Ref, r *expand.Run) {
-				if r.State == expand.Claimed {
+			f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) {
+				if r.State == expansion.Claimed {
 					r.Marked, r.Turn = 0, 0
 				}
 			})
--- a/internal/fleet/flow/storm/keepers.go
+++ b/internal/fleet/workflow/simulation/keepers.go
@@ -1,4 +1,4 @@
-package storm
+package simulation
 
 // This file owns the keepers of a play and the messages on their way. It must never judge.
 
@@ -6,9 +6,9 @@
 	"bytes"
 	"time"
 
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/expansion"
 )
 
 func (p *play) tick() {
@@ -18,7 +18,7 @@
 		return
 	}
 	p.no++
-	t := keeper.Tick{Passed: p.now - p.told, Seen: p.s.Grants, Lead: p.lead, No: p.no}
+	t := statemachine.Tick{Passed: p.now - p.told, Seen: p.s.Grants, Lead: p.lead, No: p.no}
 	p.told = p.now
 	if p.stormy() && p.rnd.IntN(100) == 0 {
 		return // its word is lost
@@ -26,7 +26,7 @@
 	apply := func() {
 		if p.now >= p.still && p.lead == t.Lead && t.No > p.last {
 			p.last = t.No
-			p.apply(keeper.Command{Tick: &t})
+			p.apply(statemachine.Command{Tick: &t})
 		}
 	}
 	if t.No == 1 {
@@ -41,13 +41,13 @@
 
 // apply has all keepers carry out a command: they must answer alike, however each has come to its
 // state.
-func (p *play) apply(c keeper.Command) keeper.Result {
+func (p *play) apply(c statemachine.Command) statemachine.Result {
 	r := p.s.Apply(c)
 	if p.twin == nil {
 		return r
 	}
-	a, err := keeper.Encode(r)
-	b, err2 := keeper.Encode(p.twin.Apply(c))
+	a, err := statemachine.Encode(r)
+	b, err2 := statemachine.Encode(p.twin.Apply(c))
 	if err != nil || err2 != nil || !bytes.Equal(a, b) || p.s.Revision != p.twin.Revision {
 		p.wrong("two keepers answer %+v differently: %v, %v; revisions %d, %d", c, err, err2, p.s.Revision, p.twin.Revision)
 		p.twin = nil
@@ -58,9 +58,9 @@
 // lookBack has the keepers go on from a snapshot of what they have agreed on, or one of them.
 func (p *play) lookBack() {
 	text, err := p.s.Snapshot()
-	var other *keeper.State
+	var other *statemachine.State
 	if err == nil {
-		other, err = keeper.Restore(text)
+		other, err = statemachine.Restore(text)
 	}
 	switch {
 	case err != nil:
@@ -75,14 +75,14 @@
 	if p.plant == Unremembered {
 		for _, f := range p.s.Flows.Flows {
 			if f.Tree != nil {
-				f.Tree.Each(func(_ expand.Ref, r *expand.Run) { r.Marked, r.Turn = 0, 0 })
+				f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) { r.Marked, r.Turn = 0, 0 })
 			}
 		}
 	}
 }
 
 // send carries a command there and its answer back, if they get there.
-func (p *play) send(d *dispatcher, c keeper.Command, answer func(r keeper.Result)) {
+func (p *play) send(d *dispatcher, c statemachine.Command, answer func(r statemachine.Result)) {
 	life := d.life
 	lost := func() bool {
 		return p.now < d.cut || p.stormy() && p.rnd.IntN(20) == 0
@@ -132,11 +132,11 @@
 	if titles%4 == 0 {
 		form = "undone"
 	}
-	in := map[string]expand.Input{}
+	in := map[string]expansion.Input{}
 	if form == "course" {
-		in["titles"] = expand.Input{Count: titles}
+		in["titles"] = expansion.Input{Count: titles}
 	}
-	r := p.apply(keeper.Command{Flow: &ledger.Command{Submit: &ledger.Submit{Key: key, Template: form, Inputs: in}}})
+	r := p.apply(statemachine.Command{Flow: &claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}}})
 	if r.Flow == nil {
 		p.after(100*time.Millisecond, func() { p.submit(key, titles) })
 	}
--- a/internal/fleet/flow/storm/planted_test.go
+++ b/internal/fleet/workflow/simulation/planted_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package storm
+package simulation
 
 import "testing"
 
--- a/internal/fleet/flow/storm/storm.go
+++ b/internal/fleet/workflow/simulation/storm.go
@@ -1,10 +1,10 @@
-// Package storm plays workflows under faults, by a seed: the keepers' state and some dispatchers'
+// Package simulation plays workflows under faults, by a seed: the keepers' state and some dispatchers'
 // halves as they are, between them messages that are lost, late or doubled, dispatchers that are
 // killed, stand still or are cut off, workers that lose answers, keepers that go on from a snapshot.
 // What is judged is what workers were sent, and how flows ended.
 //
 // Faults can be planted in it, each of which must be found. It has no clock: time is its own.
-package storm
+package simulation
 
 import (
 	"container/heap"
@@ -14,10 +14,10 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/fleet/flow/hand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/flow/template"
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claimant"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/template"
 )
 
 // Planted is a fault that is in the play on purpose.
@@ -72,7 +72,7 @@
 	thaw     time.Duration // it stands still until then
 	cut      time.Duration // its messages are lost until then
 	slow     time.Duration // answers to what comes until then take most of a lease
-	hand     *hand.Hand
+	hand     *claimant.Hand
 	out      map[uint64]*try
 	saying   bool
 	claiming bool
@@ -83,7 +83,7 @@
 func (d *dispatcher) held() []uint64 { return slices.Sorted(maps.Keys(d.out)) }
 
 type try struct {
-	task ledger.Task
+	task claims.Task
 	told time.Duration
 	at   *run
 	over bool
@@ -118,11 +118,11 @@
 	now            time.Duration
 	queue          events
 	count          int
-	s              *keeper.State
-	twin           *keeper.State // another keeper, which has come to its state another way; nil: none has yet
-	told           time.Duration // by the last tick
-	still          time.Duration // nobody leads until then
-	stalled        time.Duration // whoever leads tells no time until then
+	s              *statemachine.State
+	twin           *statemachine.State // another keeper, which has come to its state another way; nil: none has yet
+	told           time.Duration       // by the last tick
+	still          time.Duration       // nobody leads until then
+	stalled        time.Duration       // whoever leads tells no time until then
 	lead, no, last uint64
 	all            []*dispatcher
 	runs           map[string][]*run
@@ -148,8 +148,8 @@
 // Play plays a storm.
 func Play(seed uint64, plant Planted) Result {
 	p := &play{rnd: rand.New(rand.NewPCG(seed, 11)), plant: plant, runs: map[string][]*run{}, class: map[string]string{}}
-	p.s = keeper.New(keeper.Config{Lease: lease, Answer: time.Second, Fence: keeper.Last, Keep: 3})
-	p.s.Apply(keeper.Command{Propose: &keeper.Propose{ID: "one", Text: []byte("x"), Flows: Templates()}})
+	p.s = statemachine.New(statemachine.Config{Lease: lease, Answer: time.Second, Fence: statemachine.Last, Keep: 3})
+	p.s.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: "one", Text: []byte("x"), Flows: Templates()}})
 	for i := range 3 {
 		d := &dispatcher{name: fmt.Sprint("d", i), drift: (p.rnd.Float64() - 0.5) * 0.018}
 		p.all = append(p.all, d)
--- a/internal/fleet/flow/storm/storm_test.go
+++ b/internal/fleet/workflow/simulation/storm_test.go
@@ -1,4 +1,4 @@
-package storm
+package simulation
 
 import "testing"
 
--- a/internal/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -19,12 +19,12 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/invariant"
-	"yardflow/internal/quota"
-	"yardflow/internal/timers"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/platform/invariant"
+	"yardflow/internal/platform/timers"
+	"yardflow/scheduling/dispatch"
 )
 
 // Margin is how long before a request's deadline its last attempt is ended:
@@ -38,18 +38,18 @@
 // ErrClosed is returned by calls on a broker that has been closed.
 var ErrClosed = errors.New("broker: closed")
 
-type event func(now time.Duration, out linnetlift.Actions)
+type event func(now time.Duration, out dispatch.Actions)
 
 // Broker is the core. Its methods may be called from any goroutine.
 type Broker struct {
-	settings atomic.Pointer[linnetlift.Settings] // in force
-	heard    *linnetlift.Settings                // as the module has them; run's alone
-	module   linnetlift.Dispatcher               // touched by run alone
+	settings atomic.Pointer[dispatch.Settings] // in force
+	heard    *dispatch.Settings                // as the module has them; run's alone
+	module   dispatch.Dispatcher               // touched by run alone
 	log      func(string)
 	budgets  atomic.Pointer[map[string]*budget]
 	desk     *quota.Desk                    // of the limits of the fleet; nil: there are none
 	deskNow  func() time.Duration           // its clock
-	witness  *verdict.Witness               // of what is seen of workers; nil: nobody wants to know
+	witness  *outlier.Witness               // of what is seen of workers; nil: nobody wants to know
 	bound    atomic.Int64                   // at each worker, as the module was told
 	cold     atomic.Int64                   // one more than the part of a cold worker, in millionths, as it was told; 0: none
 	observe  func(worker string, code Code) // nil: nobody wants to know
@@ -62,18 +62,18 @@
 
 	mu        sync.Mutex
 	queue     []event
-	places    map[linnetlift.WorkerID]*place
+	places    map[dispatch.WorkerID]*place
 	banned    map[string]bool   // by the worker's name, whether the list has it or not
 	listStale bool              // the list service's list counts as out of date
 	named     func(string) bool // whether it has named a worker; nil: all
 	pools     *pool.Set         // of workers, for steps of workflows; nil: there are none
-	lastID    linnetlift.RequestID
+	lastID    dispatch.RequestID
 	closed    bool
 
-	open  map[linnetlift.RequestID]*session // run's alone
-	count atomic.Int64                      // of open
-	steps atomic.Int64                      // of them, steps of workflows
-	idle  [2]atomic.Int64                   // of open, at no worker: requests, and steps
+	open  map[dispatch.RequestID]*session // run's alone
+	count atomic.Int64                    // of open
+	steps atomic.Int64                    // of them, steps of workflows
+	idle  [2]atomic.Int64                 // of open, at no worker: requests, and steps
 
 	poke  chan struct{} // something is queued
 	ask   chan struct{} // the module wants the list
@@ -89,13 +89,13 @@
 }
 
 // New makes a broker and starts its goroutine; Close ends it.
-func New(s linnetlift.Settings, seed uint64, contracts []Contract, log func(string)) (*Broker, error) {
-	m, err := linnetlift.New(s, seed)
+func New(s dispatch.Settings, seed uint64, contracts []Contract, log func(string)) (*Broker, error) {
+	m, err := dispatch.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
 	b := &Broker{module: m, heard: &s, log: log,
-		open: map[linnetlift.RequestID]*session{}, places: map[linnetlift.WorkerID]*place{}, banned: map[string]bool{},
+		open: map[dispatch.RequestID]*session{}, places: map[dispatch.WorkerID]*place{}, banned: map[string]bool{},
 		poke: make(chan struct{}, 1), ask: make(chan struct{}, 1), done: make(chan struct{})}
 	// Workers' start times are Unix time, so the module's clock has that base:
 	// read once, and carried on by the monotonic clock alone.
@@ -110,12 +110,12 @@
 }
 
 // Retune puts new settings in force. Open requests keep their class.
-func (b *Broker) Retune(s linnetlift.Settings) error {
+func (b *Broker) Retune(s dispatch.Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
 	b.settings.Store(&s)
-	b.post(func(now time.Duration, out linnetlift.Actions) {
+	b.post(func(now time.Duration, out dispatch.Actions) {
 		b.heard = &s
 		b.module.Retune(now, s, out)
 	})
@@ -125,7 +125,7 @@
 // Memory is what the module has learned; nothing if it does not say so in time.
 func (b *Broker) Memory(within time.Duration) []byte {
 	told := make(chan []byte, 1)
-	b.post(func(time.Duration, linnetlift.Actions) { told <- b.module.Memory() })
+	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Memory() })
 	select {
 	case m := <-told:
 		return m
@@ -137,9 +137,9 @@
 
 // RoomHeld is what the module holds for large jobs; an error where it holds none by
 // its settings, or does not say so in time.
-func (b *Broker) RoomHeld(within time.Duration) (*linnetlift.RoomHeld, error) {
-	told := make(chan *linnetlift.RoomHeld, 1)
-	b.post(func(time.Duration, linnetlift.Actions) { told <- b.module.RoomHeld() })
+func (b *Broker) RoomHeld(within time.Duration) (*dispatch.RoomHeld, error) {
+	told := make(chan *dispatch.RoomHeld, 1)
+	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.RoomHeld() })
 	select {
 	case r := <-told:
 		if r == nil {
@@ -155,11 +155,11 @@
 
 // ShareRoom bounds what may be held to a part, where several processes hold room.
 func (b *Broker) ShareRoom(part float64) {
-	b.post(func(time.Duration, linnetlift.Actions) { b.module.ShareRoom(part) })
+	b.post(func(time.Duration, dispatch.Actions) { b.module.ShareRoom(part) })
 }
 
 // Name is a worker's name, by the number that the module knows it by.
-func (b *Broker) Name(id linnetlift.WorkerID) string {
+func (b *Broker) Name(id dispatch.WorkerID) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.places[id]; p != nil {
@@ -173,7 +173,7 @@
 
 // Recall hands the module what another process's learned, before the first list.
 func (b *Broker) Recall(memory []byte) {
-	b.post(func(time.Duration, linnetlift.Actions) { b.module.Recall(memory) })
+	b.post(func(time.Duration, dispatch.Actions) { b.module.Recall(memory) })
 }
 
 // Close stops the broker's goroutine. Requests still open get no more decisions.
--- a/internal/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"yardflow"
-	"yardflow/internal/invariant"
+	"yardflow/internal/platform/invariant"
+	"yardflow/scheduling/dispatch"
 )
 
-func settings() linnetlift.Settings {
-	return linnetlift.Settings{Dispatchers: 1, MaxAttempts: 4, Round: time.Millisecond, MaxRetryAfter: 2 * time.Second,
-		Classes: []linnetlift.Class{
-			{Name: "unsafe", Aim: 10 * time.Second, Deadline: 5 * time.Second, Worth: 1, Semantics: linnetlift.Fragile, Kind: -1},
+func settings() dispatch.Settings {
+	return dispatch.Settings{Dispatchers: 1, MaxAttempts: 4, Round: time.Millisecond, MaxRetryAfter: 2 * time.Second,
+		Classes: []dispatch.Class{
+			{Name: "unsafe", Aim: 10 * time.Second, Deadline: 5 * time.Second, Worth: 1, Semantics: dispatch.Fragile, Kind: -1},
 			{Name: "safe", Aim: 10 * time.Second, Deadline: 5 * time.Second, Worth: 1, Kind: -1}}}
 }
 
@@ -41,19 +41,19 @@
 // script is a module that says what it is told to at an arrival, and notes what
 // it hears.
 type script struct {
-	linnetlift.Dispatcher // nil: a call that is not scripted stops the test
-	arrive                func(linnetlift.Request, linnetlift.Actions)
-	mu                    sync.Mutex
-	heard                 []string
-	outcomes              []linnetlift.Outcome
-	onOutcome             func(linnetlift.Outcome, linnetlift.Actions)
+	dispatch.Dispatcher // nil: a call that is not scripted stops the test
+	arrive              func(dispatch.Request, dispatch.Actions)
+	mu                  sync.Mutex
+	heard               []string
+	outcomes            []dispatch.Outcome
+	onOutcome           func(dispatch.Outcome, dispatch.Actions)
 }
 
-func (s *script) Arrive(_ time.Duration, r linnetlift.Request, out linnetlift.Actions) {
+func (s *script) Arrive(_ time.Duration, r dispatch.Request, out dispatch.Actions) {
 	s.arrive(r, out)
 }
 
-func (s *script) Outcome(_ time.Duration, o linnetlift.Outcome, out linnetlift.Actions) {
+func (s *script) Outcome(_ time.Duration, o dispatch.Outcome, out dispatch.Actions) {
 	s.mu.Lock()
 	s.outcomes = append(s.outcomes, o)
 	s.mu.Unlock()
@@ -62,35 +62,35 @@
 	}
 }
 
-func (s *script) ClientGone(time.Duration, linnetlift.RequestID, linnetlift.Actions) {
+func (s *script) ClientGone(time.Duration, dispatch.RequestID, dispatch.Actions) {
 	s.mu.Lock()
 	s.heard = append(s.heard, "gone")
 	s.mu.Unlock()
 }
 
-func (s *script) List(time.Duration, linnetlift.ListForm, []linnetlift.Worker, linnetlift.Actions) {}
+func (s *script) List(time.Duration, dispatch.ListForm, []dispatch.Worker, dispatch.Actions) {}
 
 // with puts a script in the module's place before anything has been posted.
 func with(t *testing.T, s *script) *Broker {
 	b := open(t)
 	ready := make(chan struct{})
-	b.post(func(time.Duration, linnetlift.Actions) { b.module = s; close(ready) })
+	b.post(func(time.Duration, dispatch.Actions) { b.module = s; close(ready) })
 	<-ready
-	b.List(linnetlift.ListFull, []Worker{{ID: "w", Addr: "addr"}})
+	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	return b
 }
 
 // settled waits until the module has been told all that is queued.
 func settled(b *Broker) {
 	done := make(chan struct{})
-	b.post(func(time.Duration, linnetlift.Actions) { close(done) })
+	b.post(func(time.Duration, dispatch.Actions) { close(done) })
 	<-done
 }
 
 // A module that stays silent must not cost an answer: the backstop words it
 // before the one who asked gives up, and the module hears of the end.
 func TestBackstopAnswersForASilentModule(t *testing.T) {
-	s := &script{arrive: func(linnetlift.Request, linnetlift.Actions) {}}
+	s := &script{arrive: func(dispatch.Request, dispatch.Actions) {}}
 	b := with(t, s)
 	deadline := time.Now().Add(300 * time.Millisecond)
 	got := b.Serve(t.Context(), Request{Deadline: deadline}, never(t))
@@ -110,7 +110,7 @@
 // the module counts a worker's slots by it.
 func TestSendCrossingTheEndIsReported(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	s := &script{arrive: func(r linnetlift.Request, out linnetlift.Actions) {
+	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) {
 		leave()
 		time.Sleep(50 * time.Millisecond) // the client's side sees the end first, or not: both must do
 		out.Send(r.ID, workerID("w"), 0)
@@ -132,8 +132,8 @@
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
 	}
-	s := &script{arrive: func(r linnetlift.Request, out linnetlift.Actions) { out.Send(r.ID, workerID("w"), 0) },
-		onOutcome: func(o linnetlift.Outcome, out linnetlift.Actions) { out.Refuse(o.ID, time.Second) }}
+	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
+		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Refuse(o.ID, time.Second) }}
 	b := with(t, s)
 	before := invariant.Broken()
 	for class, want := range []Verdict{Failure, Refused} {
@@ -154,7 +154,7 @@
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
 	}
-	s := &script{arrive: func(r linnetlift.Request, out linnetlift.Actions) {
+	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) {
 		if r.Class == 0 {
 			panic("a fault")
 		}
@@ -171,11 +171,11 @@
 
 // The module may call an attempt off; it ends with the outcome its front tells.
 func TestModuleCallsAnAttemptOff(t *testing.T) {
-	s := &script{arrive: func(r linnetlift.Request, out linnetlift.Actions) { out.Send(r.ID, workerID("w"), 0) },
-		onOutcome: func(o linnetlift.Outcome, out linnetlift.Actions) { out.Fail(o.ID) }}
+	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
+		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Fail(o.ID) }}
 	b := with(t, s)
 	got := b.Serve(t.Context(), Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, a *Attempt) Outcome {
-		b.post(func(_ time.Duration, out linnetlift.Actions) { out.Cancel(a.s.id, a.N+1); out.Cancel(a.s.id, a.N) })
+		b.post(func(_ time.Duration, out dispatch.Actions) { out.Cancel(a.s.id, a.N+1); out.Cancel(a.s.id, a.N) })
 		<-ctx.Done()
 		return Outcome{Code: Cancelled}
 	})
@@ -188,7 +188,7 @@
 // the time to come back after; nothing of it reaches the module. Others go on.
 func TestContractsBoundATeam(t *testing.T) {
 	b := open(t, Contract{Team: "a", Rate: 0.5, Burst: 2, MaxOpen: 9}, Contract{Team: "b", Rate: 1000, Burst: 9, MaxOpen: 1})
-	b.List(linnetlift.ListFull, []Worker{{ID: "w", Addr: "addr"}})
+	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	served := func(context.Context, *Attempt) Outcome { return Outcome{Code: OK, Result: []byte("r")} }
 	serve := func(team string, do Do) Answer {
 		return b.Serve(t.Context(), Request{Class: 1, Team: team, Deadline: time.Now().Add(time.Minute)}, do)
@@ -231,13 +231,13 @@
 // by their ids.
 func TestWorkerIDsDependOnTheNameAlone(t *testing.T) {
 	// Pinned: dispatchers of two versions run side by side while one replaces the other.
-	if got, want := workerID("s-5be2a07c"), linnetlift.WorkerID(0xace623f1fdc27c8a); got != want {
+	if got, want := workerID("s-5be2a07c"), dispatch.WorkerID(0xace623f1fdc27c8a); got != want {
 		t.Errorf("got %x, want %x", got, want)
 	}
-	seen := map[string]linnetlift.WorkerID{}
+	seen := map[string]dispatch.WorkerID{}
 	for _, list := range [][]Worker{{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}}, {{ID: "b", Addr: "3"}, {ID: "a", Addr: "4"}}} {
 		b := open(t)
-		b.List(linnetlift.ListFull, list)
+		b.List(dispatch.ListFull, list)
 		for id, p := range b.places {
 			if old, ok := seen[p.name]; ok && old != id {
 				t.Errorf("%s is %x here and %x there", p.name, id, old)
@@ -259,7 +259,7 @@
 // time, and an unsafe one runs once.
 func TestPromisesUnderLoad(t *testing.T) {
 	b := open(t)
-	b.List(linnetlift.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
+	b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
 	codes := []Code{OK, OK, OK, Full, ConnectFailed, Failed, Broken}
 	var wg sync.WaitGroup
 	for i := range 200 {
@@ -307,8 +307,8 @@
 // the list says; jobs there end. Called back, it counts as just started.
 func TestBannedWorkersGetNothingNew(t *testing.T) {
 	type told struct {
-		Form  linnetlift.ListForm
-		State linnetlift.WorkerState
+		Form  dispatch.ListForm
+		State dispatch.WorkerState
 		Young bool
 	}
 	var heard []told
@@ -316,8 +316,8 @@
 	s := &script{}
 	b := with(t, s)
 	ready := make(chan struct{})
-	b.post(func(time.Duration, linnetlift.Actions) {
-		b.module = &lists{Dispatcher: s, to: func(now time.Duration, form linnetlift.ListForm, w linnetlift.Worker) {
+	b.post(func(time.Duration, dispatch.Actions) {
+		b.module = &lists{Dispatcher: s, to: func(now time.Duration, form dispatch.ListForm, w dispatch.Worker) {
 			heard, lastStart = append(heard, told{form, w.State, now-w.Launched < time.Minute}), w.Launched
 		}}
 		close(ready)
@@ -327,7 +327,7 @@
 	if got := b.Ban([]string{"w", "other"}); len(got) != 1 || got[0] != "addr" || allowed() {
 		t.Error("banned", got, allowed())
 	}
-	b.List(linnetlift.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
+	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
 	if allowed() || b.allowed(workerID("other"), "addr") || b.Stats().Ready != 0 {
 		t.Error("a list lifts a ban")
 	}
@@ -338,15 +338,15 @@
 	settled(b)
 	// A start that the list has told of since it was taken out is better known.
 	b.Ban([]string{"w"})
-	b.List(linnetlift.ListDelta, []Worker{{ID: "w", Addr: "addr", Started: time.Now().Add(time.Hour)}})
+	b.List(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Started: time.Now().Add(time.Hour)}})
 	b.Ban(nil)
 	settled(b)
-	if last := heard[len(heard)-1]; last.State != linnetlift.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
+	if last := heard[len(heard)-1]; last.State != dispatch.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
 		t.Errorf("called back as %+v, started %v", last, lastStart)
 	}
 	heard = heard[:5]
-	want := []told{{linnetlift.ListAmend, linnetlift.Draining, false}, {linnetlift.ListFull, linnetlift.Draining, false},
-		{linnetlift.ListFull, linnetlift.Draining, false}, {linnetlift.ListAmend, linnetlift.Ready, true}, {linnetlift.ListAmend, linnetlift.Ready, true}}
+	want := []told{{dispatch.ListAmend, dispatch.Draining, false}, {dispatch.ListFull, dispatch.Draining, false},
+		{dispatch.ListFull, dispatch.Draining, false}, {dispatch.ListAmend, dispatch.Ready, true}, {dispatch.ListAmend, dispatch.Ready, true}}
 	if diff := cmp.Diff(want, heard); diff != "" {
 		t.Error(diff)
 	}
@@ -354,11 +354,11 @@
 
 // lists notes each entry of the lists that a module is handed.
 type lists struct {
-	linnetlift.Dispatcher
-	to func(time.Duration, linnetlift.ListForm, linnetlift.Worker)
+	dispatch.Dispatcher
+	to func(time.Duration, dispatch.ListForm, dispatch.Worker)
 }
 
-func (l *lists) List(now time.Duration, form linnetlift.ListForm, list []linnetlift.Worker, _ linnetlift.Actions) {
+func (l *lists) List(now time.Duration, form dispatch.ListForm, list []dispatch.Worker, _ dispatch.Actions) {
 	for _, w := range list {
 		l.to(now, form, w)
 	}
@@ -368,20 +368,20 @@
 // for cell 0, what may have run there was sent again to any worker of cell 0, which
 // does not drop the repeat.
 func TestAGoneWorkerKeepsItsCell(t *testing.T) {
-	var heard []linnetlift.Worker
+	var heard []dispatch.Worker
 	s := &script{}
 	b := with(t, s)
-	b.post(func(time.Duration, linnetlift.Actions) {
-		b.module = &lists{Dispatcher: s, to: func(_ time.Duration, _ linnetlift.ListForm, w linnetlift.Worker) { heard = append(heard, w) }}
+	b.post(func(time.Duration, dispatch.Actions) {
+		b.module = &lists{Dispatcher: s, to: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { heard = append(heard, w) }}
 	})
-	b.List(linnetlift.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, Started: time.Unix(5, 0)}})
-	b.List(linnetlift.ListDelta, []Worker{{ID: "w", State: linnetlift.Gone}, {ID: "never seen", State: linnetlift.Gone}})
+	b.List(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, Started: time.Unix(5, 0)}})
+	b.List(dispatch.ListDelta, []Worker{{ID: "w", State: dispatch.Gone}, {ID: "never seen", State: dispatch.Gone}})
 	if b.allowed(workerID("w"), "addr") {
 		t.Error("a gone worker may be sent to")
 	}
 	settled(b)
 	want := heard[0]
-	want.State = linnetlift.Gone
+	want.State = dispatch.Gone
 	if diff := cmp.Diff(want, heard[1]); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/broker/budget.go
+++ b/internal/gateway/broker/budget.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/quota"
+	"yardflow/internal/fleet/quota"
+	"yardflow/scheduling/dispatch"
 )
 
 // Contract bounds what one team may ask for.
@@ -139,7 +139,7 @@
 		part = -1
 	}
 	if cold := b.cold.Swap(part + 1); b.bound.Swap(told) != told || cold != part+1 {
-		b.post(func(now time.Duration, out linnetlift.Actions) {
+		b.post(func(now time.Duration, out dispatch.Actions) {
 			b.module.Bound(now, int(b.bound.Load()), float64(b.cold.Load()-1)/quota.One, out)
 		})
 	}
--- a/internal/broker/job.go
+++ b/internal/gateway/broker/job.go
@@ -8,40 +8,40 @@
 	"fmt"
 	"time"
 
-	"yardflow"
+	"yardflow/scheduling/dispatch"
 )
 
 // Request is a job as the core knows it.
 type Request struct {
-	Settings      *linnetlift.Settings // under which it was read; nil: those in force
-	Class, Tenant int                  // their places in these settings
-	Deadline      time.Time            // when the one who asked gives up
+	Settings      *dispatch.Settings // under which it was read; nil: those in force
+	Class, Tenant int                // their places in these settings
+	Deadline      time.Time          // when the one who asked gives up
 	Slots, Memory float64
 	Retry         bool
-	Team          string             // whose contract it comes under; empty: none
-	Policy        uint64             // version under which it was admitted, which it keeps to its end; 0: none
-	Admitted      time.Time          // when that was asked
-	Step          bool               // of a workflow: nobody's fresh work
-	Spare         bool               // it takes only room that nobody else needs
-	Pools         uint64             // of workers that it may be sent to, by bits of the set in force; 0: to any
-	Ran           *linnetlift.Worker // where it may have run before this request; nil: nowhere
-	RanFor        time.Duration      // and how long ago, at the most
+	Team          string           // whose contract it comes under; empty: none
+	Policy        uint64           // version under which it was admitted, which it keeps to its end; 0: none
+	Admitted      time.Time        // when that was asked
+	Step          bool             // of a workflow: nobody's fresh work
+	Spare         bool             // it takes only room that nobody else needs
+	Pools         uint64           // of workers that it may be sent to, by bits of the set in force; 0: to any
+	Ran           *dispatch.Worker // where it may have run before this request; nil: nowhere
+	RanFor        time.Duration    // and how long ago, at the most
 }
 
 // Code is how an attempt ended.
-type Code = linnetlift.Code
+type Code = dispatch.Code
 
 // The codes of outcomes, as the module words them.
 const (
-	OK            = linnetlift.OK
-	Failed        = linnetlift.Failed
-	Full          = linnetlift.Full
-	TimedOut      = linnetlift.TimedOut
-	ConnectFailed = linnetlift.ConnectFailed
-	Broken        = linnetlift.Broken
-	Cancelled     = linnetlift.Cancelled
-	NeverSent     = linnetlift.NeverSent
-	Dropped       = linnetlift.Dropped
+	OK            = dispatch.OK
+	Failed        = dispatch.Failed
+	Full          = dispatch.Full
+	TimedOut      = dispatch.TimedOut
+	ConnectFailed = dispatch.ConnectFailed
+	Broken        = dispatch.Broken
+	Cancelled     = dispatch.Cancelled
+	NeverSent     = dispatch.NeverSent
+	Dropped       = dispatch.Dropped
 
 	// Rejected is a worker's word that the request itself is at fault: no worker
 	// can do better with it, and this one is not the worse for having said so.
@@ -85,22 +85,22 @@
 	Kind   int
 	Cell   int
 	s      *session
-	id     linnetlift.WorkerID
+	id     dispatch.WorkerID
 	place  *place // of the worker, where limits of the whole fleet are kept
 }
 
 // Started tells that the worker has begun.
-func (a *Attempt) Started() { a.note(linnetlift.NoteStarted, 0) }
+func (a *Attempt) Started() { a.note(dispatch.NoteStarted, 0) }
 
 // Progress tells the share done.
-func (a *Attempt) Progress(share float64) { a.note(linnetlift.NoteProgress, share) }
+func (a *Attempt) Progress(share float64) { a.note(dispatch.NoteProgress, share) }
 
-func (a *Attempt) note(kind linnetlift.NoteKind, share float64) {
-	n := linnetlift.Note{ID: a.s.id, Attempt: a.N, Worker: a.id, Kind: kind, Share: share}
+func (a *Attempt) note(kind dispatch.NoteKind, share float64) {
+	n := dispatch.Note{ID: a.s.id, Attempt: a.N, Worker: a.id, Kind: kind, Share: share}
 	if a.s.b.Traced() {
 		a.s.b.Tracef("note %d n=%d to=%s kind=%d share=%.2f", a.s.id, a.N, a.Worker, kind, share)
 	}
-	a.s.b.post(func(now time.Duration, out linnetlift.Actions) { a.s.b.module.Note(now, n, out) })
+	a.s.b.post(func(now time.Duration, out dispatch.Actions) { a.s.b.module.Note(now, n, out) })
 }
 
 // Traced tells whether lines are wanted, as the broker's does.
--- a/internal/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -9,17 +9,17 @@
 	"hash/fnv"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/invariant"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/platform/invariant"
+	"yardflow/scheduling/dispatch"
 )
 
 // Worker is one entry of the worker list.
 type Worker struct {
 	ID, Addr         string
 	Zone, Kind, Cell int
-	State            linnetlift.WorkerState
+	State            dispatch.WorkerState
 	Weight           float64
 	Started          time.Time // zero: long ago
 }
@@ -28,24 +28,24 @@
 	name, addr string
 	ready      bool
 	banned     bool
-	told       linnetlift.Worker // as the list has it
-	open       int               // attempts out there, where there are limits of the fleet
-	verdict    linnetlift.Verdict
-	judged     verdict.Life // whose that is: another life of the worker is another matter
+	told       dispatch.Worker // as the list has it
+	open       int             // attempts out there, where there are limits of the fleet
+	verdict    dispatch.Verdict
+	judged     outlier.Life // whose that is: another life of the worker is another matter
 	trial      uint64
 	out, back  time.Duration // when it was last taken out, and called back; 0: never
 }
 
 // of is the life that the worker is in, as the list has it.
-func (p *place) of() verdict.Life {
-	return verdict.Life{Worker: p.name, Started: p.told.Launched.Milliseconds()}
+func (p *place) of() outlier.Life {
+	return outlier.Life{Worker: p.name, Started: p.told.Launched.Milliseconds()}
 }
 
 // entry is what the module is handed of a worker; the caller holds mu. A ban is a fact, not a
 // decision: such a worker drains, whatever the list says. Operators restart it
 // while it is out; where the list has not told of that, being seconds late, one
 // that was called back counts as started then.
-func (b *Broker) entry(p *place) linnetlift.Worker {
+func (b *Broker) entry(p *place) dispatch.Worker {
 	w := p.told
 	if w.Launched < p.out {
 		w.Launched = max(w.Launched, p.back)
@@ -54,8 +54,8 @@
 		w.Verdict = p.verdict
 	}
 	w.Pools = b.pools.Of(p.name, w.Zone, w.Kind, w.Cell)
-	if (p.banned || b.stale(p)) && w.State == linnetlift.Ready {
-		w.State = linnetlift.Draining
+	if (p.banned || b.stale(p)) && w.State == dispatch.Ready {
+		w.State = dispatch.Draining
 	}
 	return w
 }
@@ -64,17 +64,17 @@
 // the module lays workers on a circle by their ids and shares it out with the
 // other dispatchers, so it must come from the id alone, never from an address
 // or an order of arrival.
-func workerID(name string) linnetlift.WorkerID {
+func workerID(name string) dispatch.WorkerID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	return linnetlift.WorkerID(h.Sum64())
+	return dispatch.WorkerID(h.Sum64())
 }
 
 // List hands in what the list service told.
-func (b *Broker) List(form linnetlift.ListForm, workers []Worker) {
-	list := make([]linnetlift.Worker, 0, len(workers))
+func (b *Broker) List(form dispatch.ListForm, workers []Worker) {
+	list := make([]dispatch.Worker, 0, len(workers))
 	b.mu.Lock()
-	listed := map[linnetlift.WorkerID]bool{}
+	listed := map[dispatch.WorkerID]bool{}
 	for _, w := range workers {
 		id := workerID(w.ID)
 		p := b.places[id]
@@ -91,26 +91,26 @@
 		if w.Addr != "" {
 			p.addr = w.Addr
 		}
-		if w.State == linnetlift.Gone && p.told.ID == id {
+		if w.State == dispatch.Gone && p.told.ID == id {
 			// Such an entry need say no more than the id. What is known of the worker
 			// stays: by its cell the module knows where a repeat would be dropped.
-			p.ready, p.told.State, listed[id] = false, linnetlift.Gone, true
+			p.ready, p.told.State, listed[id] = false, dispatch.Gone, true
 			list = append(list, b.entry(p))
 			continue
 		}
-		p.ready = w.State == linnetlift.Ready
+		p.ready = w.State == dispatch.Ready
 		listed[id] = true
-		l := linnetlift.Worker{ID: id, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight}
+		l := dispatch.Worker{ID: id, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight}
 		if !w.Started.IsZero() {
 			l.Launched = time.Duration(w.Started.UnixNano())
 		}
 		p.told = l
 		list = append(list, b.entry(p))
 	}
-	if form == linnetlift.ListFull || form == linnetlift.ListCached {
+	if form == dispatch.ListFull || form == dispatch.ListCached {
 		for id, p := range b.places {
 			if !listed[id] { // absent from a complete list: removed
-				p.ready, p.told.State = false, linnetlift.Gone
+				p.ready, p.told.State = false, dispatch.Gone
 			}
 		}
 	}
@@ -125,8 +125,8 @@
 
 // hand queues a list for the module. The caller holds mu: lists reach the module
 // in the order in which they came to hold.
-func (b *Broker) hand(form linnetlift.ListForm, list []linnetlift.Worker) {
-	b.queue = append(b.queue, func(now time.Duration, out linnetlift.Actions) { b.module.List(now, form, list, out) })
+func (b *Broker) hand(form dispatch.ListForm, list []dispatch.Worker) {
+	b.queue = append(b.queue, func(now time.Duration, out dispatch.Actions) { b.module.List(now, form, list, out) })
 	select {
 	case b.poke <- struct{}{}:
 	default:
@@ -143,7 +143,7 @@
 	for _, name := range names {
 		b.banned[name] = true
 	}
-	var list []linnetlift.Worker
+	var list []dispatch.Worker
 	for _, p := range b.places {
 		was := p.banned
 		if p.banned = b.banned[p.name]; p.banned == was {
@@ -158,7 +158,7 @@
 		list = append(list, b.entry(p))
 	}
 	if len(list) > 0 {
-		b.hand(linnetlift.ListAmend, list)
+		b.hand(dispatch.ListAmend, list)
 	}
 	return addrs
 }
@@ -172,11 +172,11 @@
 		return
 	}
 	b.pools = set
-	list := make([]linnetlift.Worker, 0, len(b.places))
+	list := make([]dispatch.Worker, 0, len(b.places))
 	for _, p := range b.places {
 		list = append(list, b.entry(p))
 	}
-	b.hand(linnetlift.ListAmend, list)
+	b.hand(dispatch.ListAmend, list)
 }
 
 // Serving tells whether any worker is ready, and in which pools, by their bits.
@@ -210,11 +210,11 @@
 		return false
 	}
 	b.listStale = stale
-	list := make([]linnetlift.Worker, 0, len(b.places))
+	list := make([]dispatch.Worker, 0, len(b.places))
 	for _, p := range b.places {
 		list = append(list, b.entry(p))
 	}
-	b.hand(linnetlift.ListAmend, list)
+	b.hand(dispatch.ListAmend, list)
 	return true
 }
 
@@ -270,7 +270,7 @@
 		b.heardOf.Add(-1)
 		return
 	}
-	b.post(func(now time.Duration, out linnetlift.Actions) {
+	b.post(func(now time.Duration, out dispatch.Actions) {
 		b.heardOf.Add(-1)
 		b.module.PeerMessage(now, 0, msg, out)
 	})
@@ -279,7 +279,7 @@
 // Observe sets who is told how each attempt at a worker ended. Before any request.
 func (b *Broker) Observe(f func(worker string, code Code)) { b.observe = f }
 
-func (b *Broker) allowed(id linnetlift.WorkerID, addr string) bool {
+func (b *Broker) allowed(id dispatch.WorkerID, addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.places[id]
--- a/internal/broker/room_test.go
+++ b/internal/gateway/broker/room_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/room"
-	"yardflow/internal/standin/machine"
-	"yardflow/internal/standin/worker"
+	"yardflow/internal/testing/standin/machine"
+	"yardflow/internal/testing/standin/worker"
+	"yardflow/scheduling/backfill"
+	"yardflow/scheduling/dispatch"
 )
 
 // Room is held through the broker, in virtual time, on stand-in workers: at half of
@@ -22,7 +22,7 @@
 		s := settings()
 		s.TellsStart, s.InOrder, s.Cancelling = true, true, true
 		s.Classes[0].Aim, s.Classes[1].Aim = 600*time.Millisecond, 4*time.Second
-		plan := room.Default()
+		plan := backfill.Default()
 		plan.Most = 2
 		s.Room = &plan
 		b, err := New(s, 1, nil, func(string) {})
@@ -35,7 +35,7 @@
 			engines[id] = worker.NewEngine(machine.New(2, 16, 1))
 			list = append(list, Worker{ID: id, Addr: id, Weight: 1})
 		}
-		b.List(linnetlift.ListFull, list)
+		b.List(dispatch.ListFull, list)
 		var twice atomic.Int64
 		do := func(class int, slots int, work time.Duration) Do {
 			runs := 0
--- a/internal/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -11,16 +11,16 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/invariant"
-	"yardflow/internal/quota"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/internal/platform/invariant"
+	"yardflow/scheduling/dispatch"
 )
 
 // decision is what the module decided next on one request.
 type decision struct {
 	send   bool
-	worker linnetlift.WorkerID
+	worker dispatch.WorkerID
 	within time.Duration
 	limit  int // attempts allowed when this was decided
 	answer Answer
@@ -29,9 +29,9 @@
 // session is the broker's side of one open request.
 type session struct {
 	b        *Broker
-	id       linnetlift.RequestID
-	settings *linnetlift.Settings
-	class    *linnetlift.Class
+	id       dispatch.RequestID
+	settings *dispatch.Settings
+	class    *dispatch.Class
 	next     chan decision
 	ticket   *quota.Ticket // of the limits of the fleet
 	attempts int
@@ -107,7 +107,7 @@
 		a := &Attempt{N: s.attempts, s: s, id: d.worker}
 		b.mu.Lock()
 		p := b.places[d.worker]
-		var of verdict.Life
+		var of outlier.Life
 		if p != nil {
 			a.Worker, a.Addr, of = p.name, p.addr, p.of()
 			a.Zone, a.Kind, a.Cell = p.told.Zone, p.told.Kind, p.told.Cell
@@ -191,14 +191,14 @@
 		s.kind = &b.idle[1]
 		b.steps.Add(1)
 	}
-	b.post(func(now time.Duration, out linnetlift.Actions) {
+	b.post(func(now time.Duration, out dispatch.Actions) {
 		b.open[s.id] = s
 		tenant := q.Tenant
 		if q.Settings != b.heard && tenant >= 0 && tenant < len(q.Settings.Tenants) {
 			name := q.Settings.Tenants[tenant].Name
-			tenant = slices.IndexFunc(b.heard.Tenants, func(t linnetlift.Tenant) bool { return t.Name == name })
+			tenant = slices.IndexFunc(b.heard.Tenants, func(t dispatch.Tenant) bool { return t.Name == name })
 		}
-		b.module.Arrive(now, linnetlift.Request{ID: s.id, Class: q.Class, Of: s.class, Tenant: tenant,
+		b.module.Arrive(now, dispatch.Request{ID: s.id, Class: q.Class, Of: s.class, Tenant: tenant,
 			Left: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, Retry: q.Retry, Spare: q.Spare, Pools: q.Pools, Ran: q.Ran, RanFor: q.RanFor}, out)
 	})
 	return s
@@ -208,13 +208,13 @@
 // A send that crossed the end is reported as never made: the module counts a
 // worker's slots by it.
 func (s *session) leave() {
-	s.b.post(func(now time.Duration, out linnetlift.Actions) {
+	s.b.post(func(now time.Duration, out dispatch.Actions) {
 		if s.ended.CompareAndSwap(false, true) {
 			s.b.module.ClientGone(now, s.id, out)
 		}
 		for n := s.attempts; len(s.next) > 0; {
 			if d := <-s.next; d.send {
-				s.b.module.Outcome(now, linnetlift.Outcome{ID: s.id, Attempt: n, Worker: d.worker,
+				s.b.module.Outcome(now, dispatch.Outcome{ID: s.id, Attempt: n, Worker: d.worker,
 					Code: NeverSent, Ended: true}, out)
 				n++
 			}
@@ -257,7 +257,7 @@
 	s.attempts++
 	ok := invariant.Hold(s.attempts <= d.limit, "more attempts than allowed")
 	ok = ok && s.attempts <= s.b.settings.Load().MaxAttempts // fewer since then
-	ok = invariant.Hold(!s.mayRun || s.class.Semantics != linnetlift.Fragile, "a fragile request that may have run is sent again") && ok
+	ok = invariant.Hold(!s.mayRun || s.class.Semantics != dispatch.Fragile, "a fragile request that may have run is sent again") && ok
 	if !ok || a.Addr == "" || ctx.Err() != nil {
 		return Outcome{Code: NeverSent}
 	}
@@ -282,7 +282,7 @@
 // inWindow tells whether a repeat that is sent now still comes to its worker inside the time in
 // which repeats are dropped there; of what never ran there is none.
 func (s *session) inWindow() bool {
-	return s.class.Semantics != linnetlift.Dedup || s.mayRunAt.IsZero() || time.Now().Add(Margin).Before(s.mayRunAt.Add(s.class.Window))
+	return s.class.Semantics != dispatch.Dedup || s.mayRunAt.IsZero() || time.Now().Add(Margin).Before(s.mayRunAt.Add(s.class.Window))
 }
 
 // Ran tells whether an attempt may have run.
@@ -290,8 +290,8 @@
 
 // report tells the module how an attempt ended.
 func (s *session) report(a *Attempt, o Outcome, ended, last bool) {
-	m := linnetlift.Outcome{ID: s.id, Attempt: a.N, Worker: a.id, Code: o.Code, Ended: ended, Last: last, Load: o.Load}
-	s.b.post(func(now time.Duration, out linnetlift.Actions) {
+	m := dispatch.Outcome{ID: s.id, Attempt: a.N, Worker: a.id, Code: o.Code, Ended: ended, Last: last, Load: o.Load}
+	s.b.post(func(now time.Duration, out dispatch.Actions) {
 		if ended {
 			s.ended.Store(true)
 		}
@@ -305,7 +305,7 @@
 // refusable tells whether a request that may have run may be refused.
 func (s *session) refusable() bool {
 	c := s.class
-	return c.Semantics == linnetlift.Retryable || c.Semantics == linnetlift.Dedup && c.Scope == linnetlift.ScopeAll
+	return c.Semantics == dispatch.Retryable || c.Semantics == dispatch.Dedup && c.Scope == dispatch.ScopeAll
 }
 
 // check keeps the rule on refusals whatever was decided: never tell a client
--- a/internal/broker/sink.go
+++ b/internal/gateway/broker/sink.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/invariant"
+	"yardflow/internal/platform/invariant"
+	"yardflow/scheduling/dispatch"
 )
 
 // sink carries out the module's actions. It runs in the owner's goroutine.
@@ -18,7 +18,7 @@
 
 // decide hands a session its next decision. A send for one that has ended
 // crossed that end; leave finds it and reports it as never made.
-func (k sink) decide(id linnetlift.RequestID, d decision) {
+func (k sink) decide(id dispatch.RequestID, d decision) {
 	s := k.b.open[id]
 	if s == nil || s.ended.Load() && !d.send {
 		return
@@ -33,19 +33,19 @@
 	}
 }
 
-func (k sink) Send(id linnetlift.RequestID, w linnetlift.WorkerID, within time.Duration) {
+func (k sink) Send(id dispatch.RequestID, w dispatch.WorkerID, within time.Duration) {
 	k.decide(id, decision{send: true, worker: w, within: within, limit: k.b.heard.MaxAttempts})
 }
 
-func (k sink) Refuse(id linnetlift.RequestID, comeBack time.Duration) {
+func (k sink) Refuse(id dispatch.RequestID, comeBack time.Duration) {
 	k.decide(id, decision{answer: Answer{Verdict: Refused, ComeBack: comeBack}})
 }
 
-func (k sink) Fail(id linnetlift.RequestID) {
+func (k sink) Fail(id dispatch.RequestID) {
 	k.decide(id, decision{answer: Answer{Verdict: Failure}})
 }
 
-func (k sink) Cancel(id linnetlift.RequestID, attempt int) {
+func (k sink) Cancel(id dispatch.RequestID, attempt int) {
 	s := k.b.open[id]
 	if s == nil {
 		return
@@ -72,7 +72,7 @@
 }
 
 // Probe meets no wire here: the module sends none.
-func (k sink) Probe(linnetlift.WorkerID) {}
+func (k sink) Probe(dispatch.WorkerID) {}
 
 func (k sink) Tell(msg []byte) {
 	if k.b.tell != nil {
--- a/internal/broker/verdicts.go
+++ b/internal/gateway/broker/verdicts.go
@@ -6,19 +6,19 @@
 import (
 	"cmp"
 
-	"yardflow"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/scheduling/dispatch"
 )
 
 // Witness sets who notes what is seen of workers, by the clock of Limit. Before any request.
-func (b *Broker) Witness(w *verdict.Witness) { b.witness = w }
+func (b *Broker) Witness(w *outlier.Witness) { b.witness = w }
 
 // Workers is how many workers the list has.
 func (b *Broker) Workers() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
-		if p.told.State != linnetlift.Gone {
+		if p.told.State != dispatch.Gone {
 			n++
 		}
 	}
@@ -27,27 +27,27 @@
 
 // Judged makes exactly these verdicts the ones that hold here. Trials that were given before go on
 // where news tells of none.
-func (b *Broker) Judged(all []verdict.Verdict, news bool) {
-	next := map[verdict.Life]verdict.Verdict{}
+func (b *Broker) Judged(all []outlier.Verdict, news bool) {
+	next := map[outlier.Life]outlier.Verdict{}
 	for _, v := range all {
 		next[v.Of] = v
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []linnetlift.Worker
+	var list []dispatch.Worker
 	for _, p := range b.places {
 		v, condemned := next[p.of()]
-		is := linnetlift.Sound
+		is := dispatch.Sound
 		switch {
 		case !condemned:
-		case news && p.judged == v.Of && p.verdict != linnetlift.Sound:
+		case news && p.judged == v.Of && p.verdict != dispatch.Sound:
 			continue
 		case v.Trial != 0 && v.Trial != p.trial:
-			is = linnetlift.OnTrial
+			is = dispatch.OnTrial
 		case v.Trial != 0 && p.judged == v.Of:
 			is = p.verdict // it has it already
 		default:
-			is = linnetlift.Condemned
+			is = dispatch.Condemned
 		}
 		if v.Trial != 0 {
 			p.trial = v.Trial
@@ -58,27 +58,27 @@
 		}
 	}
 	if len(list) > 0 {
-		b.hand(linnetlift.ListAmend, list)
+		b.hand(dispatch.ListAmend, list)
 	}
 }
 
 // onTrial notes that a job goes to a worker, which may be its trial: it has no more than that
 // one. The caller holds mu.
 func (b *Broker) onTrial(p *place) {
-	if p.verdict != linnetlift.OnTrial || p.of() != p.judged {
+	if p.verdict != dispatch.OnTrial || p.of() != p.judged {
 		return
 	}
-	p.verdict = linnetlift.Condemned
+	p.verdict = dispatch.Condemned
 	b.witness.Try(b.deskNow(), p.judged, p.trial)
-	b.hand(linnetlift.ListAmend, []linnetlift.Worker{b.entry(p)})
+	b.hand(dispatch.ListAmend, []dispatch.Worker{b.entry(p)})
 }
 
 // weights are what an outcome tells against a worker, in thousandths of a job. What never reached
 // it whole may be the way's fault, and what was called off is nobody's.
-var weights = map[Code]int64{Failed: verdict.One, TimedOut: verdict.One, ConnectFailed: verdict.One, Broken: verdict.One / 2}
+var weights = map[Code]int64{Failed: outlier.One, TimedOut: outlier.One, ConnectFailed: outlier.One, Broken: outlier.One / 2}
 
-func (b *Broker) testify(of verdict.Life, code Code) {
+func (b *Broker) testify(of outlier.Life, code Code) {
 	if weight := weights[code]; weight > 0 || code == OK {
-		b.witness.Saw(b.deskNow(), of, code == OK, cmp.Or(weight, verdict.One))
+		b.witness.Saw(b.deskNow(), of, code == OK, cmp.Or(weight, outlier.One))
 	}
 }
--- a/internal/broker/verdicts_test.go
+++ b/internal/gateway/broker/verdicts_test.go
@@ -6,9 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/quota"
-	"yardflow/internal/verdict"
+	"yardflow/internal/fleet/outlier"
+	"yardflow/internal/fleet/quota"
+	"yardflow/scheduling/dispatch"
 )
 
 // A verdict holds for one life of a worker, a trial is one job and its outcome is said with its
@@ -18,12 +18,12 @@
 		b := open(t)
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
-		desk, witness := quota.NewDesk(), verdict.NewWitness(10*time.Second, 1)
+		desk, witness := quota.NewDesk(), outlier.NewWitness(10*time.Second, 1)
 		b.Limit(desk, now)
 		b.Witness(witness)
 		life := time.UnixMilli(time.Now().Add(-time.Hour).UnixMilli())
-		b.List(linnetlift.ListFull, []Worker{{ID: "a", Addr: "a:1", State: linnetlift.Ready, Weight: 1, Started: life}, {ID: "b", Addr: "b:1", State: linnetlift.Ready, Weight: 1}})
-		of := verdict.Life{Worker: "a", Started: life.UnixMilli()}
+		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1, Started: life}, {ID: "b", Addr: "b:1", State: dispatch.Ready, Weight: 1}})
+		of := outlier.Life{Worker: "a", Started: life.UnixMilli()}
 		serve := func() (to string, a Answer) {
 			a = b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(5 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
 				to = at.Worker
@@ -31,25 +31,25 @@
 			})
 			return to, a
 		}
-		b.Judged([]verdict.Verdict{{Of: of, Zone: verdict.Everywhere}}, false)
+		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere}}, false)
 		for range 20 {
 			if to, _ := serve(); to != "b" {
 				t.Fatalf("a job goes to %q", to)
 			}
 		}
-		b.Judged([]verdict.Verdict{{Of: of, Zone: verdict.Everywhere, Trial: 7}}, false)
+		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere, Trial: 7}}, false)
 		if to, _ := serve(); to != "a" {
 			t.Errorf("the trial's job goes to %q", to)
 		}
-		b.Judged([]verdict.Verdict{{Of: of, Zone: verdict.Everywhere, Trial: 7}}, false) // told again
-		b.Judged([]verdict.Verdict{{Of: of, Zone: verdict.Everywhere}}, true)
+		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere, Trial: 7}}, false) // told again
+		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere}}, true)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("a second job of one trial goes to %q", to)
 		}
 		if all := witness.Reports(now()); len(all) != 1 || all[0].Trial != 7 || all[0].Of != of || all[0].Bad != 0 || all[0].Good == 0 {
 			t.Errorf("the trial's outcome is told as %+v", all)
 		}
-		b.Judged([]verdict.Verdict{{Of: verdict.Life{Worker: "b", Started: 5}, Zone: verdict.Everywhere}, {Of: of, Zone: verdict.Everywhere}}, false)
+		b.Judged([]outlier.Verdict{{Of: outlier.Life{Worker: "b", Started: 5}, Zone: outlier.Everywhere}, {Of: of, Zone: outlier.Everywhere}}, false)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("%q is used: a verdict on another life of b holds", to)
 		}
@@ -80,7 +80,7 @@
 		b.Limit(desk, now)
 		desk.Set(now(), []quota.Limit{{Name: "each", Kind: quota.AtWorker, Amount: 14 * quota.One, Holders: 7, Settle: time.Second}})
 		desk.Hear(now(), now()+2*time.Second, []quota.Part{{Limit: "each", Amount: 3 * quota.One}})
-		b.List(linnetlift.ListFull, []Worker{{ID: "a", Addr: "a:1", State: linnetlift.Ready, Weight: 1}})
+		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1}})
 		attempts := 0
 		b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(10 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
 			attempts++
--- a/internal/peers/peers.go
+++ b/internal/gateway/datagram/peers.go
@@ -1,10 +1,10 @@
-// Package peers carries datagrams between dispatchers, where the platform allows them: the
+// Package datagram carries datagrams between dispatchers, where the platform allows them: the
 // socket they come to, the address that reaches all others, and the other process of the
 // same dispatcher in an upgrade, since a datagram reaches one of the two sockets only.
 //
 // It reads no message and answers none; package gossip has their form. It must never keep
 // the sender waiting: what can't go out at once is lost, as datagrams are.
-package peers
+package datagram
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"yardflow/internal/gossip"
+	"yardflow/coordination/gossip"
 )
 
 // waiting is how many messages may wait to be sent.
--- a/internal/peers/peers_test.go
+++ b/internal/gateway/datagram/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package datagram
 
 import (
 	"net"
--- a/internal/handover/bans.go
+++ b/internal/gateway/hotrestart/bans.go
@@ -1,10 +1,10 @@
-// Package handover is what two processes of one dispatcher share while one takes
+// Package hotrestart is what two processes of one dispatcher share while one takes
 // over from the other: the ids taken out by operators, the server table as last
 // told, and that there are two.
 //
 // This file owns the file of banned ids. It must never leave a half-written one,
 // and never lose a change made by another process.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/handover_test.go
+++ b/internal/gateway/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"fmt"
--- a/internal/handover/peers.go
+++ b/internal/gateway/hotrestart/peers.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 // This file owns the socket over which processes of one dispatcher know of each
 // other. A connection stands for as long as both live. It must never block a
--- a/internal/handover/policy.go
+++ b/internal/gateway/hotrestart/policy.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 // This file owns the last policy that a dispatcher ran by, for its next process to go on by
 // where the keepers are away. A file that is not whole is none.
--- a/internal/platform/clientconn.go
+++ b/internal/gateway/httpfront/clientconn.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file holds one client's connection as the HTTP server sees it.
 
--- a/internal/platform/dispatch.go
+++ b/internal/gateway/httpfront/dispatch.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file carries one attempt over a connection to a loan worker: the request written once, the
 // answer's lines read, the end told as an outcome. An attempt is told as ended only once its
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/invariant"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/invariant"
 )
 
 const (
--- a/internal/platform/endings_test.go
+++ b/internal/gateway/httpfront/endings_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/standin/script"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/testing/standin/script"
+	"yardflow/scheduling/dispatch"
 )
 
 // endings is a dispatcher's front on real connections, with one scripted worker behind it.
@@ -40,7 +40,7 @@
 	}
 	e := &endings{T: t, guard: NewGuard(8), worker: script.NewWorker(t), broker: testBroker(t, cfg)}
 	live := config.NewLive(cfg)
-	e.broker.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
+	e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
 	e.lines = NewWorkerConns(live, 8)
 	e.front = NewFrontend(e.broker, e.lines, NewReader(live, e.guard))
 	e.server = e.front.Server()
@@ -311,7 +311,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newEndings(t, nil)
 			verdicts := e.verdicts()
-			e.broker.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: linnetlift.Draining}})
+			e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: dispatch.Draining}})
 			e.start()
 			c := script.Dial(e, e.listen.Addr())
 			c.Send(script.Job("unsafe", "first"))
@@ -322,7 +322,7 @@
 			if verdicts(broker.Gone) < 1 || verdicts(broker.Refused) > 0 {
 				t.Errorf("%d requests ended as their client's who left, %d as refused", verdicts(broker.Gone), verdicts(broker.Refused))
 			}
-			e.broker.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
+			e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
 			e.await("the connection is given back", func() bool { return e.guard.Open() == 0 })
 			e.none()
 		})
@@ -414,7 +414,7 @@
 	const window = 400 * time.Millisecond
 	e := newEndings(t, func(cfg *config.Config) {
 		cfg.Classes, cfg.Module.Classes[0].Name = []string{"keyed"}, "keyed"
-		cfg.Module.Classes[0].Semantics, cfg.Module.Classes[0].Scope, cfg.Module.Classes[0].Window = linnetlift.Dedup, linnetlift.ScopeCell, window
+		cfg.Module.Classes[0].Semantics, cfg.Module.Classes[0].Scope, cfg.Module.Classes[0].Window = dispatch.Dedup, dispatch.ScopeCell, window
 	})
 	var over atomic.Int64 // when the window is, in Unix nanoseconds; 0: nothing has run
 	e.slowDial(func() time.Time { return time.Unix(0, over.Load()) })
--- a/internal/platform/flood_test.go
+++ b/internal/gateway/httpfront/flood_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"io"
--- a/internal/platform/framing.go
+++ b/internal/gateway/httpfront/framing.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file follows the framing of requests on a client's connection.
 
--- a/internal/platform/frontend.go
+++ b/internal/gateway/httpfront/frontend.go
@@ -1,9 +1,9 @@
-// Package platform speaks the platform's protocol on both sides of the broker:
+// Package httpfront speaks the platform's protocol on both sides of the broker:
 // clients in front, loan workers behind, discovery beside. It is thin; what is
 // decided is decided in the module, and what is promised is kept by the broker.
 //
 // This file reads, checks and answers clients' requests.
-package platform
+package httpfront
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
 )
 
 const (
--- a/internal/platform/guard.go
+++ b/internal/gateway/httpfront/guard.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file holds the budget of clients' connections below the HTTP server: how many
 // there may be, and which one is closed to make room for another.
--- a/internal/platform/job.go
+++ b/internal/gateway/httpfront/job.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file owns jobs of our own making, such as steps of workflows: they go over the same
 // connections as clients' requests, and no client waits for them. It must never send one.
@@ -7,8 +7,8 @@
 	"net/http"
 	"net/url"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
 )
 
 // Job is a job that no client has asked for.
--- a/internal/platform/listener.go
+++ b/internal/gateway/httpfront/listener.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file accepts clients' connections, within the guard's budget.
 
--- a/internal/platform/listfault.go
+++ b/internal/gateway/httpfront/listfault.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file owns what may go wrong with a call at discovery, worded for whoever is on call. It
 // must never decide what follows from it: the watch does.
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"yardflow/internal/ops/fault"
+	"yardflow/internal/platform/fault"
 )
 
 // ListError is a call for the server table that brought no list.
--- a/internal/platform/move_test.go
+++ b/internal/gateway/httpfront/move_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"encoding/json"
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/sources"
+	"yardflow/internal/discovery/sources"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
 )
 
 // directory is discovery for many dispatchers: calls for the whole list are handled in
--- a/internal/platform/platform_test.go
+++ b/internal/gateway/httpfront/platform_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"bufio"
@@ -19,19 +19,19 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/cadence"
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
+	"yardflow/internal/discovery/backoff"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 func testConfig() *config.Config {
 	return &config.Config{Classes: []string{"unsafe"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"},
 		Columns: []string{"cpu", "err_rps", "x0"}, ConnectTimeout: time.Second, IdleClose: time.Minute,
-		Module: linnetlift.Settings{Dispatchers: 1, MaxAttempts: 4, MustSubscribe: true, AskWithin: 10 * time.Second,
-			Classes: []linnetlift.Class{{Name: "unsafe", Aim: 20 * time.Second, Deadline: 5 * time.Second, Worth: 1,
-				Semantics: linnetlift.Fragile, Kind: -1}}}}
+		Module: dispatch.Settings{Dispatchers: 1, MaxAttempts: 4, MustSubscribe: true, AskWithin: 10 * time.Second,
+			Classes: []dispatch.Class{{Name: "unsafe", Aim: 20 * time.Second, Deadline: 5 * time.Second, Worth: 1,
+				Semantics: dispatch.Fragile, Kind: -1}}}}
 }
 
 func testBroker(t *testing.T, cfg *config.Config) *broker.Broker {
@@ -52,12 +52,12 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a send to a draining worker") }))
 	defer server.Close()
 	w := broker.Worker{ID: "s", Addr: server.Listener.Addr().String()}
-	b.List(linnetlift.ListFull, []broker.Worker{w})
+	b.List(dispatch.ListFull, []broker.Worker{w})
 	lines := NewWorkerConns(config.NewLive(cfg), 8)
 	dial := lines.transport.DialContext
 	lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		w.State = linnetlift.Draining
-		b.List(linnetlift.ListDelta, []broker.Worker{w})
+		w.State = dispatch.Draining
+		b.List(dispatch.ListDelta, []broker.Worker{w})
 		return dial(ctx, network, addr)
 	}
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{}, body: []byte("x"),
@@ -90,7 +90,7 @@
 				conn.Close()
 			}
 		}()
-		b.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+		b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
 		lines := NewWorkerConns(config.NewLive(cfg), 8)
 		var conn net.Conn
 		dial := lines.transport.DialContext
@@ -157,7 +157,7 @@
 func TestNoSocketLeft(t *testing.T) {
 	cfg := testConfig()
 	b := testBroker(t, cfg)
-	b.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
+	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
 	lines := NewWorkerConns(config.NewLive(cfg), 1)
 	lines.take()
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
@@ -260,7 +260,7 @@
 	} {
 		select {
 		case got := <-calls:
-			wait := cadence.Wait(1, 0, 0)
+			wait := backoff.Wait(1, 0, 0)
 			if slices.Contains([]int{0, 3, 4, 9, 10, 11}, i) { // the first one, or the call before failed
 				wait = time.Millisecond
 			}
@@ -288,8 +288,8 @@
 // request that may be repeated goes on using kept ones.
 func TestKeptConnectionInDoubt(t *testing.T) {
 	cfg := testConfig()
-	cfg.Module.Classes = append(cfg.Module.Classes, linnetlift.Class{Name: "keyed", Aim: 20 * time.Second, Deadline: 5 * time.Second,
-		Worth: 1, Semantics: linnetlift.Retryable, Kind: -1})
+	cfg.Module.Classes = append(cfg.Module.Classes, dispatch.Class{Name: "keyed", Aim: 20 * time.Second, Deadline: 5 * time.Second,
+		Worth: 1, Semantics: dispatch.Retryable, Kind: -1})
 	b := testBroker(t, cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -323,7 +323,7 @@
 			}()
 		}
 	}()
-	b.List(linnetlift.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
 	lines := NewWorkerConns(config.NewLive(cfg), 16)
 	for i, c := range []struct {
 		class, conn int
--- a/internal/platform/readahead.go
+++ b/internal/gateway/httpfront/readahead.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file reads ahead on the connections of clients that send several requests at once.
 
--- a/internal/platform/relayed_test.go
+++ b/internal/gateway/httpfront/relayed_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/platform/config"
 )
 
 // transport is discovery as a function.
--- a/internal/platform/shared.go
+++ b/internal/gateway/httpfront/shared.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file owns the table's place in a fleet that shares its lists: it calls discovery only when
 // it is its turn, hands on what it was told, and takes in what another dispatcher was. It must
@@ -9,9 +9,9 @@
 	"fmt"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/membership"
-	"yardflow/internal/timers"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/platform/timers"
+	"yardflow/scheduling/dispatch"
 )
 
 // Turns says when discovery may be called: package start's Desk.
@@ -126,9 +126,9 @@
 	if t.moved || t.known && generation < t.generation {
 		return false
 	}
-	form := linnetlift.ListDelta
+	form := dispatch.ListDelta
 	if whole {
-		form = linnetlift.ListFull
+		form = dispatch.ListFull
 	}
 	if t.by != "relayed" {
 		t.log(fmt.Sprintf("server table: by the relayed list, %d loan workers", len(list)))
--- a/internal/platform/staleness.go
+++ b/internal/gateway/httpfront/staleness.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file says until when the list held may be gone by: what discovery has to tell counts as
 // told at a stated moment, whether it arrived or not, and past that nothing new is sent until
--- a/internal/platform/staleness_test.go
+++ b/internal/gateway/httpfront/staleness_test.go
@@ -1,10 +1,10 @@
-package platform
+package httpfront
 
 import (
 	"testing"
 	"time"
 
-	"yardflow/internal/config"
+	"yardflow/internal/platform/config"
 )
 
 // The timer of a start may run before the start itself has ended the list's use, as it did once beside other work: no word
--- a/internal/platform/table.go
+++ b/internal/gateway/httpfront/table.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file owns the server table: the list of loan workers as discovery tells
 // it, one source of membership beside others, and the address that it comes from; the watch
@@ -15,17 +15,17 @@
 	"sync"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // Table follows discovery.
 type Table struct {
 	live   *config.Live
 	broker *broker.Broker
-	tell   func(linnetlift.ListForm, []membership.Worker)
+	tell   func(dispatch.ListForm, []membership.Worker)
 	log    func(string)
 	draw   func() float64 // uniform in [0, 1), for pauses; Run's alone
 
@@ -123,7 +123,7 @@
 
 // NewTable makes the table and tells the list last known. The broker says when to
 // ask; tell takes what the roster says, in the form in which it said it.
-func NewTable(live *config.Live, b *broker.Broker, tell func(linnetlift.ListForm, []membership.Worker), log func(string)) (*Table, error) {
+func NewTable(live *config.Live, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*Table, error) {
 	cfg := live.Get()
 	t := &Table{live: live, broker: b, tell: tell, log: log, by: "kept", draw: rand.Float64, now: newSource(cfg.Discovery), heard: make(chan struct{}),
 		followed: make(chan struct{}, 1)}
@@ -138,7 +138,7 @@
 	}
 	b.NamedBy(func(worker string) bool { _, ok := t.named.Load(worker); return ok })
 	t.note(known, true)
-	t.tell(linnetlift.ListCached, members(known.Instances))
+	t.tell(dispatch.ListCached, members(known.Instances))
 	t.start()
 	return t, nil
 }
--- a/internal/platform/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file owns the watch at discovery: when the next call is made, how long it may wait, and
 // what each way that it ends means. Where lists come only when asked for, the module says when
@@ -13,10 +13,10 @@
 	"net/http"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/cadence"
-	"yardflow/internal/ops/fault"
-	"yardflow/internal/timers"
+	"yardflow/internal/discovery/backoff"
+	"yardflow/internal/platform/fault"
+	"yardflow/internal/platform/timers"
+	"yardflow/scheduling/dispatch"
 )
 
 const (
@@ -50,9 +50,9 @@
 		return 0
 	}
 	if left := t.left(); left > 0 {
-		return cadence.Due(t.dispatchers(), left, t.seen, t.draw())
+		return backoff.Due(t.dispatchers(), left, t.seen, t.draw())
 	}
-	return cadence.First(t.dispatchers(), t.draw())
+	return backoff.First(t.dispatchers(), t.draw())
 }
 
 // Run follows discovery until ctx ends. A watch goes on for as long as the next
@@ -115,9 +115,9 @@
 func (t *Table) take(on *source, reply *tableReply) {
 	t.taking.Lock()
 	defer t.taking.Unlock()
-	form := linnetlift.ListDelta
+	form := dispatch.ListDelta
 	if reply.Reset || !t.known {
-		form = linnetlift.ListFull
+		form = dispatch.ListFull
 	}
 	t.generation, t.known = *reply.Generation, true
 	select {
@@ -133,7 +133,7 @@
 		t.strain = max(t.strain-1, 0) // a wait that ended with nothing: the service keeps up
 	}
 	t.failed, t.hurried, t.silent = 0, 0, 0
-	t.note(*reply, form == linnetlift.ListFull)
+	t.note(*reply, form == dispatch.ListFull)
 	t.tell(form, members(reply.Instances))
 	t.by, t.since, t.carry = "told", time.Now(), true
 	t.told(on)
@@ -168,7 +168,7 @@
 		return false, time.Duration((0.5 + t.draw()) * float64(time.Second))
 	case isSilent && silent.Watch:
 		t.silent++ // broken, and begun anew: the module has no part in it
-		return false, cadence.Anew(t.dispatchers(), t.left(), t.draw())
+		return false, backoff.Anew(t.dispatchers(), t.left(), t.draw())
 	}
 	select {
 	case <-t.followed: // what was relayed before says nothing of this failure
@@ -178,24 +178,24 @@
 	if t.waited <= listWait { // a watch was open until it failed
 		t.failTime = time.Since(began)
 	}
-	t.strain = min(t.strain+1, cadence.MostStrain)
-	t.tell(linnetlift.ListFailed, nil)
+	t.strain = min(t.strain+1, backoff.MostStrain)
+	t.tell(dispatch.ListFailed, nil)
 	left := t.left()
-	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && cadence.Hurries(t.dispatchers(), t.hurried+1) {
+	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.Hurries(t.dispatchers(), t.hurried+1) {
 		t.hurried++
-		return false, cadence.Again(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
+		return false, backoff.Again(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
 	}
 	if t.failed > t.hurried+1 {
 		t.outage()
 	}
 	// Beside the module's own pause, which ends with its asking again.
-	return true, cadence.AfterFailure(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
+	return true, backoff.AfterFailure(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
 }
 
 // patience is the wait that the next call names, and how long it is given in all.
 func (t *Table) patience(known bool) (wait, limit time.Duration) {
 	switch {
-	case !known && t.dispatchers() > cadence.Few && !t.pushed():
+	case !known && t.dispatchers() > backoff.Few && !t.pushed():
 		// A queue at discovery is likelier than a call lost without a sign, and one given
 		// up has taken its turn all the same.
 		return 0, max(listWait, t.left())
@@ -209,7 +209,7 @@
 	case awaits || t.turns != nil && !t.carry:
 		return time.Millisecond, listWait
 	}
-	wait = cadence.Wait(t.dispatchers(), t.strain, t.draw())
+	wait = backoff.Wait(t.dispatchers(), t.strain, t.draw())
 	return wait, wait + watchSlack
 }
 
--- a/internal/platform/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"encoding/json"
@@ -14,10 +14,10 @@
 	"testing/synctest"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/membership"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // quiet is discovery whose open watches fall silent once, at a moment, and which may go on saying
@@ -375,7 +375,7 @@
 	table, b := testTable(t, cfg, func(string) {})
 	cfg.SRV = []config.SRV{{Name: "loans"}}
 	table.failing(syscall.ECONNRESET, time.Now(), 0) // the first call has ended, and the list of before serves
-	b.List(linnetlift.ListAmend, []broker.Worker{{ID: "by name alone", Addr: "h:2"}})
+	b.List(dispatch.ListAmend, []broker.Worker{{ID: "by name alone", Addr: "h:2"}})
 	if ready := b.Stats().Ready; ready != 2 {
 		t.Fatalf("%d workers may be sent to, want 2", ready)
 	}
--- a/internal/platform/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 // This file holds the connections to loan workers: how many there may be, which are kept, and
 // which are not trusted with a request that may be sent once.
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/config"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // doubtTime is how long kept connections are not trusted with a request that
@@ -79,7 +79,7 @@
 func (l *WorkerConns) carrier(s *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Module.Classes[s.Request.Class].Semantics == linnetlift.Fragile && time.Now().UnixNano() < l.doubt.Load() {
+	if s.cfg.Module.Classes[s.Request.Class].Semantics == dispatch.Fragile && time.Now().UnixNano() < l.doubt.Load() {
 		return l.once
 	}
 	return l.transport
--- a/internal/wire/wire.go
+++ b/internal/gateway/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames of the users' bench.
-package wire
+// Package simwire reads and writes the frames of the users' bench.
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/gateway/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/sse/events.go
+++ b/internal/gateway/ssefront/events.go
@@ -1,4 +1,4 @@
-package sse
+package ssefront
 
 // This file owns the event stream format as published (WHATWG HTML, server-sent
 // events): events read off a stream and written to one. It must never hand on
--- a/internal/sse/front.go
+++ b/internal/gateway/ssefront/front.go
@@ -1,4 +1,4 @@
-// Package sse is the second front: a client posts a job, sees its progress as
+// Package ssefront is the second front: a client posts a job, sees its progress as
 // server-sent events, and gets one final event. It stands on the same broker,
 // decisions, server table and connections as the platform's front.
 //
@@ -6,7 +6,7 @@
 // bounded queue before a slow reader. It must never take progress for a result,
 // never send a second final event, and never send a worker anything itself: it
 // hands the broker an attempt function and does what comes back.
-package sse
+package ssefront
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/invariant"
-	"yardflow/internal/platform"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/invariant"
 )
 
 // Names of the events sent to clients; what a worker names otherwise goes on
@@ -36,32 +36,32 @@
 type Front struct {
 	live   *config.Live
 	broker *broker.Broker
-	lines  *platform.WorkerConns
-	reader *platform.Reader
+	lines  *httpfront.WorkerConns
+	reader *httpfront.Reader
 }
 
 // New makes the front.
-func New(live *config.Live, b *broker.Broker, l *platform.WorkerConns, rd *platform.Reader) *Front {
+func New(live *config.Live, b *broker.Broker, l *httpfront.WorkerConns, rd *httpfront.Reader) *Front {
 	return &Front{live, b, l, rd}
 }
 
 // contract finds the team's contract and what it says of this request.
-func (f *Front) contract(r *http.Request) (*config.Contract, *platform.Rejection) {
+func (f *Front) contract(r *http.Request) (*config.Contract, *httpfront.Rejection) {
 	team := r.Header.Get("X-Team")
 	i := slices.IndexFunc(f.live.Get().SSE.Contracts, func(k config.Contract) bool { return k.Team == team })
 	if i < 0 {
-		return nil, &platform.Rejection{Status: http.StatusForbidden, Text: "X-Team: no contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Team: no contract"}
 	}
 	k := &f.live.Get().SSE.Contracts[i]
 	if class := r.Header.Get("X-Priority-Class"); slices.Contains(f.live.Get().Classes, class) && !slices.Contains(k.Classes, class) {
-		return nil, &platform.Rejection{Status: http.StatusForbidden, Text: "X-Priority-Class: not in the contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Priority-Class: not in the contract"}
 	}
 	switch r.Header.Get("X-Tenant-Id") {
 	case "":
 		r.Header.Set("X-Tenant-Id", k.Tenant)
 	case k.Tenant:
 	default:
-		return nil, &platform.Rejection{Status: http.StatusForbidden, Text: "X-Tenant-Id: not in the contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Tenant-Id: not in the contract"}
 	}
 	return k, nil
 }
@@ -82,7 +82,7 @@
 	s.Request.Team = k.Team
 	// A reader too slow for its stream is one that has gone: that ends ctx too,
 	// and with it the dispatch.
-	ctx, gone := platform.ClientContext(r)
+	ctx, gone := httpfront.ClientContext(r)
 	defer gone()
 	st := newStream(w, f.live.Get().SSE, gone)
 	answer := f.broker.Serve(ctx, s.Request, f.do(s, st))
@@ -90,7 +90,7 @@
 		st.abandon()
 		return
 	}
-	rejection = platform.RejectionOf(answer)
+	rejection = httpfront.RejectionOf(answer)
 	if rejection == nil {
 		st.finish(Event{Type: typeResult, Data: string(answer.Result)})
 		return
@@ -109,7 +109,7 @@
 }
 
 // do is the attempt function: one dispatch, its events carried on as progress.
-func (f *Front) do(s *platform.JobRequest, st *stream) broker.Do {
+func (f *Front) do(s *httpfront.JobRequest, st *stream) broker.Do {
 	return func(ctx context.Context, a *broker.Attempt) broker.Outcome {
 		x, o := f.lines.Open(ctx, a, s, "text/event-stream, application/json;q=0.5")
 		if x == nil {
--- a/internal/sse/sse_test.go
+++ b/internal/gateway/ssefront/sse_test.go
@@ -1,4 +1,4 @@
-package sse
+package ssefront
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 	gosse "github.com/tmaxmax/go-sse"
 
-	"yardflow/internal/config"
+	"yardflow/internal/platform/config"
 )
 
 // all reads a stream's events, its bytes coming one by one or at once.
--- a/internal/serve/flows/faults.go
+++ b/internal/gateway/workflowsteps/faults.go
@@ -1,15 +1,15 @@
-package flows
+package workflowsteps
 
 // This file owns the runner's faults, each with what an operator can do.
 
 import (
 	"fmt"
 
-	"yardflow/internal/fleet/flow/ledger"
+	"yardflow/internal/fleet/workflow/claims"
 )
 
 // SettingsError is a step that this dispatcher's settings have no class, or no tenant, for.
-type SettingsError struct{ Step *ledger.Task }
+type SettingsError struct{ Step *claims.Task }
 
 func (e *SettingsError) Error() string {
 	return fmt.Sprintf("step %q of flow %q: class %q, tenant %q: not both in the settings", e.Step.Step, e.Step.Flow, e.Step.Class, e.Step.Tenant)
--- a/internal/serve/flows/flows.go
+++ b/internal/gateway/workflowsteps/flows.go
@@ -1,10 +1,10 @@
-// Package flows carries steps of workflows at a dispatcher: it claims ready ones of the keepers, has
+// Package workflowsteps carries steps of workflows at a dispatcher: it claims ready ones of the keepers, has
 // the broker serve each as a job among others, and tells the keepers how each has ended. What may be
 // sent, and when, is decided in packages hand and ledger; where it goes, in the module.
 //
 // It must never send a step before the keepers have written that it may have run, nor have a request
 // of a client's wait for a keeper.
-package flows
+package workflowsteps
 
 import (
 	"context"
@@ -12,19 +12,19 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/broker"
-	"yardflow/internal/config"
-	"yardflow/internal/fleet/flow/hand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/flow/pool"
-	"yardflow/internal/keeper"
-	"yardflow/internal/ops/fault"
-	"yardflow/internal/platform"
-	"yardflow/internal/timers"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/workflow/claimant"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/pool"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/platform/config"
+	"yardflow/internal/platform/fault"
+	"yardflow/internal/platform/timers"
 )
 
 const (
-	words  = ledger.MostTasks       // in one call
+	words  = claims.MostTasks       // in one call
 	spread = 30 * time.Millisecond  // over which dispatchers ask after the same news
 	pause  = 100 * time.Millisecond // after a call that brought nothing
 )
@@ -33,12 +33,12 @@
 type Hooks struct {
 	Name  string
 	Life  uint64
-	Call  func(ctx context.Context, c keeper.Command) (keeper.Result, error) // one call of one keeper, bounded
-	Gate  platform.Gate                                                      // whether new work is admitted now
-	Now   func() time.Duration                                               // the clock that stays are told by
+	Call  func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) // one call of one keeper, bounded
+	Gate  httpfront.Gate                                                                 // whether new work is admitted now
+	Now   func() time.Duration                                                           // the clock that stays are told by
 	Log   func(line string)
 	Live  *config.Live
-	Lines *platform.WorkerConns
+	Lines *httpfront.WorkerConns
 }
 
 // Runner is one dispatcher's.
@@ -47,7 +47,7 @@
 	b *broker.Broker
 
 	mu      sync.Mutex
-	hand    *hand.Hand
+	hand    *claimant.Hand
 	out     map[uint64]*run
 	pools   *pool.Set
 	bound   bool // the policy in force has workflows
@@ -71,7 +71,7 @@
 
 // New makes a runner that claims nothing until a policy has workflows.
 func New(b *broker.Broker, h Hooks) *Runner {
-	r := &Runner{h: h, b: b, hand: hand.New(h.Name, h.Life), out: map[uint64]*run{}, changed: make(chan struct{}), poke: make(chan struct{}, 1), want: make(chan struct{}, 1)}
+	r := &Runner{h: h, b: b, hand: claimant.New(h.Name, h.Life), out: map[uint64]*run{}, changed: make(chan struct{}), poke: make(chan struct{}, 1), want: make(chan struct{}, 1)}
 	r.lapse = time.AfterFunc(time.Hour, r.lapsed)
 	return r
 }
@@ -160,7 +160,7 @@
 	_, _, admits := r.h.Gate()
 	r.mu.Lock()
 	held, doubts := r.hand.Held(), r.hand.Doubts()
-	room := hand.Room{Held: held, Running: max(len(r.out)-s.StepsWaiting, 0), Fresh: s.Open - s.Steps, Waiting: s.Waiting, Share: r.share}
+	room := claimant.Room{Held: held, Running: max(len(r.out)-s.StepsWaiting, 0), Fresh: s.Open - s.Steps, Waiting: s.Waiting, Share: r.share}
 	want := room.Want()
 	if !r.bound || r.closing || !admits || !any {
 		want = 0
@@ -175,7 +175,7 @@
 	told := r.h.Now()
 	c, asked := r.hand.Claim(told, want, append(r.pools.Names(serving), ""))
 	r.mu.Unlock()
-	a, ok := r.call(ctx, &ledger.Command{Claim: c})
+	a, ok := r.call(ctx, &claims.Command{Claim: c})
 	if !ok {
 		time.AfterFunc(pause, func() { signal(r.want) })
 		return false
@@ -208,13 +208,13 @@
 }
 
 // call has one command carried out; false: it is not known to be.
-func (r *Runner) call(ctx context.Context, c *ledger.Command) (a ledger.Answer, ok bool) {
-	res, err := r.h.Call(ctx, keeper.Command{Flow: c})
+func (r *Runner) call(ctx context.Context, c *claims.Command) (a claims.Answer, ok bool) {
+	res, err := r.h.Call(ctx, statemachine.Command{Flow: c})
 	switch {
 	case err != nil:
 		return a, false // its lease's own calls say so
 	case res.Flow == nil:
-		if res.Code == (&ledger.LeaseError{}).Code() {
+		if res.Code == (&claims.LeaseError{}).Code() {
 			r.mu.Lock()
 			r.hand.Doubt()
 			r.doubt()
@@ -231,7 +231,7 @@
 func (r *Runner) say(ctx context.Context) {
 	for {
 		r.mu.Lock()
-		var c *ledger.Command
+		var c *claims.Command
 		if r.hand.Look(r.h.Now()) {
 			c = r.hand.Say(words)
 		}
--- a/internal/serve/flows/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -1,4 +1,4 @@
-package flows
+package workflowsteps
 
 // This file owns one step at this dispatcher, from its claim to its end. It must never let more than
 // one try of a claim reach a worker.
@@ -10,31 +10,31 @@
 	"slices"
 	"time"
 
-	"yardflow"
-	"yardflow/internal/broker"
-	"yardflow/internal/fleet/flow/expand"
-	"yardflow/internal/fleet/flow/ledger"
-	"yardflow/internal/fleet/flow/template"
-	"yardflow/internal/ops/fault"
-	"yardflow/internal/platform"
+	"yardflow/internal/fleet/workflow/claims"
+	"yardflow/internal/fleet/workflow/expansion"
+	"yardflow/internal/fleet/workflow/template"
+	"yardflow/internal/gateway/broker"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/platform/fault"
+	"yardflow/scheduling/dispatch"
 )
 
 // job is what a worker is sent of a step.
 type job struct {
-	Flow    string                  `json:"flow"`
-	Step    string                  `json:"step"`
-	Items   []string                `json:"items,omitempty"`
-	Results map[string]string       `json:"results,omitempty"`
-	Tallies map[string]expand.Tally `json:"tallies,omitempty"`
+	Flow    string                     `json:"flow"`
+	Step    string                     `json:"step"`
+	Items   []string                   `json:"items,omitempty"`
+	Results map[string]string          `json:"results,omitempty"`
+	Tallies map[string]expansion.Tally `json:"tallies,omitempty"`
 }
 
 // key names a step, the same for all its tries.
-func key(t *ledger.Task) string {
+func key(t *claims.Task) string {
 	return fmt.Sprintf("%s/%s%v", t.Flow, t.Step, t.Ref.Path)
 }
 
 // step carries one step to its end.
-func (r *Runner) step(ctx context.Context, o *run, t ledger.Task, told time.Duration) {
+func (r *Runner) step(ctx context.Context, o *run, t claims.Task, told time.Duration) {
 	defer o.stop()
 	e := r.carry(ctx, o, &t, told)
 	e.No = t.No
@@ -45,7 +45,7 @@
 	signal(r.poke)
 }
 
-func (r *Runner) carry(ctx context.Context, o *run, t *ledger.Task, told time.Duration) ledger.Ended {
+func (r *Runner) carry(ctx context.Context, o *run, t *claims.Task, told time.Duration) claims.Ended {
 	cfg := r.h.Live.Get()
 	class, tenant := slices.Index(cfg.Classes, t.Class), 0
 	if len(cfg.Tenants) > 0 {
@@ -53,39 +53,39 @@
 	}
 	if class < 0 || tenant < 0 {
 		r.h.Log("flows: " + fault.Text(&SettingsError{t}))
-		return ledger.Ended{How: ledger.Back, After: 2 * time.Second} // another's settings may have them
+		return claims.Ended{How: claims.Back, After: 2 * time.Second} // another's settings may have them
 	}
 	c := &cfg.Module.Classes[class]
 	version, at, admits := r.h.Gate()
 	r.mu.Lock()
 	bit := r.pools.Bit(t.Pool)
-	o.once = c.Semantics == linnetlift.Fragile
+	o.once = c.Semantics == dispatch.Fragile
 	r.mu.Unlock()
 	switch {
-	case t.Doubt && c.Semantics != linnetlift.Retryable:
-		return ledger.Ended{How: ledger.Unknown, Why: "it may have run before the keepers were restored"}
+	case t.Doubt && c.Semantics != dispatch.Retryable:
+		return claims.Ended{How: claims.Unknown, Why: "it may have run before the keepers were restored"}
 	case !admits || t.Pool != "" && bit == 0:
-		return ledger.Ended{How: ledger.Back, After: time.Second}
+		return claims.Ended{How: claims.Back, After: time.Second}
 	}
 	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Aged, Pools: bit, Policy: version, Admitted: at,
 		Deadline: time.Now().Add(c.Deadline)}
-	if c.Semantics == linnetlift.Dedup && t.Left > 0 {
+	if c.Semantics == dispatch.Dedup && t.Left > 0 {
 		left := t.Left - (r.h.Now() - told)
 		if left <= 0 {
-			return ledger.Ended{How: ledger.Unknown, Why: "the time is over in which it may be repeated"}
+			return claims.Ended{How: claims.Unknown, Why: "the time is over in which it may be repeated"}
 		}
-		q.Ran, q.RanFor = &linnetlift.Worker{Zone: t.Cell - 1, Cell: t.Cell - 1}, max(c.Window-left, 0)
+		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.Cell - 1, Cell: t.Cell - 1}, max(c.Window-left, 0)
 		q.Deadline = time.Now().Add(min(c.Deadline, left))
 	}
 	body, err := json.Marshal(job{t.Flow, t.Step, t.Values, t.Results, t.Tallies})
 	if err != nil {
-		return ledger.Ended{How: ledger.Failed, Why: err.Error()}
+		return claims.Ended{How: claims.Failed, Why: err.Error()}
 	}
-	j := platform.Job{ID: fmt.Sprintf("%s#%d", key(t), t.No), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.No) }}
-	if c.Semantics == linnetlift.Dedup {
+	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.No), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.No) }}
+	if c.Semantics == dispatch.Dedup {
 		j.Key = key(t)
 	}
-	s := platform.NewJob(cfg, j, q)
+	s := httpfront.NewJob(cfg, j, q)
 	do := r.h.Lines.Do(s)
 	var last *broker.Outcome // of the one try that may have run
 	answer := r.b.Serve(ctx, q, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
@@ -107,38 +107,38 @@
 }
 
 // ended words how a step has ended.
-func ended(t *ledger.Task, c *linnetlift.Class, answer broker.Answer, last *broker.Outcome) ledger.Ended {
-	e := ledger.Ended{Repeats: c.Semantics != linnetlift.Fragile}
+func ended(t *claims.Task, c *dispatch.Class, answer broker.Answer, last *broker.Outcome) claims.Ended {
+	e := claims.Ended{Repeats: c.Semantics != dispatch.Fragile}
 	switch {
 	case last == nil:
-		e.How, e.After = ledger.Back, max(answer.ComeBack, pause)
+		e.How, e.After = claims.Back, max(answer.ComeBack, pause)
 	case last.Code == broker.OK && t.Takes && len(last.Result) > template.MaxResult:
-		e.How, e.Repeats, e.Why = ledger.Failed, false, fault.Text(&ledger.ResultError{Step: t.Step, Bytes: len(last.Result), Most: template.MaxResult})
+		e.How, e.Repeats, e.Why = claims.Failed, false, fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(last.Result), Most: template.MaxResult})
 	case last.Code == broker.OK:
-		if e.How = ledger.Done; t.Takes {
+		if e.How = claims.Done; t.Takes {
 			e.Result = last.Result
 		}
 	case last.Code == broker.Rejected:
-		e.How, e.Repeats, e.Why = ledger.Failed, false, "the worker found it unusable"
+		e.How, e.Repeats, e.Why = claims.Failed, false, "the worker found it unusable"
 	case last.Code == broker.Failed:
-		e.How, e.Why = ledger.Failed, "the worker says that it has failed"
+		e.How, e.Why = claims.Failed, "the worker says that it has failed"
 	case last.Code == broker.TimedOut:
-		e.How, e.Why = ledger.Unknown, "no answer in its time"
+		e.How, e.Why = claims.Unknown, "no answer in its time"
 	default:
-		e.How, e.Why = ledger.Unknown, "its connection broke"
+		e.How, e.Why = claims.Unknown, "its connection broke"
 	}
 	return e
 }
 
 // mark has the keepers write that a step may run at a worker; true once they have.
-func (r *Runner) mark(ctx context.Context, t *ledger.Task, c *linnetlift.Class, a *broker.Attempt) bool {
-	m := ledger.Marked{No: t.No, Once: c.Semantics == linnetlift.Fragile, Anew: t.Left == 0}
-	if c.Semantics == linnetlift.Dedup {
+func (r *Runner) mark(ctx context.Context, t *claims.Task, c *dispatch.Class, a *broker.Attempt) bool {
+	m := claims.Marked{No: t.No, Once: c.Semantics == dispatch.Fragile, Anew: t.Left == 0}
+	if c.Semantics == dispatch.Dedup {
 		m.Window = c.Window * 9 / 10 // as long as the module would send it again
 		switch c.Scope {
-		case linnetlift.ScopeCell:
+		case dispatch.ScopeCell:
 			m.Cell = a.Cell + 1
-		case linnetlift.ScopeZone:
+		case dispatch.ScopeZone:
 			m.Cell = a.Zone + 1
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/platform/config/config.go
@@ -21,7 +21,7 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow"
+	"yardflow/scheduling/dispatch"
 )
 
 // Config is all that a dispatcher is told at its start.
@@ -36,7 +36,7 @@
 	Known                   json.RawMessage // the server table as last had, in discovery's form
 	KnownIsFresh            bool            // a process that runs has handed it over, and not the configuration
 
-	Module                         linnetlift.Settings
+	Module                         dispatch.Settings
 	Classes, Tenants, Zones, Kinds []string
 	Columns                        []string // names of the values in a load report, in the module's order
 	ConnectTimeout, IdleClose      time.Duration
--- a/internal/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -15,7 +15,7 @@
 // base is a sound configuration; edit changes its text before it is read.
 func load(t *testing.T, edit [2]string, sse string, env map[string]string) (*Config, error) {
 	t.Helper()
-	settings, err := os.ReadFile("../../cmd/yardflow/testdata/settings.json")
+	settings, err := os.ReadFile("../../../cmd/yardflow/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 
 // What ships must be sound, and off.
 func TestShippedFileIsOff(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/yardflow.toml")
+	text, err := os.ReadFile("../../../deploy/yardflow.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := os.ReadFile("../../cmd/yardflow/testdata/settings.json")
+	settings, err := os.ReadFile("../../../cmd/yardflow/testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/operator.go
+++ b/internal/platform/config/operator.go
@@ -20,9 +20,9 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"yardflow/internal/membership"
-	"yardflow/internal/room"
-	"yardflow/internal/srv"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/discovery/srv"
+	"yardflow/scheduling/backfill"
 )
 
 // Membership is how the sources of loan workers are merged.
@@ -113,7 +113,7 @@
 func (c *Config) loadOperator(path string) error {
 	c.SSE = defaultSSE()
 	c.Membership = DefaultMembership()
-	d := room.Default()
+	d := backfill.Default()
 	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Room{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.Most,
 		Longest: Duration{d.Longest}, Budget: d.Budget, SmallWait: Duration{d.SmallWait}, Large: d.Large}}
 	*in.SSE = c.SSE
@@ -325,7 +325,7 @@
 
 // holdRoom checks [room], on or off, and hands it to the module where it is on.
 func (c *Config) holdRoom(in Room) error {
-	s := room.Settings{Mode: room.Mode(in.Mode), Quantile: in.Quantile, Most: in.Most, Longest: in.Longest.Duration,
+	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, Most: in.Most, Longest: in.Longest.Duration,
 		Budget: in.Budget, SmallWait: in.SmallWait.Duration, Large: in.Large}
 	if err := s.Check(); err != nil {
 		key, what, _ := strings.Cut(err.Error(), ": ")
--- a/internal/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"yardflow"
+	"yardflow/scheduling/dispatch"
 )
 
 // settings mirrors the keys of the start message that bear on decisions.
@@ -48,18 +48,18 @@
 	}
 }
 
-var loadFields = map[string]linnetlift.LoadField{
-	"active": linnetlift.LoadActive, "waiting": linnetlift.LoadWaiting, "avg_ms": linnetlift.LoadServiceMs,
-	"rps": linnetlift.LoadRate, "err_rps": linnetlift.LoadErrorRate,
+var loadFields = map[string]dispatch.LoadField{
+	"active": dispatch.LoadActive, "waiting": dispatch.LoadWaiting, "avg_ms": dispatch.LoadServiceMs,
+	"rps": dispatch.LoadRate, "err_rps": dispatch.LoadErrorRate,
 }
 
-func ParseSettings(text []byte) (linnetlift.Settings, error) {
+func ParseSettings(text []byte) (dispatch.Settings, error) {
 	var in settings
-	var out linnetlift.Settings
+	var out dispatch.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return out, err
 	}
-	out = linnetlift.Settings{
+	out = dispatch.Settings{
 		Me: in.MyNumber, Dispatchers: in.Balancers, Zone: in.Zone,
 		OverShareWorth: in.OverShareWorth, WorthByWork: in.CountedBy == "work",
 		Round: Ms(in.RoundMs), TellsStart: in.Extra.TellsStart, Progress: Ms(in.Extra.ProgressMs),
@@ -75,7 +75,7 @@
 		out.MaxRetryAfter = Ms(in.Limits.MaxRetryAfterMs)
 	}
 	for i, c := range in.Classes {
-		class := linnetlift.Class{Name: c.Name, Aim: Ms(c.AimMs), Stretch: c.AimStretch, Deadline: Ms(c.DeadlineMs),
+		class := dispatch.Class{Name: c.Name, Aim: Ms(c.AimMs), Stretch: c.AimStretch, Deadline: Ms(c.DeadlineMs),
 			Worth: c.Worth, LateShare: c.LateShare, Window: Ms(c.WindowMs), Kind: -1, Stream: c.Stream}
 		if i < len(in.Extra.ClassKind) {
 			class.Kind = in.Extra.ClassKind[i]
@@ -88,33 +88,33 @@
 		}
 		switch c.Semantics {
 		case "retryable":
-			class.Semantics = linnetlift.Retryable
+			class.Semantics = dispatch.Retryable
 		case "dedup":
-			class.Semantics = linnetlift.Dedup
+			class.Semantics = dispatch.Dedup
 		case "fragile":
-			class.Semantics = linnetlift.Fragile
+			class.Semantics = dispatch.Fragile
 		default:
 			return out, fmt.Errorf("class %d has semantics %q", i, c.Semantics)
 		}
 		switch c.DedupScope {
 		case "zone":
-			class.Scope = linnetlift.ScopeZone
+			class.Scope = dispatch.ScopeZone
 		case "cell":
-			class.Scope = linnetlift.ScopeCell
+			class.Scope = dispatch.ScopeCell
 		}
 		out.Classes = append(out.Classes, class)
 	}
 	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, linnetlift.Tenant{Name: t.Name, Quota: t.QuotaRps})
+		out.Tenants = append(out.Tenants, dispatch.Tenant{Name: t.Name, Quota: t.QuotaRps})
 	}
 	if in.LoadInfo.Via != "off" {
 		for _, name := range in.LoadInfo.Columns {
 			f := loadFields[name]
 			switch {
 			case name == "x0":
-				f = linnetlift.LoadFreeSlots
+				f = dispatch.LoadFreeSlots
 			case name == "x1":
-				f = linnetlift.LoadFreeMemory
+				f = dispatch.LoadFreeMemory
 			}
 			out.LoadFields = append(out.LoadFields, f)
 		}
--- a/internal/haproxy/haproxy_test.go
+++ b/internal/platform/haproxy/haproxy_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"yardflow"
-	"yardflow/internal/config"
+	"yardflow/internal/platform/config"
+	"yardflow/scheduling/dispatch"
 )
 
 // What is imported is a configuration that the program takes, and every
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal("the program does not take it:", err)
 			}
-			if _, err := linnetlift.New(cfg.Module, 1); err != nil {
+			if _, err := dispatch.New(cfg.Module, 1); err != nil {
 				t.Fatal("the module does not take it:", err)
 			}
 			var got strings.Builder
--- a/internal/emulator/processes.go
+++ b/internal/testing/emulator/processes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yardflow/internal/control/server"
-	"yardflow/internal/dataplane"
+	"yardflow/internal/dispatcher"
 )
 
 // core is a control machine.
@@ -140,7 +140,7 @@
 	s := d.yard.settings(d.name, d.zone)
 	s.Listen.Front = d.yard.Address(d.name)
 	machine := d.yard.Network.Machine(d.name)
-	dispatcher := dataplane.New(s, machine, d.yard.logger.With().Str("node", d.name).Logger())
+	dispatcher := dispatcher.New(s, machine, d.yard.logger.With().Str("node", d.name).Logger())
 	listener, _ := machine.Listen(s.Listen.Front)
 	d.http = &http.Server{Handler: dispatcher}
 	d.stop = make(chan struct{})
