--- a/scheduling/taskrun/taskrun.go
+++ b/scheduling/taskrun/taskrun.go
@@ -16,9 +16,9 @@
 	Done EndReason = iota
 	Failed
 	Stopped
-	Lapsed // its lease at the worker expired
-	Broken // a member of its gang ended
-	Alone  // members of its gang did not start in time
+	Lapsed     // its lease at the worker expired
+	Broken     // a member of its gang ended
+	Alone      // members of its gang did not start in time
 	NotStarted // it has not run, and never will
 	Lost       // its worker is gone, or no longer knows of it
 )
