--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -110,30 +110,30 @@
 				ID: dispatch.WorkerID(t.Worker), Zone: int(t.Zone), Kind: int(t.Kind), Cell: int(t.Cell),
 				State: state(t.Status), Weight: float64(t.Capacity), Launched: ms(t.LaunchedMillis)})
 		}
-		d.List(now, form(e.Form), h.workers, h)
+		d.UpdateWorkers(now, form(e.Form), h.workers, h)
 	case simwire.Ask:
-		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), Left: ms(e.LeftMs),
-			Slots: float64(e.Slots), Memory: float64(e.Memory), Retry: e.Flags&simwire.FlagRetry != 0}
+		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), TimeLeft: ms(e.LeftMs),
+			Slots: float64(e.Slots), Memory: float64(e.Memory), ClientRetry: e.Flags&simwire.FlagRetry != 0}
 		if e.Flags&simwire.FlagHint != 0 {
-			r.Hint = ms(e.HintMs)
+			r.WorkHint = ms(e.HintMs)
 		}
 		d.Arrive(now, r, h)
 	case simwire.HeadReceived:
 		d.StreamStarted(now, id, int(e.Copy), h)
 	case simwire.Settled:
-		d.Outcome(now, dispatch.Outcome{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
-			Code: code(e.State), Latency: ms(e.Latency), Ended: e.Ended, Load: h.floats(e.Load)}, h)
+		d.AttemptEnded(now, dispatch.Outcome{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
+			Code: code(e.State), Latency: ms(e.Latency), Answered: e.Ended, Load: h.floats(e.Load)}, h)
 	case simwire.TimedOutClient:
-		d.ClientGone(now, id, h)
+		d.ClientDisconnected(now, id, h)
 	case simwire.Alarm:
 		d.Timer(now, e.Tag, h)
 	case simwire.Pong:
-		d.Probed(now, dispatch.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
+		d.ProbeAnswered(now, dispatch.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
 	case simwire.PeerData:
 		d.PeerMessage(now, int(e.Sender), e.Content, h)
 	case simwire.HintUpdate:
-		d.Note(now, dispatch.Note{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
-			Kind: note(e.Topic), Share: float64(e.Value)}, h)
+		d.Notify(now, dispatch.Notification{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
+			Kind: note(e.Topic), FractionDone: float64(e.Value)}, h)
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	h.reply.SubmitTo(uint64(id), simwire.Worker(w), millis(within))
 }
 
-func (h *host) Refuse(id dispatch.RequestID, comeBack time.Duration) {
+func (h *host) Reject(id dispatch.RequestID, comeBack time.Duration) {
 	h.name()
 	h.reply.SayNo(uint64(id), millis(comeBack))
 }
@@ -189,7 +189,7 @@
 	h.reply.AskLoad(simwire.Worker(w))
 }
 
-func (h *host) Tell(msg []byte) {
+func (h *host) Broadcast(msg []byte) {
 	h.name()
 	h.reply.Announce(msg)
 }
@@ -207,7 +207,7 @@
 	case 0:
 		return dispatch.Ready
 	case 2:
-		return dispatch.Gone
+		return dispatch.Removed
 	}
 	return dispatch.Draining // an unknown state is not one to send to
 }
@@ -224,14 +224,14 @@
 	return dispatch.ListFailed
 }
 
-func note(t uint8) dispatch.NoteKind {
+func note(t uint8) dispatch.NotificationKind {
 	switch t {
 	case 1:
-		return dispatch.NoteStarted
+		return dispatch.NotificationStarted
 	case 2:
-		return dispatch.NoteProgress
+		return dispatch.NotificationProgress
 	}
-	return dispatch.NoteOther
+	return dispatch.NotificationOther
 }
 
 func code(c uint16) dispatch.Code {
@@ -243,11 +243,11 @@
 	case 4:
 		return dispatch.TimedOut
 	case 8:
-		return dispatch.Full
+		return dispatch.Rejected
 	case 9:
-		return dispatch.NeverSent
+		return dispatch.NotSent
 	case 10:
-		return dispatch.Broken
+		return dispatch.ConnectionLost
 	case 13:
 		return dispatch.Failed
 	case 14:
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -36,7 +36,7 @@
 			return
 		}
 		fmt.Fprintln(os.Stderr, "yard:", err)
-		var fault *settings.Fault
+		var fault *settings.InvalidError
 		if errors.As(err, &fault) {
 			os.Exit(exitSettings)
 		}
@@ -50,7 +50,7 @@
 	sub := func(name, help string, run func(s *settings.Settings, logger zerolog.Logger) error) *ffcli.Command {
 		return &ffcli.Command{Name: name, ShortUsage: "yard [flags] " + name, ShortHelp: help,
 			Exec: func(context.Context, []string) error {
-				s, err := settings.Load(os.Getenv(settings.Variable))
+				s, err := settings.Load(os.Getenv(settings.PathVariable))
 				if err != nil {
 					return errors.Trace(err)
 				}
@@ -60,7 +60,7 @@
 	return &ffcli.Command{
 		Name:       "yard",
 		ShortUsage: "yard [flags] <subcommand>",
-		LongHelp:   "The settings file is named by the environment variable " + settings.Variable + ".",
+		LongHelp:   "The settings file is named by the environment variable " + settings.PathVariable + ".",
 		FlagSet:    flags,
 		Subcommands: []*ffcli.Command{
 			sub("dispatcher", "take jobs in and own workers, on a front machine", runDispatcher),
@@ -140,7 +140,7 @@
 		return err
 	case <-stop:
 	}
-	process.Leave()
+	process.LeaveChain()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	listener.Shutdown(ctx)
--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -39,7 +39,7 @@
 		own.Membership.Rule = doc.Rule
 	}
 	if doc.Room != nil {
-		own.Module.Room = doc.Room.Settings()
+		own.Module.Backfill = doc.Room.Settings()
 	}
 	if len(doc.Contract) > 0 {
 		own.SSE.Contracts = nil
@@ -158,9 +158,9 @@
 	// waited for as long as a list may be old. Else but a moment.
 	patience := time.Second
 	if fence == statemachine.Refuse {
-		patience = max(cfg.Module.AskWithin, patience)
+		patience = max(cfg.Module.ListRefreshInterval, patience)
 	}
-	n.starts = coldstart.NewDesk(n.deskNow, patience+backoff.First(cfg.Module.Dispatchers, rand.Float64()))
+	n.starts = coldstart.NewDesk(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
 	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.Last {
 		if p, ok := n.lastPolicy(kept); ok {
 			half.Restore(p)
--- a/cmd/yardflow/door.go
+++ b/cmd/yardflow/door.go
@@ -47,11 +47,11 @@
 		return "", err
 	}
 	out := []string{fmt.Sprintf("%d held, %.2f%% of the slot time idle by it; since the start %d made, %d used, %d lapsed, %d jobs backfilled, %d kept waiting",
-		len(held.Reservations), 100*held.Idle, held.Made, held.Kept, held.Lapsed, held.Backfilled, held.Denied)}
+		len(held.Reservations), 100*held.IdleShare, held.Created, held.Fulfilled, held.Expired, held.Backfilled, held.Delayed)}
 	clock := func(at time.Duration) string { return d.n.broker.Clock(at).UTC().Format("15:04:05.000") }
 	for _, r := range held.Reservations {
 		out = append(out, fmt.Sprintf("%v slots at %s for job %d since %s, free by %s, until %s, %.1f slot seconds idle", r.Slots,
-			d.n.broker.Name(dispatch.WorkerID(r.Worker)), r.Job, clock(r.Made), clock(r.Shadow), clock(r.Until), r.Idle))
+			d.n.broker.Name(dispatch.WorkerID(r.Worker)), r.Job, clock(r.CreatedAt), clock(r.ShadowTime), clock(r.ExpiresAt), r.IdleSlotSeconds))
 	}
 	return strings.Join(out, "; "), nil
 }
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -29,7 +29,7 @@
 type Read struct {
 	Origin MemberID `cbor:"1,keyasint"`
 	Tag    uint64   `cbor:"2,keyasint"`
-	At     uint64   `cbor:"3,keyasint"` // it may be answered once this entry is applied
+	Index  uint64   `cbor:"3,keyasint"` // it may be answered once this entry is applied
 }
 
 // Proposal is what a replica wants the head to order.
@@ -42,26 +42,26 @@
 
 // Append goes from a member to its successor.
 type Append struct {
-	Epoch     uint64  `cbor:"1,keyasint"`
-	PrevIndex uint64  `cbor:"2,keyasint"`
-	PrevEpoch uint64  `cbor:"3,keyasint"`
-	Entries   []Entry `cbor:"4,keyasint,omitempty"`
-	Synced    uint64  `cbor:"5,keyasint"` // all members before the receiver have it durable up to here
-	Start     uint64  `cbor:"6,keyasint"` // the head's last entry when the view began
-	Reads     []Read  `cbor:"7,keyasint,omitempty"`
-	Committed uint64  `cbor:"8,keyasint,omitempty"` // to followers
-	Confirmed []Read  `cbor:"9,keyasint,omitempty"` // reads of followers that have passed all writers
+	Epoch          uint64  `cbor:"1,keyasint"`
+	PrevIndex      uint64  `cbor:"2,keyasint"`
+	PrevEpoch      uint64  `cbor:"3,keyasint"`
+	Entries        []Entry `cbor:"4,keyasint,omitempty"`
+	Synced         uint64  `cbor:"5,keyasint"` // all members before the receiver have it durable up to here
+	ViewStart      uint64  `cbor:"6,keyasint"` // the head's last entry when the view began
+	PendingReads   []Read  `cbor:"7,keyasint,omitempty"`
+	CommitIndex    uint64  `cbor:"8,keyasint,omitempty"` // to followers
+	ConfirmedReads []Read  `cbor:"9,keyasint,omitempty"` // reads of followers that have passed all writers
 }
 
 // Ack goes from a member to its predecessor.
 type Ack struct {
-	Epoch     uint64 `cbor:"1,keyasint"`
-	Received  uint64 `cbor:"2,keyasint"`
-	Rejected  bool   `cbor:"3,keyasint,omitempty"` // the logs differ at Previous; go on behind Received
-	Previous  uint64 `cbor:"6,keyasint,omitempty"` // of the Append that is rejected
-	Committed uint64 `cbor:"4,keyasint"`
-	Reads     []Read `cbor:"5,keyasint,omitempty"`
-	Diverged  bool   `cbor:"7,keyasint,omitempty"` // the receiver's log contradicts what is committed here; no part is taken
+	Epoch          uint64 `cbor:"1,keyasint"`
+	Received       uint64 `cbor:"2,keyasint"`
+	Rejected       bool   `cbor:"3,keyasint,omitempty"` // the logs differ at Previous; go on behind Received
+	RejectedIndex  uint64 `cbor:"6,keyasint,omitempty"` // of the Append that is rejected
+	CommitIndex    uint64 `cbor:"4,keyasint"`
+	ConfirmedReads []Read `cbor:"5,keyasint,omitempty"`
+	Diverged       bool   `cbor:"7,keyasint,omitempty"` // the receiver's log contradicts what is committed here; no part is taken
 }
 
 // Snapshot brings a member up to an index that its predecessor's log has no more.
@@ -81,13 +81,13 @@
 
 // View is the membership in force, as far as the chain needs it.
 type View struct {
-	Epoch   uint64
-	Members []MemberID
-	Writers int // members at the front that must have an entry durable before it is committed; 0: all
+	Epoch       uint64
+	Members     []MemberID
+	WriterCount int // members at the front that must have an entry durable before it is committed; 0: all
 }
 
-// Send is a message for another member.
-type Send struct {
+// Envelope is a message for another member.
+type Envelope struct {
 	To      MemberID
 	Message Message
 }
@@ -98,14 +98,14 @@
 	Generation uint64
 }
 
-// Output is what the host has to carry out, in the order of the fields.
-type Output struct {
-	Restore   *Snapshot // replace state and log by this, and call Restored once it is durable
-	Writes    []Write
-	Sends     []Send
-	Committed []Entry
-	Reads     []Read // of this replica's own, to be answered after Committed
-	Complete  bool   // the view's log is here: persist that, and call CompletePersisted
+// Ready is what the host has to carry out, in the order of the fields.
+type Ready struct {
+	Snapshot            *Snapshot // replace state and log by this, and call Restored once it is durable
+	Writes              []Write
+	Messages            []Envelope
+	CommittedEntries    []Entry
+	ConfirmedReads      []Read // of this replica's own, to be answered after Committed
+	PersistCompleteness bool   // the view's log is here: persist that, and call CompletenessPersisted
 }
 
 // maxBatch bounds the bytes of entries in one Append, and maxFlight those without an acknowledgement.
@@ -150,7 +150,7 @@
 	pending   []Read // reads to pass on
 	held      []Read // reads that have passed all writers and wait for their entry
 	confirmed []Read // of these, reads to pass on to followers
-	out       Output
+	out       Ready
 	wantsSend bool
 	ackDue    bool
 	ackReads  []Read
@@ -161,16 +161,16 @@
 func New(me MemberID, minimum int, base Snapshot, log []Entry, committed uint64) *Replica {
 	r := &Replica{me: me, minimum: minimum, position: -1, base: base.Index, baseEpoch: base.IndexEpoch,
 		baseData: base.Data, log: log}
-	r.synced = r.Last()
-	r.committed = max(base.Index, min(committed, r.Last()))
+	r.synced = r.LastIndex()
+	r.committed = max(base.Index, min(committed, r.LastIndex()))
 	return r
 }
 
-// Last returns the index of the last entry.
-func (r *Replica) Last() uint64 { return r.base + uint64(len(r.log)) }
+// LastIndex returns the index of the last entry.
+func (r *Replica) LastIndex() uint64 { return r.base + uint64(len(r.log)) }
 
-// Committed returns the index up to which entries are committed as far as this replica knows.
-func (r *Replica) Committed() uint64 { return r.committed }
+// CommitIndex returns the index up to which entries are committed as far as this replica knows.
+func (r *Replica) CommitIndex() uint64 { return r.committed }
 
 // Epoch returns the epoch of the view in force here.
 func (r *Replica) Epoch() uint64 { return r.view.Epoch }
@@ -184,8 +184,8 @@
 // IsComplete reports whether all entries of the view's beginning are here.
 func (r *Replica) IsComplete() bool { return r.complete }
 
-// Serves reports whether the replica's state follows what is committed.
-func (r *Replica) Serves() bool {
+// IsServing reports whether the replica's state follows what is committed.
+func (r *Replica) IsServing() bool {
 	return r.diverged == nil && r.position >= 0 && r.complete && len(r.view.Members) >= r.minimum && r.committed >= r.start
 }
 
@@ -199,10 +199,10 @@
 
 // writers returns how many members at the front must have an entry durable before it is committed.
 func (r *Replica) writers() int {
-	if r.view.Writers == 0 {
+	if r.view.WriterCount == 0 {
 		return len(r.view.Members)
 	}
-	return min(r.view.Writers, len(r.view.Members))
+	return min(r.view.WriterCount, len(r.view.Members))
 }
 
 // isTail reports whether this replica is the last of the writers, which commits.
@@ -230,7 +230,7 @@
 	switch {
 	case index == r.base:
 		return r.baseEpoch
-	case index < r.base || index > r.Last():
+	case index < r.base || index > r.LastIndex():
 		return 0
 	}
 	return r.log[index-r.base-1].Epoch
@@ -241,16 +241,16 @@
 	if view.Epoch <= r.view.Epoch {
 		return
 	}
-	r.view = View{view.Epoch, slices.Clone(view.Members), view.Writers}
+	r.view = View{view.Epoch, slices.Clone(view.Members), view.WriterCount}
 	r.position = slices.Index(view.Members, r.me)
 	r.received, r.before, r.acked, r.toldSync, r.ackedAt = 0, 0, 0, 0, 0
 	r.started, r.complete, r.completing, r.start = false, false, false, 0
 	r.rewound, r.refused = false, false
 	r.flight = flight{}
 	r.pending, r.held, r.confirmed, r.ackReads = nil, nil, nil, nil
-	r.next = r.Last() + 1
+	r.next = r.LastIndex() + 1
 	if r.IsHead() {
-		r.received, r.start, r.started = r.Last(), r.Last(), true
+		r.received, r.start, r.started = r.LastIndex(), r.LastIndex(), true
 		r.wantsSend = true
 	}
 	r.advance()
@@ -264,15 +264,15 @@
 	var entries []Entry
 	for _, proposal := range proposals {
 		if proposal.Read {
-			r.pending = append(r.pending, Read{proposal.Origin, proposal.Tag, r.Last()})
+			r.pending = append(r.pending, Read{proposal.Origin, proposal.Tag, r.LastIndex()})
 			continue
 		}
-		entry := Entry{r.Last() + 1, r.view.Epoch, proposal.Origin, proposal.Tag, proposal.Data}
+		entry := Entry{r.LastIndex() + 1, r.view.Epoch, proposal.Origin, proposal.Tag, proposal.Data}
 		r.log = append(r.log, entry)
 		entries = append(entries, entry)
 	}
 	if len(entries) > 0 {
-		r.received = r.Last()
+		r.received = r.LastIndex()
 		r.out.Writes = append(r.out.Writes, Write{entries, r.generation})
 	}
 	r.wantsSend = true
@@ -280,12 +280,12 @@
 	return true
 }
 
-// Written tells that entries of a Write are durable up to the index.
-func (r *Replica) Written(index, generation uint64) {
+// EntriesPersisted tells that entries of a Write are durable up to the index.
+func (r *Replica) EntriesPersisted(index, generation uint64) {
 	if generation != r.generation || index <= r.synced {
 		return
 	}
-	r.synced = min(index, r.Last())
+	r.synced = min(index, r.LastIndex())
 	r.advance()
 }
 
@@ -307,7 +307,7 @@
 		return
 	}
 	if r.started && !r.completing && min(r.synced, r.received) >= r.start {
-		r.completing, r.out.Complete = true, true
+		r.completing, r.out.PersistCompleteness = true, true
 	}
 	if r.isTail() && len(r.view.Members) >= r.minimum {
 		if durable := r.durable(); durable > r.committed {
@@ -326,11 +326,11 @@
 
 // releaseReads lets go the reads whose entry is committed, at the tail and behind it.
 func (r *Replica) releaseReads() {
-	if len(r.held) == 0 || !r.Serves() {
+	if len(r.held) == 0 || !r.IsServing() {
 		return
 	}
 	done := 0
-	for done < len(r.held) && r.held[done].At <= r.committed {
+	for done < len(r.held) && r.held[done].Index <= r.committed {
 		done++
 	}
 	reads := r.held[:done]
@@ -343,7 +343,7 @@
 	for _, read := range reads {
 		switch {
 		case read.Origin == r.me:
-			r.out.Reads = append(r.out.Reads, read)
+			r.out.ConfirmedReads = append(r.out.ConfirmedReads, read)
 		case slices.Index(r.view.Members, read.Origin) > r.position:
 			r.confirmed = append(r.confirmed, read)
 			r.wantsSend = true
@@ -358,7 +358,7 @@
 	if index <= r.committed {
 		return
 	}
-	r.out.Committed = append(r.out.Committed, r.log[r.committed-r.base:index-r.base]...)
+	r.out.CommittedEntries = append(r.out.CommittedEntries, r.log[r.committed-r.base:index-r.base]...)
 	r.committed = index
 	if r.isTail() || r.isFollower() {
 		r.wantsSend = true // its successor learns of commits by this member alone
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -27,7 +27,7 @@
 		return
 	}
 	r.ackDue = true
-	known := m.PrevIndex >= r.base && m.PrevIndex <= r.Last() && r.epochOf(m.PrevIndex) == m.PrevEpoch
+	known := m.PrevIndex >= r.base && m.PrevIndex <= r.LastIndex() && r.epochOf(m.PrevIndex) == m.PrevEpoch
 	if m.PrevIndex < r.base && m.PrevIndex+uint64(len(m.Entries)) >= r.base {
 		// What the snapshot covers is committed, so it can't differ. The message stays as it is: it may come twice.
 		rest := *m
@@ -36,8 +36,8 @@
 		m, known = &rest, true
 	}
 	if !known {
-		r.out.Sends = append(r.out.Sends, Send{r.predecessor(), Message{Ack: &Ack{
-			Epoch: r.view.Epoch, Received: r.goOnFrom(m.PrevIndex), Rejected: true, Previous: m.PrevIndex, Committed: r.committed}}})
+		r.out.Messages = append(r.out.Messages, Envelope{r.predecessor(), Message{Ack: &Ack{
+			Epoch: r.view.Epoch, Received: r.goOnFrom(m.PrevIndex), Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.committed}}})
 		return
 	}
 	if fresh := r.enter(m.Entries); len(fresh) > 0 {
@@ -45,22 +45,22 @@
 	}
 	r.received = max(r.received, m.PrevIndex+uint64(len(m.Entries)))
 	r.before = max(r.before, m.Synced)
-	r.start, r.started = m.Start, true
-	r.pending = append(r.pending, m.Reads...)
-	if len(m.Entries) > 0 || len(m.Reads) > 0 {
+	r.start, r.started = m.ViewStart, true
+	r.pending = append(r.pending, m.PendingReads...)
+	if len(m.Entries) > 0 || len(m.PendingReads) > 0 {
 		r.wantsSend = true
 	}
 	if r.isFollower() {
-		r.commit(min(m.Committed, r.received))
-		r.held = append(r.held, m.Confirmed...)
+		r.commit(min(m.CommitIndex, r.received))
+		r.held = append(r.held, m.ConfirmedReads...)
 	}
 	r.advance()
 }
 
 // goOnFrom returns up to where the log here may be the predecessor's too, if it is not at the index.
 func (r *Replica) goOnFrom(index uint64) uint64 {
-	if index > r.Last() {
-		return r.Last()
+	if index > r.LastIndex() {
+		return r.LastIndex()
 	}
 	epoch := r.epochOf(index)
 	for index > r.committed && r.epochOf(index) == epoch {
@@ -92,17 +92,17 @@
 		r.wantsSend = true
 		r.compact()
 	}
-	if m.Committed > r.committed {
-		r.commit(min(m.Committed, r.received))
+	if m.CommitIndex > r.committed {
+		r.commit(min(m.CommitIndex, r.received))
 	}
-	r.finishReads(m.Reads)
+	r.finishReads(m.ConfirmedReads)
 	r.advance()
 }
 
 // rewind goes back to where both logs are the same. Rejections of what was sent
 // before an earlier rewind are passed over.
 func (r *Replica) rewind(m *Ack) {
-	if r.rewound && m.Previous > r.rewoundTo {
+	if r.rewound && m.RejectedIndex > r.rewoundTo {
 		return
 	}
 	r.rewound, r.rewoundTo = true, m.Received
@@ -119,20 +119,20 @@
 	r.synced, r.committed, r.received = 0, m.Index, m.Index
 	r.next = m.Index + 1
 	r.flight = flight{}
-	r.out.Restore = m
+	r.out.Snapshot = m
 	r.ackDue = true
 }
 
-// Restored tells that a snapshot from the predecessor is durable and in force.
-func (r *Replica) Restored(index uint64) {
+// SnapshotPersisted tells that a snapshot from the predecessor is durable and in force.
+func (r *Replica) SnapshotPersisted(index uint64) {
 	if index == r.base {
 		r.synced = max(r.synced, index)
 		r.advance()
 	}
 }
 
-// CompletePersisted tells that completeness in the epoch is durable.
-func (r *Replica) CompletePersisted(epoch uint64) {
+// CompletenessPersisted tells that completeness in the epoch is durable.
+func (r *Replica) CompletenessPersisted(epoch uint64) {
 	if epoch == r.view.Epoch && r.completing {
 		r.complete = true
 		r.wantsSend = true
--- a/coordination/chain/send.go
+++ b/coordination/chain/send.go
@@ -7,7 +7,7 @@
 		return
 	}
 	r.ackedAt++
-	if r.ackedAt >= retry && r.acked < r.Last() {
+	if r.ackedAt >= retry && r.acked < r.LastIndex() {
 		r.next, r.ackedAt, r.rewound = max(r.acked, r.committed)+1, 0, false
 	}
 	r.wantsSend = true
@@ -24,17 +24,17 @@
 	}
 }
 
-// Take returns what is to be carried out since the last call.
-func (r *Replica) Take() Output {
+// Ready returns what is to be carried out since the last call.
+func (r *Replica) Ready() Ready {
 	r.sendAhead()
 	if r.ackDue && r.predecessor() != 0 && r.diverged == nil {
-		r.out.Sends = append(r.out.Sends, Send{r.predecessor(), Message{Ack: &Ack{
-			Epoch: r.view.Epoch, Received: r.received, Committed: r.committed, Reads: r.ackReads}}})
+		r.out.Messages = append(r.out.Messages, Envelope{r.predecessor(), Message{Ack: &Ack{
+			Epoch: r.view.Epoch, Received: r.received, CommitIndex: r.committed, ConfirmedReads: r.ackReads}}})
 		r.ackReads = nil
 	}
 	r.ackDue = false
 	out := r.out
-	r.out = Output{}
+	r.out = Ready{}
 	return out
 }
 
@@ -47,13 +47,13 @@
 	// What the predecessor has not confirmed in this view may yet be replaced by its log.
 	r.next = min(r.next, r.received+1)
 	if r.next <= r.base {
-		r.out.Sends = append(r.out.Sends, Send{r.successor(), Message{Snapshot: &Snapshot{
+		r.out.Messages = append(r.out.Messages, Envelope{r.successor(), Message{Snapshot: &Snapshot{
 			r.view.Epoch, r.base, r.baseEpoch, r.baseData}}})
 		r.next = r.base + 1
 	}
 	for {
 		message := r.nextAppend()
-		r.out.Sends = append(r.out.Sends, Send{r.successor(), Message{Append: message}})
+		r.out.Messages = append(r.out.Messages, Envelope{r.successor(), Message{Append: message}})
 		if len(message.Entries) == 0 || r.next > r.received || r.inFlight() > maxFlight {
 			return
 		}
@@ -62,9 +62,9 @@
 
 func (r *Replica) nextAppend() *Append {
 	message := &Append{Epoch: r.view.Epoch, PrevIndex: r.next - 1, PrevEpoch: r.epochOf(r.next - 1),
-		Synced: r.durable(), Start: r.start, Reads: r.pending, Confirmed: r.confirmed}
+		Synced: r.durable(), ViewStart: r.start, PendingReads: r.pending, ConfirmedReads: r.confirmed}
 	if r.isTail() || r.isFollower() {
-		message.Committed = r.committed
+		message.CommitIndex = r.committed
 	}
 	r.pending, r.confirmed, r.toldSync = nil, nil, message.Synced
 	size := 0
--- a/coordination/frame/frame.go
+++ b/coordination/frame/frame.go
@@ -26,8 +26,8 @@
 
 // What Upgrade fails with before it has taken a connection over.
 const (
-	ErrNoUpgrade     = errors.ConstError("no upgrade to " + protocol + " was asked for")
-	ErrCannotUpgrade = errors.ConstError("the HTTP server can't give its connection up")
+	ErrUpgradeNotRequested = errors.ConstError("no upgrade to " + protocol + " was asked for")
+	ErrUpgradeUnsupported  = errors.ConstError("the HTTP server can't give its connection up")
 )
 
 // Conn is one connection. Send may be called by any goroutine, Receive by one.
@@ -106,12 +106,12 @@
 func Upgrade(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	if r.Header.Get("Upgrade") != protocol {
 		http.Error(w, "upgrade to "+protocol+" expected", http.StatusUpgradeRequired)
-		return nil, errors.Trace(ErrNoUpgrade)
+		return nil, errors.Trace(ErrUpgradeNotRequested)
 	}
 	hijacker, able := w.(http.Hijacker)
 	if !able {
 		http.Error(w, "no upgrade here", http.StatusInternalServerError)
-		return nil, errors.Trace(ErrCannotUpgrade)
+		return nil, errors.Trace(ErrUpgradeUnsupported)
 	}
 	raw, buffered, err := hijacker.Hijack()
 	if err != nil {
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	// MaxMessage is the longest message, in bytes: the platform's protocol.
-	MaxMessage = 256
-	// Heartbeat is the longest time between two messages of a dispatcher that has work out,
+	// MaxMessageBytes is the longest message, in bytes: the platform's protocol.
+	MaxMessageBytes = 256
+	// HeartbeatInterval is the longest time between two messages of a dispatcher that has work out,
 	// where there are up to four of them; with more it grows, since each costs all others.
-	Heartbeat = 150 * time.Millisecond
+	HeartbeatInterval = 150 * time.Millisecond
 	// gap is the least time between two messages. What happens within it goes together.
 	gap = 4 * time.Millisecond
 
 	form      = 1 // of messages, in the high half of the first byte; one of another is passed over
 	headBytes = 10
 	wordBytes = 5
-	// MaxWords is how many workers one message can speak of.
-	MaxWords = (MaxMessage - headBytes) / wordBytes
+	// maxUsages is how many workers one message can speak of.
+	maxUsages = (MaxMessageBytes - headBytes) / wordBytes
 
 	maxLives = 256 // lives remembered at once: a lie must not fill the memory
 	maxKnown = 4096
@@ -44,15 +44,15 @@
 	whole = 1 // flag: whoever is not named has nothing out
 )
 
-// Word is what a dispatcher says of one worker.
-type Word struct {
-	Subject uint32  // the worker, by the low 24 bits of a hash that all dispatchers compute alike
-	Slots   float64 // slots of its jobs out there, 0 to 63.75 in quarters
-	Memory  float64 // memory units of these, 0 to 15.9 in sixteenths
+// Usage is what a dispatcher says of one worker.
+type Usage struct {
+	WorkerHash uint32  // the worker, by the low 24 bits of a hash that all dispatchers compute alike
+	Slots      float64 // slots of its jobs out there, 0 to 63.75 in quarters
+	Memory     float64 // memory units of these, 0 to 15.9 in sixteenths
 }
 
-// Told is what all others have said of one worker, added up.
-type Told struct{ Slots, Memory float64 }
+// PeerUsage is what all others have said of one worker, added up.
+type PeerUsage struct{ Slots, Memory float64 }
 
 type life struct {
 	who    uint16
@@ -64,12 +64,12 @@
 }
 
 type known struct {
-	Word
+	Usage
 	at time.Duration
 }
 
-// Book is one dispatcher's side: what it says, and what it was told.
-type Book struct {
+// Participant is one dispatcher's side: what it says, and what it was told.
+type Participant struct {
 	who    uint16
 	number uint16
 	seq    uint16
@@ -84,38 +84,38 @@
 
 // New makes a book for dispatcher who of so many. The incarnation must differ from that of the
 // life before, by a start's time in any unit: its low 16 bits count.
-func New(who, dispatchers int, incarnation uint64) *Book {
-	return &Book{who: uint16(who), number: uint16(incarnation), fresh: true, beat: Heartbeat * time.Duration(max(dispatchers, 4)) / 4}
+func New(who, dispatchers int, incarnation uint64) *Participant {
+	return &Participant{who: uint16(who), number: uint16(incarnation), fresh: true, beat: HeartbeatInterval * time.Duration(max(dispatchers, 4)) / 4}
 }
 
-// Life is how long what was said counts where nothing follows: several words were lost then.
-func (b *Book) Life() time.Duration { return 4 * b.beat }
+// TimeToLive is how long what was said counts where nothing follows: several words were lost then.
+func (b *Participant) TimeToLive() time.Duration { return 4 * b.beat }
 
-// Changed notes that there is something new to say.
-func (b *Book) Changed() { b.fresh = true }
+// MarkChanged notes that there is something new to say.
+func (b *Participant) MarkChanged() { b.fresh = true }
 
 // Due tells whether a message is due.
-func (b *Book) Due(now time.Duration) bool {
+func (b *Participant) Due(now time.Duration) bool {
 	since := now - b.saidAt
 	return !b.said || b.again > 0 && since >= b.beat || b.fresh && since >= gap
 }
 
-// Say makes a message of words, which are all that there is to say; those beyond MaxWords
+// NextMessage makes a message of words, which are all that there is to say; those beyond maxUsages
 // go in the messages after it. Words of nothing are left out.
-func (b *Book) Say(now time.Duration, words []Word) []byte {
+func (b *Participant) NextMessage(now time.Duration, words []Usage) []byte {
 	flags := byte(0)
-	words = slices.DeleteFunc(words, func(w Word) bool { return w.Slots == 0 })
+	words = slices.DeleteFunc(words, func(w Usage) bool { return w.Slots == 0 })
 	b.seq++
 	if b.again--; b.fresh || len(words) > 0 {
 		b.again = 1
 	}
 	b.said, b.saidAt, b.fresh = true, now, false
-	if len(words) <= MaxWords {
+	if len(words) <= maxUsages {
 		flags = whole
 	} else {
 		from := b.from % len(words)
-		part := slices.Concat(words[from:], words[:from])[:MaxWords]
-		b.from, words = from+MaxWords, part
+		part := slices.Concat(words[from:], words[:from])[:maxUsages]
+		b.from, words = from+maxUsages, part
 	}
 	out := make([]byte, 0, headBytes+wordBytes*len(words))
 	out = append(out, form<<4|flags)
@@ -124,7 +124,7 @@
 	out = binary.LittleEndian.AppendUint16(out, b.seq)
 	out = append(out, byte(len(words)))
 	for _, w := range words {
-		out = append(out, byte(w.Subject), byte(w.Subject>>8), byte(w.Subject>>16), scaled(w.Slots, 4), scaled(w.Memory, 16))
+		out = append(out, byte(w.WorkerHash), byte(w.WorkerHash>>8), byte(w.WorkerHash>>16), scaled(w.Slots, 4), scaled(w.Memory, 16))
 	}
 	return binary.LittleEndian.AppendUint16(out, sum(out))
 }
@@ -134,11 +134,11 @@
 // scaled rounds up, so that a little is never told as nothing.
 func scaled(v, unit float64) byte { return byte(min(math.Ceil(max(v, 0)*unit), 255)) }
 
-// Hear takes in a message and tells whether it was one. One that is spoilt, of another
+// Receive takes in a message and tells whether it was one. One that is spoilt, of another
 // form, or this dispatcher's own is passed over; bytes behind the words are a newer
 // sender's, and are not read.
-func (b *Book) Hear(now time.Duration, m []byte) bool {
-	if len(m) < headBytes || len(m) > MaxMessage || m[0]>>4 != form {
+func (b *Participant) Receive(now time.Duration, m []byte) bool {
+	if len(m) < headBytes || len(m) > MaxMessageBytes || m[0]>>4 != form {
 		return false
 	}
 	body, n := m[:len(m)-2], int(m[7])
@@ -163,9 +163,9 @@
 	}
 	for i := range n {
 		p := body[headBytes-2+i*wordBytes:]
-		w := Word{uint32(p[0]) | uint32(p[1])<<8 | uint32(p[2])<<16, float64(p[3]) / 4, float64(p[4]) / 16}
-		if _, ok := l.words[w.Subject]; ok || len(l.words) < maxKnown {
-			l.words[w.Subject] = known{w, now}
+		w := Usage{uint32(p[0]) | uint32(p[1])<<8 | uint32(p[2])<<16, float64(p[3]) / 4, float64(p[4]) / 16}
+		if _, ok := l.words[w.WorkerHash]; ok || len(l.words) < maxKnown {
+			l.words[w.WorkerHash] = known{w, now}
 		}
 	}
 	return true
@@ -173,7 +173,7 @@
 
 // life finds the one that speaks, or makes it known; nil where it is an earlier one than
 // is known and has gone, or there are too many.
-func (b *Book) life(now time.Duration, who uint16, number uint16) *life {
+func (b *Participant) life(now time.Duration, who uint16, number uint16) *life {
 	b.forget(now)
 	for _, l := range b.lives {
 		if l.who == who && l.number == number {
@@ -193,14 +193,14 @@
 	return l
 }
 
-func (b *Book) forget(now time.Duration) {
-	b.lives = slices.DeleteFunc(b.lives, func(l *life) bool { return now-l.at > b.Life() })
+func (b *Participant) forget(now time.Duration) {
+	b.lives = slices.DeleteFunc(b.lives, func(l *life) bool { return now-l.at > b.TimeToLive() })
 }
 
-// Of is what is told of a worker now. Words that were not said again in four lives are none.
-func (b *Book) Of(now time.Duration, subject uint32) (t Told) {
+// PeerUsage is what is told of a worker now. Words that were not said again in four lives are none.
+func (b *Participant) PeerUsage(now time.Duration, subject uint32) (t PeerUsage) {
 	for _, l := range b.lives {
-		if w, ok := l.words[subject&(1<<24-1)]; ok && now-l.at <= b.Life() && now-w.at <= 4*b.Life() {
+		if w, ok := l.words[subject&(1<<24-1)]; ok && now-l.at <= b.TimeToLive() && now-w.at <= 4*b.TimeToLive() {
 			t.Slots += w.Slots
 			t.Memory += w.Memory
 		}
@@ -208,10 +208,10 @@
 	return t
 }
 
-// Order puts words into the order in which they are best said where not all have room:
+// SortBySlots puts words into the order in which they are best said where not all have room:
 // most slots first.
-func Order(words []Word) {
-	slices.SortFunc(words, func(a, b Word) int {
-		return cmp.Or(cmp.Compare(b.Slots, a.Slots), cmp.Compare(a.Subject, b.Subject))
+func SortBySlots(words []Usage) {
+	slices.SortFunc(words, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.Slots, a.Slots), cmp.Compare(a.WorkerHash, b.WorkerHash))
 	})
 }
--- a/coordination/segment/patient.go
+++ b/coordination/segment/patient.go
@@ -7,26 +7,26 @@
 	"github.com/juju/errors"
 )
 
-// Patient is a folder on a disk that may refuse for a while, as a full one does: what is refused is tried again
+// RetryingFolder is a folder on a disk that may refuse for a while, as a full one does: what is refused is tried again
 // until it is done. It serves for opening a store, which takes several steps; End ends the patience, and whoever
 // writes to the store from then on is told of refusals.
-type Patient struct {
+type RetryingFolder struct {
 	folder Folder
 	wait   func(err error) bool
 	ended  atomic.Bool
 }
 
-// NewPatient returns a patient folder. Wait is called after each refusal; it waits for as long as the caller
+// NewRetryingFolder returns a patient folder. Wait is called after each refusal; it waits for as long as the caller
 // wants, and reports whether to try again.
-func NewPatient(folder Folder, wait func(err error) bool) *Patient {
-	return &Patient{folder: folder, wait: wait}
+func NewRetryingFolder(folder Folder, wait func(err error) bool) *RetryingFolder {
+	return &RetryingFolder{folder: folder, wait: wait}
 }
 
-// End lets all refusals pass from now on.
-func (p *Patient) End() { p.ended.Store(true) }
+// StopRetrying lets all refusals pass from now on.
+func (p *RetryingFolder) StopRetrying() { p.ended.Store(true) }
 
 // Open opens a file in the folder, or makes it.
-func (p *Patient) Open(name string) (File, error) {
+func (p *RetryingFolder) Open(name string) (File, error) {
 	var file File
 	err := p.insist(func() (err error) {
 		file, err = p.folder.Open(name)
@@ -36,7 +36,7 @@
 }
 
 // Sync makes names durable.
-func (p *Patient) Sync() error { return p.insist(p.folder.Sync) }
+func (p *RetryingFolder) Sync() error { return p.insist(p.folder.Sync) }
 
 // refusals are the errors by which a disk refuses for now; all others are faults that waiting does not mend.
 var refusals = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS}
@@ -50,7 +50,7 @@
 	return false
 }
 
-func (p *Patient) insist(do func() error) error {
+func (p *RetryingFolder) insist(do func() error) error {
 	for {
 		err := do()
 		if err == nil || p.ended.Load() || !isRefusal(err) || !p.wait(err) {
@@ -61,7 +61,7 @@
 
 type patientFile struct {
 	File
-	patience *Patient
+	patience *RetryingFolder
 }
 
 // WriteAt writes as the file does, again and again while the disk refuses.
--- a/coordination/segment/segment.go
+++ b/coordination/segment/segment.go
@@ -32,10 +32,10 @@
 
 // Record is one entry of the log.
 type Record struct {
-	Index     uint64
-	Epoch     uint64
-	Committed uint64 // up to where entries were known to be committed when this one was written
-	Data      []byte
+	Index       uint64
+	Epoch       uint64
+	CommitIndex uint64 // up to where entries were known to be committed when this one was written
+	Data        []byte
 }
 
 // Snapshot is the state after the entry Index.
@@ -48,11 +48,11 @@
 // Recovered is what a disk held when it was opened.
 type Recovered struct {
 	Fresh    bool // nothing was there: the disk is new, or was lost
-	Meta     []byte
+	Metadata []byte
 	Snapshot Snapshot
 	Records  []Record // those behind the snapshot, without a gap
-	// Committed is the newest index that is known to be committed.
-	Committed uint64
+	// CommitIndex is the newest index that is known to be committed.
+	CommitIndex uint64
 }
 
 const (
@@ -65,17 +65,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Damage says which file can't be relied upon, and from where on.
-type Damage struct {
+// CorruptionError says which file can't be relied upon, and from where on.
+type CorruptionError struct {
 	File   string
 	Offset int64
-	What   string
+	Reason string
 }
 
 // Error names the file, the place and what is wrong there.
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	return errors.Errorf("%s at byte %d: %s; replace this machine's disk, or empty its folder so that it joins anew",
-		d.File, d.Offset, d.What).Error()
+		d.File, d.Offset, d.Reason).Error()
 }
 
 type segment struct {
@@ -102,22 +102,22 @@
 
 // Layout says how large the parts of the ring are.
 type Layout struct {
-	Segments    int
-	SegmentSize int64 // bytes
+	SegmentCount int
+	SegmentBytes int64 // bytes
 }
 
-// For returns the layout for a disk of so many megabytes: half of it is the ring,
+// LayoutFor returns the layout for a disk of so many megabytes: half of it is the ring,
 // the rest stays for two snapshots.
-func For(diskMb int64) Layout {
+func LayoutFor(diskMb int64) Layout {
 	const segments = 8
 	size := max(diskMb, 16) << 20 / 2 / segments
 	return Layout{segments, size}
 }
 
 // Open opens the ring in the folder, makes it where there is none, and reads what it holds.
-// On a fresh disk SaveMeta must come before the first Append.
+// On a fresh disk SaveMetadata must come before the first Append.
 func Open(folder Folder, layout Layout) (*Store, *Recovered, error) {
-	s := &Store{folder: folder, segmentSize: layout.SegmentSize}
+	s := &Store{folder: folder, segmentSize: layout.SegmentBytes}
 	var err error
 	if s.meta, err = openSlots(folder, "meta"); err != nil {
 		return nil, nil, errors.Trace(err)
@@ -130,17 +130,17 @@
 	s.covered = s.snapshots.index
 	if len(s.meta.data) >= 4 {
 		s.life = binary.LittleEndian.Uint32(s.meta.data)
-		recovered.Meta = s.meta.data[4:]
+		recovered.Metadata = s.meta.data[4:]
 	}
-	if err := s.openSegments(layout.Segments); err != nil {
+	if err := s.openSegments(layout.SegmentCount); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
 	if recovered.Records, err = s.scan(); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
-	recovered.Committed = s.covered
+	recovered.CommitIndex = s.covered
 	for _, record := range recovered.Records {
-		recovered.Committed = max(recovered.Committed, record.Committed)
+		recovered.CommitIndex = max(recovered.CommitIndex, record.CommitIndex)
 	}
 	if err := folder.Sync(); err != nil {
 		return nil, nil, errors.Trace(err)
@@ -148,7 +148,7 @@
 	s.life++
 	if !recovered.Fresh {
 		// The new life is durable before anything is written in it.
-		if err := s.SaveMeta(recovered.Meta); err != nil {
+		if err := s.SaveMetadata(recovered.Metadata); err != nil {
 			return nil, nil, errors.Trace(err)
 		}
 	}
@@ -216,7 +216,7 @@
 		return nil, nil // left over from before the snapshot was taken in from elsewhere
 	}
 	if len(records) > 0 && records[0].Index != s.covered+1 {
-		return nil, &Damage{s.active.name, 0, "entries behind the snapshot are missing"}
+		return nil, &CorruptionError{s.active.name, 0, "entries behind the snapshot are missing"}
 	}
 	return records, nil
 }
@@ -240,10 +240,10 @@
 		}
 		life = wrote
 		record := Record{
-			Index:     binary.LittleEndian.Uint64(head[16:]),
-			Epoch:     binary.LittleEndian.Uint64(head[24:]),
-			Committed: binary.LittleEndian.Uint64(head[32:]),
-			Data:      append([]byte(nil), content[at+recordHeader:at+length]...),
+			Index:       binary.LittleEndian.Uint64(head[16:]),
+			Epoch:       binary.LittleEndian.Uint64(head[24:]),
+			CommitIndex: binary.LittleEndian.Uint64(head[32:]),
+			Data:        append([]byte(nil), content[at+recordHeader:at+length]...),
 		}
 		for len(records) > 0 && records[len(records)-1].Index >= record.Index {
 			records = records[:len(records)-1]
@@ -252,7 +252,7 @@
 			records = records[:0] // the snapshot stands for what is between
 		}
 		if len(records) > 0 && records[len(records)-1].Index+1 != record.Index {
-			return nil, 0, &Damage{seg.name, at, "an entry is missing before this one"}
+			return nil, 0, &CorruptionError{seg.name, at, "an entry is missing before this one"}
 		}
 		records = append(records, record)
 		seg.last = max(seg.last, record.Index)
@@ -307,7 +307,7 @@
 	binary.LittleEndian.PutUint32(head[12:], s.life)
 	binary.LittleEndian.PutUint64(head[16:], record.Index)
 	binary.LittleEndian.PutUint64(head[24:], record.Epoch)
-	binary.LittleEndian.PutUint64(head[32:], record.Committed)
+	binary.LittleEndian.PutUint64(head[32:], record.CommitIndex)
 	binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(head[8:], castagnoli))
 }
 
@@ -372,8 +372,8 @@
 	return nil
 }
 
-// Reset makes a snapshot from elsewhere the whole content: the log before it is void.
-func (s *Store) Reset(snapshot Snapshot) error {
+// InstallSnapshot makes a snapshot from elsewhere the whole content: the log before it is void.
+func (s *Store) InstallSnapshot(snapshot Snapshot) error {
 	if err := s.SaveSnapshot(snapshot); err != nil {
 		return errors.Trace(err)
 	}
@@ -383,8 +383,8 @@
 	return errors.Trace(s.turn())
 }
 
-// SaveMeta makes the metadata durable.
-func (s *Store) SaveMeta(meta []byte) error {
+// SaveMetadata makes the metadata durable.
+func (s *Store) SaveMetadata(meta []byte) error {
 	data := binary.LittleEndian.AppendUint32(nil, s.life)
 	return errors.Trace(s.meta.save(0, 0, append(data, meta...)))
 }
--- a/coordination/view/detector.go
+++ b/coordination/view/detector.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Ping is what members tell each other at a steady pace.
-type Ping struct {
-	From      Member     `cbor:"1,keyasint"`
-	Epoch     uint64     `cbor:"2,keyasint"`
-	First     bool       `cbor:"3,keyasint,omitempty"` // formatted at the system's first start, and no elector yet
-	Stalled   bool       `cbor:"4,keyasint,omitempty"` // its disk makes no progress
-	Restarted bool       `cbor:"5,keyasint,omitempty"` // it has not taken part in the view of Epoch in this life
-	Last      uint64     `cbor:"7,keyasint,omitempty"` // newest entry of its log
-	Hears     []MemberID `cbor:"6,keyasint,omitempty"`
-	Leaving   bool       `cbor:"8,keyasint,omitempty"` // it is to stop in order, and hands its place over
+// Heartbeat is what members tell each other at a steady pace.
+type Heartbeat struct {
+	From          Member     `cbor:"1,keyasint"`
+	Epoch         uint64     `cbor:"2,keyasint"`
+	InitialMember bool       `cbor:"3,keyasint,omitempty"` // formatted at the system's first start, and no elector yet
+	Unhealthy     bool       `cbor:"4,keyasint,omitempty"` // its disk makes no progress
+	Restarted     bool       `cbor:"5,keyasint,omitempty"` // it has not taken part in the view of Epoch in this life
+	LastIndex     uint64     `cbor:"7,keyasint,omitempty"` // newest entry of its log
+	HeardFrom     []MemberID `cbor:"6,keyasint,omitempty"`
+	Leaving       bool       `cbor:"8,keyasint,omitempty"` // it is to stop in order, and hands its place over
 }
 
 // Spans of the failure detector.
 const (
-	// SilentAfter is how long a member may be silent before the chain goes on without it: four heartbeats. A
+	// heartbeatTimeout is how long a member may be silent before the chain goes on without it: four heartbeats. A
 	// member that was only slow is taken in again at the cost of one more view.
-	SilentAfter = 450 * time.Millisecond
+	heartbeatTimeout = 450 * time.Millisecond
 	// steadyFor is how long a member must have been heard before it is taken in again.
 	steadyFor = 300 * time.Millisecond
-	// ReplaceAfter is how long an elector must be silent before a newcomer takes its place: longer
+	// replacementTimeout is how long an elector must be silent before a newcomer takes its place: longer
 	// than a restart takes.
-	ReplaceAfter = 2500 * time.Millisecond
+	replacementTimeout = 2500 * time.Millisecond
 	// nearlyAll is how many entries a member may lack that joins the chain: they are sent in some milliseconds.
 	nearlyAll = 400
 	// rankDelay keeps proposers apart: each waits this much longer than the one before it.
@@ -34,7 +34,7 @@
 )
 
 type peer struct {
-	ping   Ping
+	ping   Heartbeat
 	at     time.Duration // last heard
 	since  time.Duration // heard without a break since
 	silent time.Duration // for electors never heard: since when it has been waited for
@@ -68,49 +68,49 @@
 	return p != nil && p.ping.Leaving
 }
 
-// Heard takes in a ping.
-func (d *Detector) Heard(now time.Duration, ping Ping) {
+// ReceiveHeartbeat takes in a ping.
+func (d *Detector) ReceiveHeartbeat(now time.Duration, ping Heartbeat) {
 	p := d.peers[ping.From.ID]
 	if p == nil {
 		p = &peer{since: now}
 		d.peers[ping.From.ID] = p
-	} else if now-p.at > SilentAfter {
+	} else if now-p.at > heartbeatTimeout {
 		p.since = now
 	}
 	p.ping, p.at = ping, max(p.at, now)
 }
 
-// Refused enters that nothing listens at a member's address: its process is gone.
-func (d *Detector) Refused(now time.Duration, id MemberID) {
+// ConnectionRefused enters that nothing listens at a member's address: its process is gone.
+func (d *Detector) ConnectionRefused(now time.Duration, id MemberID) {
 	if p := d.peers[id]; p != nil {
-		p.at = min(p.at, now-SilentAfter-1)
+		p.at = min(p.at, now-heartbeatTimeout-1)
 	}
 }
 
-// Hears lists who was heard lately.
-func (d *Detector) Hears(now time.Duration) []MemberID {
+// HeardFrom lists who was heard lately.
+func (d *Detector) HeardFrom(now time.Duration) []MemberID {
 	list := []MemberID{}
 	for _, id := range sortedIDs(d.peers) {
-		if now-d.peers[id].at <= SilentAfter {
+		if now-d.peers[id].at <= heartbeatTimeout {
 			list = append(list, id)
 		}
 	}
 	return list
 }
 
-// Alive reports whether both sides hear each other and the member's disk works.
-func (d *Detector) Alive(now time.Duration, id MemberID) bool {
-	return d.Trouble(now, id) == ""
+// IsAlive reports whether both sides hear each other and the member's disk works.
+func (d *Detector) IsAlive(now time.Duration, id MemberID) bool {
+	return d.ExclusionReason(now, id) == ""
 }
 
 func (d *Detector) steady(now time.Duration, id MemberID) bool {
-	return id == d.me.ID || d.Alive(now, id) && now-d.peers[id].since >= steadyFor
+	return id == d.me.ID || d.IsAlive(now, id) && now-d.peers[id].since >= steadyFor
 }
 
 // caughtUp reports whether a member outside the chain lacks few entries.
 func (d *Detector) caughtUp(id MemberID) bool {
 	p := d.peers[id]
-	return p != nil && p.ping.Last+nearlyAll >= d.committed
+	return p != nil && p.ping.LastIndex+nearlyAll >= d.committed
 }
 
 func (d *Detector) silentFor(now time.Duration, id MemberID) time.Duration {
@@ -123,8 +123,8 @@
 	return now - d.began
 }
 
-// Founders returns the electors of the very first view once all seeds are heard, or nil.
-func (d *Detector) Founders(now time.Duration, seeds []string) []Member {
+// InitialElectors returns the electors of the very first view once all seeds are heard, or nil.
+func (d *Detector) InitialElectors(now time.Duration, seeds []string) []Member {
 	founders := []Member{}
 	for _, seed := range seeds {
 		for _, member := range d.heardMembers(now) {
@@ -142,19 +142,19 @@
 func (d *Detector) heardMembers(now time.Duration) []Member {
 	list := []Member{d.me}
 	for _, id := range sortedIDs(d.peers) {
-		if p := d.peers[id]; now-p.at <= SilentAfter && p.ping.First && p.ping.Epoch == 0 {
+		if p := d.peers[id]; now-p.at <= heartbeatTimeout && p.ping.InitialMember && p.ping.Epoch == 0 {
 			list = append(list, p.ping.From)
 		}
 	}
 	return list
 }
 
-// Wish returns the view that should follow, and whose answers are expected. It is nil while the
+// DesiredView returns the view that should follow, and whose answers are expected. It is nil while the
 // present one is as it should be, or while another member is to propose first.
 //
 // Committed is the newest committed entry known here: others join the chain once they have nearly all up to it,
 // since nothing is acknowledged while a member lacks entries.
-func (d *Detector) Wish(now time.Duration, view *View, restarted, stalled bool, committed uint64) (*View, []MemberID) {
+func (d *Detector) DesiredView(now time.Duration, view *View, restarted, stalled bool, committed uint64) (*View, []MemberID) {
 	d.committed = committed
 	if !view.IsElector(d.me.ID) || stalled {
 		d.wanted = -1
@@ -183,15 +183,15 @@
 func (d *Detector) aliveElectors(now time.Duration, view *View) []MemberID {
 	alive := []MemberID{}
 	for _, elector := range view.Electors {
-		if d.Alive(now, elector.ID) {
+		if d.IsAlive(now, elector.ID) {
 			alive = append(alive, elector.ID)
 		}
 	}
 	return alive
 }
 
-// Majority reports whether this member and more than half of the electors hear each other.
-func (d *Detector) Majority(now time.Duration, view *View) bool {
+// HasQuorum reports whether this member and more than half of the electors hear each other.
+func (d *Detector) HasQuorum(now time.Duration, view *View) bool {
 	return 2*len(d.aliveElectors(now, view)) > len(view.Electors)
 }
 
@@ -203,7 +203,7 @@
 			if member.ID == d.me.ID {
 				return rank
 			}
-			if d.Alive(now, member.ID) {
+			if d.IsAlive(now, member.ID) {
 				rank++
 			}
 		}
@@ -213,7 +213,7 @@
 
 func (d *Detector) anyRestarted(now time.Duration, view *View) bool {
 	for _, member := range view.Chain {
-		if p := d.peers[member.ID]; p != nil && d.Alive(now, member.ID) && p.ping.Restarted &&
+		if p := d.peers[member.ID]; p != nil && d.IsAlive(now, member.ID) && p.ping.Restarted &&
 			p.ping.Epoch == view.Epoch {
 			return true
 		}
@@ -228,12 +228,12 @@
 		return wish
 	}
 	for _, member := range view.Chain {
-		if d.Alive(now, member.ID) {
+		if d.IsAlive(now, member.ID) {
 			wish.Chain = append(wish.Chain, member)
 		}
 	}
 	for _, member := range view.Chain {
-		if len(wish.Chain) < d.least && wish.InChain(member.ID) < 0 && d.silentFor(now, member.ID) <= SilentAfter {
+		if len(wish.Chain) < d.least && wish.ChainPosition(member.ID) < 0 && d.silentFor(now, member.ID) <= heartbeatTimeout {
 			wish.Chain = append(wish.Chain, member) // a slow disk is better than none
 		}
 	}
@@ -242,7 +242,7 @@
 	}
 	d.replace(now, view, wish)
 	for _, elector := range wish.Electors {
-		if d.steady(now, elector.ID) && wish.InChain(elector.ID) < 0 && !d.isLeaving(elector.ID) &&
+		if d.steady(now, elector.ID) && wish.ChainPosition(elector.ID) < 0 && !d.isLeaving(elector.ID) &&
 			(d.caughtUp(elector.ID) || len(wish.Chain) < d.least) {
 			wish.Chain = append(wish.Chain, elector)
 		}
@@ -282,19 +282,19 @@
 			former := wish.Electors[place].ID
 			wish.Electors[place] = newcomer.ping.From
 			wish.Chain = slices.DeleteFunc(wish.Chain, func(m Member) bool { return m.ID == former })
-		} else if newcomer.ping.First {
+		} else if newcomer.ping.InitialMember {
 			wish.Electors = append(wish.Electors, newcomer.ping.From)
 		}
 	}
 }
 
-func (d *Detector) placeFor(now time.Duration, wish *View, newcomer *Ping) int {
+func (d *Detector) placeFor(now time.Duration, wish *View, newcomer *Heartbeat) int {
 	best := -1
 	for i, elector := range wish.Electors {
 		if elector.Address == newcomer.From.Address {
 			return i
 		}
-		if newcomer.First || d.silentFor(now, elector.ID) < ReplaceAfter && !d.mayHandOver(wish, elector.ID, newcomer) {
+		if newcomer.InitialMember || d.silentFor(now, elector.ID) < replacementTimeout && !d.mayHandOver(wish, elector.ID, newcomer) {
 			continue
 		}
 		if best < 0 || elector.Zone == newcomer.From.Zone && wish.Electors[best].Zone != newcomer.From.Zone {
@@ -306,7 +306,7 @@
 
 // mayHandOver reports whether a leaving elector may give its place to a newcomer now: only once the chain is long
 // enough without it, since a member of the chain that is no elector falls out of the next view.
-func (d *Detector) mayHandOver(wish *View, id MemberID, newcomer *Ping) bool {
+func (d *Detector) mayHandOver(wish *View, id MemberID, newcomer *Heartbeat) bool {
 	if !d.isLeaving(id) {
 		return false
 	}
@@ -321,19 +321,19 @@
 	return slices.EqualFunc(a, b, func(x, y Member) bool { return x.ID == y.ID })
 }
 
-// Trouble tells why a member doesn't count as alive, or "".
-func (d *Detector) Trouble(now time.Duration, id MemberID) string {
+// ExclusionReason tells why a member doesn't count as alive, or "".
+func (d *Detector) ExclusionReason(now time.Duration, id MemberID) string {
 	p := d.peers[id]
 	switch {
 	case id == d.me.ID:
 		return ""
 	case p == nil:
 		return "never heard"
-	case now-p.at > SilentAfter:
+	case now-p.at > heartbeatTimeout:
 		return "silent"
-	case p.ping.Stalled:
+	case p.ping.Unhealthy:
 		return "disk makes no progress"
-	case !slices.Contains(p.ping.Hears, d.me.ID):
+	case !slices.Contains(p.ping.HeardFrom, d.me.ID):
 		return "does not hear this member"
 	}
 	return ""
--- a/internal/control/configuration/configuration.go
+++ b/internal/control/configuration/configuration.go
@@ -50,24 +50,24 @@
 	Limits   Limits
 }
 
-// Fault says why a configuration can't be put in force.
-type Fault struct {
-	Where string // the key, as a path
-	What  string
+// InvalidError says why a configuration can't be put in force.
+type InvalidError struct {
+	Path    string // the key, as a path
+	Problem string
 }
 
 // Error names the place and the fault.
-func (f *Fault) Error() string { return f.Where + ": " + f.What }
+func (f *InvalidError) Error() string { return f.Path + ": " + f.Problem }
 
-// Read reads and checks a whole configuration.
-func Read(body []byte) (*Configuration, *Fault) {
+// Parse reads and checks a whole configuration.
+func Parse(body []byte) (*Configuration, *InvalidError) {
 	root, fault := readJSON(body)
 	if fault != "" {
-		return nil, &Fault{"body", fault}
+		return nil, &InvalidError{"body", fault}
 	}
 	top, isObject := root.(*object)
 	if !isObject {
-		return nil, &Fault{"body", "is not an object"}
+		return nil, &InvalidError{"body", "is not an object"}
 	}
 	s := &section{where: "", object: top}
 	c := &Configuration{Version: s.whole("Version", true), Services: map[string]*Service{}}
@@ -150,25 +150,25 @@
 	}
 }
 
-func (c *Configuration) check() *Fault {
+func (c *Configuration) check() *InvalidError {
 	seen := map[string]bool{}
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		where := fmt.Sprintf("Routes[%d]", i)
 		if c.Services[route.Service] == nil {
-			return &Fault{where + ".Service", "names an unknown service"}
+			return &InvalidError{where + ".Service", "names an unknown service"}
 		}
 		place := route.Host + " " + route.PathPrefix
 		if seen[place] {
-			return &Fault{where, "shares host and prefix with another route"}
+			return &InvalidError{where, "shares host and prefix with another route"}
 		}
 		seen[place] = true
 	}
 	return nil
 }
 
-// Find returns the route with the longest prefix of the path at the host, or nil.
-func (c *Configuration) Find(host, path string) *Route {
+// FindRoute returns the route with the longest prefix of the path at the host, or nil.
+func (c *Configuration) FindRoute(host, path string) *Route {
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		if route.Host == host && strings.HasPrefix(path, route.PathPrefix) {
@@ -183,7 +183,7 @@
 	where  string
 	object *object
 	parent *section
-	fault  *Fault
+	fault  *InvalidError
 }
 
 func (s *section) fail(key, what string) {
@@ -192,7 +192,7 @@
 		root = root.parent
 	}
 	if root.fault == nil {
-		root.fault = &Fault{strings.TrimPrefix(strings.TrimSuffix(s.where+"."+key, "."), "."), what}
+		root.fault = &InvalidError{strings.TrimPrefix(strings.TrimSuffix(s.where+"."+key, "."), "."), what}
 	}
 }
 
--- a/internal/control/protocol/pack.go
+++ b/internal/control/protocol/pack.go
@@ -24,10 +24,10 @@
 	return writer
 }}
 
-// Pack makes one item of a list of updates: the list deflated, as a CBOR byte string. A short list with a single
+// CompressUpdates makes one item of a list of updates: the list deflated, as a CBOR byte string. A short list with a single
 // update stays as it is. A configuration of 1,500 routes packs to a quarter, and so takes a quarter of the time on
 // a dispatcher's link.
-func Pack(updates []cbor.RawMessage) cbor.RawMessage {
+func CompressUpdates(updates []cbor.RawMessage) cbor.RawMessage {
 	if len(updates) == 1 && len(updates[0]) < packAbove {
 		return updates[0]
 	}
@@ -40,8 +40,8 @@
 	return Encode(packed.Bytes())
 }
 
-// Unpack returns the updates of a list in which some items may be packed. What can't be unpacked is left out.
-func Unpack(items []cbor.RawMessage) []cbor.RawMessage {
+// DecompressUpdates returns the updates of a list in which some items may be packed. What can't be unpacked is left out.
+func DecompressUpdates(items []cbor.RawMessage) []cbor.RawMessage {
 	updates := make([]cbor.RawMessage, 0, len(items))
 	for _, item := range items {
 		if !isByteString(item) {
--- a/internal/control/server/changes.go
+++ b/internal/control/server/changes.go
@@ -13,7 +13,7 @@
 
 // add enters a change that has just come in force.
 func (r *recentChanges) add(change *statemachine.ConfigUpdate) {
-	if last := len(r.list) - 1; last >= 0 && r.list[last].Version != change.Base {
+	if last := len(r.list) - 1; last >= 0 && r.list[last].Version != change.BaseVersion {
 		r.clear()
 	}
 	r.list = append(r.list, *change)
@@ -25,7 +25,7 @@
 // since returns the changes behind a version, and nil where they are not all here.
 func (r *recentChanges) since(version int64) []statemachine.Update {
 	for first := range r.list {
-		if r.list[first].Base != version {
+		if r.list[first].BaseVersion != version {
 			continue
 		}
 		updates := make([]statemachine.Update, 0, len(r.list)-first)
--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -124,7 +124,7 @@
 	for _, job := range batch {
 		for _, entry := range job.entries {
 			entries = append(entries, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
-				Committed: job.committed, Data: entry.Data})
+				CommitIndex: job.committed, Data: entry.Data})
 		}
 		if job.snapshot == nil {
 			continue
@@ -133,7 +133,7 @@
 		entries = nil
 		snapshot := *job.snapshot
 		if job.reset {
-			d.insist("snapshot", func() error { return d.store.Reset(snapshot) })
+			d.insist("snapshot", func() error { return d.store.InstallSnapshot(snapshot) })
 		} else {
 			d.insist("snapshot", func() error { return d.store.SaveSnapshot(snapshot) })
 		}
@@ -142,7 +142,7 @@
 	for i := len(batch) - 1; i >= 0; i-- {
 		if batch[i].meta != nil { // the newest holds what all before it hold
 			meta := batch[i].meta
-			d.insist("metadata", func() error { return d.store.SaveMeta(meta) })
+			d.insist("metadata", func() error { return d.store.SaveMetadata(meta) })
 			break
 		}
 	}
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -24,7 +24,7 @@
 // dispatcher is a connected dispatcher. It belongs to the engine.
 type dispatcher struct {
 	conn     *frame.Conn
-	hello    protocol.Hello
+	hello    protocol.SessionRequest
 	session  statemachine.SessionID
 	snapshot bool  // its session is open, and the snapshot is due
 	config   int64 // version that it has acknowledged
@@ -59,7 +59,7 @@
 			broken = !errors.Is(err, os.ErrDeadlineExceeded)
 			return
 		}
-		up := &protocol.Up{}
+		up := &protocol.DispatcherMessage{}
 		if !protocol.Decode(data, up) {
 			return
 		}
@@ -71,29 +71,29 @@
 // told mostly means that the process is gone.
 func (s *Server) reportBroken(id statemachine.SessionID) {
 	s.broken[id] = s.now()
-	s.peers.broadcast(protocol.Encode(&protocol.Peer{Broken: []statemachine.SessionID{id}}))
+	s.peers.broadcast(protocol.Encode(&protocol.PeerMessage{DisconnectedSessions: []statemachine.SessionID{id}}))
 }
 
-func (s *Server) receiveUp(d *dispatcher, up *protocol.Up) {
-	if up.Hello != nil {
-		s.attach(d, up.Hello)
+func (s *Server) receiveUp(d *dispatcher, up *protocol.DispatcherMessage) {
+	if up.SessionRequest != nil {
+		s.attach(d, up.SessionRequest)
 	}
-	if up.Goodbye && d.session != 0 {
+	if up.ShuttingDown && d.session != 0 {
 		s.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}}, func(statemachine.Result) {})
 	}
 	if !s.dispatchers[d] {
 		return
 	}
-	d.config = max(d.config, up.Config)
-	d.outbox.noteAcknowledged(up.Received)
+	d.config = max(d.config, up.ConfigVersion)
+	d.outbox.noteAcknowledged(up.ReceivedBytes)
 	for i := range up.Commands {
 		s.receiveCommand(d, &up.Commands[i])
 	}
 }
 
-func (s *Server) attach(d *dispatcher, hello *protocol.Hello) {
+func (s *Server) attach(d *dispatcher, hello *protocol.SessionRequest) {
 	d.hello = *hello
-	d.outbox.acknowledges = hello.Acknowledges
+	d.outbox.acknowledges = hello.AcknowledgesBytes
 	switch {
 	case s.isOutside():
 		s.sendAway(d)
@@ -104,13 +104,13 @@
 	}
 	delete(s.waiting, d)
 	s.dispatchers[d] = true
-	s.openSession(d, s.cluster.NewestSession(hello.Node))
+	s.openSession(d, s.cluster.LatestSession(hello.Node))
 }
 
 // openSession opens a dispatcher's session behind the newest one that its node has had.
 func (s *Server) openSession(d *dispatcher, behind statemachine.SessionID) {
-	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.hello.Node, Zone: d.hello.Zone, Life: d.hello.Life,
-		Behind: behind}}
+	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.hello.Node, Zone: d.hello.Zone, Incarnation: d.hello.Incarnation,
+		ExpectedLatest: behind}}
 	s.submitFor(d, open, protocol.Encode(open), func(result statemachine.Result) {
 		switch {
 		case !s.dispatchers[d]:
@@ -138,17 +138,17 @@
 // sendAway tells a dispatcher to try another control machine.
 func (s *Server) sendAway(d *dispatcher) {
 	delete(s.waiting, d)
-	d.conn.Send(protocol.Encode(protocol.Down{Refused: true, Controls: s.controls()}))
+	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.controls()}))
 }
 
 // isOutside reports whether the newest view known here has this machine not in its chain, so that no dispatcher can be
 // served before another view. One that has its place, but has no part in the view since it was started, is not outside:
 // a view may follow at once.
 func (s *Server) isOutside() bool {
-	return !s.register.First() && s.register.View().InChain(s.register.Me().ID) < 0
+	return !s.register.IsInitialMember() && s.register.View().ChainPosition(s.register.Self().ID) < 0
 }
 
-func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.Tagged) {
+func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.TaggedCommand) {
 	command := &statemachine.Command{}
 	if !protocol.Decode(tagged.Command, command) {
 		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tagged.Tag, Result: statemachine.Result{Code: statemachine.Invalid}})
@@ -229,7 +229,7 @@
 	}
 }
 
-func (s *Server) sendDown(d *dispatcher, down protocol.Down) {
+func (s *Server) sendDown(d *dispatcher, down protocol.ControlMessage) {
 	message := protocol.Encode(down)
 	d.conn.Send(message)
 	d.outbox.noteSent(len(message))
@@ -247,7 +247,7 @@
 		if len(s.bySession) == 0 {
 			continue
 		}
-		encoded := protocol.Pack([]cbor.RawMessage{protocol.Encode(addressed.Update)})
+		encoded := protocol.CompressUpdates([]cbor.RawMessage{protocol.Encode(addressed.Update)})
 		for d := range s.dispatchers {
 			if d.session != 0 && !d.snapshot {
 				d.outbox.addUpdate(&addressed.Update, encoded)
@@ -267,28 +267,28 @@
 // sendSnapshot tells a dispatcher whose session is open the whole state that concerns it.
 func (s *Server) sendSnapshot(d *dispatcher, shared *sharedSnapshot) {
 	if shared.state == nil {
-		shared.state = protocol.Pack(encodeAll(s.cluster.SharedSnapshot()))
+		shared.state = protocol.CompressUpdates(encodeAll(s.cluster.SharedSnapshot()))
 	}
 	d.snapshot = false
 	updates := append(s.configFor(d, shared), shared.state)
-	if own := s.cluster.OwnSnapshot(d.session); len(own) > 0 {
-		updates = append(updates, protocol.Pack(encodeAll(own)))
+	if own := s.cluster.SessionSnapshot(d.session); len(own) > 0 {
+		updates = append(updates, protocol.CompressUpdates(encodeAll(own)))
 	}
-	s.sendDown(d, protocol.Down{Session: d.session, Controls: s.controls(), Updates: updates})
+	s.sendDown(d, protocol.ControlMessage{Session: d.session, ControlAddresses: s.controls(), Updates: updates})
 }
 
 // configFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
 // changes since, or the whole.
 func (s *Server) configFor(d *dispatcher, shared *sharedSnapshot) []cbor.RawMessage {
-	whole := s.cluster.WholeConfig()
-	if whole == nil || d.hello.Config == whole.Version {
+	whole := s.cluster.FullConfig()
+	if whole == nil || d.hello.ConfigVersion == whole.Version {
 		return nil
 	}
-	if since := s.changes.since(d.hello.Config); since != nil {
-		return []cbor.RawMessage{protocol.Pack(encodeAll(since))}
+	if since := s.changes.since(d.hello.ConfigVersion); since != nil {
+		return []cbor.RawMessage{protocol.CompressUpdates(encodeAll(since))}
 	}
 	if shared.config == nil {
-		shared.config = protocol.Pack(encodeAll([]statemachine.Update{{Config: whole}}))
+		shared.config = protocol.CompressUpdates(encodeAll([]statemachine.Update{{Config: whole}}))
 	}
 	return []cbor.RawMessage{shared.config}
 }
@@ -304,7 +304,7 @@
 func (s *Server) dispatcherTick() {
 	for d := range s.dispatchers {
 		if d.quiet++; d.quiet >= heartbeatTicks {
-			s.sendDown(d, protocol.Down{Controls: s.controls()})
+			s.sendDown(d, protocol.ControlMessage{ControlAddresses: s.controls()})
 		}
 	}
 }
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -42,10 +42,10 @@
 	inbox    chan func()
 
 	disk     *disk
-	register *view.Register
+	register *view.Consensus
 	detector *view.Detector
 	replica  *chain.Replica
-	cluster  *statemachine.Cluster
+	cluster  *statemachine.FSM
 
 	leaving       bool   // the process is to stop, and hands its place in the chain over
 	restartedIn   uint64 // epoch in whose view this life has no part
@@ -64,7 +64,7 @@
 	pending     map[uint64]*request
 	nextTag     uint64
 	outgoing    []chain.Proposal // for the head
-	updates     []statemachine.Addressed
+	updates     []statemachine.AddressedUpdate
 	changes     recentChanges
 	dispatchers map[*dispatcher]bool
 	bySession   map[statemachine.SessionID]*dispatcher
@@ -78,28 +78,28 @@
 
 // Open reads the disk and returns a server that is not running yet.
 func Open(s *settings.Settings, network frame.Network, folder segment.Folder, logger zerolog.Logger) (*Server, error) {
-	store, recovered, err := segment.Open(folder, segment.For(s.Limits.DiskMb))
+	store, recovered, err := segment.Open(folder, segment.LayoutFor(s.Limits.DiskMb))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	durable := view.Durable{}
+	durable := view.HardState{}
 	if recovered.Fresh {
-		durable.Me = view.Member{ID: rand.Uint64() | 1, Node: s.Node, Address: s.Listen.Control, Zone: s.Zone}
-		durable.First = s.Bootstrap
-		if err := store.SaveMeta(protocol.Encode(durable)); err != nil {
+		durable.Self = view.Member{ID: rand.Uint64() | 1, Node: s.Node, Address: s.Listen.Control, Zone: s.Zone}
+		durable.InitialMember = s.Bootstrap
+		if err := store.SaveMetadata(protocol.Encode(durable)); err != nil {
 			return nil, errors.Trace(err)
 		}
-	} else if !protocol.Decode(recovered.Meta, &durable) {
+	} else if !protocol.Decode(recovered.Metadata, &durable) {
 		return nil, errors.Errorf("%s: the metadata can't be read; replace this disk, or empty the folder so that this machine joins anew", s.DataDir)
 	}
-	keepAges := uint64((s.Bounds.StatusS + jobMargin.Seconds()) / ageEvery.Seconds())
+	keepAges := uint64((s.Bounds.StatusRetentionS + jobMargin.Seconds()) / ageEvery.Seconds())
 	server := &Server{
 		settings:    s,
 		logger:      logger,
 		network:     network,
 		began:       time.Now(),
 		inbox:       make(chan func(), 4096),
-		register:    view.NewRegister(durable),
+		register:    view.NewConsensus(durable),
 		cluster:     statemachine.New(keepAges),
 		restartedIn: durable.View.Epoch,
 		pending:     map[uint64]*request{},
@@ -119,17 +119,17 @@
 	for i, record := range recovered.Records {
 		entries[i] = chain.Entry{Index: record.Index, Epoch: record.Epoch, Data: record.Data}
 	}
-	server.replica = chain.New(durable.Me.ID, s.Tolerate.Machines+1, chain.Snapshot{Index: recovered.Snapshot.Index,
-		IndexEpoch: recovered.Snapshot.Epoch, Data: recovered.Snapshot.Data}, entries, recovered.Committed)
+	server.replica = chain.New(durable.Self.ID, s.Tolerate.Machines+1, chain.Snapshot{Index: recovered.Snapshot.Index,
+		IndexEpoch: recovered.Snapshot.Epoch, Data: recovered.Snapshot.Data}, entries, recovered.CommitIndex)
 	server.replay(entries)
-	server.detector = view.NewDetector(durable.Me, 0, s.Tolerate.Machines+1)
+	server.detector = view.NewDetector(durable.Self, 0, s.Tolerate.Machines+1)
 	server.freeSegments = store.FreeSegments()
 	server.disk = newDisk(store, logger, server.diskDone, func() {
 		server.do(server.beat)
 	})
 	server.peers = newPeers(server)
 	server.heartbeats = newHeartbeats()
-	logger.Info().Uint64("epoch", durable.View.Epoch).Uint64("entries", server.replica.Last()).
+	logger.Info().Uint64("epoch", durable.View.Epoch).Uint64("entries", server.replica.LastIndex()).
 		Bool("fresh", recovered.Fresh).Msg("disk read")
 	return server, nil
 }
@@ -137,13 +137,13 @@
 // replay applies what the disk shows to be committed.
 func (s *Server) replay(entries []chain.Entry) {
 	for i := range entries {
-		if entries[i].Index > s.replica.Committed() {
+		if entries[i].Index > s.replica.CommitIndex() {
 			break
 		}
 		entries[i].Origin = 0
 		s.apply(&entries[i])
 		s.updates = nil
-		s.cluster.TakeNotices()
+		s.cluster.DequeueNotices()
 	}
 }
 
@@ -152,7 +152,7 @@
 // Handler serves all that a control process answers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+protocol.CorePath, s.peers.accept)
+	mux.HandleFunc("POST "+protocol.PeerPath, s.peers.accept)
 	mux.HandleFunc("POST "+protocol.DispatcherPath, s.acceptDispatcher)
 	mux.HandleFunc("PUT /-/config", s.putConfig)
 	mux.HandleFunc("GET /-/config", s.getConfig)
@@ -228,67 +228,67 @@
 }
 
 func (s *Server) flushRegister() bool {
-	out := s.register.Take()
-	if out.Save == nil && len(out.Sends) == 0 {
+	out := s.register.Ready()
+	if out.HardState == nil && len(out.Messages) == 0 {
 		return false
 	}
 	act := func() {
-		for _, send := range out.Sends {
+		for _, send := range out.Messages {
 			s.sendView(send)
 		}
 		if out.Decided {
-			s.installView(out.Save.View)
+			s.installView(out.HardState.View)
 		}
 	}
-	if out.Save == nil {
+	if out.HardState == nil {
 		act()
 		return true
 	}
-	s.disk.add(diskJob{meta: protocol.Encode(out.Save), done: act})
+	s.disk.add(diskJob{meta: protocol.Encode(out.HardState), done: act})
 	return true
 }
 
-func (s *Server) sendView(send view.Send) {
-	if send.To == s.register.Me().ID {
+func (s *Server) sendView(send view.Envelope) {
+	if send.To == s.register.Self().ID {
 		s.register.Receive(send.To, &send.Message)
 		return
 	}
-	s.peers.send(send.To, &protocol.Peer{View: &send.Message})
+	s.peers.send(send.To, &protocol.PeerMessage{View: &send.Message})
 }
 
 func (s *Server) flushChain() bool {
-	out := s.replica.Take()
-	idle := out.Restore == nil && len(out.Writes)+len(out.Sends)+len(out.Committed)+len(out.Reads) == 0 && !out.Complete
+	out := s.replica.Ready()
+	idle := out.Snapshot == nil && len(out.Writes)+len(out.Messages)+len(out.CommittedEntries)+len(out.ConfirmedReads) == 0 && !out.PersistCompleteness
 	if idle {
 		return false
 	}
-	if out.Restore != nil {
-		s.restore(out.Restore)
+	if out.Snapshot != nil {
+		s.restore(out.Snapshot)
 	}
 	for _, write := range out.Writes {
 		last := write.Entries[len(write.Entries)-1].Index
 		generation := write.Generation
-		s.disk.add(diskJob{entries: write.Entries, committed: s.replica.Committed(), done: func() { s.replica.Written(last, generation) }})
+		s.disk.add(diskJob{entries: write.Entries, committed: s.replica.CommitIndex(), done: func() { s.replica.EntriesPersisted(last, generation) }})
 	}
-	for _, send := range out.Sends {
-		s.peers.send(send.To, &protocol.Peer{Chain: &send.Message})
+	for _, send := range out.Messages {
+		s.peers.send(send.To, &protocol.PeerMessage{Chain: &send.Message})
 	}
-	if out.Complete {
+	if out.PersistCompleteness {
 		epoch := s.replica.Epoch()
 		s.register.MarkComplete(epoch)
-		saved := s.register.Take()
-		done := func() { s.replica.CompletePersisted(epoch) }
-		if saved.Save != nil {
-			s.disk.add(diskJob{meta: protocol.Encode(saved.Save), done: done})
+		saved := s.register.Ready()
+		done := func() { s.replica.CompletenessPersisted(epoch) }
+		if saved.HardState != nil {
+			s.disk.add(diskJob{meta: protocol.Encode(saved.HardState), done: done})
 		} else {
 			done()
 		}
 	}
-	for i := range out.Committed {
-		s.apply(&out.Committed[i])
+	for i := range out.CommittedEntries {
+		s.apply(&out.CommittedEntries[i])
 	}
 	s.logNotices()
-	for _, read := range out.Reads {
+	for _, read := range out.ConfirmedReads {
 		s.answerRead(read)
 	}
 	return true
@@ -307,7 +307,7 @@
 	s.logBytes, s.snapshotBytes = 0, len(snapshot.Data)
 	s.disk.add(diskJob{reset: true,
 		snapshot: &segment.Snapshot{Index: index, Epoch: snapshot.IndexEpoch, Data: snapshot.Data},
-		done:     func() { s.replica.Restored(index) }})
+		done:     func() { s.replica.SnapshotPersisted(index) }})
 	s.applied = index
 	s.dropDispatchers()
 }
@@ -331,14 +331,14 @@
 		return
 	}
 	result := s.cluster.Apply(command)
-	updates := s.cluster.TakeUpdates()
+	updates := s.cluster.DequeueUpdates()
 	s.updates = append(s.updates, updates...)
 	for i := range updates {
 		if updates[i].Update.Config != nil {
 			s.changes.add(updates[i].Update.Config)
 		}
 	}
-	if entry.Origin == s.register.Me().ID {
+	if entry.Origin == s.register.Self().ID {
 		s.answer(entry.Tag, result)
 	}
 }
@@ -358,7 +358,7 @@
 		s.abandon()
 	}
 	s.dispatcherTick()
-	if s.replica.IsHead() && s.replica.Serves() {
+	if s.replica.IsHead() && s.replica.IsServing() {
 		s.headTick(now)
 	}
 	s.compact()
--- a/internal/control/server/fetch.go
+++ b/internal/control/server/fetch.go
@@ -31,18 +31,18 @@
 
 // fetch asks a member for what this replica, outside the chain, lacks.
 func (s *Server) fetch(member view.MemberID) {
-	fetch, outside := s.replica.NextFetch()
+	fetch, outside := s.replica.NextCatchUpRequest()
 	if !outside || s.register.View().Epoch == 0 || s.restarted() || !s.pace.ask(s.now()) {
 		return
 	}
-	s.peers.send(member, &protocol.Peer{Fetch: &fetch})
+	s.peers.send(member, &protocol.PeerMessage{CatchUpRequest: &fetch})
 }
 
 // fetchSome asks the last live member of the chain, which has least to do.
 func (s *Server) fetchSome() {
 	members := s.register.View().Chain
 	for i := len(members) - 1; i >= 0; i-- {
-		if s.detector.Alive(s.now(), members[i].ID) && members[i].ID != s.register.Me().ID {
+		if s.detector.IsAlive(s.now(), members[i].ID) && members[i].ID != s.register.Self().ID {
 			s.fetch(members[i].ID)
 			return
 		}
--- a/internal/control/server/head.go
+++ b/internal/control/server/head.go
@@ -35,8 +35,8 @@
 	}
 	if now-s.agedAt >= ageEvery {
 		s.agedAt = now
-		age := &statemachine.Age{Count: s.cluster.AgeCount + 1}
-		s.submit(&statemachine.Command{Age: age}, func(statemachine.Result) {})
+		age := &statemachine.AdvanceClock{Tick: s.cluster.ClockTicks + 1}
+		s.submit(&statemachine.Command{AdvanceClock: age}, func(statemachine.Result) {})
 	}
 }
 
@@ -55,7 +55,7 @@
 
 // compact saves a snapshot once the log behind the last one is long.
 func (s *Server) compact() {
-	if s.compacting || !s.snapshotDue() || s.replica.Committed() != s.applied {
+	if s.compacting || !s.snapshotDue() || s.replica.CommitIndex() != s.applied {
 		return
 	}
 	s.compacting = true
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -35,7 +35,9 @@
 	empty []byte // for dispatchers
 }
 
-func newHeartbeats() *heartbeats { return &heartbeats{empty: protocol.Encode(protocol.Down{})} }
+func newHeartbeats() *heartbeats {
+	return &heartbeats{empty: protocol.Encode(protocol.ControlMessage{})}
+}
 
 // repeat sends the last heartbeat again where the next one is late, and reports whether it did.
 func (h *heartbeats) repeat(now time.Duration) bool {
--- a/internal/control/server/leave.go
+++ b/internal/control/server/leave.go
@@ -9,10 +9,10 @@
 	leaveUsual  = 4 * time.Second // where the settings don't tell that time
 )
 
-// Leave hands this member's place over before the process stops: the others agree on a chain without it, and on
+// LeaveChain hands this member's place over before the process stops: the others agree on a chain without it, and on
 // a newcomer in its place where one waits. A member without which the chain is too short stays until another one
 // has the whole log, or its time is over. It returns once the place is handed over, or can't be.
-func (s *Server) Leave() {
+func (s *Server) LeaveChain() {
 	s.do(func() {
 		s.leaving = true
 		s.detector.Leave()
--- a/internal/control/server/notices.go
+++ b/internal/control/server/notices.go
@@ -8,13 +8,13 @@
 
 // logNotices writes what the state machine tells operators of. Of all replicas the head does so.
 func (s *Server) logNotices() {
-	notices := s.cluster.TakeNotices()
+	notices := s.cluster.DequeueNotices()
 	if !s.replica.IsHead() {
 		return
 	}
 	for i := range notices {
 		line := s.logger.Info()
-		if notices[i].Kind == statemachine.EndPassedOver {
+		if notices[i].Kind == statemachine.NoticeEndIgnored {
 			line = s.logger.Debug() // owners tell ends again until they have an outcome: there may be a thousand a day
 		}
 		logNotice(line, &notices[i])
@@ -24,10 +24,10 @@
 func logNotice(line *zerolog.Event, n *statemachine.Notice) {
 	line.Str("worker", n.Worker)
 	if n.Address != "" {
-		line.Str("address", n.Address).Uint64("reader", n.Reader).Uint64("reading", n.Reading).Int("placed", n.Placed)
+		line.Str("address", n.Address).Uint64("reader", n.Reader).Uint64("reading", n.Report).Int("placed", n.Runs)
 	}
 	if n.Task != "" {
-		line.Str("task", n.Task).Uint64("run", n.Run).Stringer("how", n.How).Int("attempts", n.Attempts)
+		line.Str("task", n.Task).Uint64("run", n.Run).Stringer("how", n.EndReason).Int("attempts", n.Attempts)
 	}
 	line.Msg(n.Kind.String())
 }
--- a/internal/control/server/operator.go
+++ b/internal/control/server/operator.go
@@ -54,7 +54,7 @@
 		http.Error(w, "If-Match must hold the version on which this one builds", http.StatusBadRequest)
 		return
 	}
-	configured, fault := configuration.Read(body)
+	configured, fault := configuration.Parse(body)
 	if fault != nil {
 		http.Error(w, fault.Error(), http.StatusBadRequest)
 		return
@@ -130,11 +130,11 @@
 	answer := make(chan Status, 1)
 	s.do(func() {
 		v := s.register.View()
-		status := Status{Node: s.settings.Node, Epoch: v.Epoch, Copies: v.Writers(), Serves: s.inTouch(), Last: s.replica.Last(),
-			Committed: s.replica.Committed(), Pending: len(s.pending), Version: s.cluster.ConfigVersion,
+		status := Status{Node: s.settings.Node, Epoch: v.Epoch, Copies: v.WriterCount(), Serves: s.inTouch(), Last: s.replica.LastIndex(),
+			Committed: s.replica.CommitIndex(), Pending: len(s.pending), Version: s.cluster.ConfigVersion,
 			Sessions: len(s.cluster.Sessions), Workers: len(s.cluster.Workers), Jobs: len(s.cluster.Jobs),
 			StalledMs: s.disk.stalledFor().Milliseconds(), Dispatched: len(s.dispatchers),
-			Diverged: s.replica.Diverged() != nil}
+			Diverged: s.replica.Divergence() != nil}
 		for _, member := range v.Chain {
 			status.Chain = append(status.Chain, member.Node)
 		}
@@ -142,7 +142,7 @@
 			status.Electors = append(status.Electors, member.Node)
 		}
 		for _, known := range s.cluster.Jobs {
-			if !known.State.Over() {
+			if !known.State.Terminal() {
 				status.Open++
 			}
 		}
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -55,8 +55,8 @@
 	case update.Config != nil:
 		o.urgent = append(o.urgent, encoded)
 		return
-	case update.Used != nil:
-		added.worker = update.Used.Worker
+	case update.Usage != nil:
+		added.worker = update.Usage.Worker
 		if former, waits := o.uses[added.worker]; waits {
 			o.replace(former)
 		}
@@ -106,8 +106,8 @@
 func (o *outbox) overflows() bool { return o.bytes > backlogBytes }
 
 // next returns the next message that may go out now, and false while there is none.
-func (o *outbox) next() (protocol.Down, bool) {
-	down, size := protocol.Down{}, 0
+func (o *outbox) next() (protocol.ControlMessage, bool) {
+	down, size := protocol.ControlMessage{}, 0
 	if o.underWay() < urgentBytes {
 		down.Updates, o.urgent = o.urgent, nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // fill moves what waits to a message until that is as large as it may be.
-func (o *outbox) fill(down *protocol.Down, size int) {
+func (o *outbox) fill(down *protocol.ControlMessage, size int) {
 	taken := 0
 	for ; taken < len(o.waiting); taken++ {
 		told := &o.waiting[taken]
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -72,7 +72,7 @@
 }
 
 func (p *peers) dial(other *peer) {
-	conn, err := frame.Dial(p.server.network, other.address, protocol.CorePath, dialWithin)
+	conn, err := frame.Dial(p.server.network, other.address, protocol.PeerPath, dialWithin)
 	p.server.do(func() {
 		other.dialing = false
 		if err != nil {
@@ -114,7 +114,7 @@
 func (p *peers) refused(other *peer) {
 	for id, address := range p.addresses {
 		if address == other.address {
-			p.server.detector.Refused(p.server.now(), id)
+			p.server.detector.ConnectionRefused(p.server.now(), id)
 		}
 	}
 }
@@ -136,19 +136,19 @@
 		if err != nil {
 			return
 		}
-		message := &protocol.Peer{}
+		message := &protocol.PeerMessage{}
 		if !protocol.Decode(data, message) {
 			return
 		}
-		if message.Ping != nil {
-			from = message.Ping.From
+		if message.Heartbeat != nil {
+			from = message.Heartbeat.From
 		}
 		if from.ID == 0 {
 			continue // whoever has not said its name yet
 		}
 		sender, at := from, p.server.now()
 		p.server.do(func() {
-			if message.Ping != nil {
+			if message.Heartbeat != nil {
 				p.addresses[sender.ID] = sender.Address
 				p.meet([]string{sender.Address})
 				if other := p.byAddress[sender.Address]; other != nil {
@@ -161,7 +161,7 @@
 }
 
 // send sends a message to a member, as far as there is a connection to it.
-func (p *peers) send(to view.MemberID, message *protocol.Peer) {
+func (p *peers) send(to view.MemberID, message *protocol.PeerMessage) {
 	other := p.byAddress[p.addresses[to]]
 	if other == nil || other.conn == nil {
 		return
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -33,9 +33,9 @@
 
 // Run opens the disk and carries the server until stop is closed. It fails where the disk's content can't be used.
 func (p *Process) Run(stop <-chan struct{}) error {
-	patient := segment.NewPatient(p.folder, func(err error) bool { return p.waitForDisk(err, stop) })
+	patient := segment.NewRetryingFolder(p.folder, func(err error) bool { return p.waitForDisk(err, stop) })
 	server, err := Open(p.settings, p.network, patient, p.logger)
-	patient.End()
+	patient.StopRetrying()
 	if err != nil {
 		if isClosed(stop) {
 			return nil
@@ -49,10 +49,10 @@
 	return nil
 }
 
-// Leave hands this machine's place in the chain over, before Run is stopped.
-func (p *Process) Leave() {
+// LeaveChain hands this machine's place in the chain over, before Run is stopped.
+func (p *Process) LeaveChain() {
 	if server := p.server.Load(); server != nil {
-		server.Leave()
+		server.LeaveChain()
 	}
 }
 
--- a/internal/control/server/requests.go
+++ b/internal/control/server/requests.go
@@ -71,7 +71,7 @@
 }
 
 func (s *Server) propose(tag uint64, r *request) {
-	proposal := chain.Proposal{Origin: s.register.Me().ID, Tag: tag, Read: r.read}
+	proposal := chain.Proposal{Origin: s.register.Self().ID, Tag: tag, Read: r.read}
 	if !r.read {
 		proposal.Data = r.data
 	}
@@ -99,6 +99,6 @@
 		return
 	}
 	if head := s.replica.Head(); head != 0 {
-		s.peers.send(head, &protocol.Peer{Forward: proposals})
+		s.peers.send(head, &protocol.PeerMessage{ForwardedProposals: proposals})
 	}
 }
--- a/internal/control/server/views.go
+++ b/internal/control/server/views.go
@@ -17,9 +17,9 @@
 	for i, member := range v.Chain {
 		members[i], names[i] = member.ID, member.Node
 	}
-	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.Copies).Msg("view")
+	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.ReplicationFactor).Msg("view")
 	s.viewSince = s.now()
-	s.replica.SetView(chain.View{Epoch: v.Epoch, Members: members, Writers: v.Copies})
+	s.replica.SetView(chain.View{Epoch: v.Epoch, Members: members, WriterCount: v.ReplicationFactor})
 	s.peers.meet(addressesOf(v.Chain))
 	s.peers.meet(addressesOf(v.Electors))
 	s.resend(0)
@@ -27,46 +27,46 @@
 
 // stalled reports whether the chain had better do without this member.
 func (s *Server) stalled() bool {
-	return s.disk.sick() || s.unreadable || s.replica.Diverged() != nil
+	return s.disk.sick() || s.unreadable || s.replica.Divergence() != nil
 }
 
 // tellDivergence logs once that this member's log is contradicted: an operator has to see to it.
 func (s *Server) tellDivergence() {
-	d := s.replica.Diverged()
+	d := s.replica.Divergence()
 	if d == nil || s.toldDivergence {
 		return
 	}
 	s.toldDivergence = true
-	s.logger.Error().Uint64("index", d.Index).Uint64("own epoch", d.Own).Uint64("other epoch", d.Other).
+	s.logger.Error().Uint64("index", d.Index).Uint64("own epoch", d.OwnEpoch).Uint64("other epoch", d.OtherEpoch).
 		Msg("another member's log contradicts what is committed here; staying out of the chain: a disk has lost what it had synced")
 }
 
 // probeDisk writes to a disk that was slow, to see whether it still is.
 func (s *Server) probeDisk() {
 	if s.disk.sick() && s.disk.idle() {
-		s.disk.add(diskJob{meta: protocol.Encode(s.register.Durable())})
+		s.disk.add(diskJob{meta: protocol.Encode(s.register.HardState())})
 	}
 }
 
-func (s *Server) ping() *protocol.Peer {
-	return &protocol.Peer{Sessions: s.sessionsInTouch(), Ping: &view.Ping{From: s.register.Me(),
-		Epoch: s.register.View().Epoch, First: s.register.First(), Stalled: s.stalled(), Restarted: s.restarted(),
-		Last: s.replica.Last(), Hears: s.detector.Hears(s.now()), Leaving: s.leaving}}
+func (s *Server) ping() *protocol.PeerMessage {
+	return &protocol.PeerMessage{ConnectedSessions: s.sessionsInTouch(), Heartbeat: &view.Heartbeat{From: s.register.Self(),
+		Epoch: s.register.View().Epoch, InitialMember: s.register.IsInitialMember(), Unhealthy: s.stalled(), Restarted: s.restarted(),
+		LastIndex: s.replica.LastIndex(), HeardFrom: s.detector.HeardFrom(s.now()), Leaving: s.leaving}}
 }
 
 // considerView proposes another view where the detector wants one.
 func (s *Server) considerView() {
 	now := s.now()
-	if s.register.View().Epoch == 0 && s.register.First() {
-		if founders := s.detector.Founders(now, s.settings.Seeds); founders != nil {
-			s.register.Found(founders)
+	if s.register.View().Epoch == 0 && s.register.IsInitialMember() {
+		if founders := s.detector.InitialElectors(now, s.settings.Seeds); founders != nil {
+			s.register.Bootstrap(founders)
 		}
 	}
-	if s.register.Proposing() {
+	if s.register.IsProposing() {
 		return
 	}
-	if wish, expected := s.detector.Wish(now, s.register.View(), s.restarted(), s.stalled(),
-		s.replica.Committed()); wish != nil {
+	if wish, expected := s.detector.DesiredView(now, s.register.View(), s.restarted(), s.stalled(),
+		s.replica.CommitIndex()); wish != nil {
 		s.logDropped(now, wish)
 		s.register.Propose(*wish, expected, s.settings.Tolerate.Machines+1)
 	}
@@ -75,8 +75,8 @@
 // logDropped logs which members a proposal leaves out of the chain, and why.
 func (s *Server) logDropped(now time.Duration, wish *view.View) {
 	for _, member := range s.register.View().Chain {
-		if wish.InChain(member.ID) < 0 {
-			s.logger.Warn().Str("member", member.Node).Str("trouble", s.detector.Trouble(now, member.ID)).Msg("member left out of the chain")
+		if wish.ChainPosition(member.ID) < 0 {
+			s.logger.Warn().Str("member", member.Node).Str("trouble", s.detector.ExclusionReason(now, member.ID)).Msg("member left out of the chain")
 		}
 	}
 }
@@ -84,58 +84,58 @@
 // restarted reports whether this process has no part in the view in force, though its disk has.
 func (s *Server) restarted() bool {
 	epoch := s.register.View().Epoch
-	return epoch > 0 && epoch == s.restartedIn && s.register.View().InChain(s.register.Me().ID) >= 0
+	return epoch > 0 && epoch == s.restartedIn && s.register.View().ChainPosition(s.register.Self().ID) >= 0
 }
 
 // inTouch reports whether this replica follows what is committed and stands with a majority.
 func (s *Server) inTouch() bool {
-	return s.replica.Serves() && s.detector.Majority(s.now(), s.register.View())
+	return s.replica.IsServing() && s.detector.HasQuorum(s.now(), s.register.View())
 }
 
 // standing reports whether this replica is a member that stands with a majority. Commands may have to wait
 // for a new member, but they come through.
 func (s *Server) standing() bool {
-	return s.replica.IsMember() && s.replica.Diverged() == nil && s.detector.Majority(s.now(), s.register.View())
+	return s.replica.IsMember() && s.replica.Divergence() == nil && s.detector.HasQuorum(s.now(), s.register.View())
 }
 
 // receivePeer takes in a message of another control machine that arrived at the given time.
-func (s *Server) receivePeer(at time.Duration, from view.Member, message *protocol.Peer) {
+func (s *Server) receivePeer(at time.Duration, from view.Member, message *protocol.PeerMessage) {
 	now := s.now()
 	switch {
-	case message.Ping != nil:
-		wasAlive := s.detector.Alive(now, from.ID)
-		s.detector.Heard(at, *message.Ping)
-		if wasAlive != s.detector.Alive(now, from.ID) {
+	case message.Heartbeat != nil:
+		wasAlive := s.detector.IsAlive(now, from.ID)
+		s.detector.ReceiveHeartbeat(at, *message.Heartbeat)
+		if wasAlive != s.detector.IsAlive(now, from.ID) {
 			s.peers.send(from.ID, s.ping()) // so that both sides know at once
 			s.considerView()
 		}
-		if message.Ping.Epoch < s.register.View().Epoch {
-			tell := s.register.Tell()
-			s.peers.send(from.ID, &protocol.Peer{View: &tell})
+		if message.Heartbeat.Epoch < s.register.View().Epoch {
+			tell := s.register.DecidedMessage()
+			s.peers.send(from.ID, &protocol.PeerMessage{View: &tell})
 		}
-		for _, id := range message.Sessions {
+		for _, id := range message.ConnectedSessions {
 			s.seen[id] = max(s.seen[id], at)
 		}
-	case message.Broken != nil:
-		for _, id := range message.Broken {
+	case message.DisconnectedSessions != nil:
+		for _, id := range message.DisconnectedSessions {
 			s.broken[id] = at
 		}
 	case message.View != nil:
 		s.register.Receive(from.ID, message.View)
 	case message.Chain != nil:
 		s.replica.Receive(from.ID, message.Chain)
-	case message.Fetch != nil:
-		if lesson := s.replica.Teach(*message.Fetch); lesson != nil {
-			s.peers.send(from.ID, &protocol.Peer{Lesson: lesson})
+	case message.CatchUpRequest != nil:
+		if lesson := s.replica.AnswerCatchUp(*message.CatchUpRequest); lesson != nil {
+			s.peers.send(from.ID, &protocol.PeerMessage{CatchUpResponse: lesson})
 		}
-	case message.Lesson != nil:
-		before := s.replica.Committed()
-		s.replica.Learn(message.Lesson)
+	case message.CatchUpResponse != nil:
+		before := s.replica.CommitIndex()
+		s.replica.ApplyCatchUp(message.CatchUpResponse)
 		s.pace.answered()
-		if s.replica.Committed() > before {
+		if s.replica.CommitIndex() > before {
 			s.fetch(from.ID) // else the next tick asks: one that brings nothing must not be asked for at once again
 		}
-	case message.Forward != nil:
-		s.replica.Propose(message.Forward)
+	case message.ForwardedProposals != nil:
+		s.replica.Propose(message.ForwardedProposals)
 	}
 }
--- a/internal/control/statemachine/cluster.go
+++ b/internal/control/statemachine/cluster.go
@@ -13,18 +13,18 @@
 
 // Session is a dispatcher's session.
 type Session struct {
-	ID   SessionID `cbor:"1,keyasint"`
-	Node string    `cbor:"2,keyasint"`
-	Zone string    `cbor:"3,keyasint"`
-	Life uint64    `cbor:"4,keyasint"`
-	// Settled is the number up to which commands of the session have an outcome that it knows.
-	Settled uint64 `cbor:"5,keyasint,omitempty"`
+	ID          SessionID `cbor:"1,keyasint"`
+	Node        string    `cbor:"2,keyasint"`
+	Zone        string    `cbor:"3,keyasint"`
+	Incarnation uint64    `cbor:"4,keyasint"`
+	// AcknowledgedThrough is the number up to which commands of the session have an outcome that it knows.
+	AcknowledgedThrough uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// LastSession is the newest session that a node has had.
-type LastSession struct {
-	ID  SessionID `cbor:"1,keyasint"`
-	Age uint64    `cbor:"2,keyasint"` // AgeCount when it was opened, or was over
+// LatestSession is the newest session that a node has had.
+type LatestSession struct {
+	ID   SessionID `cbor:"1,keyasint"`
+	Tick uint64    `cbor:"2,keyasint"` // ClockTicks when it was opened, or was over
 }
 
 // Worker is a worker with its owner and what is placed on it.
@@ -33,87 +33,87 @@
 	Owner SessionID     `cbor:"20,keyasint,omitempty"`
 	Token uint64        `cbor:"21,keyasint,omitempty"` // rises with each change of owner, over all workers
 	Used  job.Resources `cbor:"22,keyasint,omitempty"`
-	// Placed has what is placed here by the names of the tasks.
-	Placed map[string]Run `cbor:"23,keyasint,omitempty"`
+	// Runs has what is placed here by the names of the tasks.
+	Runs map[string]Run `cbor:"23,keyasint,omitempty"`
 	// Unlisted says that the platform's list lacks the worker. It leaves the state once nothing is placed here:
 	// what runs goes on, or its owner proves that it is over.
 	Unlisted bool `cbor:"24,keyasint,omitempty"`
-	// Over says that the worker's life is proven to be over. It stays in the state as long as it is listed, so that
+	// Ended says that the worker's life is proven to be over. It stays in the state as long as it is listed, so that
 	// a reading that still names it does not bring it back.
-	Over bool `cbor:"25,keyasint,omitempty"`
+	Ended bool `cbor:"25,keyasint,omitempty"`
 }
 
-// Closed reports whether nothing may be placed at the worker any more.
-func (w *Worker) Closed() bool { return w.Draining || w.Unlisted || w.Over }
+// Unschedulable reports whether nothing may be placed at the worker any more.
+func (w *Worker) Unschedulable() bool { return w.Draining || w.Unlisted || w.Ended }
 
 // Run is one run of a task at a worker.
 type Run struct {
-	Number uint64 `cbor:"1,keyasint"`
-	Saved  string `cbor:"2,keyasint,omitempty"` // the checkpoint from which it goes on
-	// Token and Sequence are those of its newest Checkpoint.
-	Token    uint64 `cbor:"3,keyasint,omitempty"`
-	Sequence uint64 `cbor:"4,keyasint,omitempty"`
+	Number     uint64 `cbor:"1,keyasint"`
+	Checkpoint string `cbor:"2,keyasint,omitempty"` // the checkpoint from which it goes on
+	// CheckpointToken and Sequence are those of its newest Checkpoint.
+	CheckpointToken    uint64 `cbor:"3,keyasint,omitempty"`
+	CheckpointSequence uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Room returns what is left of the worker.
-func (w *Worker) Room() job.Resources { return w.Capacity.Minus(w.Used) }
+// FreeCapacity returns what is left of the worker.
+func (w *Worker) FreeCapacity() job.Resources { return w.Capacity.Minus(w.Used) }
 
 // State is the replicated state. Its fields are exported for snapshots alone.
 type State struct {
-	ConfigVersion int64                  `cbor:"1,keyasint"`
-	ConfigBody    []byte                 `cbor:"2,keyasint"`
-	NextSession   SessionID              `cbor:"4,keyasint"`
-	NextToken     uint64                 `cbor:"5,keyasint"`
-	NextJob       uint64                 `cbor:"6,keyasint"`
-	AgeCount      uint64                 `cbor:"7,keyasint"`
-	Sessions      map[SessionID]*Session `cbor:"8,keyasint"`
-	Workers       map[string]*Worker     `cbor:"9,keyasint"`
-	Jobs          map[string]*job.Job    `cbor:"10,keyasint"`
-	Pending       map[string]int         `cbor:"11,keyasint"` // jobs of a route of which no task has begun
-	// Acknowledged has the SHA-256 digests of the configurations that were in force lately, by version, and
+	ConfigVersion  int64                  `cbor:"1,keyasint"`
+	ConfigBody     []byte                 `cbor:"2,keyasint"`
+	LastSessionID  SessionID              `cbor:"4,keyasint"`
+	LastToken      uint64                 `cbor:"5,keyasint"`
+	LastJobNumber  uint64                 `cbor:"6,keyasint"`
+	ClockTicks     uint64                 `cbor:"7,keyasint"`
+	Sessions       map[SessionID]*Session `cbor:"8,keyasint"`
+	Workers        map[string]*Worker     `cbor:"9,keyasint"`
+	Jobs           map[string]*job.Job    `cbor:"10,keyasint"`
+	PendingByRoute map[string]int         `cbor:"11,keyasint"` // jobs of a route of which no task has begun
+	// ConfigDigests has the SHA-256 digests of the configurations that were in force lately, by version, and
 	// Forgotten the newest version of which the digest is not kept any more. (3 was another form of it.)
-	Acknowledged map[int64][]byte        `cbor:"12,keyasint"`
-	Forgotten    int64                   `cbor:"13,keyasint"`
-	LastSessions map[string]*LastSession `cbor:"14,keyasint"` // by node
+	ConfigDigests    map[int64][]byte          `cbor:"12,keyasint"`
+	ForgottenThrough int64                     `cbor:"13,keyasint"`
+	LatestSessions   map[string]*LatestSession `cbor:"14,keyasint"` // by node
 	// Reader and Reading name the newest reading of the platform's list that was taken in.
-	ReadBy  SessionID `cbor:"15,keyasint"`
-	Reading uint64    `cbor:"16,keyasint"`
+	LastReader SessionID `cbor:"15,keyasint"`
+	LastReport uint64    `cbor:"16,keyasint"`
 }
 
-// Cluster applies commands to the state and collects updates.
-type Cluster struct {
+// FSM applies commands to the state and collects updates.
+type FSM struct {
 	State
 	keepAges uint64
-	updates  []Addressed
+	updates  []AddressedUpdate
 	notices  []Notice
 }
 
 // New returns an empty cluster that forgets a job once keepAges ages have passed since its end.
-func New(keepAges uint64) *Cluster {
-	return &Cluster{keepAges: keepAges, State: State{
-		Acknowledged: map[int64][]byte{},
-		Sessions:     map[SessionID]*Session{},
-		LastSessions: map[string]*LastSession{},
-		Workers:      map[string]*Worker{},
-		Jobs:         map[string]*job.Job{},
-		Pending:      map[string]int{},
+func New(keepAges uint64) *FSM {
+	return &FSM{keepAges: keepAges, State: State{
+		ConfigDigests:  map[int64][]byte{},
+		Sessions:       map[SessionID]*Session{},
+		LatestSessions: map[string]*LatestSession{},
+		Workers:        map[string]*Worker{},
+		Jobs:           map[string]*job.Job{},
+		PendingByRoute: map[string]int{},
 	}}
 }
 
 // Restore puts a state from a snapshot in the place of the present one.
-func (c *Cluster) Restore(state State) {
+func (c *FSM) Restore(state State) {
 	empty := New(c.keepAges).State
-	if state.Acknowledged == nil { // a snapshot of a version that kept other digests
-		state.Acknowledged = empty.Acknowledged
-		state.Forgotten = state.ConfigVersion - 1
+	if state.ConfigDigests == nil { // a snapshot of a version that kept other digests
+		state.ConfigDigests = empty.ConfigDigests
+		state.ForgottenThrough = state.ConfigVersion - 1
 		if state.ConfigVersion > 0 {
-			state.Acknowledged[state.ConfigVersion] = digest(state.ConfigBody)
+			state.ConfigDigests[state.ConfigVersion] = digest(state.ConfigBody)
 		}
 	}
-	if state.LastSessions == nil {
-		state.LastSessions = empty.LastSessions
+	if state.LatestSessions == nil {
+		state.LatestSessions = empty.LatestSessions
 		for _, session := range state.Sessions {
-			state.LastSessions[session.Node] = &LastSession{session.ID, state.AgeCount}
+			state.LatestSessions[session.Node] = &LatestSession{session.ID, state.ClockTicks}
 		}
 	}
 	c.State, c.updates, c.notices = state, nil, nil
@@ -121,17 +121,17 @@
 
 // fresh reports whether a dispatcher still waits for the outcome of a command. It is false for a copy that
 // comes late: its session is over, or has its outcome already, or has given it up.
-func (c *Cluster) fresh(command *Command) bool {
+func (c *FSM) fresh(command *Command) bool {
 	session := c.Sessions[command.Session]
 	if session == nil {
 		return false
 	}
-	session.Settled = max(session.Settled, command.Settled)
-	return command.Number > session.Settled
+	session.AcknowledgedThrough = max(session.AcknowledgedThrough, command.AcknowledgedThrough)
+	return command.Sequence > session.AcknowledgedThrough
 }
 
 // Apply carries out one command.
-func (c *Cluster) Apply(command *Command) Result {
+func (c *FSM) Apply(command *Command) Result {
 	if command.Session != 0 && !command.IsRead() && !c.fresh(command) {
 		return Result{Code: Stale}
 	}
@@ -140,57 +140,57 @@
 		return c.openSession(command.OpenSession)
 	case command.CloseSession != nil:
 		return c.closeSession(command.CloseSession.Session)
-	case command.Instances != nil:
-		return c.instances(command.Instances)
-	case command.WorkerOver != nil:
-		return c.workerOver(command.WorkerOver)
-	case command.Submit != nil:
-		return c.submit(command.Submit)
-	case command.Cancel != nil:
-		return c.cancel(command.Cancel)
-	case command.Place != nil:
-		return c.place(command.Place)
-	case command.Ended != nil:
-		return c.ended(command.Ended)
-	case command.Stop != nil:
-		return c.stop(command.Stop)
+	case command.InstancesChanged != nil:
+		return c.instances(command.InstancesChanged)
+	case command.WorkerEnded != nil:
+		return c.workerOver(command.WorkerEnded)
+	case command.SubmitJob != nil:
+		return c.submit(command.SubmitJob)
+	case command.CancelJob != nil:
+		return c.cancel(command.CancelJob)
+	case command.PlaceTasks != nil:
+		return c.place(command.PlaceTasks)
+	case command.RunEnded != nil:
+		return c.ended(command.RunEnded)
+	case command.StopRun != nil:
+		return c.stop(command.StopRun)
 	case command.Checkpoint != nil:
 		return c.checkpoint(command.Checkpoint)
 	case command.Configure != nil:
 		return c.configure(command.Configure)
-	case command.Began != nil:
-		return c.began(command.Began)
-	case command.Age != nil:
-		return c.age(command.Age)
+	case command.JobsStarted != nil:
+		return c.began(command.JobsStarted)
+	case command.AdvanceClock != nil:
+		return c.age(command.AdvanceClock)
 	case command.ReadJob != nil:
 		return c.readJob(command.ReadJob)
 	case command.ReadQueue != nil:
-		return Result{Count: c.Pending[command.ReadQueue.Route]}
+		return Result{Count: c.PendingByRoute[command.ReadQueue.Route]}
 	case command.ReadConfig != nil:
 		return c.readConfig()
 	}
 	return Result{Code: Invalid}
 }
 
-// TakeUpdates returns the updates since the last call, in order.
-func (c *Cluster) TakeUpdates() []Addressed {
+// DequeueUpdates returns the updates since the last call, in order.
+func (c *FSM) DequeueUpdates() []AddressedUpdate {
 	updates := c.updates
 	c.updates = nil
 	return updates
 }
 
-func (c *Cluster) tell(to SessionID, update Update) {
+func (c *FSM) tell(to SessionID, update Update) {
 	if to != 0 && c.Sessions[to] == nil {
 		return
 	}
-	c.updates = append(c.updates, Addressed{to, update})
+	c.updates = append(c.updates, AddressedUpdate{to, update})
 }
 
-func (c *Cluster) tellAll(update Update) { c.updates = append(c.updates, Addressed{0, update}) }
+func (c *FSM) tellAll(update Update) { c.updates = append(c.updates, AddressedUpdate{0, update}) }
 
 // SharedSnapshot returns the part of a snapshot that is the same for all sessions. The configuration is not in
 // it: a session may have it already.
-func (c *Cluster) SharedSnapshot() []Update {
+func (c *FSM) SharedSnapshot() []Update {
 	updates := []Update{{Sessions: c.sessionIDs()}}
 	for _, id := range sortedKeys(c.Workers) {
 		updates = append(updates, Update{Worker: c.Workers[id].public()})
@@ -198,9 +198,9 @@
 	return updates
 }
 
-// OwnSnapshot returns what concerns one session alone: what is placed at its workers, and its jobs. Of a job
+// SessionSnapshot returns what concerns one session alone: what is placed at its workers, and its jobs. Of a job
 // that is over only the state is told.
-func (c *Cluster) OwnSnapshot(session SessionID) []Update {
+func (c *FSM) SessionSnapshot(session SessionID) []Update {
 	var updates []Update
 	for _, id := range sortedKeys(c.Workers) {
 		if worker := c.Workers[id]; worker.Owner == session {
@@ -211,8 +211,8 @@
 	}
 	for _, id := range c.jobsOwnedBy(session) {
 		owned := c.Jobs[id]
-		if owned.State.Over() {
-			updates = append(updates, Update{JobState: &JobState{id, owned.State}})
+		if owned.State.Terminal() {
+			updates = append(updates, Update{JobState: &JobStateUpdate{id, owned.State}})
 		} else {
 			updates = append(updates, Update{Job: owned})
 		}
@@ -220,7 +220,7 @@
 	return updates
 }
 
-func (c *Cluster) jobsOwnedBy(session SessionID) []string {
+func (c *FSM) jobsOwnedBy(session SessionID) []string {
 	var ids []string
 	for id, owned := range c.Jobs {
 		if owned.Owner == session {
@@ -233,7 +233,7 @@
 
 func (w *Worker) public() *Worker {
 	public := *w
-	public.Placed = nil
+	public.Runs = nil
 	return &public
 }
 
--- a/internal/control/statemachine/commands.go
+++ b/internal/control/statemachine/commands.go
@@ -11,29 +11,29 @@
 
 // Command is one change or read of the replicated state; exactly one field is set.
 type Command struct {
-	OpenSession  *OpenSession        `cbor:"1,keyasint,omitempty"`
-	CloseSession *CloseSession       `cbor:"2,keyasint,omitempty"`
-	Instances    *Instances          `cbor:"3,keyasint,omitempty"`
-	Submit       *Submit             `cbor:"4,keyasint,omitempty"`
-	Cancel       *Cancel             `cbor:"5,keyasint,omitempty"`
-	Place        *Place              `cbor:"6,keyasint,omitempty"`
-	Ended        *taskrun.Ended      `cbor:"7,keyasint,omitempty"`
-	Configure    *Configure          `cbor:"8,keyasint,omitempty"`
-	Age          *Age                `cbor:"9,keyasint,omitempty"`
-	Stop         *Stop               `cbor:"10,keyasint,omitempty"`
-	Checkpoint   *taskrun.Checkpoint `cbor:"11,keyasint,omitempty"`
-	ReadJob      *ReadJob            `cbor:"20,keyasint,omitempty"`
-	ReadQueue    *ReadQueue          `cbor:"21,keyasint,omitempty"`
-	ReadConfig   *ReadConfig         `cbor:"22,keyasint,omitempty"`
-	Began        *Began              `cbor:"12,keyasint,omitempty"`
-	WorkerOver   *WorkerOver         `cbor:"13,keyasint,omitempty"`
+	OpenSession      *OpenSession        `cbor:"1,keyasint,omitempty"`
+	CloseSession     *CloseSession       `cbor:"2,keyasint,omitempty"`
+	InstancesChanged *InstancesChanged   `cbor:"3,keyasint,omitempty"`
+	SubmitJob        *SubmitJob          `cbor:"4,keyasint,omitempty"`
+	CancelJob        *CancelJob          `cbor:"5,keyasint,omitempty"`
+	PlaceTasks       *PlaceTasks         `cbor:"6,keyasint,omitempty"`
+	RunEnded         *taskrun.Ended      `cbor:"7,keyasint,omitempty"`
+	Configure        *Configure          `cbor:"8,keyasint,omitempty"`
+	AdvanceClock     *AdvanceClock       `cbor:"9,keyasint,omitempty"`
+	StopRun          *StopRun            `cbor:"10,keyasint,omitempty"`
+	Checkpoint       *taskrun.Checkpoint `cbor:"11,keyasint,omitempty"`
+	ReadJob          *ReadJob            `cbor:"20,keyasint,omitempty"`
+	ReadQueue        *ReadQueue          `cbor:"21,keyasint,omitempty"`
+	ReadConfig       *ReadConfig         `cbor:"22,keyasint,omitempty"`
+	JobsStarted      *JobsStarted        `cbor:"12,keyasint,omitempty"`
+	WorkerEnded      *WorkerEnded        `cbor:"13,keyasint,omitempty"`
 
 	// Session, Number and Settled fence a dispatcher's command against copies of it that come late: the session
 	// that sent it, its number among those of the session, and up to which number the session waits for no
 	// outcome any more. A command of a control machine has none of them.
-	Session SessionID `cbor:"30,keyasint,omitempty"`
-	Number  uint64    `cbor:"31,keyasint,omitempty"`
-	Settled uint64    `cbor:"32,keyasint,omitempty"`
+	Session             SessionID `cbor:"30,keyasint,omitempty"`
+	Sequence            uint64    `cbor:"31,keyasint,omitempty"`
+	AcknowledgedThrough uint64    `cbor:"32,keyasint,omitempty"`
 }
 
 // IsRead reports whether the command changes nothing.
@@ -43,12 +43,12 @@
 
 // OpenSession begins a session. A session of the same node that is still open is over by that.
 type OpenSession struct {
-	Node string `cbor:"1,keyasint"`
-	Zone string `cbor:"2,keyasint"`
-	Life uint64 `cbor:"3,keyasint"` // drawn by the process at its start: the same life finds its own session
-	// Behind is the node's newest session when the command was sent, 0 where there was none. A command behind
+	Node        string `cbor:"1,keyasint"`
+	Zone        string `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"` // drawn by the process at its start: the same life finds its own session
+	// ExpectedLatest is the node's newest session when the command was sent, 0 where there was none. A command behind
 	// another one is late: it must not end the session of a later life.
-	Behind SessionID `cbor:"4,keyasint,omitempty"`
+	ExpectedLatest SessionID `cbor:"4,keyasint,omitempty"`
 }
 
 // CloseSession ends a session; its jobs and workers get other owners.
@@ -58,86 +58,86 @@
 
 // Instance is a worker as the platform's list names it.
 type Instance struct {
-	ID       string        `cbor:"1,keyasint"`
-	Service  string        `cbor:"2,keyasint"`
-	Address  string        `cbor:"3,keyasint"`
-	Zone     string        `cbor:"4,keyasint"`
-	Labels   []string      `cbor:"5,keyasint,omitempty"`
-	Capacity job.Resources `cbor:"6,keyasint"`
-	Draining bool          `cbor:"7,keyasint,omitempty"`
-	Leaves   int64         `cbor:"8,keyasint,omitempty"` // least time that remains to one that drains, ms
+	ID          string        `cbor:"1,keyasint"`
+	Service     string        `cbor:"2,keyasint"`
+	Address     string        `cbor:"3,keyasint"`
+	Zone        string        `cbor:"4,keyasint"`
+	Labels      []string      `cbor:"5,keyasint,omitempty"`
+	Capacity    job.Resources `cbor:"6,keyasint"`
+	Draining    bool          `cbor:"7,keyasint,omitempty"`
+	RemainingMs int64         `cbor:"8,keyasint,omitempty"` // least time that remains to one that drains, ms
 }
 
-// Instances carries changes of the platform's list, read by the session that is the reader. The list tells which
+// InstancesChanged carries changes of the platform's list, read by the session that is the reader. The list tells which
 // workers may be given work. It proves no worker to be over: it lags, and names the dead beside the living.
-type Instances struct {
+type InstancesChanged struct {
 	Reader  SessionID  `cbor:"1,keyasint"`
 	Changed []Instance `cbor:"2,keyasint,omitempty"`
-	Gone    []string   `cbor:"3,keyasint,omitempty"` // that are not listed any more
-	// Reading numbers what one reader has read, rising: an earlier reading that comes late changes nothing.
-	Reading uint64 `cbor:"4,keyasint"`
+	Removed []string   `cbor:"3,keyasint,omitempty"` // that are not listed any more
+	// Sequence numbers what one reader has read, rising: an earlier reading that comes late changes nothing.
+	Sequence uint64 `cbor:"4,keyasint"`
 }
 
-// WorkerOver tells that a worker's life is over: its owner was answered by another life at the address. Its runs
+// WorkerEnded tells that a worker's life is over: its owner was answered by another life at the address. Its runs
 // are lost.
-type WorkerOver struct {
+type WorkerEnded struct {
 	Worker string `cbor:"1,keyasint"`
 	Token  uint64 `cbor:"2,keyasint"` // of the owner that found it out
 }
 
-// Submit hands in a job.
-type Submit struct {
+// SubmitJob hands in a job.
+type SubmitJob struct {
 	Job job.Job `cbor:"1,keyasint"`
 }
 
-// Cancel cancels a job.
-type Cancel struct {
+// CancelJob cancels a job.
+type CancelJob struct {
 	Job string `cbor:"1,keyasint"`
 }
 
 // Target is where one task is to run.
 type Target struct {
-	Task   job.Key `cbor:"1,keyasint"`
-	Worker string  `cbor:"2,keyasint"`
-	// Others are workers that are as good, tried in order where the first one has no room any more. They
+	Task   job.TaskKey `cbor:"1,keyasint"`
+	Worker string      `cbor:"2,keyasint"`
+	// Alternatives are workers that are as good, tried in order where the first one has no room any more. They
 	// count for a single target alone.
-	Others []string `cbor:"3,keyasint,omitempty"`
+	Alternatives []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Place reserves room for tasks of one job, for all of them or for none.
-type Place struct {
+// PlaceTasks reserves room for tasks of one job, for all of them or for none.
+type PlaceTasks struct {
 	Session SessionID `cbor:"1,keyasint"`
 	Job     string    `cbor:"2,keyasint"`
 	Targets []Target  `cbor:"3,keyasint"`
 }
 
-// Began tells of which jobs a task has begun.
-type Began struct {
+// JobsStarted tells of which jobs a task has begun.
+type JobsStarted struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// Stop asks for the end of a run, by the job's owner; the task is placed again afterwards.
-type Stop struct {
-	Session SessionID `cbor:"1,keyasint"`
-	Job     string    `cbor:"2,keyasint"`
-	Task    job.Key   `cbor:"3,keyasint"`
-	Run     uint64    `cbor:"4,keyasint"`
+// StopRun asks for the end of a run, by the job's owner; the task is placed again afterwards.
+type StopRun struct {
+	Session SessionID   `cbor:"1,keyasint"`
+	Job     string      `cbor:"2,keyasint"`
+	Task    job.TaskKey `cbor:"3,keyasint"`
+	Run     uint64      `cbor:"4,keyasint"`
 }
 
 // Configure puts a configuration in force. It brings the whole body, or a patch of the body of version Match
 // with the digest of what it makes.
 type Configure struct {
-	Version int64        `cbor:"1,keyasint"`
-	Match   int64        `cbor:"2,keyasint"`
-	Body    []byte       `cbor:"3,keyasint,omitempty"`
-	Patch   *patch.Patch `cbor:"4,keyasint,omitempty"`
-	Digest  []byte       `cbor:"5,keyasint,omitempty"` // SHA-256, beside a patch
+	Version     int64        `cbor:"1,keyasint"`
+	BaseVersion int64        `cbor:"2,keyasint"`
+	Body        []byte       `cbor:"3,keyasint,omitempty"`
+	Patch       *patch.Patch `cbor:"4,keyasint,omitempty"`
+	Digest      []byte       `cbor:"5,keyasint,omitempty"` // SHA-256, beside a patch
 }
 
-// Age tells that a span of time has passed; jobs that were over long ago are forgotten. Count numbers the
+// AdvanceClock tells that a span of time has passed; jobs that were over long ago are forgotten. Count numbers the
 // spans, so that one that is told twice or late counts once.
-type Age struct {
-	Count uint64 `cbor:"1,keyasint"`
+type AdvanceClock struct {
+	Tick uint64 `cbor:"1,keyasint"`
 }
 
 // ReadJob asks for a job's state.
@@ -160,7 +160,7 @@
 const (
 	OK       Code = iota
 	Conflict      // another version, another placement, another owner
-	NoRoom
+	NoCapacity
 	NotFound
 	Invalid
 	Stale   // the session that sent it is over, or does not wait for its outcome any more
@@ -169,9 +169,9 @@
 
 // Result answers a command.
 type Result struct {
-	Code    Code      `cbor:"1,keyasint,omitempty"`
-	Session SessionID `cbor:"2,keyasint,omitempty"`
-	State   job.State `cbor:"3,keyasint,omitempty"`
-	Count   int       `cbor:"4,keyasint,omitempty"`
-	Body    []byte    `cbor:"5,keyasint,omitempty"`
+	Code     Code      `cbor:"1,keyasint,omitempty"`
+	Session  SessionID `cbor:"2,keyasint,omitempty"`
+	JobState job.State `cbor:"3,keyasint,omitempty"`
+	Count    int       `cbor:"4,keyasint,omitempty"`
+	Body     []byte    `cbor:"5,keyasint,omitempty"`
 }
