--- a/internal/control/statemachine/configurations.go
+++ b/internal/control/statemachine/configurations.go
@@ -18,27 +18,27 @@
 
 // NewConfigure returns the command that puts a body in force on top of a version: as a patch where that version
 // is the present one here.
-func (c *Cluster) NewConfigure(version, match int64, body []byte) *Configure {
+func (c *FSM) NewConfigure(version, match int64, body []byte) *Configure {
 	if match != c.ConfigVersion || match == 0 {
-		return &Configure{Version: version, Match: match, Body: body}
+		return &Configure{Version: version, BaseVersion: match, Body: body}
 	}
-	made := patch.Make(c.ConfigBody, body)
-	return &Configure{Version: version, Match: match, Patch: &made, Digest: digest(body)}
+	made := patch.Diff(c.ConfigBody, body)
+	return &Configure{Version: version, BaseVersion: match, Patch: &made, Digest: digest(body)}
 }
 
 // configure puts a configuration in force. One that was acknowledged is acknowledged again.
-func (c *Cluster) configure(command *Configure) Result {
+func (c *FSM) configure(command *Configure) Result {
 	sum := command.Digest
 	if command.Patch == nil {
 		sum = digest(command.Body)
 	}
-	if known := c.Acknowledged[command.Version]; known != nil && bytes.Equal(known, sum) {
+	if known := c.ConfigDigests[command.Version]; known != nil && bytes.Equal(known, sum) {
 		return Result{}
 	}
-	if command.Version <= c.Forgotten && command.Match < command.Version {
+	if command.Version <= c.ForgottenThrough && command.BaseVersion < command.Version {
 		return Result{Code: Unknown} // it may be one that was acknowledged long ago
 	}
-	if command.Match != c.ConfigVersion {
+	if command.BaseVersion != c.ConfigVersion {
 		return Result{Code: Conflict}
 	}
 	if command.Version <= c.ConfigVersion {
@@ -47,42 +47,42 @@
 	body := command.Body
 	change := command.Patch
 	if change == nil {
-		made := patch.Make(c.ConfigBody, body)
+		made := patch.Diff(c.ConfigBody, body)
 		change = &made
 	} else if made, fits := change.Apply(c.ConfigBody); fits {
 		body = made
 	} else {
 		return Result{Code: Unknown}
 	}
-	c.tellAll(Update{Config: &ConfigUpdate{Version: command.Version, Base: c.ConfigVersion, Patch: change}})
+	c.tellAll(Update{Config: &ConfigUpdate{Version: command.Version, BaseVersion: c.ConfigVersion, Patch: change}})
 	c.ConfigVersion, c.ConfigBody = command.Version, body
 	c.acknowledge(command.Version, sum)
 	return Result{}
 }
 
 // acknowledge remembers a configuration in force, and forgets the oldest one where there are too many.
-func (c *Cluster) acknowledge(version int64, sum []byte) {
-	c.Acknowledged[version] = sum
-	if len(c.Acknowledged) <= keptDigests {
+func (c *FSM) acknowledge(version int64, sum []byte) {
+	c.ConfigDigests[version] = sum
+	if len(c.ConfigDigests) <= keptDigests {
 		return
 	}
 	oldest := version
-	for known := range c.Acknowledged {
+	for known := range c.ConfigDigests {
 		oldest = min(oldest, known)
 	}
-	delete(c.Acknowledged, oldest)
-	c.Forgotten = max(c.Forgotten, oldest)
+	delete(c.ConfigDigests, oldest)
+	c.ForgottenThrough = max(c.ForgottenThrough, oldest)
 }
 
-// WholeConfig returns the update that brings the configuration in force as a whole; it is nil before there is one.
-func (c *Cluster) WholeConfig() *ConfigUpdate {
+// FullConfig returns the update that brings the configuration in force as a whole; it is nil before there is one.
+func (c *FSM) FullConfig() *ConfigUpdate {
 	if c.ConfigVersion == 0 {
 		return nil
 	}
 	return &ConfigUpdate{Version: c.ConfigVersion, Body: c.ConfigBody}
 }
 
-func (c *Cluster) readConfig() Result {
+func (c *FSM) readConfig() Result {
 	if c.ConfigVersion == 0 {
 		return Result{Code: NotFound}
 	}
--- a/internal/control/statemachine/owners.go
+++ b/internal/control/statemachine/owners.go
@@ -33,7 +33,7 @@
 }
 
 // claimOf returns a session's claim to what bears the name; one in the zone goes before others.
-func (c *Cluster) claimOf(id SessionID, name, zone string) claim {
+func (c *FSM) claimOf(id SessionID, name, zone string) claim {
 	session := c.Sessions[id]
 	if session == nil {
 		return claim{}
@@ -47,7 +47,7 @@
 }
 
 // choose returns the session with the highest claim, or 0 where none is open.
-func (c *Cluster) choose(name, zone string) SessionID {
+func (c *FSM) choose(name, zone string) SessionID {
 	best := claim{}
 	for id := range c.Sessions {
 		if own := c.claimOf(id, name, zone); own.beats(best) {
@@ -58,7 +58,7 @@
 }
 
 // claimFor gives a session that has just opened the workers and jobs to which it has the highest claim.
-func (c *Cluster) claimFor(session *Session) {
+func (c *FSM) claimFor(session *Session) {
 	var won []string
 	for id, worker := range c.Workers {
 		own := c.claimOf(session.ID, id, worker.Zone)
@@ -74,7 +74,7 @@
 }
 
 // passOn gives what a session that is over has owned to those that have the highest claims now.
-func (c *Cluster) passOn(over SessionID) {
+func (c *FSM) passOn(over SessionID) {
 	var left []string
 	for id, worker := range c.Workers {
 		if worker.Owner == over {
@@ -89,10 +89,10 @@
 }
 
 // adoptJobs gives every job whose owner is gone a new one.
-func (c *Cluster) adoptJobs() {
+func (c *FSM) adoptJobs() {
 	var orphans []string
 	for id, owned := range c.Jobs {
-		if !owned.State.Over() && c.Sessions[owned.Owner] == nil {
+		if !owned.State.Terminal() && c.Sessions[owned.Owner] == nil {
 			orphans = append(orphans, id)
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // assignWorker makes the session with the highest claim the worker's owner.
-func (c *Cluster) assignWorker(worker *Worker) {
+func (c *FSM) assignWorker(worker *Worker) {
 	if owner := c.choose(worker.ID, worker.Zone); owner != worker.Owner {
 		c.setOwner(worker, owner)
 	}
@@ -114,13 +114,13 @@
 
 // setOwner gives a worker to a session. Each change of owner brings a higher fence token. The others need not know
 // whose it is, so that only the former owner and the new one are told.
-func (c *Cluster) setOwner(worker *Worker, owner SessionID) {
+func (c *FSM) setOwner(worker *Worker, owner SessionID) {
 	former := worker.Owner
-	c.NextToken++
-	worker.Owner, worker.Token = owner, c.NextToken
+	c.LastToken++
+	worker.Owner, worker.Token = owner, c.LastToken
 	public := worker.public()
 	if former != 0 { // also where its session is over: it may be connected still
-		c.updates = append(c.updates, Addressed{former, Update{Worker: public}})
+		c.updates = append(c.updates, AddressedUpdate{former, Update{Worker: public}})
 	}
 	if owner == 0 {
 		return
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -148,7 +148,7 @@
 	err := s.book.Configure(s.live.Get().Sources())
 	if err == nil {
 		clear(s.shown) // places may be others: all is told anew
-		s.publish(dispatch.ListAmend, nil)
+		s.publish(dispatch.ListOverride, nil)
 	}
 	s.mu.Unlock()
 	s.Follow()
@@ -226,7 +226,7 @@
 		s.look(rest)
 		return
 	}
-	s.publish(dispatch.ListAmend, nil)
+	s.publish(dispatch.ListOverride, nil)
 }
 
 // look sets the timer, unless it fires sooner already. The caller holds mu.
@@ -281,7 +281,7 @@
 	}
 	for _, w := range named { // told as gone, or never known
 		if _, ok := next[w.ID]; !ok && !whole && w.ID != "" {
-			out = append(out, broker.Worker{ID: w.ID, Addr: w.Addr, State: dispatch.Gone})
+			out = append(out, broker.Worker{ID: w.ID, Addr: w.Addr, State: dispatch.Removed})
 		}
 	}
 	for _, e := range s.list.Entries {
@@ -290,14 +290,14 @@
 		}
 		s.minus++
 		if !whole && !want[e.ID] {
-			out = append(out, broker.Worker{ID: e.ID, State: dispatch.Gone})
+			out = append(out, broker.Worker{ID: e.ID, State: dispatch.Removed})
 		}
 	}
 	s.list, s.shown = list, next
 	s.watch.Store(len(s.names) > 0 || len(levels) > 1)
 	s.ban(banned)
 	// The list service's own word goes on even if it is empty: it answers a call.
-	if form != dispatch.ListAmend || len(out) > 0 {
+	if form != dispatch.ListOverride || len(out) > 0 {
 		s.told = now
 		s.times++
 		s.broker.List(form, out)
@@ -335,7 +335,7 @@
 	defer s.mu.Unlock()
 	s.bans = slices.Clone(names)
 	s.book.Ban(names)
-	s.publish(dispatch.ListAmend, nil)
+	s.publish(dispatch.ListOverride, nil)
 }
 
 // ban tells the broker whom the operators' words concern. The caller holds mu.
--- a/internal/dispatcher/config.go
+++ b/internal/dispatcher/config.go
@@ -14,8 +14,8 @@
 	body := update.Body
 	if update.Patch != nil {
 		made, fits := update.Patch.Apply(d.body)
-		if update.Base != d.bodyVersion || !fits {
-			d.logger.Warn().Int64("version", update.Version).Int64("base", update.Base).Int64("here", d.bodyVersion).
+		if update.BaseVersion != d.bodyVersion || !fits {
+			d.logger.Warn().Int64("version", update.Version).Int64("base", update.BaseVersion).Int64("here", d.bodyVersion).
 				Msg("a change of the configuration builds on another one; asking for the whole")
 			d.body, d.bodyVersion = nil, 0
 			d.uplink.reconnect()
@@ -31,7 +31,7 @@
 	if d.bodyVersion <= d.configInForce() {
 		return
 	}
-	read, fault := configuration.Read(d.body)
+	read, fault := configuration.Parse(d.body)
 	if fault != nil {
 		d.logger.Error().Str("fault", fault.Error()).Msg("a configuration in force can't be read")
 		d.body, d.bodyVersion = nil, 0
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -42,7 +42,7 @@
 
 	bodyVersion int64
 	workers     map[string]*statemachine.Worker
-	placers     map[string]*placement.Placer // by service
+	placers     map[string]*placement.Scheduler // by service
 	jobs        map[string]*ownedJob
 	dirty       map[string]bool // jobs to look through for ready tasks
 	owned       map[string]*ownedWorker
@@ -70,7 +70,7 @@
 		began:    time.Now(),
 		inbox:    make(chan func(), 4096),
 		workers:  map[string]*statemachine.Worker{},
-		placers:  map[string]*placement.Placer{},
+		placers:  map[string]*placement.Scheduler{},
 		jobs:     map[string]*ownedJob{},
 		dirty:    map[string]bool{},
 		owned:    map[string]*ownedWorker{},
@@ -164,7 +164,7 @@
 	}
 	d.explainedAt = now
 	for service, placer := range d.placers {
-		for _, waiting := range placer.Explain(now, explainAfter) {
+		for _, waiting := range placer.ExplainWaiting(now, explainAfter) {
 			d.logger.Debug().Str("service", service).Interface("waiting", waiting).Msg("no place")
 		}
 	}
@@ -187,7 +187,7 @@
 // attempt is one attempt to open the session at a control machine.
 type attempt struct {
 	address string // "": none is known
-	hello   protocol.Hello
+	hello   protocol.SessionRequest
 }
 
 // nextControl returns the control machine to dial next: those in the own zone can't be told from
@@ -196,7 +196,7 @@
 	answer := make(chan attempt, 1)
 	d.do(func() {
 		hello := d.uplink.hello
-		hello.Config = d.bodyVersion
+		hello.ConfigVersion = d.bodyVersion
 		list := append([]string{}, d.uplink.controls...)
 		if count%5 == 4 || len(list) == 0 {
 			list = d.freshSeeds()
@@ -205,7 +205,7 @@
 			answer <- attempt{}
 			return
 		}
-		answer <- attempt{list[(int(hello.Life%1024)+count)%len(list)], hello}
+		answer <- attempt{list[(int(hello.Incarnation%1024)+count)%len(list)], hello}
 	})
 	select {
 	case next := <-answer:
--- a/internal/dispatcher/intake.go
+++ b/internal/dispatcher/intake.go
@@ -46,7 +46,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	route := config.Find(host, r.URL.Path)
+	route := config.FindRoute(host, r.URL.Path)
 	if route == nil {
 		http.Error(w, "no such queue", http.StatusNotFound)
 		return
@@ -166,13 +166,13 @@
 	}
 	began := d.now()
 	submitted := job.Job{ID: id, Route: route.Key(), Service: route.Service, Priority: route.Priority,
-		MaxAttempts: route.MaxAttempts, Stretch: route.Stretch, TargetMs: route.TargetLatencyMs, Request: request}
+		MaxAttempts: route.MaxAttempts, Stretch: route.Stretch, TargetLatencyMs: route.TargetLatencyMs, Request: request}
 	result, how := d.askThen(r, patience(r, route), func() *statemachine.Command {
 		submitted.Owner = d.uplink.session
 		d.expectJob(d.now(), submitted)
-		return &statemachine.Command{Submit: &statemachine.Submit{Job: submitted}}
+		return &statemachine.Command{SubmitJob: &statemachine.SubmitJob{Job: submitted}}
 	}, func() { d.dropExpected(id) })
-	d.logger.Debug().Str("job", id).Int("priority", route.Priority).Int64("work", request.Work()).Int("times", request.Repeat).
+	d.logger.Debug().Str("job", id).Int("priority", route.Priority).Int64("work", request.EstimatedWork()).Int("times", request.Repeat).
 		Bool("lasting", request.Steps[0].LongRunning).Float64("stretch", route.Stretch).Int64("target", route.TargetLatencyMs).Stringer("outcome", how).Dur("took", d.now()-began).Msg("submit")
 	switch {
 	case how == unsent:
@@ -211,8 +211,8 @@
 	case result.Code == statemachine.NotFound:
 		http.Error(w, "no such job", http.StatusGone)
 	default:
-		d.rememberFinal(id, result.State)
-		writeState(w, result.State)
+		d.rememberFinal(id, result.JobState)
+		writeState(w, result.JobState)
 	}
 }
 
@@ -222,7 +222,7 @@
 }
 
 func (d *Dispatcher) keepFinal(id string, state job.State) {
-	if !state.Over() {
+	if !state.Terminal() {
 		return
 	}
 	if len(d.finals) >= maxFinals {
@@ -238,7 +238,7 @@
 
 func (d *Dispatcher) cancel(w http.ResponseWriter, r *http.Request, route *configuration.Route, id string) {
 	result, how := d.ask(r, patience(r, route), func() *statemachine.Command {
-		return &statemachine.Command{Cancel: &statemachine.Cancel{Job: id}}
+		return &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: id}}
 	})
 	switch {
 	case how == unsent:
@@ -267,8 +267,8 @@
 // readyGrace is how long a dispatcher that has lost the control machines still calls itself ready.
 const readyGrace = time.Second
 
-// Ready answers whether new connections should come here.
-func (d *Dispatcher) Ready(w http.ResponseWriter, r *http.Request) {
+// ServeReadiness answers whether new connections should come here.
+func (d *Dispatcher) ServeReadiness(w http.ResponseWriter, r *http.Request) {
 	inTouch := d.attached.Load() || d.now()-time.Duration(d.lostAt.Load()) < readyGrace
 	if d.stopping.Load() || d.config.Load() == nil || !inTouch {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -15,8 +15,8 @@
 type ownedJob struct {
 	*job.Job
 	since   time.Duration
-	queued  map[job.Key]bool // in a placer's queue, or on the way to the control machines
-	running map[job.Key]started
+	queued  map[job.TaskKey]bool // in a placer's queue, or on the way to the control machines
+	running map[job.TaskKey]started
 	nextDue int64 // when the next time falls due, ms since 1970; 0: none does
 	// expected says that the control machines have not told of the job yet: its Submit is on the way.
 	expected bool
@@ -34,7 +34,7 @@
 	if d.jobs[submitted.ID] != nil {
 		return
 	}
-	submitted.Tasks, submitted.Done = map[job.Key]*job.Task{}, map[job.StepKey]int{}
+	submitted.Tasks, submitted.DoneTasks = map[job.TaskKey]*job.Task{}, map[job.StepKey]int{}
 	d.jobs[submitted.ID] = newOwnedJob(now, &submitted)
 	d.jobs[submitted.ID].expected = true
 	d.dirty[submitted.ID] = true
@@ -60,9 +60,9 @@
 			return false
 		}
 	}
-	known.Number, known.State = told.Number, told.State
+	known.Sequence, known.State = told.Sequence, told.State
 	for key, task := range told.Tasks {
-		*known.Task(key) = *task
+		*known.EnsureTask(key) = *task
 		d.follow(now, known, key, task, taskrun.Stopped)
 	}
 	d.dirty[told.ID] = true
@@ -70,7 +70,7 @@
 }
 
 func newOwnedJob(now time.Duration, told *job.Job) *ownedJob {
-	return &ownedJob{Job: told, since: now, queued: map[job.Key]bool{}, running: map[job.Key]started{}}
+	return &ownedJob{Job: told, since: now, queued: map[job.TaskKey]bool{}, running: map[job.TaskKey]started{}}
 }
 
 func (d *Dispatcher) setJob(now time.Duration, told *job.Job) {
@@ -86,7 +86,7 @@
 	known.Job = told
 	if before != nil {
 		d.placer(told.Service).RemoveJob(told.ID)
-		known.queued = map[job.Key]bool{}
+		known.queued = map[job.TaskKey]bool{}
 	}
 	for key, task := range told.Tasks {
 		d.follow(now, known, key, task, taskrun.Stopped)
@@ -107,13 +107,13 @@
 // endRuns takes a job's runs out of the placer's picture.
 func (d *Dispatcher) endRuns(known *ownedJob) {
 	for key, run := range known.running {
-		d.placer(known.Service).Ended(run.worker, known.Request.Steps[key.Step].Asks())
+		d.placer(known.Service).TaskEnded(run.worker, known.Request.Steps[key.Step].Demand())
 	}
 	clear(known.running)
 }
 
 // setJobState takes in a job's state. In a snapshot it stands for all of a job that is over.
-func (d *Dispatcher) setJobState(update *statemachine.JobState, inSnapshot bool) {
+func (d *Dispatcher) setJobState(update *statemachine.JobStateUpdate, inSnapshot bool) {
 	known := d.jobs[update.Job]
 	if known == nil {
 		d.keepFinal(update.Job, update.State)
@@ -124,36 +124,36 @@
 	}
 	known.State = update.State
 	d.logger.Debug().Str("job", update.Job).Stringer("state", update.State).Dur("age", d.now()-known.since).Msg("job")
-	if known.State.Over() {
+	if known.State.Terminal() {
 		d.placer(known.Service).RemoveJob(known.ID)
 	}
 }
 
 func (d *Dispatcher) setTask(now time.Duration, update *statemachine.TaskUpdate) {
 	known := d.jobs[update.Job]
-	if known == nil || !known.Has(update.Key) {
+	if known == nil || !known.HasTask(update.Key) {
 		return
 	}
 	task := update.Task
-	wasDone := known.Task(update.Key).Done
-	*known.Task(update.Key) = task
+	wasDone := known.EnsureTask(update.Key).Done
+	*known.EnsureTask(update.Key) = task
 	if task.Done && !wasDone {
-		known.Task(update.Key).Done = false
+		known.EnsureTask(update.Key).Done = false
 		known.MarkDone(update.Key)
 	}
-	d.follow(now, known, update.Key, &task, update.How)
+	d.follow(now, known, update.Key, &task, update.EndReason)
 	d.dirty[update.Job] = true
 }
 
 // follow keeps the placer's picture of own running tasks, and lets it learn from their ends.
-func (d *Dispatcher) follow(now time.Duration, known *ownedJob, key job.Key, task *job.Task, how taskrun.EndReason) {
+func (d *Dispatcher) follow(now time.Duration, known *ownedJob, key job.TaskKey, task *job.Task, how taskrun.EndReason) {
 	placer := d.placer(known.Service)
 	step := &known.Request.Steps[key.Step]
 	run, runs := known.running[key]
 	if runs && run.worker != task.Worker {
 		d.logger.Debug().Str("job", known.ID).Str("task", key.Name("")).Uint64("run", task.Run).Str("worker", run.worker).
 			Stringer("how", how).Dur("took", now-run.at).Int64("estimate", step.EstimateMs).Msg("run over")
-		placer.Ended(run.worker, step.Asks())
+		placer.TaskEnded(run.worker, step.Demand())
 		delete(known.running, key)
 		d.learn(now, known, key, run, how)
 		runs = false
@@ -162,11 +162,11 @@
 		known.running[key] = started{task.Worker, now}
 		d.logger.Debug().Str("job", known.ID).Str("task", key.Name("")).Uint64("run", task.Run).
 			Str("worker", task.Worker).Msg("run placed")
-		placer.Started(task.Worker, step.Asks())
+		placer.TaskStarted(task.Worker, step.Demand())
 	}
 }
 
-func (d *Dispatcher) learn(now time.Duration, known *ownedJob, key job.Key, run started, how taskrun.EndReason) {
+func (d *Dispatcher) learn(now time.Duration, known *ownedJob, key job.TaskKey, run started, how taskrun.EndReason) {
 	placer := d.placer(known.Service)
 	step := &known.Request.Steps[key.Step]
 	switch how {
@@ -174,16 +174,16 @@
 		worker := d.workers[run.worker]
 		near := worker != nil && (step.Affinity == "" || len(worker.Labels) > 1 && worker.Labels[1] == step.Affinity)
 		if near && !step.Gang && !step.LongRunning {
-			placer.Learn(run.worker, now-run.at, time.Duration(step.EstimateMs)*time.Millisecond)
+			placer.ObserveRuntime(run.worker, now-run.at, time.Duration(step.EstimateMs)*time.Millisecond)
 		}
 	case taskrun.Failed:
 		if !step.LongRunning {
-			placer.Blame(now, run.worker, 0.2)
+			placer.RecordFault(now, run.worker, 0.2)
 		}
 	case taskrun.NotStarted:
-		placer.Blame(now, run.worker, 0.5)
-	case taskrun.Lost, taskrun.Lapsed, taskrun.Alone:
-		placer.Blame(now, run.worker, 0.2)
+		placer.RecordFault(now, run.worker, 0.5)
+	case taskrun.Lost, taskrun.LeaseExpired, taskrun.GangIncomplete:
+		placer.RecordFault(now, run.worker, 0.2)
 	}
 }
 
@@ -191,7 +191,7 @@
 func (d *Dispatcher) enqueueReady(now time.Duration) {
 	for id := range d.dirty {
 		delete(d.dirty, id)
-		if known := d.jobs[id]; known != nil && !known.State.Over() {
+		if known := d.jobs[id]; known != nil && !known.State.Terminal() {
 			d.enqueueJob(now, known)
 		}
 	}
@@ -200,14 +200,14 @@
 func (d *Dispatcher) enqueueJob(now time.Duration, known *ownedJob) {
 	wall := d.wallMs(now)
 	known.nextDue = 0
-	for run := range known.Request.Runs() {
+	for run := range known.Request.Repetitions() {
 		if due := known.Request.DueMs(run); due > wall {
 			known.nextDue = due
 			return
 		}
 		for step := range known.Request.Steps {
-			key := job.StepKey{Time: run, Step: step}
-			if known.Done[key] < known.Request.Steps[step].Count && known.DependenciesDone(key) {
+			key := job.StepKey{Repetition: run, Step: step}
+			if known.DoneTasks[key] < known.Request.Steps[step].Count && known.DependenciesDone(key) {
 				d.enqueueStep(now, known, key)
 			}
 		}
@@ -218,7 +218,7 @@
 	step := &known.Request.Steps[key.Step]
 	ready := []int{}
 	for index := range step.Count {
-		full := job.Key{Time: key.Time, Step: key.Step, Index: index}
+		full := job.TaskKey{Repetition: key.Repetition, Step: key.Step, Index: index}
 		task := known.Tasks[full]
 		if known.queued[full] || task != nil && (task.Done || task.Worker != "") {
 			continue
@@ -238,21 +238,21 @@
 
 func (d *Dispatcher) enqueue(now time.Duration, known *ownedJob, key job.StepKey, indices []int) {
 	longest := chains(&known.Request, d.placer(known.Service).Waves)
-	begin := known.begin(now, d.wallMs(now), key.Time)
-	unit := &placement.Unit{Job: known.Job, Key: key, Indices: indices, Since: now,
-		Deadline: known.objective(begin, longest), Remaining: longest[key.Step]}
+	begin := known.begin(now, d.wallMs(now), key.Repetition)
+	unit := &placement.Unit{Job: known.Job, StepKey: key, TaskIndices: indices, EnqueuedAt: now,
+		Deadline: known.objective(begin, longest), CriticalPath: longest[key.Step]}
 	for _, index := range indices {
-		full := job.Key{Time: key.Time, Step: key.Step, Index: index}
+		full := job.TaskKey{Repetition: key.Repetition, Step: key.Step, Index: index}
 		known.queued[full] = true
-		if task := known.Tasks[full]; task != nil && task.LastLost != "" {
-			unit.Avoid(task.LastLost)
+		if task := known.Tasks[full]; task != nil && task.LastFailedWorker != "" {
+			unit.AvoidWorker(task.LastFailedWorker)
 		}
 	}
-	d.placer(known.Service).Add(unit)
+	d.placer(known.Service).Enqueue(unit)
 	step := unit.Step()
-	d.logger.Debug().Str("job", known.ID).Int("repeat", key.Time).Int("step", key.Step).Ints("tasks", indices).Int("priority", known.Priority).
-		Int64("cpu", step.Cpu).Int64("mem", step.MemMb).Int64("estimate", step.EstimateMs).Str("near", step.Affinity).
-		Str("requires", step.Requires).Bool("gang", step.Gang).Dur("left", unit.Deadline-now).Msg("queued")
+	d.logger.Debug().Str("job", known.ID).Int("repeat", key.Repetition).Int("step", key.Step).Ints("tasks", indices).Int("priority", known.Priority).
+		Int64("cpu", step.CPU).Int64("mem", step.MemoryMB).Int64("estimate", step.EstimateMs).Str("near", step.Affinity).
+		Str("requires", step.RequiredLabel).Bool("gang", step.Gang).Dur("left", unit.Deadline-now).Msg("queued")
 }
 
 // wallMs returns the time of day, in ms since 1970.
@@ -277,9 +277,9 @@
 		return
 	}
 	d.begunToldAt = now
-	began := &statemachine.Began{Jobs: slices.Sorted(maps.Keys(d.begun))}
+	began := &statemachine.JobsStarted{Jobs: slices.Sorted(maps.Keys(d.begun))}
 	clear(d.begun)
-	d.uplink.submit(&statemachine.Command{Began: began}, func(statemachine.Result) {})
+	d.uplink.submit(&statemachine.Command{JobsStarted: began}, func(statemachine.Result) {})
 }
 
 // decide lets every placer decide, and brings the decisions to the control machines.
@@ -288,35 +288,35 @@
 		return
 	}
 	for _, placer := range d.placers {
-		for _, decision := range placer.Decide(now) {
+		for _, decision := range placer.Schedule(now) {
 			d.place(placer, decision)
 		}
 	}
 }
 
-func (d *Dispatcher) place(placer *placement.Placer, decision placement.Decision) {
+func (d *Dispatcher) place(placer *placement.Scheduler, decision placement.Decision) {
 	unit := decision.Unit
 	known := d.jobs[unit.Job.ID]
-	command := &statemachine.Place{Session: d.uplink.session, Job: unit.Job.ID}
-	for i, index := range unit.Indices {
-		key := job.Key{Time: unit.Key.Time, Step: unit.Key.Step, Index: index}
-		command.Targets = append(command.Targets, statemachine.Target{Task: key, Worker: decision.Workers[i], Others: decision.Others})
+	command := &statemachine.PlaceTasks{Session: d.uplink.session, Job: unit.Job.ID}
+	for i, index := range unit.TaskIndices {
+		key := job.TaskKey{Repetition: unit.StepKey.Repetition, Step: unit.StepKey.Step, Index: index}
+		command.Targets = append(command.Targets, statemachine.Target{Task: key, Worker: decision.Workers[i], Alternatives: decision.Alternatives})
 		if known != nil {
-			known.Task(key).Worker = decision.Workers[i] // so that tasks decided upon next are kept apart from it
+			known.EnsureTask(key).Worker = decision.Workers[i] // so that tasks decided upon next are kept apart from it
 		}
 	}
-	d.logger.Debug().Str("job", unit.Job.ID).Int("repeat", unit.Key.Time).Int("step", unit.Key.Step).Ints("tasks", unit.Indices).Msg("decided")
-	asks := unit.Step().Asks()
-	d.uplink.submit(&statemachine.Command{Place: command}, func(result statemachine.Result) {
+	d.logger.Debug().Str("job", unit.Job.ID).Int("repeat", unit.StepKey.Repetition).Int("step", unit.StepKey.Step).Ints("tasks", unit.TaskIndices).Msg("decided")
+	asks := unit.Step().Demand()
+	d.uplink.submit(&statemachine.Command{PlaceTasks: command}, func(result statemachine.Result) {
 		for _, target := range command.Targets {
-			placer.Release(target.Worker, asks)
+			placer.ReleaseReservation(target.Worker, asks)
 		}
 		d.placed(command, result)
 	})
 }
 
 // placed takes in the outcome of a placement; what became of the tasks was told by updates before.
-func (d *Dispatcher) placed(command *statemachine.Place, result statemachine.Result) {
+func (d *Dispatcher) placed(command *statemachine.PlaceTasks, result statemachine.Result) {
 	known := d.jobs[command.Job]
 	if known == nil {
 		return
@@ -324,7 +324,7 @@
 	for _, target := range command.Targets {
 		delete(known.queued, target.Task)
 		if _, runs := known.running[target.Task]; !runs {
-			if task := known.Task(target.Task); task.Worker == target.Worker {
+			if task := known.EnsureTask(target.Task); task.Worker == target.Worker {
 				task.Worker = ""
 			}
 		}
--- a/internal/dispatcher/objective.go
+++ b/internal/dispatcher/objective.go
@@ -34,5 +34,5 @@
 	for _, chain := range chains {
 		longest = max(longest, chain)
 	}
-	return begin + time.Duration(j.Stretch*float64(longest)) + time.Duration(j.TargetMs)*time.Millisecond
+	return begin + time.Duration(j.Stretch*float64(longest)) + time.Duration(j.TargetLatencyMs)*time.Millisecond
 }
--- a/internal/dispatcher/reader.go
+++ b/internal/dispatcher/reader.go
@@ -133,7 +133,7 @@
 // report brings what has changed to the control machines.
 func (r *reader) report(list []instanceEntry) {
 	d := r.dispatcher
-	command := &statemachine.Instances{Reader: d.uplink.session}
+	command := &statemachine.InstancesChanged{Reader: d.uplink.session}
 	listed := map[string]bool{}
 	for i := range list {
 		entry := &list[i]
@@ -141,7 +141,7 @@
 		instance := statemachine.Instance{ID: entry.Id, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
 			Labels: entry.Labels, Capacity: entry.Capacity, Draining: entry.State == "draining"}
 		if instance.Draining {
-			instance.Leaves = entry.RemainingMs
+			instance.RemainingMs = entry.RemainingMs
 		}
 		known := d.workers[entry.Id]
 		if known == nil || known.Unlisted || !same(&known.Instance, &instance) {
@@ -150,19 +150,19 @@
 	}
 	for _, id := range r.absences.read(listed, slices.Sorted(maps.Keys(d.workers))) {
 		if !d.workers[id].Unlisted {
-			command.Gone = append(command.Gone, id)
+			command.Removed = append(command.Removed, id)
 		}
 	}
-	if len(command.Changed)+len(command.Gone) > 0 {
+	if len(command.Changed)+len(command.Removed) > 0 {
 		r.readings++
 		d.logger.Info().Uint64("reading", r.readings).Int("listed", len(list)).Strs("changed", changedIDs(command)).
-			Strs("gone", command.Gone).Msg("list read")
-		command.Reading = r.readings
-		d.uplink.submit(&statemachine.Command{Instances: command}, func(statemachine.Result) {})
+			Strs("gone", command.Removed).Msg("list read")
+		command.Sequence = r.readings
+		d.uplink.submit(&statemachine.Command{InstancesChanged: command}, func(statemachine.Result) {})
 	}
 }
 
-func changedIDs(command *statemachine.Instances) []string {
+func changedIDs(command *statemachine.InstancesChanged) []string {
 	ids := make([]string, len(command.Changed))
 	for i := range command.Changed {
 		ids[i] = command.Changed[i].ID
--- a/internal/dispatcher/serve.go
+++ b/internal/dispatcher/serve.go
@@ -23,7 +23,7 @@
 	headWithin = 10 * time.Second
 )
 
-func settingsPath() string { return os.Getenv(settings.Variable) }
+func settingsPath() string { return os.Getenv(settings.PathVariable) }
 
 // Serve serves clients and the platform's checks until stop is closed, and then ends in order.
 func (d *Dispatcher) Serve(stop <-chan struct{}) error {
@@ -39,7 +39,7 @@
 			return errors.Annotate(err, "Listen.Ready")
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /-/readiness", d.Ready)
+		mux.HandleFunc("GET /-/readiness", d.ServeReadiness)
 		go (&http.Server{Handler: mux, IdleTimeout: idleAfter}).Serve(ready)
 	}
 	engineStop := make(chan struct{})
@@ -82,7 +82,7 @@
 	done := make(chan struct{})
 	d.do(func() {
 		if d.uplink.conn != nil {
-			d.uplink.conn.Send(protocol.Encode(protocol.Up{Goodbye: true}))
+			d.uplink.conn.Send(protocol.Encode(protocol.DispatcherMessage{ShuttingDown: true}))
 		}
 		close(done)
 	})
--- a/internal/dispatcher/updates.go
+++ b/internal/dispatcher/updates.go
@@ -10,13 +10,13 @@
 )
 
 // receiveUpdates takes in what the control machine tells.
-func (d *Dispatcher) receiveUpdates(down *protocol.Down) {
+func (d *Dispatcher) receiveUpdates(down *protocol.ControlMessage) {
 	now := d.now()
 	var stale *staleness
 	if down.Session != 0 {
 		stale = d.markStale()
 	}
-	for _, raw := range protocol.Unpack(down.Updates) {
+	for _, raw := range protocol.DecompressUpdates(down.Updates) {
 		update := &statemachine.Update{}
 		if protocol.Decode(raw, update) {
 			d.receiveUpdate(now, update, stale)
@@ -36,18 +36,18 @@
 	case update.Worker != nil:
 		stale.keepWorker(update.Worker.ID)
 		d.setWorker(now, update.Worker)
-	case update.WorkerGone != "":
-		d.removeWorker(now, update.WorkerGone)
-	case update.Used != nil:
-		if worker := d.workers[update.Used.Worker]; worker != nil {
-			worker.Used = update.Used.Amount
+	case update.WorkerRemoved != "":
+		d.removeWorker(now, update.WorkerRemoved)
+	case update.Usage != nil:
+		if worker := d.workers[update.Usage.Worker]; worker != nil {
+			worker.Used = update.Usage.Used
 			d.placer(worker.Service).SetUsed(worker.ID, worker.Used)
 		}
 	case update.Job != nil:
 		stale.keepJob(update.Job.ID)
 		d.setJob(now, update.Job)
-	case update.JobGone != "":
-		d.removeJob(update.JobGone)
+	case update.JobRemoved != "":
+		d.removeJob(update.JobRemoved)
 	case update.Task != nil:
 		d.setTask(now, update.Task)
 	case update.JobState != nil:
@@ -56,11 +56,11 @@
 	case update.Placement != nil:
 		stale.keepPlacement(update.Placement)
 		if worker := d.owned[update.Placement.Worker]; worker != nil {
-			worker.agent.Place(now, *update.Placement)
+			worker.agent.SetPlacement(now, *update.Placement)
 		}
-	case update.PlacementGone != nil:
-		if worker := d.owned[update.PlacementGone.Worker]; worker != nil {
-			worker.agent.Remove(now, update.PlacementGone.Task, update.PlacementGone.Run)
+	case update.PlacementRemoved != nil:
+		if worker := d.owned[update.PlacementRemoved.Worker]; worker != nil {
+			worker.agent.RemovePlacement(now, update.PlacementRemoved.Task, update.PlacementRemoved.Run)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 	d.uplink.reconnect()
 }
 
-func (d *Dispatcher) placer(service string) *placement.Placer {
+func (d *Dispatcher) placer(service string) *placement.Scheduler {
 	placer := d.placers[service]
 	if placer == nil {
-		placer = placement.New(d.settings.Bounds.FarX, d.uplink.hello.Life+uint64(len(d.placers)))
+		placer = placement.New(d.settings.Bounds.FarFactor, d.uplink.hello.Incarnation+uint64(len(d.placers)))
 		placer.SetPeers(len(d.sessions))
 		d.placers[service] = placer
 	}
@@ -91,9 +91,9 @@
 
 func (d *Dispatcher) setWorker(now time.Duration, worker *statemachine.Worker) {
 	d.workers[worker.ID] = worker
-	d.placer(worker.Service).SetWorker(worker.ID, worker.Service, worker.Labels, worker.Capacity, worker.Used, worker.Closed())
+	d.placer(worker.Service).SetWorker(worker.ID, worker.Service, worker.Labels, worker.Capacity, worker.Used, worker.Unschedulable())
 	mine := d.owned[worker.ID]
-	owns := worker.Owner == d.uplink.session && d.uplink.session != 0 && !worker.Over
+	owns := worker.Owner == d.uplink.session && d.uplink.session != 0 && !worker.Ended
 	if mine != nil && (!owns || worker.Token != mine.agent.Token()) {
 		mine.close()
 		delete(d.owned, worker.ID)
@@ -104,10 +104,10 @@
 		d.owned[worker.ID] = mine
 	}
 	if mine != nil {
-		mine.agent.Listed(now, !worker.Unlisted)
+		mine.agent.SetListed(now, !worker.Unlisted)
 	}
-	if mine != nil && worker.Draining && worker.Leaves > 0 {
-		mine.agent.Leave(now, time.Duration(worker.Leaves)*time.Millisecond)
+	if mine != nil && worker.Draining && worker.RemainingMs > 0 {
+		mine.agent.Drain(now, time.Duration(worker.RemainingMs)*time.Millisecond)
 	}
 }
 
@@ -172,6 +172,6 @@
 		d.removeJob(id)
 	}
 	for id, worker := range d.owned {
-		worker.agent.Keep(s.placements[id])
+		worker.agent.RetainPlacements(s.placements[id])
 	}
 }
--- a/internal/dispatcher/uplink.go
+++ b/internal/dispatcher/uplink.go
@@ -35,7 +35,7 @@
 	dispatcher *Dispatcher
 	settings   *settings.Settings
 	logger     zerolog.Logger
-	hello      protocol.Hello
+	hello      protocol.SessionRequest
 
 	conn     *frame.Conn
 	attached bool
@@ -54,7 +54,7 @@
 
 func newUplink(d *Dispatcher, life uint64) *uplink {
 	return &uplink{dispatcher: d, settings: d.settings, logger: d.logger, pending: map[uint64]*pendingCommand{},
-		hello: protocol.Hello{Node: d.settings.Node, Zone: d.settings.Zone, Life: life, Acknowledges: true}}
+		hello: protocol.SessionRequest{Node: d.settings.Node, Zone: d.settings.Zone, Incarnation: life, AcknowledgesBytes: true}}
 }
 
 // submit sends a command; done is called by the engine with its outcome. Every command is one
@@ -83,11 +83,11 @@
 }
 
 // encode writes a command with the fences of the present session.
-func (u *uplink) encode(tag uint64, command *statemachine.Command, settled uint64) protocol.Tagged {
+func (u *uplink) encode(tag uint64, command *statemachine.Command, settled uint64) protocol.TaggedCommand {
 	if !command.IsRead() {
-		command.Session, command.Number, command.Settled = u.session, tag, settled
+		command.Session, command.Sequence, command.AcknowledgedThrough = u.session, tag, settled
 	}
-	return protocol.Tagged{Tag: tag, Command: protocol.Encode(command)}
+	return protocol.TaggedCommand{Tag: tag, Command: protocol.Encode(command)}
 }
 
 // flush sends what has gathered.
@@ -101,7 +101,7 @@
 		return
 	}
 	u.sentAt, u.acknowledged = now, u.received
-	up := protocol.Up{Config: u.dispatcher.configInForce(), Received: u.received}
+	up := protocol.DispatcherMessage{ConfigVersion: u.dispatcher.configInForce(), ReceivedBytes: u.received}
 	settled := u.settled()
 	for _, tag := range u.outgoing {
 		if waiting := u.pending[tag]; waiting != nil {
@@ -136,7 +136,7 @@
 		return false
 	}
 	defer conn.Close()
-	conn.Send(protocol.Encode(protocol.Up{Hello: &next.hello}))
+	conn.Send(protocol.Encode(protocol.DispatcherMessage{SessionRequest: &next.hello}))
 	stop := make(chan struct{})
 	defer close(stop)
 	go beat(conn, stop)
@@ -153,12 +153,12 @@
 		if err != nil {
 			break
 		}
-		down := &protocol.Down{}
+		down := &protocol.ControlMessage{}
 		if !protocol.Decode(data, down) {
 			break
 		}
-		if down.Refused {
-			u.dispatcher.do(func() { u.learnControls(down.Controls) })
+		if down.Rejected {
+			u.dispatcher.do(func() { u.learnControls(down.ControlAddresses) })
 			break
 		}
 		if down.Session != 0 {
@@ -176,7 +176,7 @@
 func beat(conn *frame.Conn, stop <-chan struct{}) {
 	ticker := time.NewTicker(heartbeat)
 	defer ticker.Stop()
-	empty := protocol.Encode(protocol.Up{})
+	empty := protocol.Encode(protocol.DispatcherMessage{})
 	for {
 		select {
 		case <-ticker.C:
@@ -188,8 +188,8 @@
 }
 
 // receive takes in a message, with which so many bytes have come on its connection.
-func (u *uplink) receive(conn *frame.Conn, down *protocol.Down, received uint64) {
-	u.learnControls(down.Controls)
+func (u *uplink) receive(conn *frame.Conn, down *protocol.ControlMessage, received uint64) {
+	u.learnControls(down.ControlAddresses)
 	if down.Session != 0 {
 		u.attach(conn, down.Session)
 	}
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -30,7 +30,7 @@
 	id         string
 	service    string
 	url        string
-	agent      *worker.Agent
+	agent      *worker.Owner
 	client     *http.Client
 	transport  *http.Transport
 	closed     bool
@@ -47,7 +47,7 @@
 		DisableCompression:  true,
 	}
 	return &ownedWorker{dispatcher: d, id: told.ID, service: told.Service, url: "http://" + told.Address,
-		agent:  worker.New(d.now(), told.ID, told.Token, d.settings.Bounds.HoldMaxMs),
+		agent:  worker.NewOwner(d.now(), told.ID, told.Token, d.settings.Bounds.HoldMaxMs),
 		client: &http.Client{Transport: transport}, transport: transport}
 }
 
@@ -58,8 +58,8 @@
 
 // flush makes the calls that the agent wants.
 func (w *ownedWorker) flush(now time.Duration) {
-	calls := w.agent.Take()
-	for _, hold := range calls.Holds {
+	calls := w.agent.TakeActions()
+	for _, hold := range calls.Polls {
 		go w.hold(hold)
 	}
 	for _, start := range calls.Starts {
@@ -74,20 +74,20 @@
 	for i := range calls.Checkpoints {
 		w.dispatcher.uplink.submit(&statemachine.Command{Checkpoint: &calls.Checkpoints[i]}, func(statemachine.Result) {})
 	}
-	for _, id := range calls.Began {
+	for _, id := range calls.StartedJobs {
 		w.dispatcher.begun[id] = true
 	}
-	if calls.Over {
+	if calls.IncarnationEnded {
 		w.dispatcher.logger.Info().Str("worker", w.id).Uint64("token", w.agent.Token()).Msg("another life answers at the worker's address")
-		over := &statemachine.WorkerOver{Worker: w.id, Token: w.agent.Token()}
-		w.dispatcher.uplink.submit(&statemachine.Command{WorkerOver: over}, func(statemachine.Result) {})
+		over := &statemachine.WorkerEnded{Worker: w.id, Token: w.agent.Token()}
+		w.dispatcher.uplink.submit(&statemachine.Command{WorkerEnded: over}, func(statemachine.Result) {})
 	}
-	for _, weight := range calls.Blames {
-		w.dispatcher.placer(w.service).Blame(now, w.id, weight)
+	for _, weight := range calls.FaultWeights {
+		w.dispatcher.placer(w.service).RecordFault(now, w.id, weight)
 	}
 }
 
-func (w *ownedWorker) report(report worker.Report) {
+func (w *ownedWorker) report(report worker.EndReport) {
 	ended := report.Ended
 	if ended.Reason == taskrun.Lost {
 		w.dispatcher.logger.Info().Str("worker", w.id).Str("task", ended.Task.Name(ended.Job)).Uint64("run", ended.Run).
@@ -98,9 +98,9 @@
 	if ended.Reason < taskrun.NotStarted {
 		delete(w.dispatcher.begun, ended.Job) // the end tells that it has begun
 	}
-	w.dispatcher.uplink.submit(&statemachine.Command{Ended: &ended}, func(result statemachine.Result) {
+	w.dispatcher.uplink.submit(&statemachine.Command{RunEnded: &ended}, func(result statemachine.Result) {
 		if result.Code == statemachine.OK && report.Number > 0 && !w.closed {
-			w.agent.Noted(w.dispatcher.now(), report.Number)
+			w.agent.AcknowledgeEnd(w.dispatcher.now(), report.Number)
 		}
 	})
 }
@@ -135,45 +135,45 @@
 	Ended   [][]json.RawMessage
 }
 
-func (w *ownedWorker) hold(hold worker.Hold) {
+func (w *ownedWorker) hold(hold worker.Poll) {
 	within := time.Duration(hold.WaitMs)*time.Millisecond + holdMargin
-	answer, body := w.call("/-/hold", holdBody{hold.UntilMs, hold.Fence, hold.LastSeen, hold.WaitMs}, within)
-	lists := worker.Lists{ClockMs: body.ClockMs}
-	if answer == worker.Done {
+	answer, body := w.call("/-/hold", holdBody{hold.LeaseUntilMs, hold.FencingToken, hold.AcknowledgedEnd, hold.WaitMs}, within)
+	lists := worker.PollAnswer{ClockMs: body.ClockMs}
+	if answer == worker.Accepted {
 		lists.Running = readRunning(body.Running)
 		lists.Ended = readEnded(body.Ended)
 	}
 	w.dispatcher.do(func() {
 		if !w.closed {
-			w.agent.HoldAnswered(w.dispatcher.now(), hold, answer, lists)
+			w.agent.HandlePollOutcome(w.dispatcher.now(), hold, answer, lists)
 		}
 	})
 }
 
-func (w *ownedWorker) start(start worker.Start) {
+func (w *ownedWorker) start(start worker.StartCommand) {
 	sentAt := w.dispatcher.now()
-	answer, body := w.call("/-/run-start", startBody{start.Task, start.Command, start.Spec, start.UntilMs,
-		start.Fence, start.Saved}, orderWithin)
-	w.dispatcher.logger.Debug().Str("task", start.Task).Uint64("run", start.Command).Str("worker", w.id).
+	answer, body := w.call("/-/run-start", startBody{start.Task, start.Run, start.Spec, start.LeaseUntilMs,
+		start.FencingToken, start.Checkpoint}, orderWithin)
+	w.dispatcher.logger.Debug().Str("task", start.Task).Uint64("run", start.Run).Str("worker", w.id).
 		Stringer("answer", answer).Dur("took", w.dispatcher.now()-sentAt).Msg("order")
 	w.dispatcher.do(func() {
 		if !w.closed {
-			w.agent.StartAnswered(w.dispatcher.now(), start.Task, start.Command, answer, body.ClockMs)
+			w.agent.HandleStartOutcome(w.dispatcher.now(), start.Task, start.Run, answer, body.ClockMs)
 		}
 	})
 }
 
-func (w *ownedWorker) stop(stop worker.Stop) {
-	answer, body := w.call("/-/run-stop", stopBody{stop.Task, stop.Command, stop.Fence}, orderWithin)
+func (w *ownedWorker) stop(stop worker.StopCommand) {
+	answer, body := w.call("/-/run-stop", stopBody{stop.Task, stop.Run, stop.FencingToken}, orderWithin)
 	w.dispatcher.do(func() {
 		if !w.closed {
-			w.agent.StopAnswered(w.dispatcher.now(), stop.Task, stop.Command, answer, body.ClockMs)
+			w.agent.HandleStopOutcome(w.dispatcher.now(), stop.Task, stop.Run, answer, body.ClockMs)
 		}
 	})
 }
 
 // call makes one call to the worker. An answer that can't be told counts as Unanswered.
-func (w *ownedWorker) call(path string, message any, within time.Duration) (worker.Answer, answerBody) {
+func (w *ownedWorker) call(path string, message any, within time.Duration) (worker.Outcome, answerBody) {
 	body := answerBody{}
 	data, err := json.Marshal(message)
 	if err != nil {
@@ -192,7 +192,7 @@
 	if err != nil {
 		w.transport.CloseIdleConnections() // what killed this connection may have killed others
 		if neverSent(err) {
-			return worker.Unreached, body
+			return worker.Unreachable, body
 		}
 		return worker.Unanswered, body
 	}
@@ -212,24 +212,24 @@
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-func classify(status int, reason string) worker.Answer {
+func classify(status int, reason string) worker.Outcome {
 	switch status {
 	case http.StatusOK:
-		return worker.Done
+		return worker.Accepted
 	case http.StatusConflict:
 		switch reason {
 		case "fence":
 			return worker.Fenced
 		case "old":
-			return worker.Old
+			return worker.OutdatedRun
 		case "late":
-			return worker.Late
+			return worker.ArrivedLate
 		case "room":
-			return worker.NoRoom
+			return worker.NoCapacity
 		}
 		return worker.Invalid
 	case http.StatusMisdirectedRequest:
-		return worker.OtherLife
+		return worker.OtherIncarnation
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return worker.Unhealthy
 	case http.StatusBadRequest:
@@ -238,23 +238,23 @@
 	return worker.Unanswered
 }
 
-func readRunning(rows [][]json.RawMessage) []worker.Running {
-	list := make([]worker.Running, 0, len(rows))
+func readRunning(rows [][]json.RawMessage) []worker.RunStatus {
+	list := make([]worker.RunStatus, 0, len(rows))
 	for _, row := range rows {
-		entry := worker.Running{}
-		if len(row) >= 4 && decodeAll(row, &entry.Task, &entry.Command, &entry.Saved, &entry.Percent) {
+		entry := worker.RunStatus{}
+		if len(row) >= 4 && decodeAll(row, &entry.Task, &entry.Run, &entry.Checkpoint, &entry.Percent) {
 			list = append(list, entry)
 		}
 	}
 	return list
 }
 
-func readEnded(rows [][]json.RawMessage) []worker.End {
-	list := make([]worker.End, 0, len(rows))
+func readEnded(rows [][]json.RawMessage) []worker.EndedRun {
+	list := make([]worker.EndedRun, 0, len(rows))
 	for _, row := range rows {
-		entry, how := worker.End{}, ""
-		if len(row) >= 5 && decodeAll(row, &entry.Number, &entry.Task, &entry.Command, &how, &entry.Saved) {
-			entry.How = taskrun.ParseEndReason(how)
+		entry, how := worker.EndedRun{}, ""
+		if len(row) >= 5 && decodeAll(row, &entry.Number, &entry.Task, &entry.Run, &how, &entry.Checkpoint) {
+			entry.Reason = taskrun.ParseEndReason(how)
 			list = append(list, entry)
 		}
 	}
--- a/internal/fleet/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -210,15 +210,15 @@
 	if !r.Enabled {
 		return nil
 	}
-	s := backfill.Default()
+	s := backfill.DefaultSettings()
 	orElse(&s.Mode, backfill.Mode(r.Mode))
 	orElse(&s.Quantile, r.Quantile)
-	orElse(&s.Most, r.Most)
-	orElse(&s.Longest, time.Duration(r.Longest))
-	orElse(&s.Budget, r.Budget)
-	orElse(&s.Large, r.Large)
+	orElse(&s.MaxReservations, r.Most)
+	orElse(&s.ReservationTTL, time.Duration(r.Longest))
+	orElse(&s.IdleBudget, r.Budget)
+	orElse(&s.LargeRuns, r.Large)
 	if r.SmallWait != nil {
-		s.SmallWait = time.Duration(*r.SmallWait)
+		s.MaxJobDelay = time.Duration(*r.SmallWait)
 	}
 	return &s
 }
@@ -289,7 +289,7 @@
 	}
 	if d.Room != nil {
 		if s := d.Room.Settings(); s != nil {
-			if err := s.Check(); err != nil {
+			if err := s.Validate(); err != nil {
 				wrong("room.%w", err)
 			}
 		}
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -117,7 +117,7 @@
 	b.settings.Store(&s)
 	b.post(func(now time.Duration, out dispatch.Actions) {
 		b.heard = &s
-		b.module.Retune(now, s, out)
+		b.module.Reconfigure(now, s, out)
 	})
 	return nil
 }
@@ -125,7 +125,7 @@
 // Memory is what the module has learned; nothing if it does not say so in time.
 func (b *Broker) Memory(within time.Duration) []byte {
 	told := make(chan []byte, 1)
-	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Memory() })
+	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Snapshot() })
 	select {
 	case m := <-told:
 		return m
@@ -137,9 +137,9 @@
 
 // RoomHeld is what the module holds for large jobs; an error where it holds none by
 // its settings, or does not say so in time.
-func (b *Broker) RoomHeld(within time.Duration) (*dispatch.RoomHeld, error) {
-	told := make(chan *dispatch.RoomHeld, 1)
-	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.RoomHeld() })
+func (b *Broker) RoomHeld(within time.Duration) (*dispatch.ReservationReport, error) {
+	told := make(chan *dispatch.ReservationReport, 1)
+	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Reservations() })
 	select {
 	case r := <-told:
 		if r == nil {
@@ -153,9 +153,9 @@
 	}
 }
 
-// ShareRoom bounds what may be held to a part, where several processes hold room.
+// SetReservationShare bounds what may be held to a part, where several processes hold room.
 func (b *Broker) ShareRoom(part float64) {
-	b.post(func(time.Duration, dispatch.Actions) { b.module.ShareRoom(part) })
+	b.post(func(time.Duration, dispatch.Actions) { b.module.SetReservationShare(part) })
 }
 
 // Name is a worker's name, by the number that the module knows it by.
@@ -173,7 +173,7 @@
 
 // Recall hands the module what another process's learned, before the first list.
 func (b *Broker) Recall(memory []byte) {
-	b.post(func(time.Duration, dispatch.Actions) { b.module.Recall(memory) })
+	b.post(func(time.Duration, dispatch.Actions) { b.module.Restore(memory) })
 }
 
 // Close stops the broker's goroutine. Requests still open get no more decisions.
@@ -204,7 +204,7 @@
 // module was built for.
 func (b *Broker) run() {
 	var batch []event
-	last := b.now() - b.heard.Round
+	last := b.now() - b.heard.MinEventGap
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
@@ -219,7 +219,7 @@
 		case <-b.poke:
 		case <-alarm.C:
 		}
-		if rest := last + b.heard.Round - b.now(); rest > 0 {
+		if rest := last + b.heard.MinEventGap - b.now(); rest > 0 {
 			time.Sleep(rest)
 		}
 		now := max(b.now(), last)
--- a/internal/gateway/broker/budget.go
+++ b/internal/gateway/broker/budget.go
@@ -140,7 +140,7 @@
 	}
 	if cold := b.cold.Swap(part + 1); b.bound.Swap(told) != told || cold != part+1 {
 		b.post(func(now time.Duration, out dispatch.Actions) {
-			b.module.Bound(now, int(b.bound.Load()), float64(b.cold.Load()-1)/quota.One, out)
+			b.module.SetWorkerLimits(now, int(b.bound.Load()), float64(b.cold.Load()-1)/quota.One, out)
 		})
 	}
 	return most, limited
--- a/internal/gateway/broker/job.go
+++ b/internal/gateway/broker/job.go
@@ -35,13 +35,13 @@
 const (
 	OK            = dispatch.OK
 	Failed        = dispatch.Failed
-	Full          = dispatch.Full
+	Full          = dispatch.Rejected
 	TimedOut      = dispatch.TimedOut
 	ConnectFailed = dispatch.ConnectFailed
-	Broken        = dispatch.Broken
+	Broken        = dispatch.ConnectionLost
 	Cancelled     = dispatch.Cancelled
-	NeverSent     = dispatch.NeverSent
-	Dropped       = dispatch.Dropped
+	NeverSent     = dispatch.NotSent
+	Dropped       = dispatch.StaleConnection
 
 	// Rejected is a worker's word that the request itself is at fault: no worker
 	// can do better with it, and this one is not the worse for having said so.
@@ -90,17 +90,17 @@
 }
 
 // Started tells that the worker has begun.
-func (a *Attempt) Started() { a.note(dispatch.NoteStarted, 0) }
+func (a *Attempt) Started() { a.note(dispatch.NotificationStarted, 0) }
 
 // Progress tells the share done.
-func (a *Attempt) Progress(share float64) { a.note(dispatch.NoteProgress, share) }
+func (a *Attempt) Progress(share float64) { a.note(dispatch.NotificationProgress, share) }
 
-func (a *Attempt) note(kind dispatch.NoteKind, share float64) {
-	n := dispatch.Note{ID: a.s.id, Attempt: a.N, Worker: a.id, Kind: kind, Share: share}
+func (a *Attempt) note(kind dispatch.NotificationKind, share float64) {
+	n := dispatch.Notification{ID: a.s.id, Attempt: a.N, Worker: a.id, Kind: kind, FractionDone: share}
 	if a.s.b.Traced() {
 		a.s.b.Tracef("note %d n=%d to=%s kind=%d share=%.2f", a.s.id, a.N, a.Worker, kind, share)
 	}
-	a.s.b.post(func(now time.Duration, out dispatch.Actions) { a.s.b.module.Note(now, n, out) })
+	a.s.b.post(func(now time.Duration, out dispatch.Actions) { a.s.b.module.Notify(now, n, out) })
 }
 
 // Traced tells whether lines are wanted, as the broker's does.
--- a/internal/gateway/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -30,7 +30,7 @@
 	banned     bool
 	told       dispatch.Worker // as the list has it
 	open       int             // attempts out there, where there are limits of the fleet
-	verdict    dispatch.Verdict
+	verdict    dispatch.Health
 	judged     outlier.Life // whose that is: another life of the worker is another matter
 	trial      uint64
 	out, back  time.Duration // when it was last taken out, and called back; 0: never
@@ -51,7 +51,7 @@
 		w.Launched = max(w.Launched, p.back)
 	}
 	if p.of() == p.judged {
-		w.Verdict = p.verdict
+		w.Health = p.verdict
 	}
 	w.Pools = b.pools.Of(p.name, w.Zone, w.Kind, w.Cell)
 	if (p.banned || b.stale(p)) && w.State == dispatch.Ready {
@@ -91,10 +91,10 @@
 		if w.Addr != "" {
 			p.addr = w.Addr
 		}
-		if w.State == dispatch.Gone && p.told.ID == id {
+		if w.State == dispatch.Removed && p.told.ID == id {
 			// Such an entry need say no more than the id. What is known of the worker
 			// stays: by its cell the module knows where a repeat would be dropped.
-			p.ready, p.told.State, listed[id] = false, dispatch.Gone, true
+			p.ready, p.told.State, listed[id] = false, dispatch.Removed, true
 			list = append(list, b.entry(p))
 			continue
 		}
@@ -110,7 +110,7 @@
 	if form == dispatch.ListFull || form == dispatch.ListCached {
 		for id, p := range b.places {
 			if !listed[id] { // absent from a complete list: removed
-				p.ready, p.told.State = false, dispatch.Gone
+				p.ready, p.told.State = false, dispatch.Removed
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 // hand queues a list for the module. The caller holds mu: lists reach the module
 // in the order in which they came to hold.
 func (b *Broker) hand(form dispatch.ListForm, list []dispatch.Worker) {
-	b.queue = append(b.queue, func(now time.Duration, out dispatch.Actions) { b.module.List(now, form, list, out) })
+	b.queue = append(b.queue, func(now time.Duration, out dispatch.Actions) { b.module.UpdateWorkers(now, form, list, out) })
 	select {
 	case b.poke <- struct{}{}:
 	default:
@@ -158,7 +158,7 @@
 		list = append(list, b.entry(p))
 	}
 	if len(list) > 0 {
-		b.hand(dispatch.ListAmend, list)
+		b.hand(dispatch.ListOverride, list)
 	}
 	return addrs
 }
@@ -176,7 +176,7 @@
 	for _, p := range b.places {
 		list = append(list, b.entry(p))
 	}
-	b.hand(dispatch.ListAmend, list)
+	b.hand(dispatch.ListOverride, list)
 }
 
 // Serving tells whether any worker is ready, and in which pools, by their bits.
@@ -214,7 +214,7 @@
 	for _, p := range b.places {
 		list = append(list, b.entry(p))
 	}
-	b.hand(dispatch.ListAmend, list)
+	b.hand(dispatch.ListOverride, list)
 	return true
 }
 
--- a/internal/gateway/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -198,8 +198,8 @@
 			name := q.Settings.Tenants[tenant].Name
 			tenant = slices.IndexFunc(b.heard.Tenants, func(t dispatch.Tenant) bool { return t.Name == name })
 		}
-		b.module.Arrive(now, dispatch.Request{ID: s.id, Class: q.Class, Of: s.class, Tenant: tenant,
-			Left: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, Retry: q.Retry, Spare: q.Spare, Pools: q.Pools, Ran: q.Ran, RanFor: q.RanFor}, out)
+		b.module.Arrive(now, dispatch.Request{ID: s.id, Class: q.Class, ResolvedClass: s.class, Tenant: tenant,
+			TimeLeft: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, ClientRetry: q.Retry, BestEffort: q.Spare, Pools: q.Pools, EarlierWorker: q.Ran, EarlierRunAge: q.RanFor}, out)
 	})
 	return s
 }
@@ -210,12 +210,12 @@
 func (s *session) leave() {
 	s.b.post(func(now time.Duration, out dispatch.Actions) {
 		if s.ended.CompareAndSwap(false, true) {
-			s.b.module.ClientGone(now, s.id, out)
+			s.b.module.ClientDisconnected(now, s.id, out)
 		}
 		for n := s.attempts; len(s.next) > 0; {
 			if d := <-s.next; d.send {
-				s.b.module.Outcome(now, dispatch.Outcome{ID: s.id, Attempt: n, Worker: d.worker,
-					Code: NeverSent, Ended: true}, out)
+				s.b.module.AttemptEnded(now, dispatch.Outcome{ID: s.id, Attempt: n, Worker: d.worker,
+					Code: NeverSent, Answered: true}, out)
 				n++
 			}
 		}
@@ -257,7 +257,7 @@
 	s.attempts++
 	ok := invariant.Hold(s.attempts <= d.limit, "more attempts than allowed")
 	ok = ok && s.attempts <= s.b.settings.Load().MaxAttempts // fewer since then
-	ok = invariant.Hold(!s.mayRun || s.class.Semantics != dispatch.Fragile, "a fragile request that may have run is sent again") && ok
+	ok = invariant.Hold(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
 	if !ok || a.Addr == "" || ctx.Err() != nil {
 		return Outcome{Code: NeverSent}
 	}
@@ -282,7 +282,7 @@
 // inWindow tells whether a repeat that is sent now still comes to its worker inside the time in
 // which repeats are dropped there; of what never ran there is none.
 func (s *session) inWindow() bool {
-	return s.class.Semantics != dispatch.Dedup || s.mayRunAt.IsZero() || time.Now().Add(Margin).Before(s.mayRunAt.Add(s.class.Window))
+	return s.class.Semantics != dispatch.Deduplicated || s.mayRunAt.IsZero() || time.Now().Add(Margin).Before(s.mayRunAt.Add(s.class.DedupWindow))
 }
 
 // Ran tells whether an attempt may have run.
@@ -290,7 +290,7 @@
 
 // report tells the module how an attempt ended.
 func (s *session) report(a *Attempt, o Outcome, ended, last bool) {
-	m := dispatch.Outcome{ID: s.id, Attempt: a.N, Worker: a.id, Code: o.Code, Ended: ended, Last: last, Load: o.Load}
+	m := dispatch.Outcome{ID: s.id, Attempt: a.N, Worker: a.id, Code: o.Code, Answered: ended, FinalAttempt: last, Load: o.Load}
 	s.b.post(func(now time.Duration, out dispatch.Actions) {
 		if ended {
 			s.ended.Store(true)
@@ -298,14 +298,14 @@
 		if !slices.Equal(s.settings.LoadFields, s.b.heard.LoadFields) {
 			m.Load = nil // its columns were others
 		}
-		s.b.module.Outcome(now, m, out)
+		s.b.module.AttemptEnded(now, m, out)
 	})
 }
 
 // refusable tells whether a request that may have run may be refused.
 func (s *session) refusable() bool {
 	c := s.class
-	return c.Semantics == dispatch.Retryable || c.Semantics == dispatch.Dedup && c.Scope == dispatch.ScopeAll
+	return c.Semantics == dispatch.Retryable || c.Semantics == dispatch.Deduplicated && c.DedupScope == dispatch.ScopeAll
 }
 
 // check keeps the rule on refusals whatever was decided: never tell a client
--- a/internal/gateway/broker/sink.go
+++ b/internal/gateway/broker/sink.go
@@ -37,7 +37,7 @@
 	k.decide(id, decision{send: true, worker: w, within: within, limit: k.b.heard.MaxAttempts})
 }
 
-func (k sink) Refuse(id dispatch.RequestID, comeBack time.Duration) {
+func (k sink) Reject(id dispatch.RequestID, comeBack time.Duration) {
 	k.decide(id, decision{answer: Answer{Verdict: Refused, ComeBack: comeBack}})
 }
 
@@ -74,7 +74,7 @@
 // Probe meets no wire here: the module sends none.
 func (k sink) Probe(dispatch.WorkerID) {}
 
-func (k sink) Tell(msg []byte) {
+func (k sink) Broadcast(msg []byte) {
 	if k.b.tell != nil {
 		k.b.tell(msg)
 	}
--- a/internal/gateway/broker/verdicts.go
+++ b/internal/gateway/broker/verdicts.go
@@ -18,7 +18,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
-		if p.told.State != dispatch.Gone {
+		if p.told.State != dispatch.Removed {
 			n++
 		}
 	}
@@ -37,17 +37,17 @@
 	var list []dispatch.Worker
 	for _, p := range b.places {
 		v, condemned := next[p.of()]
-		is := dispatch.Sound
+		is := dispatch.Healthy
 		switch {
 		case !condemned:
-		case news && p.judged == v.Of && p.verdict != dispatch.Sound:
+		case news && p.judged == v.Of && p.verdict != dispatch.Healthy:
 			continue
 		case v.Trial != 0 && v.Trial != p.trial:
-			is = dispatch.OnTrial
+			is = dispatch.OnProbation
 		case v.Trial != 0 && p.judged == v.Of:
 			is = p.verdict // it has it already
 		default:
-			is = dispatch.Condemned
+			is = dispatch.Ejected
 		}
 		if v.Trial != 0 {
 			p.trial = v.Trial
@@ -58,19 +58,19 @@
 		}
 	}
 	if len(list) > 0 {
-		b.hand(dispatch.ListAmend, list)
+		b.hand(dispatch.ListOverride, list)
 	}
 }
 
 // onTrial notes that a job goes to a worker, which may be its trial: it has no more than that
 // one. The caller holds mu.
 func (b *Broker) onTrial(p *place) {
-	if p.verdict != dispatch.OnTrial || p.of() != p.judged {
+	if p.verdict != dispatch.OnProbation || p.of() != p.judged {
 		return
 	}
-	p.verdict = dispatch.Condemned
+	p.verdict = dispatch.Ejected
 	b.witness.Try(b.deskNow(), p.judged, p.trial)
-	b.hand(dispatch.ListAmend, []dispatch.Worker{b.entry(p)})
+	b.hand(dispatch.ListOverride, []dispatch.Worker{b.entry(p)})
 }
 
 // weights are what an outcome tells against a worker, in thousandths of a job. What never reached
--- a/internal/gateway/datagram/peers.go
+++ b/internal/gateway/datagram/peers.go
@@ -106,7 +106,7 @@
 }
 
 func (l *Link) read() {
-	buf := make([]byte, gossip.MaxMessage+1) // one that is longer shows by that
+	buf := make([]byte, gossip.MaxMessageBytes+1) // one that is longer shows by that
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -116,7 +116,7 @@
 			time.Sleep(10 * time.Millisecond) // such as word that nobody listens at the other end
 			continue
 		}
-		if n > gossip.MaxMessage || len(l.from) > 0 && !l.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
+		if n > gossip.MaxMessageBytes || len(l.from) > 0 && !l.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
 			continue
 		}
 		msg := append([]byte(nil), buf[:n]...)
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -42,7 +42,7 @@
 // none need be spared, and what it holds counts as told whether a watch is open or not.
 func (t *Table) pushed() bool { return !t.live.Get().Module.MustSubscribe }
 
-func (t *Table) dispatchers() int { return t.live.Get().Module.Dispatchers }
+func (t *Table) dispatchers() int { return t.live.Get().Module.DispatcherCount }
 
 // first is the pause before the first call at a place.
 func (t *Table) first() time.Duration {
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -79,7 +79,7 @@
 func (l *WorkerConns) carrier(s *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Module.Classes[s.Request.Class].Semantics == dispatch.Fragile && time.Now().UnixNano() < l.doubt.Load() {
+	if s.cfg.Module.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
 		return l.once
 	}
 	return l.transport
--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -59,7 +59,7 @@
 	version, at, admits := r.h.Gate()
 	r.mu.Lock()
 	bit := r.pools.Bit(t.Pool)
-	o.once = c.Semantics == dispatch.Fragile
+	o.once = c.Semantics == dispatch.AtMostOnce
 	r.mu.Unlock()
 	switch {
 	case t.Doubt && c.Semantics != dispatch.Retryable:
@@ -69,12 +69,12 @@
 	}
 	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Aged, Pools: bit, Policy: version, Admitted: at,
 		Deadline: time.Now().Add(c.Deadline)}
-	if c.Semantics == dispatch.Dedup && t.Left > 0 {
+	if c.Semantics == dispatch.Deduplicated && t.Left > 0 {
 		left := t.Left - (r.h.Now() - told)
 		if left <= 0 {
 			return claims.Ended{How: claims.Unknown, Why: "the time is over in which it may be repeated"}
 		}
-		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.Cell - 1, Cell: t.Cell - 1}, max(c.Window-left, 0)
+		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.Cell - 1, Cell: t.Cell - 1}, max(c.DedupWindow-left, 0)
 		q.Deadline = time.Now().Add(min(c.Deadline, left))
 	}
 	body, err := json.Marshal(job{t.Flow, t.Step, t.Values, t.Results, t.Tallies})
@@ -82,7 +82,7 @@
 		return claims.Ended{How: claims.Failed, Why: err.Error()}
 	}
 	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.No), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.No) }}
-	if c.Semantics == dispatch.Dedup {
+	if c.Semantics == dispatch.Deduplicated {
 		j.Key = key(t)
 	}
 	s := httpfront.NewJob(cfg, j, q)
@@ -108,7 +108,7 @@
 
 // ended words how a step has ended.
 func ended(t *claims.Task, c *dispatch.Class, answer broker.Answer, last *broker.Outcome) claims.Ended {
-	e := claims.Ended{Repeats: c.Semantics != dispatch.Fragile}
+	e := claims.Ended{Repeats: c.Semantics != dispatch.AtMostOnce}
 	switch {
 	case last == nil:
 		e.How, e.After = claims.Back, max(answer.ComeBack, pause)
@@ -132,10 +132,10 @@
 
 // mark has the keepers write that a step may run at a worker; true once they have.
 func (r *Runner) mark(ctx context.Context, t *claims.Task, c *dispatch.Class, a *broker.Attempt) bool {
-	m := claims.Marked{No: t.No, Once: c.Semantics == dispatch.Fragile, Anew: t.Left == 0}
-	if c.Semantics == dispatch.Dedup {
-		m.Window = c.Window * 9 / 10 // as long as the module would send it again
-		switch c.Scope {
+	m := claims.Marked{No: t.No, Once: c.Semantics == dispatch.AtMostOnce, Anew: t.Left == 0}
+	if c.Semantics == dispatch.Deduplicated {
+		m.Window = c.DedupWindow * 9 / 10 // as long as the module would send it again
+		switch c.DedupScope {
 		case dispatch.ScopeCell:
 			m.Cell = a.Cell + 1
 		case dispatch.ScopeZone:
--- a/internal/platform/config/operator.go
+++ b/internal/platform/config/operator.go
@@ -113,9 +113,9 @@
 func (c *Config) loadOperator(path string) error {
 	c.SSE = defaultSSE()
 	c.Membership = DefaultMembership()
-	d := backfill.Default()
-	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Room{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.Most,
-		Longest: Duration{d.Longest}, Budget: d.Budget, SmallWait: Duration{d.SmallWait}, Large: d.Large}}
+	d := backfill.DefaultSettings()
+	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Room{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
+		Longest: Duration{d.ReservationTTL}, Budget: d.IdleBudget, SmallWait: Duration{d.MaxJobDelay}, Large: d.LargeRuns}}
 	*in.SSE = c.SSE
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -325,14 +325,14 @@
 
 // holdRoom checks [room], on or off, and hands it to the module where it is on.
 func (c *Config) holdRoom(in Room) error {
-	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, Most: in.Most, Longest: in.Longest.Duration,
-		Budget: in.Budget, SmallWait: in.SmallWait.Duration, Large: in.Large}
-	if err := s.Check(); err != nil {
+	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, MaxReservations: in.Most, ReservationTTL: in.Longest.Duration,
+		IdleBudget: in.Budget, MaxJobDelay: in.SmallWait.Duration, LargeRuns: in.Large}
+	if err := s.Validate(); err != nil {
 		key, what, _ := strings.Cut(err.Error(), ": ")
 		return wrong("room."+key, "%s", what)
 	}
 	if in.Enabled {
-		c.Module.Room = &s
+		c.Module.Backfill = &s
 	}
 	return nil
 }
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -60,25 +60,25 @@
 		return out, err
 	}
 	out = dispatch.Settings{
-		Me: in.MyNumber, Dispatchers: in.Balancers, Zone: in.Zone,
-		OverShareWorth: in.OverShareWorth, WorthByWork: in.CountedBy == "work",
-		Round: Ms(in.RoundMs), TellsStart: in.Extra.TellsStart, Progress: Ms(in.Extra.ProgressMs),
-		InOrder: in.Extra.QueueOrder == "fifo", MustSubscribe: in.RegistryMode == "subscribe",
-		MaxAttempts: in.Limits.MaxAttempts, SecondCopies: in.Limits.SecondCopies,
-		Cancelling: in.Limits.Cancelling, Probes: in.Limits.Probes, Peers: in.Limits.Peers,
+		DispatcherIndex: in.MyNumber, DispatcherCount: in.Balancers, Zone: in.Zone,
+		OverQuotaValueShare: in.OverShareWorth, ValuePerWork: in.CountedBy == "work",
+		MinEventGap: Ms(in.RoundMs), StartNotifications: in.Extra.TellsStart, ProgressInterval: Ms(in.Extra.ProgressMs),
+		FIFOWorkers: in.Extra.QueueOrder == "fifo", MustSubscribe: in.RegistryMode == "subscribe",
+		MaxAttempts: in.Limits.MaxAttempts, Hedging: in.Limits.SecondCopies,
+		Cancellation: in.Limits.Cancelling, Probes: in.Limits.Probes, Peers: in.Limits.Peers,
 		AnswerSlack: Ms(in.Rules.AnswerSlackMs), DrainGrace: Ms(in.Rules.StopSendingWithinMs),
-		AskWithin: Ms(in.Rules.AskWithinMs), ColdShare: in.Rules.ColdFrom, ColdTime: Ms(in.Rules.RampTimeMs),
-		FallMultiple: in.Rules.FallMultiple, FallTime: Ms(in.Rules.FallMs),
-		CrossPrice: in.Prices.CrossZone, WastePrice: in.Prices.Waste, PeerPrice: in.Prices.Peer, LatePrice: in.Prices.LateFail,
+		ListRefreshInterval: Ms(in.Rules.AskWithinMs), SlowStartShare: in.Rules.ColdFrom, SlowStartTime: Ms(in.Rules.RampTimeMs),
+		CrashLoadFactor: in.Rules.FallMultiple, CrashLoadTime: Ms(in.Rules.FallMs),
+		CrossZoneCost: in.Prices.CrossZone, WastedWorkCost: in.Prices.Waste, PeerMessageCost: in.Prices.Peer, LateCost: in.Prices.LateFail,
 	}
 	if in.Limits.RetryAfter {
 		out.MaxRetryAfter = Ms(in.Limits.MaxRetryAfterMs)
 	}
 	for i, c := range in.Classes {
-		class := dispatch.Class{Name: c.Name, Aim: Ms(c.AimMs), Stretch: c.AimStretch, Deadline: Ms(c.DeadlineMs),
-			Worth: c.Worth, LateShare: c.LateShare, Window: Ms(c.WindowMs), Kind: -1, Stream: c.Stream}
+		class := dispatch.Class{Name: c.Name, LatencyTarget: Ms(c.AimMs), Stretch: c.AimStretch, Deadline: Ms(c.DeadlineMs),
+			Value: c.Worth, LateValueShare: c.LateShare, DedupWindow: Ms(c.WindowMs), WorkerKind: -1, Stream: c.Stream}
 		if i < len(in.Extra.ClassKind) {
-			class.Kind = in.Extra.ClassKind[i]
+			class.WorkerKind = in.Extra.ClassKind[i]
 		}
 		if i < len(in.Extra.ClassPriority) {
 			class.Priority = in.Extra.ClassPriority[i]
@@ -90,17 +90,17 @@
 		case "retryable":
 			class.Semantics = dispatch.Retryable
 		case "dedup":
-			class.Semantics = dispatch.Dedup
+			class.Semantics = dispatch.Deduplicated
 		case "fragile":
-			class.Semantics = dispatch.Fragile
+			class.Semantics = dispatch.AtMostOnce
 		default:
 			return out, fmt.Errorf("class %d has semantics %q", i, c.Semantics)
 		}
 		switch c.DedupScope {
 		case "zone":
-			class.Scope = dispatch.ScopeZone
+			class.DedupScope = dispatch.ScopeZone
 		case "cell":
-			class.Scope = dispatch.ScopeCell
+			class.DedupScope = dispatch.ScopeCell
 		}
 		out.Classes = append(out.Classes, class)
 	}
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable names the environment variable that holds the path of the file.
-const Variable = "YARDFLOW_BOOT"
+// PathVariable names the environment variable that holds the path of the file.
+const PathVariable = "YARDFLOW_BOOT"
 
 // Listen has the addresses at which a process serves.
 type Listen struct {
@@ -34,11 +34,11 @@
 
 // Bounds are the figures of the rules in force; Ms are milliseconds, S seconds.
 type Bounds struct {
-	HoldMaxMs int64
-	StopMs    int64   `toml:"stop_ms"`
-	GraceS    float64 // between SIGTERM and SIGKILL
-	StatusS   float64 `toml:"status_s"`
-	FarX      float64 `toml:"far_x"`
+	HoldMaxMs        int64
+	StopMs           int64   `toml:"stop_ms"`
+	GraceS           float64 // between SIGTERM and SIGKILL
+	StatusRetentionS float64 `toml:"status_s"`
+	FarFactor        float64 `toml:"far_x"`
 }
 
 // Cloud is the platform's list of instances.
@@ -64,20 +64,20 @@
 	Cloud     Cloud
 }
 
-// Fault names a key that is wrong, and what to do about it.
-type Fault struct {
-	Key    string
-	Advice string
+// InvalidError names a key that is wrong, and what to do about it.
+type InvalidError struct {
+	Key     string
+	Problem string
 }
 
 // Error names key and advice.
-func (f *Fault) Error() string { return f.Key + ": " + f.Advice }
+func (f *InvalidError) Error() string { return f.Key + ": " + f.Problem }
 
 // Load reads and checks the file. Fields it does not know are skipped.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Annotatef(err, "the settings file; name it in %s", Variable)
+		return nil, errors.Annotatef(err, "the settings file; name it in %s", PathVariable)
 	}
 	s := &Settings{}
 	if err := toml.Unmarshal(text, s); err != nil {
@@ -97,21 +97,21 @@
 func (s *Settings) check() error {
 	switch {
 	case s.Node == "":
-		return &Fault{"Node", "is missing; give this machine's name"}
+		return &InvalidError{"Node", "is missing; give this machine's name"}
 	case s.Zone == "":
-		return &Fault{"Zone", "is missing; give this machine's zone"}
+		return &InvalidError{"Zone", "is missing; give this machine's zone"}
 	case len(s.Seeds) == 0:
-		return &Fault{"Seeds", "is empty; give the control addresses of up to three machines"}
+		return &InvalidError{"Seeds", "is empty; give the control addresses of up to three machines"}
 	case s.Listen.Control == "" && s.Listen.Front == "":
-		return &Fault{"Listen", "names no address; give Control on a core machine, Front and Ready on a front machine"}
+		return &InvalidError{"Listen", "names no address; give Control on a core machine, Front and Ready on a front machine"}
 	case s.Listen.Control != "" && s.DataDir == "":
-		return &Fault{"DataDir", "is missing; a control process needs a folder on its disk"}
+		return &InvalidError{"DataDir", "is missing; a control process needs a folder on its disk"}
 	case s.Listen.Front != "" && s.Cloud.Address == "":
-		return &Fault{"Cloud.Address", "is missing; give the address of the platform's list"}
+		return &InvalidError{"Cloud.Address", "is missing; give the address of the platform's list"}
 	case s.Bounds.HoldMaxMs <= 0 && s.Listen.Front != "":
-		return &Fault{"Bounds.HoldMaxMs", "must be above 0; it is how long a worker holds what runs without renewal"}
+		return &InvalidError{"Bounds.HoldMaxMs", "must be above 0; it is how long a worker holds what runs without renewal"}
 	case s.Tolerate.Machines < 0:
-		return &Fault{"Tolerate.Machines", "must not be below 0"}
+		return &InvalidError{"Tolerate.Machines", "must not be below 0"}
 	}
 	return nil
 }
--- a/internal/testing/emulator/clients.go
+++ b/internal/testing/emulator/clients.go
@@ -97,7 +97,7 @@
 		request.Spec = poisonSpec
 	}
 	for step := range 1 + random.IntN(3) {
-		s := job.Step{Count: 1 + random.IntN(4), Cpu: int64(500 + random.IntN(2000)), MemMb: 100,
+		s := job.Step{Count: 1 + random.IntN(4), CPU: int64(500 + random.IntN(2000)), MemoryMB: 100,
 			EstimateMs: int64(200 + random.IntN(1500))}
 		if random.IntN(5) == 0 {
 			s.EstimateMs += int64(random.IntN(9000)) // longer than a hold that is not renewed
--- a/internal/testing/emulator/list.go
+++ b/internal/testing/emulator/list.go
@@ -74,7 +74,7 @@
 	machine := workerName(place)
 	address := l.yard.Address(machine)
 	w := newWorker(l.yard.Judge, fmt.Sprint("i-", l.number), service, address, fmt.Sprint("z", place%3),
-		[]string{"a", fmt.Sprint("r", place/3)}, job.Resources{Cpu: 8000, MemMb: 8000})
+		[]string{"a", fmt.Sprint("r", place/3)}, job.Resources{CPU: 8000, MemoryMB: 8000})
 	w.late, w.planted = l.yard.late, l.yard.Shape.Planted
 	if place < len(l.workers) {
 		l.workers[place] = w
--- a/internal/testing/emulator/processes.go
+++ b/internal/testing/emulator/processes.go
@@ -73,7 +73,7 @@
 	if c.stop == nil {
 		return
 	}
-	c.run.Leave()
+	c.run.LeaveChain()
 	c.Kill()
 }
 
--- a/internal/testing/emulator/yard.go
+++ b/internal/testing/emulator/yard.go
@@ -115,7 +115,7 @@
 	}
 	s.Tolerate.Machines = y.Shape.Tolerate
 	s.Limits.DiskMb = 16
-	s.Bounds = settings.Bounds{HoldMaxMs: holdMaxMs, StatusS: 120, FarX: 2}
+	s.Bounds = settings.Bounds{HoldMaxMs: holdMaxMs, StatusRetentionS: 120, FarFactor: 2}
 	return s
 }
 
--- a/internal/testing/standin/day/plan.go
+++ b/internal/testing/standin/day/plan.go
@@ -49,7 +49,7 @@
 	var all []*Planned
 	for _, j := range d.draw() {
 		c := cfg.Classes[j.class]
-		all = append(all, &Planned{j.class, c.Slots, j.arrived, j.aim, j.work, c.Worth})
+		all = append(all, &Planned{j.class, c.Slots, j.arrived, j.aim, j.work, c.Value})
 	}
 	res := &Result{Classes: make([]Score, len(cfg.Classes))}
 	slices.SortStableFunc(all, order)
--- a/lab/soak/play/process.go
+++ b/lab/soak/play/process.go
@@ -80,7 +80,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(p.soak.config.Program, p.role)
-	cmd.Env = []string{settings.Variable + "=" + p.settingsPath(), "PATH=/usr/bin:/bin"}
+	cmd.Env = []string{settings.PathVariable + "=" + p.settingsPath(), "PATH=/usr/bin:/bin"}
 	cmd.Stdout, cmd.Stderr = log, log
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/scheduling/achq/achq.go
+++ b/scheduling/achq/achq.go
@@ -8,125 +8,125 @@
 
 // Constants of the learner, in the paper's names.
 const (
-	Sharpness   = 2.0  // sigma of the soft threshold
-	ActorStep   = 0.02 // alpha, per unit of mean cost
-	CriticStep  = 0.05 // beta, per squared length of the features
-	AverageStep = 0.01 // zeta
-	BufferSize  = 64   // l_M: largest held queue the features are scaled for
-	tdBound     = 5.0  // TD errors beyond this many mean costs are cut
+	ThresholdSharpness = 2.0  // sigma of the soft threshold
+	ActorStepSize      = 0.02 // alpha, per unit of mean cost
+	CriticStepSize     = 0.05 // beta, per squared length of the features
+	AverageStepSize    = 0.01 // zeta
+	MaxQueueLength     = 64   // l_M: largest held queue the features are scaled for
+	tdBound            = 5.0  // TD errors beyond this many mean costs are cut
 )
 
-// Arm is what is learned of one worker.
-type Arm struct {
-	Theta  float64 // soft threshold on the held queue
-	Omega  float64 // weight in the value of a state
-	Visits int     // steps in which the threshold was moved
+// Parameters is what is learned of one worker.
+type Parameters struct {
+	Threshold   float64 // soft threshold on the held queue
+	ValueWeight float64 // weight in the value of a state
+	Updates     int     // steps in which the threshold was moved
 }
 
 // Feature is a non-zero part of the state's description; Arm is nil for the held queue.
 type Feature struct {
-	Arm *Arm
-	X   float64
+	Parameters *Parameters
+	Value      float64
 }
 
 // Learner learns the thresholds of one dispatcher.
 type Learner struct {
-	MeanStep float64 // mean length of a step, s
-	Eta      float64 // mean cost of a step
-	Omega0   float64 // weight of the held queue
-	OmegaLen float64 // squared length of all weights
+	MeanStepSeconds   float64 // mean length of a step, s
+	AverageCost       float64 // mean cost of a step
+	QueueWeight       float64 // weight of the held queue
+	WeightNormSquared float64 // squared length of all weights
 
-	Open     bool
-	Phi      []Feature
-	Cost     float64 // tasks queued and running at the step's beginning
-	Actor    *Arm    // whose threshold decided in this step
-	Gradient float64 // of log pi for that decision
-	next     []Feature
+	StepOpen          bool
+	Features          []Feature
+	StepCost          float64     // tasks queued and running at the step's beginning
+	DecidedBy         *Parameters // whose threshold decided in this step
+	LogPolicyGradient float64     // of log pi for that decision
+	next              []Feature
 }
 
-// Accept returns the probability with which the head of a queue of the given length goes to a
+// AcceptanceProbability returns the probability with which the head of a queue of the given length goes to a
 // slower worker.
-func Accept(held int, arm *Arm) float64 {
-	return 1 / (1 + math.Exp(-Sharpness*(float64(held)-arm.Theta)))
+func AcceptanceProbability(held int, arm *Parameters) float64 {
+	return 1 / (1 + math.Exp(-ThresholdSharpness*(float64(held)-arm.Threshold)))
 }
 
-// Decided enters that the open step's decision was drawn at the probability p.
-func (l *Learner) Decided(arm *Arm, p float64, accepted bool) {
-	l.Actor, l.Gradient = arm, -Sharpness*(1-p)
+// RecordDecision enters that the open step's decision was drawn at the probability p.
+func (l *Learner) RecordDecision(arm *Parameters, p float64, accepted bool) {
+	l.DecidedBy, l.LogPolicyGradient = arm, -ThresholdSharpness*(1-p)
 	if !accepted {
-		l.Gradient = Sharpness * p
+		l.LogPolicyGradient = ThresholdSharpness * p
 	}
 }
 
-// Begin opens a step in the state that features describes.
-func (l *Learner) Begin(cost float64, features func(into []Feature) []Feature) {
-	l.Phi = features(l.Phi[:0])
-	l.Cost, l.Open = cost, true
+// BeginStep opens a step in the state that features describes.
+func (l *Learner) BeginStep(cost float64, features func(into []Feature) []Feature) {
+	l.Features = features(l.Features[:0])
+	l.StepCost, l.StepOpen = cost, true
 }
 
-// End closes the open step after the given time, s, with the state reached now. Workers are the
+// EndStep closes the open step after the given time, s, with the state reached now. Workers are the
 // arms there are; project is called with the factor by which every arm's weight is to shrink.
-func (l *Learner) End(elapsed float64, workers int, features func(into []Feature) []Feature, project func(scale float64)) {
-	if !l.Open {
+func (l *Learner) EndStep(elapsed float64, workers int, features func(into []Feature) []Feature, project func(scale float64)) {
+	if !l.StepOpen {
 		return
 	}
-	l.Open = false
+	l.StepOpen = false
 	if elapsed > 0 {
-		if l.MeanStep == 0 {
-			l.MeanStep = elapsed
+		if l.MeanStepSeconds == 0 {
+			l.MeanStepSeconds = elapsed
 		}
-		l.MeanStep += AverageStep * (elapsed - l.MeanStep)
+		l.MeanStepSeconds += AverageStepSize * (elapsed - l.MeanStepSeconds)
 	}
 	cost := 0.0
-	if l.MeanStep > 0 {
-		cost = l.Cost * elapsed / l.MeanStep
+	if l.MeanStepSeconds > 0 {
+		cost = l.StepCost * elapsed / l.MeanStepSeconds
 	}
 	l.next = features(l.next[:0])
-	delta := cost - l.Eta + l.value(l.next) - l.value(l.Phi)
+	delta := cost - l.AverageCost + l.value(l.next) - l.value(l.Features)
 	// A gap or a burst must not throw the learner: bound the TD error.
-	bound := tdBound * (1 + l.Eta)
+	bound := tdBound * (1 + l.AverageCost)
 	delta = min(max(delta, -bound), bound)
-	l.Eta += AverageStep * (cost - l.Eta)
+	l.AverageCost += AverageStepSize * (cost - l.AverageCost)
 	l.learnValue(delta, float64(1+workers), project)
-	if l.Actor != nil {
-		l.Actor.Theta -= ActorStep / (1 + l.Eta) * delta * l.Gradient
-		l.Actor.Theta = min(max(l.Actor.Theta, 0), BufferSize)
-		l.Actor.Visits++
-		l.Actor = nil
+	if l.DecidedBy != nil {
+		l.DecidedBy.Threshold -= ActorStepSize / (1 + l.AverageCost) * delta * l.LogPolicyGradient
+		l.DecidedBy.Threshold = min(max(l.DecidedBy.Threshold, 0), MaxQueueLength)
+		l.DecidedBy.Updates++
+		l.DecidedBy = nil
 	}
 }
 
 func (l *Learner) learnValue(delta, k float64, project func(scale float64)) {
 	length := 0.0
-	for _, f := range l.Phi {
-		length += f.X * f.X
+	for _, f := range l.Features {
+		length += f.Value * f.Value
 	}
-	beta := CriticStep / (length + 1/(k*k))
-	for _, f := range l.Phi {
-		weight := l.weight(f.Arm)
-		l.OmegaLen -= *weight * *weight
-		*weight += beta * delta * f.X
-		l.OmegaLen += *weight * *weight
+	beta := CriticStepSize / (length + 1/(k*k))
+	for _, f := range l.Features {
+		weight := l.weight(f.Parameters)
+		l.WeightNormSquared -= *weight * *weight
+		*weight += beta * delta * f.Value
+		l.WeightNormSquared += *weight * *weight
 	}
-	if radius := BufferSize * k; l.OmegaLen > radius*radius {
-		scale := radius / math.Sqrt(l.OmegaLen)
-		l.Omega0 *= scale
-		l.OmegaLen *= scale * scale
+	if radius := MaxQueueLength * k; l.WeightNormSquared > radius*radius {
+		scale := radius / math.Sqrt(l.WeightNormSquared)
+		l.QueueWeight *= scale
+		l.WeightNormSquared *= scale * scale
 		project(scale)
 	}
 }
 
-func (l *Learner) weight(arm *Arm) *float64 {
+func (l *Learner) weight(arm *Parameters) *float64 {
 	if arm == nil {
-		return &l.Omega0
+		return &l.QueueWeight
 	}
-	return &arm.Omega
+	return &arm.ValueWeight
 }
 
 func (l *Learner) value(phi []Feature) float64 {
 	v := 0.0
 	for _, f := range phi {
-		v += f.X * *l.weight(f.Arm)
+		v += f.Value * *l.weight(f.Parameters)
 	}
 	return v
 }
