--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -71,31 +71,32 @@
 	if d.requests[q.ID] != nil {
 		return
 	}
-	if q.Slots = max(q.Slots, 1); q.Of == nil {
-		q.Of = &d.Classes[min(max(q.Class, 0), len(d.Classes)-1)]
+	if q.Slots = max(q.Slots, 1); q.ResolvedClass == nil {
+		q.ResolvedClass = &d.Classes[min(max(q.Class, 0), len(d.Classes)-1)]
 	}
-	r := &request{Request: q, class: q.Of, stat: d.statOf(q.Of), arrived: now, deadline: now + q.Left}
+	r := &request{Request: q, class: q.ResolvedClass, stat: d.statOf(q.ResolvedClass), arrived: now,
+		deadline: now + q.TimeLeft}
 	work := d.work(r)
-	aim := r.class.Aim.Seconds() + r.class.Stretch*work
-	spare := max(aim-work*math.Exp(d.midSlow), r.class.Aim.Seconds()/4)
-	if q.Retry {
+	aim := r.class.LatencyTarget.Seconds() + r.class.Stretch*work
+	spare := max(aim-work*math.Exp(d.midSlow), r.class.LatencyTarget.Seconds()/4)
+	if q.ClientRetry {
 		// The client's own retry belongs to its first try, whose time ran meanwhile.
-		spare -= max(r.class.Deadline-q.Left, 0).Seconds()
+		spare -= max(r.class.Deadline-q.TimeLeft, 0).Seconds()
 	}
-	r.inTime = now + min(max(seconds(spare), 0), q.Left)
+	r.inTime = now + min(max(seconds(spare), 0), q.TimeLeft)
 	r.holdUntil = now + time.Duration(holdShare*float64(r.inTime-now))
-	r.worth = r.class.Worth / r.Slots
-	if !d.WorthByWork {
+	r.worth = r.class.Value / r.Slots
+	if !d.ValuePerWork {
 		r.worth /= work
 	}
 	if !d.withinQuota(q.Tenant) {
-		r.worth *= d.OverShareWorth
+		r.worth *= d.OverQuotaValueShare
 	}
-	if q.Spare { // behind all else, and never to where there is no room
+	if q.BestEffort { // behind all else, and never to where there is no room
 		r.inTime, r.holdUntil, r.worth = r.deadline, r.deadline, 0
 	}
-	if q.Ran != nil {
-		r.mayRun, r.mayRunAt = &worker{Worker: *q.Ran}, now-q.RanFor
+	if q.EarlierWorker != nil {
+		r.mayRun, r.mayRunAt = &worker{Worker: *q.EarlierWorker}, now-q.EarlierRunAge
 	}
 	d.enlist(r)
 	d.hold(r)
@@ -106,10 +107,10 @@
 	}
 }
 
-func (d *dispatcher) Outcome(now time.Duration, o Outcome, out Actions) {
+func (d *dispatcher) AttemptEnded(now time.Duration, o Outcome, out Actions) {
 	d.begin(now, out)
 	if w := d.workers[o.Worker]; w != nil {
-		d.report(w, o.Load, o.Code != Full)
+		d.report(w, o.Load, o.Code != Rejected)
 	}
 	r := d.requests[o.ID]
 	if r == nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-func (d *dispatcher) Note(now time.Duration, n Note, out Actions) {
+func (d *dispatcher) Notify(now time.Duration, n Notification, out Actions) {
 	d.begin(now, out)
 	r := d.requests[n.ID]
 	if r == nil {
@@ -138,7 +139,7 @@
 		}
 		a.heard = now
 		switch {
-		case n.Kind == NoteStarted && a.started == 0:
+		case n.Kind == NotificationStarted && a.started == 0:
 			a.started = now
 			a.w.startSent = max(a.w.startSent, a.sent)
 			d.pace(a, false)
@@ -152,16 +153,16 @@
 			// A low quantile: a mean would take waiting at the workers for the
 			// ordinary delay and stop seeing it just when every worker is full.
 			delay, typical := (now - a.sent).Seconds(), &d.startDelay[zoneIndex(a.w)]
-			a.w.wait.See(now, delay)
-			d.usual.See(delay)
+			a.w.wait.Observe(now, delay)
+			d.usual.Observe(delay)
 			if delay < *typical {
 				*typical += 0.2 * (delay - *typical)
 			} else {
 				*typical *= 1.02
 			}
-		case n.Kind == NoteProgress && n.Share > 0.02 && n.Share <= 1:
+		case n.Kind == NotificationProgress && n.FractionDone > 0.02 && n.FractionDone <= 1:
 			// The share done shows the whole run long before the end.
-			if run := (now - a.began()).Seconds() / n.Share; run > 0 {
+			if run := (now - a.began()).Seconds() / n.FractionDone; run > 0 {
 				d.learnSpeed(r, a.w, run)
 			}
 		}
@@ -175,8 +176,8 @@
 	}
 }
 
-// Retune takes up new settings: shares anew, and no attempt beyond those allowed now.
-func (d *dispatcher) Retune(now time.Duration, s Settings, out Actions) {
+// Reconfigure takes up new settings: shares anew, and no attempt beyond those allowed now.
+func (d *dispatcher) Reconfigure(now time.Duration, s Settings, out Actions) {
 	d.begin(now, out)
 	d.settings(s)
 	d.setHomes()
@@ -220,8 +221,9 @@
 		f, fastest := d.pick(r)
 		if f == nil {
 			// A job bound to few workers must not block those behind it.
-			if misfits++; r.Slots == 1 && len(r.refusedBy) == 0 && r.class.Kind < 0 && r.mayRun == nil &&
-				r.Pools == 0 {
+			misfits++
+			if r.Slots == 1 && len(r.refusedBy) == 0 && r.class.WorkerKind < 0 &&
+				r.mayRun == nil && r.Pools == 0 {
 				break
 			}
 			i++
@@ -249,7 +251,7 @@
 
 // pick returns the fastest worker with room for r and the fastest that could run it at all.
 func (d *dispatcher) pick(r *request) (f, fastest *worker) {
-	if t := d.trial; t != nil && t.Verdict == OnTrial && t.listed && d.able(t, r) && d.mayStart(t, r) {
+	if t := d.trial; t != nil && t.Health == OnProbation && t.listed && d.able(t, r) && d.mayStart(t, r) {
 		return t, t // one job is to show whether it is good again: a dispatcher may have few for it
 	}
 	if d.sparse() {
@@ -284,12 +286,12 @@
 	}
 	for i := 0; i < len(d.held); i++ {
 		r := d.held[i]
-		if d.now >= r.inTime || !d.Room.IsLarge(r.Slots, d.work(r)/d.run.Seconds()) {
+		if d.now >= r.inTime || !d.Backfill.IsLarge(r.Slots, d.work(r)/d.run.Seconds()) {
 			continue
 		}
 		d.tight = true
 		w, at := d.soonest(r)
-		if w == nil || d.room.Has(uint64(r.ID)) == nil && at+roomLead < r.inTime {
+		if w == nil || d.room.ReservationOf(uint64(r.ID)) == nil && at+roomLead < r.inTime {
 			continue // nowhere, or in time without
 		}
 		if f, _ := d.pick(r); f != nil && d.send(r, f, out) {
@@ -309,8 +311,8 @@
 			continue
 		}
 		ramp := d.ramp(w)
-		free, _, ok := d.room.Shadow(d.now, uint64(w.ID), uint64(r.ID), r.Slots, d.capacity(w), ramp)
-		if end := free + ramp.Takes(free, d.length(r, w).Quantile(0.5)); ok && end < least {
+		free, _, ok := d.room.ShadowTime(d.now, uint64(w.ID), uint64(r.ID), r.Slots, d.capacity(w), ramp)
+		if end := free + ramp.RunTimeFrom(free, d.length(r, w).Quantile(0.5)); ok && end < least {
 			best, at, least = w, free, end
 		}
 	}
@@ -319,12 +321,12 @@
 
 // crowded tells that room may be needed: most slots are taken, and large jobs come.
 func (d *dispatcher) crowded() bool {
-	return d.room != nil && !d.sparse() && d.room.Settled(d.now) && d.now < d.largeUntil &&
-		d.room.Used() >= crowdedAt*d.fleet
+	return d.room != nil && !d.sparse() && d.room.WarmedUp(d.now) && d.now < d.largeUntil &&
+		d.room.UsedSlots() >= crowdedAt*d.fleet
 }
 
 // sparse tells that this dispatcher's share is less than one worker.
-func (d *dispatcher) sparse() bool { return d.Dispatchers > len(d.rank) && !d.exact() }
+func (d *dispatcher) sparse() bool { return d.DispatcherCount > len(d.rank) && !d.exact() }
 
 // lot draws the worker for r where shares are too small for counting slots: too few
 // jobs pass here to know who has room. Where the last jobs had the least wait this one
@@ -337,7 +339,7 @@
 			continue
 		}
 		tie := lotRange * d.rnd.ExpFloat64() / (d.slots(w) * math.Pow(d.rate(w), lotPower))
-		wait := max(w.wait.Now(d.now, &d.usual), lotRange) + lotOwn*w.own/d.slots(w) + tie
+		wait := max(w.wait.Expected(d.now, &d.usual), lotRange) + lotOwn*w.own/d.slots(w) + tie
 		if w.pool != r.stat.pool {
 			wait += lotOther
 		}
@@ -347,7 +349,7 @@
 	}
 	// Past what the fleet can do, what would wait too long takes the place of what need not.
 	if spare := (r.inTime - d.now).Seconds(); best != nil && d.usual.Mean() > spare &&
-		d.rnd.Float64() >= lotHope*spare/best.wait.Now(d.now, &d.usual) {
+		d.rnd.Float64() >= lotHope*spare/best.wait.Expected(d.now, &d.usual) {
 		r.inTime = d.now
 		return nil
 	}
@@ -357,13 +359,13 @@
 // able tells whether w may be given r at all, room aside.
 func (d *dispatcher) able(w *worker, r *request) bool {
 	switch {
-	case r.class.Kind >= 0 && r.class.Kind != w.Kind, r.Pools != 0 && r.Pools&w.Pools == 0,
+	case r.class.WorkerKind >= 0 && r.class.WorkerKind != w.Kind, r.Pools != 0 && r.Pools&w.Pools == 0,
 		!d.allowed(r, w), d.most != 0 && w.jobs >= d.most,
-		r.Spare && w.busy()+r.Slots > d.homeSlots(w): // room that is surely its own
+		r.BestEffort && w.busy()+r.Slots > d.homeSlots(w): // room that is surely its own
 		return false
-	case r.class.Semantics == Fragile && w.bad > trustAt && d.now < r.inTime:
+	case r.class.Semantics == AtMostOnce && w.bad > trustAt && d.now < r.inTime:
 		return false // an unsafe job has one life: not where errors were seen
-	case w.Verdict == Condemned, w.Verdict == OnTrial && (r.class.Semantics == Fragile || w.jobs > 0):
+	case w.Health == Ejected, w.Health == OnProbation && (r.class.Semantics == AtMostOnce || w.jobs > 0):
 		return false
 	}
 	return !slices.Contains(r.refusedBy, w)
@@ -381,7 +383,7 @@
 		}
 		if !r.demoted && d.now >= r.inTime {
 			r.demoted = true
-			r.worth *= r.class.LateShare
+			r.worth *= r.class.LateValueShare
 			d.unhold(r)
 			d.hold(r)
 			continue
@@ -462,15 +464,16 @@
 	if r.mayRun == nil {
 		return true
 	}
-	if r.out > 0 && !d.SecondCopies || r.class.Semantics == Fragile {
+	if r.out > 0 && !d.Hedging || r.class.Semantics == AtMostOnce {
 		return false
 	}
 	if r.class.Semantics == Retryable {
 		return true
 	}
 	m := r.mayRun
-	return d.now < r.mayRunAt+r.class.Window*9/10 && (r.class.Scope == ScopeAll ||
-		r.class.Scope == ScopeZone && m.Zone == w.Zone || r.class.Scope == ScopeCell && m.Cell == w.Cell)
+	return d.now < r.mayRunAt+r.class.DedupWindow*9/10 && (r.class.DedupScope == ScopeAll ||
+		r.class.DedupScope == ScopeZone && m.Zone == w.Zone ||
+		r.class.DedupScope == ScopeCell && m.Cell == w.Cell)
 }
 
 // send is the one way to begin an attempt. It keeps rule 1 (nothing after the
@@ -511,21 +514,21 @@
 	full := w.busy() >= w.limit
 	d.drop(r, a)
 	run := (d.now - a.began()).Seconds()
-	neverRan := o.Code == Full || o.Code == ConnectFailed || o.Code == NeverSent
+	neverRan := o.Code == Rejected || o.Code == ConnectFailed || o.Code == NotSent
 	d.pace(a, neverRan)
 	switch o.Code {
 	case OK:
 		w.okSent = max(w.okSent, a.sent)
 		d.learnSpeed(r, w, run)
-		r.stat.flow.Ran(run * r.Slots)
+		r.stat.flow.Add(run * r.Slots)
 		w.bad *= 0.7
 		w.late = 0
 		if full && !a.late && !a.overdue {
 			d.grow(w, r.Slots)
 		}
-	case Full:
+	case Rejected:
 		d.shrink(w, fullPauses)
-	case Broken:
+	case ConnectionLost:
 		d.blame(w, breakWeight, out)
 	case Failed, TimedOut, ConnectFailed, Unknown:
 		if !a.orphan {
@@ -548,14 +551,14 @@
 			r.mayRun, r.mayRunAt = r.pending[0].w, r.pending[0].sent
 		}
 	}
-	if o.Ended || r.ended {
+	if o.Answered || r.ended {
 		d.end(r)
 		return
 	}
 	if r.out > 0 {
 		return
 	}
-	if r.attempts >= d.MaxAttempts || o.Last || d.ending(r) || r.mayRun != nil && !d.retryPays(r) {
+	if r.attempts >= d.MaxAttempts || o.FinalAttempt || d.ending(r) || r.mayRun != nil && !d.retryPays(r) {
 		d.finish(r, out)
 		return
 	}
@@ -564,36 +567,38 @@
 
 // retryPays tells whether a request that may have run can be sent again.
 func (d *dispatcher) retryPays(r *request) bool {
-	if r.class.Semantics == Fragile {
+	if r.class.Semantics == AtMostOnce {
 		return false
 	}
-	return r.class.Semantics == Retryable || d.now < r.mayRunAt+r.class.Window/2
+	return r.class.Semantics == Retryable || d.now < r.mayRunAt+r.class.DedupWindow/2
 }
 
 // recalls tells whether an attempt of r that stands still is cancelled, to try elsewhere.
 func (d *dispatcher) recalls(r *request) bool {
-	return d.Cancelling && r.attempts < d.MaxAttempts && d.now < r.inTime && d.retryPays(r) && !r.Spare
+	return d.Cancellation && r.attempts < d.MaxAttempts && d.now < r.inTime && d.retryPays(r) && !r.BestEffort
 }
 
 // ending tells that r has no time left to be held until the next look but one.
-func (d *dispatcher) ending(r *request) bool { return d.now+2*(tickEvery+d.Round) >= r.deadline }
+func (d *dispatcher) ending(r *request) bool { return d.now+2*(tickEvery+d.MinEventGap) >= r.deadline }
 
 // hopeless tells that r can no longer be in time and is worth nothing late. It
 // is given up, so its answer is due now: held on to near its deadline it would
 // only keep the client from asking again.
-func (d *dispatcher) hopeless(r *request) bool { return d.now >= r.inTime && r.class.LateShare == 0 }
+func (d *dispatcher) hopeless(r *request) bool {
+	return d.now >= r.inTime && r.class.LateValueShare == 0
+}
 
 // finish gives the final answer of a request that will not be served. The advice
 // is to stay away until a slot may come free.
 func (d *dispatcher) finish(r *request, out Actions) {
 	refusable := r.mayRun == nil || r.class.Semantics == Retryable ||
-		r.class.Semantics == Dedup && r.class.Scope == ScopeAll
+		r.class.Semantics == Deduplicated && r.class.DedupScope == ScopeAll
 	if refusable {
 		at := max(d.run, seconds(d.forceGap))
-		if span := min(seconds(d.cold*d.ColdTime.Seconds()), d.MaxRetryAfter-at); span > 0 {
+		if span := min(seconds(d.cold*d.SlowStartTime.Seconds()), d.MaxRetryAfter-at); span > 0 {
 			at += time.Duration(d.rnd.Float64() * float64(span)) // while much is cold no one wave comes back
 		}
-		out.Refuse(r.ID, min(d.MaxRetryAfter, at))
+		out.Reject(r.ID, min(d.MaxRetryAfter, at))
 	} else {
 		out.Fail(r.ID)
 	}
@@ -636,9 +641,9 @@
 	}
 	aim := 0.0
 	for i := range d.Classes {
-		aim += d.Classes[i].Aim.Seconds() + d.Classes[i].Stretch*d.run.Seconds()
+		aim += d.Classes[i].LatencyTarget.Seconds() + d.Classes[i].Stretch*d.run.Seconds()
 	}
-	d.crossing = d.startDelay[1] + crossWeight*d.CrossPrice*aim/float64(len(d.Classes))
+	d.crossing = d.startDelay[1] + crossWeight*d.CrossZoneCost*aim/float64(len(d.Classes))
 	for _, w := range d.rank {
 		w.bad *= 0.9
 		w.late *= 0.8 // a job still overdue raises it again
@@ -656,7 +661,7 @@
 	for _, w := range d.rank {
 		n, mu := d.slots(w), 1/w.time
 		if w.visits < 5 {
-			w.theta = min(max(rates/mu-slots, 0)/float64(d.Dispatchers), bufferSize)
+			w.theta = min(max(rates/mu-slots, 0)/float64(d.DispatcherCount), bufferSize)
 		}
 		rates += n * mu
 		slots += n
@@ -735,9 +740,9 @@
 // zones is dear the circle is that of the own zone, and arcs may overlap. Each pool has
 // a circle of its own.
 func (d *dispatcher) setHomes() {
-	for _, c := range d.circles(d.CrossPrice < crossCheap) {
-		arc := c.all / float64(d.Dispatchers)
-		start := math.Mod(arc*float64(d.Me), max(c.near, 1e-9))
+	for _, c := range d.circles(d.CrossZoneCost < crossCheap) {
+		arc := c.all / float64(d.DispatcherCount)
+		start := math.Mod(arc*float64(d.DispatcherIndex), max(c.near, 1e-9))
 		if d.sparse() {
 			arc = min(lotHomes*arc, c.near)
 		} else if d.exact() {
@@ -754,14 +759,14 @@
 	if d.sparse() {
 		shares = shares[:0]
 		for i := range d.Classes {
-			share := d.statOf(&d.Classes[i]).flow.Work()
-			if d.Classes[i].Semantics == Fragile {
+			share := d.statOf(&d.Classes[i]).flow.Estimate()
+			if d.Classes[i].Semantics == AtMostOnce {
 				share *= lotOnce // its jobs can't be taken back, so more of its workers must be free
 			}
 			shares = append(shares, share)
 		}
 	}
-	if workerpool.Moved(d.shares, shares) {
+	if workerpool.SharesChanged(d.shares, shares) {
 		d.shares = shares
 		d.setHomes()
 	}
@@ -772,7 +777,7 @@
 // grow raises the slot limit after a clean completion at it. Not during the
 // pause after a shrink: at a steady load every raise costs a job that waits.
 func (d *dispatcher) grow(w *worker, freed float64) {
-	if !d.TellsStart && len(d.LoadFields) == 0 {
+	if !d.StartNotifications && len(d.LoadFields) == 0 {
 		d.seeSlots(w, w.own+freed)
 	}
 	if k := d.kindOf(w); d.now >= w.trialAt && (w.limit < k.slots || d.now >= k.growAt && !d.crowded()) {
@@ -816,10 +821,10 @@
 		return
 	}
 	if a.started == 0 {
-		w.wait.AtLeast(d.now, (d.now - a.sent).Seconds(), &d.usual)
+		w.wait.ObserveAtLeast(d.now, (d.now - a.sent).Seconds(), &d.usual)
 	}
-	if d.TellsStart && a.started == 0 && !a.late &&
-		(d.now-a.sent).Seconds() > 3*d.startDelay[zoneIndex(w)]+(2*d.Round).Seconds()+0.01 {
+	if d.StartNotifications && a.started == 0 && !a.late &&
+		(d.now-a.sent).Seconds() > 3*d.startDelay[zoneIndex(w)]+(2*d.MinEventGap).Seconds()+0.01 {
 		a.late = true
 		d.pace(a, true)
 		w.own -= r.Slots
@@ -837,7 +842,7 @@
 		a.overdue = true
 		w.limit = min(w.limit, max(w.busy(), 1))
 	}
-	if a.started != 0 && d.Progress > 0 && d.now-a.heard < d.Progress*3/2 {
+	if a.started != 0 && d.ProgressInterval > 0 && d.now-a.heard < d.ProgressInterval*3/2 {
 		return // a long job that still tells its progress
 	}
 	if late := math.Log(age / (overdueAt * expect)); late > w.late+0.1 {
@@ -851,11 +856,11 @@
 // and a run very far past what is expected, while later ones end well, is a stream that stopped.
 func (d *dispatcher) lost(a *attempt) bool {
 	if a.started == 0 {
-		return d.InOrder && d.TellsStart && (a.w.startSent > a.sent+overtake ||
+		return d.FIFOWorkers && d.StartNotifications && (a.w.startSent > a.sent+overtake ||
 			d.sparse() && d.now-a.sent > takeBack && d.backs >= 1 && d.recalls(a.r))
 	}
 	return a.w.okSent > a.sent && (d.now-a.started).Seconds() > 4*overdueAt*d.expect(a.r, a.w) &&
-		(d.Progress == 0 || d.now-a.heard > 2*d.Progress)
+		(d.ProgressInterval == 0 || d.now-a.heard > 2*d.ProgressInterval)
 }
 
 // blame counts a failure. The worker loses rank and, if it isn't a single broken
@@ -875,10 +880,10 @@
 // warmth is the share of its capacity a worker has at the least.
 func (d *dispatcher) warmth(w *worker) float64 {
 	age := d.now - w.Launched
-	if w.Launched == 0 || age >= d.ColdTime {
+	if w.Launched == 0 || age >= d.SlowStartTime {
 		return 1
 	}
-	return max(d.ColdShare+(1-d.ColdShare)*float64(max(age, 0))/float64(d.ColdTime), 0.05)
+	return max(d.SlowStartShare+(1-d.SlowStartShare)*float64(max(age, 0))/float64(d.SlowStartTime), 0.05)
 }
 
 // mayStart keeps the slow-start budget: part of what a cold worker bears, split by own
@@ -893,13 +898,13 @@
 	} else if d.sparse() {
 		share *= lotCold / lotHomes
 	} else if d.exact() {
-		share /= float64(d.Dispatchers)
-	} else if d.Dispatchers <= coldFew {
-		share = max(share, 0.5/float64(d.Dispatchers)) // its one home may have taken it out, or be down
+		share /= float64(d.DispatcherCount)
+	} else if d.DispatcherCount <= coldFew {
+		share = max(share, 0.5/float64(d.DispatcherCount)) // its one home may have taken it out, or be down
 	}
 	cost := r.Slots * d.expect(r, w)
-	bears := d.FallMultiple * d.warmth(w) * d.slots(w)
-	if share == 0 || bears*d.FallTime.Seconds() < 2*cost {
+	bears := d.CrashLoadFactor * d.warmth(w) * d.slots(w)
+	if share == 0 || bears*d.CrashLoadTime.Seconds() < 2*cost {
 		return false
 	}
 	rate := coldSafety * bears * share
@@ -914,12 +919,12 @@
 
 // ---- list following
 
-func (d *dispatcher) List(now time.Duration, form ListForm, list []Worker, out Actions) {
+func (d *dispatcher) UpdateWorkers(now time.Duration, form ListForm, list []Worker, out Actions) {
 	d.begin(now, out)
 	if form == ListFailed {
 		d.listFails++
 		pause := 0.2 * math.Exp2(float64(min(d.listFails, 5))) * (0.5 + d.rnd.Float64())
-		d.listAt = now + min(seconds(pause), max(d.AskWithin/2, tickEvery))
+		d.listAt = now + min(seconds(pause), max(d.ListRefreshInterval/2, tickEvery))
 		if d.listFails == 8 {
 			d.log(out, "list", "list service fails; going on with the last list")
 		}
@@ -931,7 +936,7 @@
 		changed = d.enter(l) || changed
 	}
 	for _, w := range d.rank {
-		if form != ListDelta && form != ListAmend && w.stamp != d.listStamp {
+		if form != ListDelta && form != ListOverride && w.stamp != d.listStamp {
 			w.listed, changed = false, true
 		}
 	}
@@ -941,7 +946,7 @@
 		d.refresh()
 	}
 	switch {
-	case form == ListAmend: // whatever is owed by the list service stays owed
+	case form == ListOverride: // whatever is owed by the list service stays owed
 	case form != ListCached:
 		d.listAt, d.listFails = 0, 0
 	case d.MustSubscribe:
@@ -962,9 +967,9 @@
 	if restarted {
 		w.slow, w.seen, w.bad, w.late, w.limit = 0, 0, 0, 0, 0
 		w.trialAt, w.misses, w.reportAt = 0, 0, 0 // what its last life was blamed for
-		w.wait.See(d.now, 0)                      // nothing waits there yet
+		w.wait.Observe(d.now, 0)                  // nothing waits there yet
 	}
-	if w.Worker = l; l.Verdict == OnTrial {
+	if w.Worker = l; l.Health == OnProbation {
 		d.trial = w
 	}
 	if w.stamp, w.Kind = d.listStamp, max(l.Kind, 0); w.Weight <= 0 {
--- a/scheduling/job/job.go
+++ b/scheduling/job/job.go
@@ -11,51 +11,51 @@
 
 // Resources is an amount of what a worker offers and a task asks for.
 type Resources struct {
-	Cpu   int64 `json:"Cpu" cbor:"1,keyasint,omitempty"`   // thousandths of a core
-	MemMb int64 `json:"MemMb" cbor:"2,keyasint,omitempty"` // megabytes
-	Gpu   int64 `json:"Gpu" cbor:"3,keyasint,omitempty"`   // whole devices
+	CPU      int64 `json:"Cpu" cbor:"1,keyasint,omitempty"`   // thousandths of a core
+	MemoryMB int64 `json:"MemMb" cbor:"2,keyasint,omitempty"` // megabytes
+	GPU      int64 `json:"Gpu" cbor:"3,keyasint,omitempty"`   // whole devices
 }
 
 // Plus returns the sum of both amounts.
 func (r Resources) Plus(o Resources) Resources {
-	return Resources{r.Cpu + o.Cpu, r.MemMb + o.MemMb, r.Gpu + o.Gpu}
+	return Resources{r.CPU + o.CPU, r.MemoryMB + o.MemoryMB, r.GPU + o.GPU}
 }
 
 // Minus returns r less o; amounts may become negative.
 func (r Resources) Minus(o Resources) Resources {
-	return Resources{r.Cpu - o.Cpu, r.MemMb - o.MemMb, r.Gpu - o.Gpu}
+	return Resources{r.CPU - o.CPU, r.MemoryMB - o.MemoryMB, r.GPU - o.GPU}
 }
 
-// Holds reports whether o fits into r in every respect.
-func (r Resources) Holds(o Resources) bool {
-	return o.Cpu <= r.Cpu && o.MemMb <= r.MemMb && o.Gpu <= r.Gpu
+// Covers reports whether o fits into r in every respect.
+func (r Resources) Covers(o Resources) bool {
+	return o.CPU <= r.CPU && o.MemoryMB <= r.MemoryMB && o.GPU <= r.GPU
 }
 
 // Times returns n times the amount.
 func (r Resources) Times(n int64) Resources {
-	return Resources{r.Cpu * n, r.MemMb * n, r.Gpu * n}
+	return Resources{r.CPU * n, r.MemoryMB * n, r.GPU * n}
 }
 
 // Step is one step of a job: Count tasks that ask for the same.
 type Step struct {
-	Count        int    `json:"Count" cbor:"1,keyasint"`
-	Cpu          int64  `json:"Cpu" cbor:"2,keyasint,omitempty"`
-	MemMb        int64  `json:"MemMb" cbor:"3,keyasint,omitempty"`
-	Gpu          int64  `json:"Gpu" cbor:"4,keyasint,omitempty"`
-	EstimateMs   int64  `json:"EstimateMs" cbor:"5,keyasint,omitempty"`
-	DependsOn    []int  `json:"DependsOn" cbor:"6,keyasint,omitempty"`
-	Checkpoints  bool   `json:"Checkpoints" cbor:"7,keyasint,omitempty"`
-	Gang         bool   `json:"Gang" cbor:"8,keyasint,omitempty"`
-	SameRack     bool   `json:"SameRack" cbor:"9,keyasint,omitempty"`
-	Requires     string `json:"Requires" cbor:"10,keyasint,omitempty"`
-	Affinity     string `json:"Affinity" cbor:"11,keyasint,omitempty"`
-	AntiAffinity int    `json:"AntiAffinity" cbor:"12,keyasint,omitempty"`
-	Twice        bool   `json:"Twice" cbor:"13,keyasint,omitempty"`
-	LongRunning  bool   `json:"LongRunning" cbor:"14,keyasint,omitempty"`
+	Count         int    `json:"Count" cbor:"1,keyasint"`
+	CPU           int64  `json:"Cpu" cbor:"2,keyasint,omitempty"`
+	MemoryMB      int64  `json:"MemMb" cbor:"3,keyasint,omitempty"`
+	GPU           int64  `json:"Gpu" cbor:"4,keyasint,omitempty"`
+	EstimateMs    int64  `json:"EstimateMs" cbor:"5,keyasint,omitempty"`
+	DependsOn     []int  `json:"DependsOn" cbor:"6,keyasint,omitempty"`
+	Checkpoints   bool   `json:"Checkpoints" cbor:"7,keyasint,omitempty"`
+	Gang          bool   `json:"Gang" cbor:"8,keyasint,omitempty"`
+	SameRack      bool   `json:"SameRack" cbor:"9,keyasint,omitempty"`
+	RequiredLabel string `json:"Requires" cbor:"10,keyasint,omitempty"`
+	Affinity      string `json:"Affinity" cbor:"11,keyasint,omitempty"`
+	AntiAffinity  int    `json:"AntiAffinity" cbor:"12,keyasint,omitempty"`
+	Speculative   bool   `json:"Twice" cbor:"13,keyasint,omitempty"`
+	LongRunning   bool   `json:"LongRunning" cbor:"14,keyasint,omitempty"`
 }
 
-// Asks returns what one task of the step asks for.
-func (s *Step) Asks() Resources { return Resources{s.Cpu, s.MemMb, s.Gpu} }
+// Demand returns what one task of the step asks for.
+func (s *Step) Demand() Resources { return Resources{s.CPU, s.MemoryMB, s.GPU} }
 
 // Request is the body with which a client hands in a job.
 type Request struct {
@@ -82,7 +82,7 @@
 	tasks := 0
 	for i := range r.Steps {
 		step := &r.Steps[i]
-		if step.Count < 1 || step.Cpu < 0 || step.MemMb < 0 || step.Gpu < 0 || step.EstimateMs < 0 {
+		if step.Count < 1 || step.CPU < 0 || step.MemoryMB < 0 || step.GPU < 0 || step.EstimateMs < 0 {
 			return false
 		}
 		if tasks += step.Count; tasks > maxTasks {
@@ -97,14 +97,14 @@
 	return true
 }
 
-// Runs returns how many times the steps are run.
-func (r *Request) Runs() int { return max(r.Repeat, 1) }
+// Repetitions returns how many times the steps are run.
+func (r *Request) Repetitions() int { return max(r.Repeat, 1) }
 
-// Work returns how much the client expects all tasks of one time to take, in thousandths of cores times ms.
-func (r *Request) Work() int64 {
+// EstimatedWork returns how much the client expects all tasks of one time to take, in thousandths of cores times ms.
+func (r *Request) EstimatedWork() int64 {
 	work := int64(0)
 	for i := range r.Steps {
-		work += int64(r.Steps[i].Count) * r.Steps[i].Cpu * r.Steps[i].EstimateMs
+		work += int64(r.Steps[i].Count) * r.Steps[i].CPU * r.Steps[i].EstimateMs
 	}
 	return work
 }
@@ -118,45 +118,45 @@
 	return r.FirstRunMs + int64(time)*r.IntervalMs
 }
 
-// Key names a task within its job.
-type Key struct {
-	Time  int `cbor:"1,keyasint,omitempty"`
-	Step  int `cbor:"2,keyasint,omitempty"`
-	Index int `cbor:"3,keyasint,omitempty"`
+// TaskKey names a task within its job.
+type TaskKey struct {
+	Repetition int `cbor:"1,keyasint,omitempty"`
+	Step       int `cbor:"2,keyasint,omitempty"`
+	Index      int `cbor:"3,keyasint,omitempty"`
 }
 
 // StepKey names one time of a step within its job.
 type StepKey struct {
-	Time int `cbor:"1,keyasint,omitempty"`
-	Step int `cbor:"2,keyasint,omitempty"`
+	Repetition int `cbor:"1,keyasint,omitempty"`
+	Step       int `cbor:"2,keyasint,omitempty"`
 }
 
 // Name returns the task's name on the wire: ID.K.STEP.INDEX.
-func (k Key) Name(id string) string {
+func (k TaskKey) Name(id string) string {
 	name := make([]byte, 0, len(id)+16)
 	name = append(name, id...)
-	for _, number := range [3]int{k.Time, k.Step, k.Index} {
+	for _, number := range [3]int{k.Repetition, k.Step, k.Index} {
 		name = append(name, '.')
 		name = strconv.AppendInt(name, int64(number), 10)
 	}
 	return string(name)
 }
 
-// ParseName takes a task's name apart.
-func ParseName(name string) (id string, key Key, ok bool) {
+// ParseTaskName takes a task's name apart.
+func ParseTaskName(name string) (id string, key TaskKey, ok bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
-		return "", Key{}, false
+		return "", TaskKey{}, false
 	}
 	numbers := [3]int{}
 	for i := range numbers {
 		number, err := strconv.Atoi(parts[i+1])
 		if err != nil || number < 0 {
-			return "", Key{}, false
+			return "", TaskKey{}, false
 		}
 		numbers[i] = number
 	}
-	return parts[0], Key{numbers[0], numbers[1], numbers[2]}, true
+	return parts[0], TaskKey{numbers[0], numbers[1], numbers[2]}, true
 }
 
 // ValidID reports whether id is 16 hex digits.
@@ -190,18 +190,18 @@
 // String returns the state's name on the wire.
 func (s State) String() string { return stateNames[s] }
 
-// Over reports whether nothing more happens to the job.
-func (s State) Over() bool { return s >= Completed }
+// Terminal reports whether nothing more happens to the job.
+func (s State) Terminal() bool { return s >= Completed }
 
 // Task is what is known of one task. The zero value is one never started.
 type Task struct {
-	Done     bool   `cbor:"1,keyasint,omitempty"`
-	Attempts int    `cbor:"2,keyasint,omitempty"` // runs that ended failed
-	Run      uint64 `cbor:"3,keyasint,omitempty"` // number of the last run
-	Worker   string `cbor:"4,keyasint,omitempty"` // where it is placed; "" where it is not
-	Stopping bool   `cbor:"5,keyasint,omitempty"`
-	Saved    string `cbor:"6,keyasint,omitempty"` // newest checkpoint
-	LastLost string `cbor:"7,keyasint,omitempty"` // worker at which the last run did not end well
+	Done             bool   `cbor:"1,keyasint,omitempty"`
+	FailedAttempts   int    `cbor:"2,keyasint,omitempty"` // runs that ended failed
+	Run              uint64 `cbor:"3,keyasint,omitempty"` // number of the last run
+	Worker           string `cbor:"4,keyasint,omitempty"` // where it is placed; "" where it is not
+	Stopping         bool   `cbor:"5,keyasint,omitempty"`
+	Checkpoint       string `cbor:"6,keyasint,omitempty"` // newest checkpoint
+	LastFailedWorker string `cbor:"7,keyasint,omitempty"` // worker at which the last run did not end well
 	// FailedRuns has the numbers of the runs that Attempts counts. A job has as few as its attempts allow.
 	FailedRuns []uint64 `cbor:"8,keyasint,omitempty"`
 }
@@ -209,75 +209,75 @@
 // CountFailure counts a run that ended failed, once, and returns the failed runs so far.
 func (t *Task) CountFailure(run uint64) (attempts int, counted bool) {
 	if slices.Contains(t.FailedRuns, run) {
-		return t.Attempts, false
+		return t.FailedAttempts, false
 	}
 	t.FailedRuns = append(t.FailedRuns, run)
-	t.Attempts++
-	return t.Attempts, true
+	t.FailedAttempts++
+	return t.FailedAttempts, true
 }
 
 // Job is a job that the system has accepted.
 type Job struct {
-	ID          string             `cbor:"1,keyasint"`
-	Route       string             `cbor:"2,keyasint"` // host and path prefix of its queue
-	Service     string             `cbor:"3,keyasint"`
-	Priority    int                `cbor:"4,keyasint,omitempty"`
-	MaxAttempts int                `cbor:"5,keyasint,omitempty"`
-	Stretch     float64            `cbor:"6,keyasint,omitempty"`
-	TargetMs    int64              `cbor:"7,keyasint,omitempty"`
-	Owner       uint64             `cbor:"8,keyasint,omitempty"` // session of the dispatcher that schedules it
-	Request     Request            `cbor:"9,keyasint"`
-	State       State              `cbor:"10,keyasint,omitempty"`
-	Tasks       map[Key]*Task      `cbor:"11,keyasint,omitempty"` // tasks ever placed
-	Done        map[StepKey]int    `cbor:"12,keyasint,omitempty"` // tasks of a step that ended done
-	GangFails   map[StepKey]int    `cbor:"13,keyasint,omitempty"` // runs of a gang that failed
-	GangRun     map[StepKey]uint64 `cbor:"14,keyasint,omitempty"` // in states of a former version: the last failed run counted
-	EndedAge    uint64             `cbor:"15,keyasint,omitempty"` // age of the system when the job was over
-	Number      uint64             `cbor:"16,keyasint,omitempty"` // position in the order of acceptance
-	Begun       bool               `cbor:"17,keyasint,omitempty"` // a task is known to have begun, or the job is over
-	// GangFailedRuns has the numbers of the runs that GangFails counts.
+	ID                string             `cbor:"1,keyasint"`
+	Route             string             `cbor:"2,keyasint"` // host and path prefix of its queue
+	Service           string             `cbor:"3,keyasint"`
+	Priority          int                `cbor:"4,keyasint,omitempty"`
+	MaxAttempts       int                `cbor:"5,keyasint,omitempty"`
+	Stretch           float64            `cbor:"6,keyasint,omitempty"`
+	TargetLatencyMs   int64              `cbor:"7,keyasint,omitempty"`
+	Owner             uint64             `cbor:"8,keyasint,omitempty"` // session of the dispatcher that schedules it
+	Request           Request            `cbor:"9,keyasint"`
+	State             State              `cbor:"10,keyasint,omitempty"`
+	Tasks             map[TaskKey]*Task  `cbor:"11,keyasint,omitempty"` // tasks ever placed
+	DoneTasks         map[StepKey]int    `cbor:"12,keyasint,omitempty"` // tasks of a step that ended done
+	GangFailures      map[StepKey]int    `cbor:"13,keyasint,omitempty"` // runs of a gang that failed
+	LastFailedGangRun map[StepKey]uint64 `cbor:"14,keyasint,omitempty"` // in states of a former version: the last failed run counted
+	EndedAge          uint64             `cbor:"15,keyasint,omitempty"` // age of the system when the job was over
+	Sequence          uint64             `cbor:"16,keyasint,omitempty"` // position in the order of acceptance
+	Started           bool               `cbor:"17,keyasint,omitempty"` // a task is known to have begun, or the job is over
+	// GangFailedRuns has the numbers of the runs that GangFailures counts.
 	GangFailedRuns map[StepKey][]uint64 `cbor:"18,keyasint,omitempty"`
 }
 
 // CountGangFailure counts a run of a gang that failed, once for all members, and returns the failed runs so far.
 func (j *Job) CountGangFailure(key StepKey, run uint64) (attempts int, counted bool) {
-	if j.GangFails == nil {
-		j.GangFails = map[StepKey]int{}
+	if j.GangFailures == nil {
+		j.GangFailures = map[StepKey]int{}
 	}
 	if j.GangFailedRuns == nil {
 		j.GangFailedRuns = map[StepKey][]uint64{}
 	}
-	if run <= j.GangRun[key] || slices.Contains(j.GangFailedRuns[key], run) {
-		return j.GangFails[key], false
+	if run <= j.LastFailedGangRun[key] || slices.Contains(j.GangFailedRuns[key], run) {
+		return j.GangFailures[key], false
 	}
 	j.GangFailedRuns[key] = append(j.GangFailedRuns[key], run)
-	j.GangFails[key]++
-	return j.GangFails[key], true
+	j.GangFailures[key]++
+	return j.GangFailures[key], true
 }
 
-// Task returns the state of one task, which it enters where there was none.
-func (j *Job) Task(key Key) *Task {
+// EnsureTask returns the state of one task, which it enters where there was none.
+func (j *Job) EnsureTask(key TaskKey) *Task {
 	task := j.Tasks[key]
 	if task == nil {
 		task = &Task{}
 		if j.Tasks == nil {
-			j.Tasks = map[Key]*Task{}
+			j.Tasks = map[TaskKey]*Task{}
 		}
 		j.Tasks[key] = task
 	}
 	return task
 }
 
-// Has reports whether the job has a task of that name.
-func (j *Job) Has(key Key) bool {
-	return key.Time >= 0 && key.Time < j.Request.Runs() && key.Step >= 0 && key.Step < len(j.Request.Steps) &&
+// HasTask reports whether the job has a task of that name.
+func (j *Job) HasTask(key TaskKey) bool {
+	return key.Repetition >= 0 && key.Repetition < j.Request.Repetitions() && key.Step >= 0 && key.Step < len(j.Request.Steps) &&
 		key.Index >= 0 && key.Index < j.Request.Steps[key.Step].Count
 }
 
 // DependenciesDone reports whether all tasks that come before the step are done.
 func (j *Job) DependenciesDone(key StepKey) bool {
 	for _, earlier := range j.Request.Steps[key.Step].DependsOn {
-		if j.Done[StepKey{key.Time, earlier}] < j.Request.Steps[earlier].Count {
+		if j.DoneTasks[StepKey{key.Repetition, earlier}] < j.Request.Steps[earlier].Count {
 			return false
 		}
 	}
@@ -285,23 +285,23 @@
 }
 
 // MarkDone enters that a task has ended done, once.
-func (j *Job) MarkDone(key Key) {
-	task := j.Task(key)
+func (j *Job) MarkDone(key TaskKey) {
+	task := j.EnsureTask(key)
 	if task.Done {
 		return
 	}
 	task.Done = true
-	if j.Done == nil {
-		j.Done = map[StepKey]int{}
+	if j.DoneTasks == nil {
+		j.DoneTasks = map[StepKey]int{}
 	}
-	j.Done[StepKey{key.Time, key.Step}]++
+	j.DoneTasks[StepKey{key.Repetition, key.Step}]++
 }
 
 // AllDone reports whether every task of every time has ended done.
 func (j *Job) AllDone() bool {
-	for time := range j.Request.Runs() {
+	for time := range j.Request.Repetitions() {
 		for step := range j.Request.Steps {
-			if j.Done[StepKey{time, step}] < j.Request.Steps[step].Count {
+			if j.DoneTasks[StepKey{time, step}] < j.Request.Steps[step].Count {
 				return false
 			}
 		}
@@ -309,26 +309,26 @@
 	return true
 }
 
-// CountAt returns how many tasks of one time of a step are placed at the worker.
-func (j *Job) CountAt(key StepKey, worker string) int {
+// CountPlacedAt returns how many tasks of one time of a step are placed at the worker.
+func (j *Job) CountPlacedAt(key StepKey, worker string) int {
 	count := 0
 	for k, task := range j.Tasks {
-		if k.Time == key.Time && k.Step == key.Step && task.Worker == worker {
+		if k.Repetition == key.Repetition && k.Step == key.Step && task.Worker == worker {
 			count++
 		}
 	}
 	return count
 }
 
-// SortedKeys returns the names of all tasks that were ever placed, in order.
-func (j *Job) SortedKeys() []Key {
-	keys := make([]Key, 0, len(j.Tasks))
+// SortedTaskKeys returns the names of all tasks that were ever placed, in order.
+func (j *Job) SortedTaskKeys() []TaskKey {
+	keys := make([]TaskKey, 0, len(j.Tasks))
 	for key := range j.Tasks {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b Key) int {
-		if a.Time != b.Time {
-			return a.Time - b.Time
+	slices.SortFunc(keys, func(a, b TaskKey) int {
+		if a.Repetition != b.Repetition {
+			return a.Repetition - b.Repetition
 		}
 		if a.Step != b.Step {
 			return a.Step - b.Step
--- a/scheduling/placement/explain.go
+++ b/scheduling/placement/explain.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Waiting says why a unit has found no place: how many workers fall out for which reason.
-type Waiting struct {
-	Job      string
-	Step     int
-	For      time.Duration
-	Unable   int // wrong label, draining or too small
-	Paused   int // left alone for a while after runs that did not end well
-	Apart    int // hold as many tasks of the step as may be together
-	Full     int
-	Reserved int // would have room, but for what is kept free for urgent tasks
-	Slower   int // have room, but faster ones are worth waiting for
+// Diagnosis says why a unit has found no place: how many workers fall out for which reason.
+type Diagnosis struct {
+	Job          string
+	Step         int
+	Waited       time.Duration
+	Infeasible   int // wrong label, draining or too small
+	BackedOff    int // left alone for a while after runs that did not end well
+	AntiAffinity int // hold as many tasks of the step as may be together
+	Exhausted    int
+	Reserved     int // would have room, but for what is kept free for urgent tasks
+	Deferred     int // have room, but faster ones are worth waiting for
 }
 
-// Explain lists units that have waited for longer than the given time, one for each step.
-func (p *Placer) Explain(now, longerThan time.Duration) []Waiting {
-	var list []Waiting
+// ExplainWaiting lists units that have waited for longer than the given time, one for each step.
+func (p *Scheduler) ExplainWaiting(now, longerThan time.Duration) []Diagnosis {
+	var list []Diagnosis
 	seen := map[stepOf]bool{}
 	for _, unit := range p.queue {
-		step := stepOf{unit.Job.ID, unit.Key}
-		if now-unit.Since <= longerThan || seen[step] {
+		step := stepOf{unit.Job.ID, unit.StepKey}
+		if now-unit.EnqueuedAt <= longerThan || seen[step] {
 			continue
 		}
 		seen[step] = true
@@ -30,24 +30,24 @@
 	return list
 }
 
-func (p *Placer) explain(now time.Duration, unit *Unit) Waiting {
+func (p *Scheduler) explain(now time.Duration, unit *Unit) Diagnosis {
 	step := unit.Step()
-	asks, reserve := step.Asks(), p.reserve(unit)
-	waiting := Waiting{Job: unit.Job.ID, Step: unit.Key.Step, For: now - unit.Since}
+	asks, reserve := step.Demand(), p.reserve(unit)
+	waiting := Diagnosis{Job: unit.Job.ID, Step: unit.StepKey.Step, Waited: now - unit.EnqueuedAt}
 	for _, worker := range p.list {
 		switch {
 		case !able(worker, step):
-			waiting.Unable++
+			waiting.Infeasible++
 		case now < worker.pauseUntil:
-			waiting.Paused++
-		case !worker.room().Holds(asks):
-			waiting.Full++
+			waiting.BackedOff++
+		case !worker.room().Covers(asks):
+			waiting.Exhausted++
 		case !p.fits(worker, asks, reserve):
 			waiting.Reserved++
-		case step.AntiAffinity > 0 && unit.Job.CountAt(unit.Key, worker.ID) >= step.AntiAffinity:
-			waiting.Apart++
+		case step.AntiAffinity > 0 && unit.Job.CountPlacedAt(unit.StepKey, worker.ID) >= step.AntiAffinity:
+			waiting.AntiAffinity++
 		default:
-			waiting.Slower++
+			waiting.Deferred++
 		}
 	}
 	return waiting
--- a/scheduling/placement/find.go
+++ b/scheduling/placement/find.go
@@ -10,17 +10,17 @@
 )
 
 // slowness returns how many times as long (ln) work takes at the worker as at a usual one.
-func (p *Placer) slowness(worker *Worker) float64 {
+func (p *Scheduler) slowness(worker *Worker) float64 {
 	return p.kinds[worker.Kind] + worker.slow + 2*worker.badness(p.now)
 }
 
 // able reports whether the unit may go to the worker, room aside.
 func able(worker *Worker, step *job.Step) bool {
-	return !worker.Draining && worker.hasLabel(step.Requires) && worker.Capacity.Holds(step.Asks())
+	return !worker.Draining && worker.hasLabel(step.RequiredLabel) && worker.Capacity.Covers(step.Demand())
 }
 
 // find returns where the unit would go now, and what decides where that is not as fast as the fastest of all.
-func (p *Placer) find(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
+func (p *Scheduler) find(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
 	if unit.Step().Gang {
 		return p.findGang(now, unit)
 	}
@@ -39,14 +39,14 @@
 			slow += far
 		}
 		fastest = min(fastest, slow)
-		if now < worker.pauseUntil || worker.ID == unit.avoid && now-unit.Since < pauseBase ||
-			!p.fits(worker, step.Asks(), reserve) || isFar && !p.fits(worker, step.Asks(), max(reserve, reserveFar)) {
+		if now < worker.pauseUntil || worker.ID == unit.avoid && now-unit.EnqueuedAt < pauseBase ||
+			!p.fits(worker, step.Demand(), reserve) || isFar && !p.fits(worker, step.Demand(), max(reserve, reserveFar)) {
 			continue
 		}
-		if most := step.AntiAffinity; most > 0 && unit.Job.CountAt(unit.Key, worker.ID) >= most {
+		if most := step.AntiAffinity; most > 0 && unit.Job.CountPlacedAt(unit.StepKey, worker.ID) >= most {
 			continue
 		}
-		score := share(worker.room().Minus(step.Asks()), worker.Capacity) + jitter*worker.order
+		score := share(worker.room().Minus(step.Demand()), worker.Capacity) + jitter*worker.order
 		p.fitting = append(p.fitting, candidate{worker, slow, score})
 		if best == nil || slow < bestSlow-nearEqual || slow < bestSlow+nearEqual && score < bestScore {
 			best, bestSlow, bestScore, bestFar = worker, slow, score, isFar
@@ -74,7 +74,7 @@
 
 // others returns workers that are about as fast as the chosen one and have room too, the best suited first.
 // Dispatchers decide on pictures that are some milliseconds old, so the chosen worker's room may be gone.
-func (p *Placer) others(unit *Unit, chosen []string) []string {
+func (p *Scheduler) others(unit *Unit, chosen []string) []string {
 	if unit.Step().Gang || len(p.fitting) < 2 {
 		return nil
 	}
@@ -102,7 +102,7 @@
 }
 
 // fasterRoom returns how many tasks of the step all workers hold at which it is faster than a bound.
-func (p *Placer) fasterRoom(step *job.Step, bound float64) float64 {
+func (p *Scheduler) fasterRoom(step *job.Step, bound float64) float64 {
 	room := 0.0
 	for _, worker := range p.list {
 		slow := p.slowness(worker)
@@ -110,14 +110,14 @@
 			slow += math.Log(p.farX)
 		}
 		if able(worker, step) && slow < bound {
-			room += 1 / max(share(step.Asks(), worker.Capacity), 0.01)
+			room += 1 / max(share(step.Demand(), worker.Capacity), 0.01)
 		}
 	}
 	return room
 }
 
 // findGang looks for room for all members, in one rack where the step asks for that.
-func (p *Placer) findGang(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
+func (p *Scheduler) findGang(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
 	step := unit.Step()
 	if !step.SameRack && step.Affinity == "" {
 		return p.fill(now, unit, ""), nil
@@ -141,18 +141,18 @@
 	}
 	if found := p.fill(now, unit, ""); found != nil {
 		first := p.workers[found[0]]
-		return found, &slowerChoice{arm: &first.far, ratio: p.farX, faster: float64(len(unit.Indices)) * float64(p.peers)}
+		return found, &slowerChoice{arm: &first.far, ratio: p.farX, faster: float64(len(unit.TaskIndices)) * float64(p.peers)}
 	}
 	return nil, nil
 }
 
 // fill places all members on workers of a rack ("" for any), or returns nil.
-func (p *Placer) fill(now time.Duration, unit *Unit, rack string) []string {
+func (p *Scheduler) fill(now time.Duration, unit *Unit, rack string) []string {
 	step := unit.Step()
 	candidates := []*Worker{}
 	for _, worker := range p.list {
 		if able(worker, step) && now >= worker.pauseUntil && (rack == "" || worker.Rack == rack) &&
-			worker.room().Holds(step.Asks()) {
+			worker.room().Covers(step.Demand()) {
 			candidates = append(candidates, worker)
 		}
 	}
@@ -170,15 +170,15 @@
 	workers := []string{}
 	for _, worker := range candidates {
 		room := worker.room()
-		for count := 0; len(workers) < len(unit.Indices) && room.Holds(step.Asks()); count++ {
+		for count := 0; len(workers) < len(unit.TaskIndices) && room.Covers(step.Demand()); count++ {
 			if step.AntiAffinity > 0 && count >= step.AntiAffinity {
 				break
 			}
 			workers = append(workers, worker.ID)
-			room = room.Minus(step.Asks())
+			room = room.Minus(step.Demand())
 		}
 	}
-	if len(workers) < len(unit.Indices) {
+	if len(workers) < len(unit.TaskIndices) {
 		return nil
 	}
 	return workers
--- a/scheduling/placement/placement.go
+++ b/scheduling/placement/placement.go
@@ -53,12 +53,12 @@
 	Reserved job.Resources // by own placements that are under way
 	Draining bool
 
-	near       achq.Arm      // threshold for work whose data is not elsewhere
-	far        achq.Arm      // and for work that takes longer here for being away from its data
-	slow       float64       // ln of run time against the kind's
-	own        float64       // share of the worker that own tasks take
-	bad        float64       // part of recent runs that did not end well through its fault
-	badAt      time.Duration // when bad was so
+	near       achq.Parameters // threshold for work whose data is not elsewhere
+	far        achq.Parameters // and for work that takes longer here for being away from its data
+	slow       float64         // ln of run time against the kind's
+	own        float64         // share of the worker that own tasks take
+	bad        float64         // part of recent runs that did not end well through its fault
+	badAt      time.Duration   // when bad was so
 	pauseUntil time.Duration
 	pauses     int
 	order      float64
@@ -66,32 +66,32 @@
 
 // Unit is what is placed in one go: a task, or all members of a gang.
 type Unit struct {
-	Job      *job.Job
-	Key      job.StepKey
-	Indices  []int
-	Since    time.Duration // in the queue since then
-	Deadline time.Duration // when the job's objective is over
-	// Remaining is how long the job takes from here on where nothing has to wait.
-	Remaining time.Duration
-	avoid     string // worker at which its last run did not end well
-	late      bool   // its objective can't be met any more
+	Job         *job.Job
+	StepKey     job.StepKey
+	TaskIndices []int
+	EnqueuedAt  time.Duration // in the queue since then
+	Deadline    time.Duration // when the job's objective is over
+	// CriticalPath is how long the job takes from here on where nothing has to wait.
+	CriticalPath time.Duration
+	avoid        string // worker at which its last run did not end well
+	late         bool   // its objective can't be met any more
 }
 
 // Step returns the step that the unit belongs to.
-func (u *Unit) Step() *job.Step { return &u.Job.Request.Steps[u.Key.Step] }
+func (u *Unit) Step() *job.Step { return &u.Job.Request.Steps[u.StepKey.Step] }
 
-// Avoid sets the worker that the unit had better not go to again.
-func (u *Unit) Avoid(worker string) { u.avoid = worker }
+// AvoidWorker sets the worker that the unit had better not go to again.
+func (u *Unit) AvoidWorker(worker string) { u.avoid = worker }
 
 // Decision is that a unit goes to workers, one for each of its indices.
 type Decision struct {
-	Unit    *Unit
-	Workers []string
-	Others  []string // for a unit of one task: workers that are as good, in case others have taken the room meanwhile
+	Unit         *Unit
+	Workers      []string
+	Alternatives []string // for a unit of one task: workers that are as good, in case others have taken the room meanwhile
 }
 
-// Placer decides for the workers of one service.
-type Placer struct {
+// Scheduler decides for the workers of one service.
+type Scheduler struct {
 	farX    float64
 	random  *rand.Rand
 	seed    maphash.Seed
@@ -116,29 +116,29 @@
 	pressure   [priorities]float64 // part of the lately placed units of higher priority that had to wait
 }
 
-// New returns a placer without workers. FarX is how many times as long work takes away from its data.
-func New(farX float64, seed uint64) *Placer {
-	return &Placer{farX: max(farX, 1), peers: 1, random: rand.New(rand.NewPCG(seed, 1)), seed: maphash.MakeSeed(),
+// New returns a placer without workers. FarFactor is how many times as long work takes away from its data.
+func New(farX float64, seed uint64) *Scheduler {
+	return &Scheduler{farX: max(farX, 1), peers: 1, random: rand.New(rand.NewPCG(seed, 1)), seed: maphash.MakeSeed(),
 		workers: map[string]*Worker{}, kinds: map[string]float64{}}
 }
 
 // SetPeers enters how many dispatchers place on the same workers.
-func (p *Placer) SetPeers(count int) { p.peers = max(count, 1) }
+func (p *Scheduler) SetPeers(count int) { p.peers = max(count, 1) }
 
-// Add puts a unit into the queue: by priority, then by deadline. Units that will be late whatever is done come
+// Enqueue puts a unit into the queue: by priority, then by deadline. Units that will be late whatever is done come
 // behind those of their priority that can still be in time: under overload each late one would make another
 // one late, and a late one loses nothing more by waiting.
-func (p *Placer) Add(unit *Unit) {
+func (p *Scheduler) Enqueue(unit *Unit) {
 	p.measure(unit)
-	unit.late = unit.isLate(unit.Since)
+	unit.late = unit.isLate(unit.EnqueuedAt)
 	p.insert(unit)
 }
 
 // isLate reports whether the objective can't be met any more. Clients' estimates may be off by half.
-func (u *Unit) isLate(now time.Duration) bool { return now+u.Remaining/2 > u.Deadline }
+func (u *Unit) isLate(now time.Duration) bool { return now+u.CriticalPath/2 > u.Deadline }
 
 // moveLate moves units behind the others that have become late.
-func (p *Placer) moveLate(now time.Duration) {
+func (p *Scheduler) moveLate(now time.Duration) {
 	var moved []*Unit
 	p.queue = slices.DeleteFunc(p.queue, func(u *Unit) bool {
 		if u.late || !u.isLate(now) {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (p *Placer) insert(unit *Unit) {
+func (p *Scheduler) insert(unit *Unit) {
 	at, _ := slices.BinarySearchFunc(p.queue, unit, func(a, b *Unit) int {
 		if before(a, b) {
 			return -1
@@ -173,19 +173,19 @@
 	if a.Deadline != b.Deadline {
 		return a.Deadline < b.Deadline
 	}
-	return a.Since <= b.Since
+	return a.EnqueuedAt <= b.EnqueuedAt
 }
 
 // RemoveJob takes all units of a job out of the queue.
-func (p *Placer) RemoveJob(id string) {
+func (p *Scheduler) RemoveJob(id string) {
 	p.queue = slices.DeleteFunc(p.queue, func(u *Unit) bool { return u.Job.ID == id })
 }
 
-// Queued returns how many units wait.
-func (p *Placer) Queued() int { return len(p.queue) }
+// QueueLength returns how many units wait.
+func (p *Scheduler) QueueLength() int { return len(p.queue) }
 
-// Decide takes the decisions of one event. What it returns is no longer queued, and its room is reserved.
-func (p *Placer) Decide(now time.Duration) []Decision {
+// Schedule takes the decisions of one event. What it returns is no longer queued, and its room is reserved.
+func (p *Scheduler) Schedule(now time.Duration) []Decision {
 	if len(p.queue) == 0 {
 		return nil
 	}
@@ -197,7 +197,7 @@
 	misfits := map[stepOf]bool{} // steps of which a task has found no place in this event
 	for i := 0; i < len(p.queue) && len(misfits) < lookAhead; {
 		unit := p.queue[i]
-		step := stepOf{unit.Job.ID, unit.Key}
+		step := stepOf{unit.Job.ID, unit.StepKey}
 		if misfits[step] {
 			i++
 			continue
@@ -210,14 +210,14 @@
 		}
 		p.queue = slices.Delete(p.queue, i, i+1)
 		p.placed(now, unit)
-		asks := unit.Step().Asks()
+		asks := unit.Step().Demand()
 		for _, id := range workers {
 			worker := p.workers[id]
 			p.free -= worker.freeCpu()
 			worker.Reserved = worker.Reserved.Plus(asks)
 			p.free += worker.freeCpu()
 		}
-		decisions = append(decisions, Decision{Unit: unit, Workers: workers, Others: p.others(unit, workers)})
+		decisions = append(decisions, Decision{Unit: unit, Workers: workers, Alternatives: p.others(unit, workers)})
 		p.beginStep(now)
 		p.endStep(now)
 	}
@@ -233,7 +233,7 @@
 
 // slowerChoice is that only slower workers than the fastest have room.
 type slowerChoice struct {
-	arm     *achq.Arm
+	arm     *achq.Parameters
 	ratio   float64 // how many times as long the work takes there
 	faster  float64 // how many such tasks fit on the faster workers
 	sameFar bool    // the faster ones are those near the unit's data
@@ -242,57 +242,57 @@
 // accepts draws whether a unit goes to a slower worker. Its threshold starts at the number of held tasks
 // that the faster workers get through meanwhile (the source's RSRT rule), for this dispatcher's share of them.
 // A unit that has waited for as long as the slower worker takes longer is not kept any more.
-func (p *Placer) accepts(now time.Duration, unit *Unit, slower *slowerChoice) bool {
+func (p *Scheduler) accepts(now time.Duration, unit *Unit, slower *slowerChoice) bool {
 	extra := (slower.ratio - 1) * float64(unit.Step().EstimateMs)
-	if now-unit.Since >= time.Duration(extra)*time.Millisecond {
+	if now-unit.EnqueuedAt >= time.Duration(extra)*time.Millisecond {
 		return true
 	}
-	if slower.arm.Visits < untaught {
-		slower.arm.Theta = min((slower.ratio-1)*slower.faster/float64(p.peers), achq.BufferSize)
+	if slower.arm.Updates < untaught {
+		slower.arm.Threshold = min((slower.ratio-1)*slower.faster/float64(p.peers), achq.MaxQueueLength)
 	}
-	probability := achq.Accept(p.competing(unit, slower), slower.arm)
+	probability := achq.AcceptanceProbability(p.competing(unit, slower), slower.arm)
 	accepted := p.random.Float64() < probability
-	p.learner.Decided(slower.arm, probability, accepted)
+	p.learner.RecordDecision(slower.arm, probability, accepted)
 	return accepted
 }
 
 // competing counts the held units that want the same faster workers.
-func (p *Placer) competing(unit *Unit, slower *slowerChoice) int {
+func (p *Scheduler) competing(unit *Unit, slower *slowerChoice) int {
 	if !slower.sameFar {
 		return len(p.queue)
 	}
 	count := 0
 	for _, other := range p.queue {
 		if other.Step().Affinity == unit.Step().Affinity {
-			count += len(other.Indices)
+			count += len(other.TaskIndices)
 		}
 	}
 	return count
 }
 
-func (p *Placer) beginStep(now time.Duration) {
+func (p *Scheduler) beginStep(now time.Duration) {
 	p.stepAt = now
-	p.learner.Begin(float64(len(p.queue)+p.running), p.features)
+	p.learner.BeginStep(float64(len(p.queue)+p.running), p.features)
 }
 
-func (p *Placer) endStep(now time.Duration) {
-	p.learner.End((now - p.stepAt).Seconds(), len(p.list), p.features, func(scale float64) {
+func (p *Scheduler) endStep(now time.Duration) {
+	p.learner.EndStep((now - p.stepAt).Seconds(), len(p.list), p.features, func(scale float64) {
 		for _, worker := range p.list {
-			worker.near.Omega *= scale
-			worker.far.Omega *= scale
+			worker.near.ValueWeight *= scale
+			worker.far.ValueWeight *= scale
 		}
 	})
 }
 
 // features lists the non-zero parts of the state: the held queue and own shares of workers, over 1+k.
-func (p *Placer) features(into []achq.Feature) []achq.Feature {
+func (p *Scheduler) features(into []achq.Feature) []achq.Feature {
 	k := float64(1 + len(p.list))
 	if n := len(p.queue); n > 0 {
-		into = append(into, achq.Feature{X: min(float64(n)/achq.BufferSize, 1) / k})
+		into = append(into, achq.Feature{Value: min(float64(n)/achq.MaxQueueLength, 1) / k})
 	}
 	for _, worker := range p.list {
 		if worker.own > 0 {
-			into = append(into, achq.Feature{Arm: &worker.near, X: worker.own / k})
+			into = append(into, achq.Feature{Parameters: &worker.near, Value: worker.own / k})
 		}
 	}
 	return into
--- a/scheduling/placement/worker.go
+++ b/scheduling/placement/worker.go
@@ -13,7 +13,7 @@
 func (w *Worker) hasLabel(label string) bool { return label == "" || slices.Contains(w.Labels, label) }
 
 // SetWorker enters a worker or what has changed of it.
-func (p *Placer) SetWorker(id, service string, labels []string, capacity, used job.Resources, draining bool) {
+func (p *Scheduler) SetWorker(id, service string, labels []string, capacity, used job.Resources, draining bool) {
 	worker := p.workers[id]
 	if worker == nil {
 		worker = &Worker{ID: id, Service: service, order: p.random.Float64()}
@@ -36,14 +36,14 @@
 }
 
 // SetUsed enters how much of a worker is taken.
-func (p *Placer) SetUsed(id string, used job.Resources) {
+func (p *Scheduler) SetUsed(id string, used job.Resources) {
 	if worker := p.workers[id]; worker != nil {
 		worker.Used = used
 	}
 }
 
 // RemoveWorker forgets a worker.
-func (p *Placer) RemoveWorker(id string) {
+func (p *Scheduler) RemoveWorker(id string) {
 	worker := p.workers[id]
 	if worker == nil {
 		return
@@ -52,20 +52,20 @@
 	p.list = slices.DeleteFunc(p.list, func(w *Worker) bool { return w == worker })
 }
 
-// Release gives back what a placement under way had reserved.
-func (p *Placer) Release(id string, amount job.Resources) {
+// ReleaseReservation gives back what a placement under way had reserved.
+func (p *Scheduler) ReleaseReservation(id string, amount job.Resources) {
 	if worker := p.workers[id]; worker != nil {
 		worker.Reserved = worker.Reserved.Minus(amount)
 	}
 }
 
-// Started enters that an own task now runs at a worker, and Ended that it does no more.
-func (p *Placer) Started(id string, asks job.Resources) { p.own(id, asks, 1) }
+// TaskStarted enters that an own task now runs at a worker, and Ended that it does no more.
+func (p *Scheduler) TaskStarted(id string, asks job.Resources) { p.own(id, asks, 1) }
 
-// Ended enters that an own task runs no more at a worker.
-func (p *Placer) Ended(id string, asks job.Resources) { p.own(id, asks, -1) }
+// TaskEnded enters that an own task runs no more at a worker.
+func (p *Scheduler) TaskEnded(id string, asks job.Resources) { p.own(id, asks, -1) }
 
-func (p *Placer) own(id string, asks job.Resources, sign float64) {
+func (p *Scheduler) own(id string, asks job.Resources, sign float64) {
 	p.running += int(sign)
 	if worker := p.workers[id]; worker != nil {
 		worker.own = max(0, worker.own+sign*share(asks, worker.Capacity))
@@ -75,7 +75,7 @@
 // share returns the largest part of a worker that the amount takes.
 func share(amount, capacity job.Resources) float64 {
 	part := 0.0
-	for _, pair := range [3][2]int64{{amount.Cpu, capacity.Cpu}, {amount.MemMb, capacity.MemMb}, {amount.Gpu, capacity.Gpu}} {
+	for _, pair := range [3][2]int64{{amount.CPU, capacity.CPU}, {amount.MemoryMB, capacity.MemoryMB}, {amount.GPU, capacity.GPU}} {
 		if pair[1] > 0 {
 			part = max(part, float64(pair[0])/float64(pair[1]))
 		}
@@ -83,8 +83,8 @@
 	return part
 }
 
-// Learn enters how long a run took against what was expected of it at a sound worker of usual speed.
-func (p *Placer) Learn(id string, took, expected time.Duration) {
+// ObserveRuntime enters how long a run took against what was expected of it at a sound worker of usual speed.
+func (p *Scheduler) ObserveRuntime(id string, took, expected time.Duration) {
 	worker := p.workers[id]
 	if worker == nil || took <= 0 || expected <= 0 {
 		return
@@ -103,9 +103,9 @@
 	return w.bad * math.Exp(-float64(max(now-w.badAt, 0))/float64(forgiveIn))
 }
 
-// Blame enters that a run did not end well through the worker's fault. It is left alone for a while,
+// RecordFault enters that a run did not end well through the worker's fault. It is left alone for a while,
 // longer each time.
-func (p *Placer) Blame(now time.Duration, id string, weight float64) {
+func (p *Scheduler) RecordFault(now time.Duration, id string, weight float64) {
 	worker := p.workers[id]
 	if worker == nil {
 		return
--- a/scheduling/taskrun/taskrun.go
+++ b/scheduling/taskrun/taskrun.go
@@ -16,11 +16,11 @@
 	Done EndReason = iota
 	Failed
 	Stopped
-	Lapsed     // its lease at the worker expired
-	Broken     // a member of its gang ended
-	Alone      // members of its gang did not start in time
-	NotStarted // it has not run, and never will
-	Lost       // its worker is gone, or no longer knows of it
+	LeaseExpired   // its lease at the worker expired
+	GangBroken     // a member of its gang ended
+	GangIncomplete // members of its gang did not start in time
+	NotStarted     // it has not run, and never will
+	Lost           // its worker is gone, or no longer knows of it
 )
 
 var endReasonNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "not-started", "lost"}
@@ -29,7 +29,7 @@
 func (r EndReason) String() string { return endReasonNames[r] }
 
 // ReportedByWorker tells whether a worker itself may report the reason.
-func (r EndReason) ReportedByWorker() bool { return r <= Alone }
+func (r EndReason) ReportedByWorker() bool { return r <= GangIncomplete }
 
 // ParseEndReason reads the reason that a worker reports; unknown names count as Stopped.
 func ParseEndReason(name string) EndReason {
@@ -43,23 +43,23 @@
 
 // Ended says that a run is over. It is idempotent: repeated, or about a run that is no longer placed, it changes nothing.
 type Ended struct {
-	Worker     string    `cbor:"1,keyasint"`
-	Job        string    `cbor:"2,keyasint"`
-	Task       job.Key   `cbor:"3,keyasint"`
-	Run        uint64    `cbor:"4,keyasint"`
-	Reason     EndReason `cbor:"5,keyasint"`
-	Checkpoint string    `cbor:"6,keyasint,omitempty"` // the newest one, where the worker reports it with the end
+	Worker     string      `cbor:"1,keyasint"`
+	Job        string      `cbor:"2,keyasint"`
+	Task       job.TaskKey `cbor:"3,keyasint"`
+	Run        uint64      `cbor:"4,keyasint"`
+	Reason     EndReason   `cbor:"5,keyasint"`
+	Checkpoint string      `cbor:"6,keyasint,omitempty"` // the newest one, where the worker reports it with the end
 	// Token is the fencing token of the owner that found the end out, where the worker has not reported it.
 	Token uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Checkpoint is the newest checkpoint of a run that goes on.
 type Checkpoint struct {
-	Worker string  `cbor:"1,keyasint"`
-	Job    string  `cbor:"2,keyasint"`
-	Task   job.Key `cbor:"3,keyasint"`
-	Run    uint64  `cbor:"4,keyasint"`
-	Data   string  `cbor:"5,keyasint"`
+	Worker string      `cbor:"1,keyasint"`
+	Job    string      `cbor:"2,keyasint"`
+	Task   job.TaskKey `cbor:"3,keyasint"`
+	Run    uint64      `cbor:"4,keyasint"`
+	Data   string      `cbor:"5,keyasint"`
 	// Token and Sequence order the checkpoints of a run: by the worker's owner, then as that owner received them.
 	Token    uint64 `cbor:"6,keyasint"`
 	Sequence uint64 `cbor:"7,keyasint"`
--- a/scheduling/worker/answers.go
+++ b/scheduling/worker/answers.go
@@ -7,8 +7,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// StartAnswered enters how an order to start came out.
-func (a *Agent) StartAnswered(now time.Duration, task string, command uint64, answer Answer, clockMs int64) {
+// HandleStartOutcome enters how an order to start came out.
+func (a *Owner) HandleStartOutcome(now time.Duration, task string, command uint64, answer Outcome, clockMs int64) {
 	a.heard(now, answer, clockMs)
 	r := a.runs[task]
 	if r == nil || r.Run != command || r.phase != ordered {
@@ -20,28 +20,28 @@
 		return
 	}
 	switch answer {
-	case Done:
+	case Accepted:
 		a.begin(now, r)
 	case Unanswered:
 		r.phase = owed
 		a.mayLengthen(now, r.fence)
 		a.bumps++
-		a.out.Blames = append(a.out.Blames, 0.2)
+		a.out.FaultWeights = append(a.out.FaultWeights, 0.2)
 	case Fenced:
 		a.fenced(now, r)
-	case Old, Late:
-		r.outdated = r.outdated || answer == Old
+	case OutdatedRun, ArrivedLate:
+		r.outdated = r.outdated || answer == OutdatedRun
 		r.phase = owed // the lists tell whether it ended here
 		a.bumps++
-	case NoRoom:
+	case NoCapacity:
 		a.release(r, taskrun.NotStarted, Rejected)
 	case Unhealthy, Invalid:
-		a.out.Blames = append(a.out.Blames, 0.4)
+		a.out.FaultWeights = append(a.out.FaultWeights, 0.4)
 		a.release(r, taskrun.NotStarted, Rejected)
-	case Unreached:
-		a.out.Blames = append(a.out.Blames, 0.4)
+	case Unreachable:
+		a.out.FaultWeights = append(a.out.FaultWeights, 0.4)
 		a.release(r, taskrun.NotStarted, NeverSent)
-	case OtherLife:
+	case OtherIncarnation:
 		r.phase = owed // this life has not taken the order; whether it is over the next look shows
 		a.bumps++
 	}
@@ -49,16 +49,16 @@
 }
 
 // begin enters that a run is at work.
-func (a *Agent) begin(now time.Duration, r *run) {
+func (a *Owner) begin(now time.Duration, r *run) {
 	r.phase, r.knownFrom, r.movedAt, r.startedAt = running, a.sequence+1, now, now
-	if id, _, ok := job.ParseName(r.Task); ok && r.FirstOfJob {
-		a.out.Began = append(a.out.Began, id)
+	if id, _, ok := job.ParseTaskName(r.Task); ok && r.FirstOfJob {
+		a.out.StartedJobs = append(a.out.StartedJobs, id)
 	}
 }
 
 // fenced handles an order that a higher token overtook: either an own settlement, or another owner. In the
 // second case orders pause, until the control machines have told who owns the worker.
-func (a *Agent) fenced(now time.Duration, r *run) {
+func (a *Owner) fenced(now time.Duration, r *run) {
 	r.phase = owed
 	if r.fences++; r.fence != a.fence() {
 		return
@@ -69,18 +69,18 @@
 	a.bumps++
 }
 
-// StopAnswered enters how an order to stop came out.
-func (a *Agent) StopAnswered(now time.Duration, task string, command uint64, answer Answer, clockMs int64) {
+// HandleStopOutcome enters how an order to stop came out.
+func (a *Owner) HandleStopOutcome(now time.Duration, task string, command uint64, answer Outcome, clockMs int64) {
 	a.heard(now, answer, clockMs)
 	a.act(now)
 }
 
 // heard takes in what every answer shows: that the worker is there, and its clock.
-func (a *Agent) heard(now time.Duration, answer Answer, clockMs int64) {
+func (a *Owner) heard(now time.Duration, answer Outcome, clockMs int64) {
 	switch answer {
-	case Unanswered, Unreached:
+	case Unanswered, Unreachable:
 		return
-	case OtherLife:
+	case OtherIncarnation:
 		a.metOtherLife()
 		return
 	}
@@ -92,16 +92,16 @@
 }
 
 // metOtherLife enters an answer of another life at the address. A second one in a row proves that this life is over.
-func (a *Agent) metOtherLife() {
+func (a *Owner) metOtherLife() {
 	a.otherLives++
 	a.suspect = true
 	if a.otherLives == otherLivesProve {
-		a.out.Over = true
+		a.out.IncarnationEnded = true
 	}
 }
 
-// HoldAnswered enters how a hold came out.
-func (a *Agent) HoldAnswered(now time.Duration, hold Hold, answer Answer, lists Lists) {
+// HandlePollOutcome enters how a hold came out.
+func (a *Owner) HandlePollOutcome(now time.Duration, hold Poll, answer Outcome, lists PollAnswer) {
 	if a.long == hold.Sequence {
 		a.long = 0
 	}
@@ -110,16 +110,16 @@
 	}
 	a.heard(now, answer, lists.ClockMs)
 	switch answer {
-	case Done:
-		a.told = max(a.told, hold.LastSeen)
+	case Accepted:
+		a.told = max(a.told, hold.AcknowledgedEnd)
 		a.settle(now, hold, &lists)
 		if a.highest > a.noted() {
 			a.holdAt = now + notedWithin
 		}
-	case OtherLife:
+	case OtherIncarnation:
 		a.holdAt = 0
 	case Fenced:
-		if hold.Fence == a.fence() {
+		if hold.FencingToken == a.fence() {
 			a.bumps++
 		}
 		a.holdAt = now + retryPause
@@ -129,9 +129,9 @@
 	a.act(now)
 }
 
-func (a *Agent) holdFailed(now time.Duration, hold Hold, answer Answer) {
-	if answer == Unanswered && hold.UntilMs > 0 {
-		a.mayLengthen(now, hold.Fence)
+func (a *Owner) holdFailed(now time.Duration, hold Poll, answer Outcome) {
+	if answer == Unanswered && hold.LeaseUntilMs > 0 {
+		a.mayLengthen(now, hold.FencingToken)
 		a.bumps++
 	}
 	switch {
@@ -142,33 +142,33 @@
 	case now-a.answeredAt > freshFor:
 		a.reachable = false
 		a.holdAt = now + retryPause
-		a.out.Blames = append(a.out.Blames, 0.6)
+		a.out.FaultWeights = append(a.out.FaultWeights, 0.6)
 	default:
 		a.holdAt = now + freshFor
 	}
 }
 
 // settle takes in a worker's lists.
-func (a *Agent) settle(now time.Duration, hold Hold, lists *Lists) {
+func (a *Owner) settle(now time.Duration, hold Poll, lists *PollAnswer) {
 	if !a.contacted {
 		a.contacted = true
 		a.untilMax = max(a.untilMax, lists.ClockMs+a.mostMs) // a former owner may have given so much
 	}
-	if hold.Fence > a.lateFence {
+	if hold.FencingToken > a.lateFence {
 		a.lateUntil = 0 // what was ordered under lower tokens does nothing any more
 	}
 	seen := map[string]bool{}
 	for _, end := range lists.Ended {
 		a.ended(end)
-		if r := a.runs[end.Task]; r != nil && r.Run == end.Command {
+		if r := a.runs[end.Task]; r != nil && r.Run == end.Run {
 			seen[end.Task] = true
 		}
 	}
 	for _, listed := range lists.Running {
 		r := a.runs[listed.Task]
-		if r == nil || r.Run != listed.Command {
-			if r == nil || r.Run > listed.Command {
-				a.out.Stops = append(a.out.Stops, Stop{listed.Task, listed.Command, a.fence()})
+		if r == nil || r.Run != listed.Run {
+			if r == nil || r.Run > listed.Run {
+				a.out.Stops = append(a.out.Stops, StopCommand{listed.Task, listed.Run, a.fence()})
 			}
 			continue
 		}
@@ -181,18 +181,18 @@
 			continue
 		}
 		switch {
-		case r.phase == owed && hold.Fence > r.fence && r.outdated:
-			a.release(r, taskrun.NotStarted, NeverOrdered)
-		case r.phase == owed && hold.Fence > r.fence:
+		case r.phase == owed && hold.FencingToken > r.fence && r.outdated:
+			a.release(r, taskrun.NotStarted, NeverDispatched)
+		case r.phase == owed && hold.FencingToken > r.fence:
 			r.phase = wanted
 		case r.phase == running && hold.Sequence >= r.knownFrom && len(lists.Ended) < endsAtOnce:
-			a.release(r, taskrun.Lost, NotInLists)
+			a.release(r, taskrun.Lost, MissingFromAnswer)
 		}
 	}
 }
 
 // ended takes in one end that the worker tells, once.
-func (a *Agent) ended(end End) {
+func (a *Owner) ended(end EndedRun) {
 	if end.Number <= a.lastSeen {
 		return
 	}
@@ -204,14 +204,14 @@
 		a.lastSeen = end.Number - 1 // what came before was noted by a former owner
 	}
 	a.reported[end.Number] = false
-	if r := a.runs[end.Task]; r != nil && r.Run == end.Command {
+	if r := a.runs[end.Task]; r != nil && r.Run == end.Run {
 		r.phase = over
 	}
-	a.report(end.Number, end.Task, end.Command, end.How, end.Saved, ToldByWorker)
+	a.report(end.Number, end.Task, end.Run, end.Reason, end.Checkpoint, ReportedByWorker)
 }
 
 // atWork takes in that a run is at work, and how far it is.
-func (a *Agent) atWork(now time.Duration, r *run, listed Running) {
+func (a *Owner) atWork(now time.Duration, r *run, listed RunStatus) {
 	if r.phase == over {
 		return
 	}
@@ -221,17 +221,17 @@
 	if listed.Percent != r.percent {
 		r.percent, r.movedAt = listed.Percent, now
 	}
-	if r.RecordCheckpoints && listed.Saved != "" && listed.Saved != r.saved {
-		r.saved = listed.Saved
-		if id, key, ok := job.ParseName(r.Task); ok {
+	if r.RecordCheckpoints && listed.Checkpoint != "" && listed.Checkpoint != r.saved {
+		r.saved = listed.Checkpoint
+		if id, key, ok := job.ParseTaskName(r.Task); ok {
 			a.checkpoints++
 			a.out.Checkpoints = append(a.out.Checkpoints, taskrun.Checkpoint{Worker: a.id, Job: id, Task: key,
-				Run: r.Run, Data: listed.Saved, Token: a.token, Sequence: a.checkpoints})
+				Run: r.Run, Data: listed.Checkpoint, Token: a.token, Sequence: a.checkpoints})
 		}
 	}
 	stuck := max(stuckAfter, time.Duration(stuckFactor*float64(r.EstimateMs))*time.Millisecond/4)
 	if !r.Stopping && !r.UntilStopped && now-r.movedAt > stuck {
 		r.Stopping = true
-		a.out.Blames = append(a.out.Blames, 0.6)
+		a.out.FaultWeights = append(a.out.FaultWeights, 0.6)
 	}
 }
--- a/scheduling/worker/leaving.go
+++ b/scheduling/worker/leaving.go
@@ -10,8 +10,8 @@
 	overrun = 1.25
 )
 
-// Leave enters that the worker drains and that it leaves once so much time is over, with all that runs there.
-func (a *Agent) Leave(now, remaining time.Duration) {
+// Drain enters that the worker drains and that it leaves once so much time is over, with all that runs there.
+func (a *Owner) Drain(now, remaining time.Duration) {
 	if a.leavesAt == 0 {
 		a.leavesAt = now + remaining
 	}
@@ -20,7 +20,7 @@
 
 // mustMove reports whether a run is to go on elsewhere, since the worker leaves before its end. One whose work
 // is saved, or that never ends, stays as long as it can; one whose work here is in vain begins anew at once.
-func (a *Agent) mustMove(now time.Duration, r *run) bool {
+func (a *Owner) mustMove(now time.Duration, r *run) bool {
 	if a.leavesAt == 0 || r.Stopping {
 		return false
 	}
--- a/scheduling/worker/worker.go
+++ b/scheduling/worker/worker.go
@@ -62,8 +62,8 @@
 	outdated  bool // the worker will not start this run any more
 }
 
-// Agent owns one worker.
-type Agent struct {
+// Owner owns one worker.
+type Owner struct {
 	id        string
 	token     uint64
 	bumps     uint64
@@ -93,7 +93,7 @@
 	short       uint64        // sequence of the settling hold under way, or 0
 	holdAt      time.Duration // no look before then
 	lastSeen    uint64
-	told        uint64          // LastSeen of the newest hold that was answered
+	told        uint64          // AcknowledgedEnd of the newest hold that was answered
 	notedAt     time.Duration   // when the control machines last had ends that the worker is to be told of
 	checkpoints uint64          // reported under this token
 	reported    map[uint64]bool // ends reported, true once the control machines have them
@@ -102,43 +102,43 @@
 	otherLives  int           // answers in a row that came from another life at the address
 	unlistedAt  time.Duration // since when the platform's list lacks the worker; 0: it is listed
 	leavesAt    time.Duration // the worker drains and leaves then; 0: nothing is known of that
-	out         Calls
+	out         Actions
 }
 
-// New returns the agent of a worker under an owner's token.
-func New(now time.Duration, id string, token uint64, holdMaxMs int64) *Agent {
-	return &Agent{id: id, token: token, holdMaxMs: min(holdMaxMs, holdMs), mostMs: holdMaxMs, runs: map[string]*run{},
+// NewOwner returns the agent of a worker under an owner's token.
+func NewOwner(now time.Duration, id string, token uint64, holdMaxMs int64) *Owner {
+	return &Owner{id: id, token: token, holdMaxMs: min(holdMaxMs, holdMs), mostMs: holdMaxMs, runs: map[string]*run{},
 		reported: map[uint64]bool{}, createdAt: now, answeredAt: now - time.Second, renewedAt: now - time.Second,
 		reachable: true, mayRenew: true}
 }
 
 // Token returns the owner's token.
-func (a *Agent) Token() uint64 { return a.token }
+func (a *Owner) Token() uint64 { return a.token }
 
-// Over reports whether the worker's life is proven to be over.
-func (a *Agent) Over() bool { return a.otherLives >= otherLivesProve }
+// IncarnationEnded reports whether the worker's life is proven to be over.
+func (a *Owner) IncarnationEnded() bool { return a.otherLives >= otherLivesProve }
 
-func (a *Agent) fence() uint64 { return a.token<<tokenShift | min(a.bumps, 1<<tokenShift-1) }
+func (a *Owner) fence() uint64 { return a.token<<tokenShift | min(a.bumps, 1<<tokenShift-1) }
 
 // untilMs returns until when an order is to hold, and keeps that it may have given so much.
-func (a *Agent) untilMs(now time.Duration) int64 {
+func (a *Owner) untilMs(now time.Duration) int64 {
 	until := a.clockMs + (now - a.clockAt).Milliseconds() + a.holdMaxMs
 	a.untilMax = max(a.untilMax, until)
 	return until
 }
 
 // fresh reports whether the worker has answered so lately that an order will reach it.
-func (a *Agent) fresh(now time.Duration) bool { return a.hasClock && now-a.answeredAt <= freshFor }
+func (a *Owner) fresh(now time.Duration) bool { return a.hasClock && now-a.answeredAt <= freshFor }
 
 // mayLengthen keeps that an order without an answer may be carried out later, and its time count from then.
-func (a *Agent) mayLengthen(now time.Duration, fence uint64) {
+func (a *Owner) mayLengthen(now time.Duration, fence uint64) {
 	hold := time.Duration(float64(a.holdMaxMs)/clockSlow) * time.Millisecond
 	a.lateUntil = max(a.lateUntil, now+lateBound+hold)
 	a.lateFence = max(a.lateFence, fence)
 }
 
 // lapsed reports whether everything that ran at a silent worker is over for certain.
-func (a *Agent) lapsed(now time.Duration) bool {
+func (a *Owner) lapsed(now time.Duration) bool {
 	if a.reachable {
 		return false
 	}
@@ -150,7 +150,7 @@
 
 // holdsOver reports whether every hold is over that orders gave which were carried out at once. Orders carried out
 // late may have given longer ones.
-func (a *Agent) holdsOver(now time.Duration) bool {
+func (a *Owner) holdsOver(now time.Duration) bool {
 	from, left := a.clockAt, max(a.untilMax-a.clockMs, 0)
 	if !a.contacted {
 		from, left = a.createdAt, a.mostMs // a former owner may have given so much until then
@@ -161,13 +161,13 @@
 // silentOffList reports whether a worker that the platform's list lacks has given no sign since, and its holds are
 // over. The list alone is no proof: one that answers goes on, and one that is cut off runs on until its hold is over.
 // What the list adds is that no late order is carried out there any more.
-func (a *Agent) silentOffList(now time.Duration) bool {
+func (a *Owner) silentOffList(now time.Duration) bool {
 	silent := !a.reachable && a.answeredAt < a.unlistedAt && now-a.unlistedAt >= offListSilence
 	return a.unlistedAt > 0 && silent && a.holdsOver(now)
 }
 
-// Listed enters whether the platform's list has the worker.
-func (a *Agent) Listed(now time.Duration, listed bool) {
+// SetListed enters whether the platform's list has the worker.
+func (a *Owner) SetListed(now time.Duration, listed bool) {
 	switch {
 	case listed:
 		a.unlistedAt = 0
@@ -177,9 +177,9 @@
 	a.act(now)
 }
 
-// Place enters what is to run, or that it is to stop. One that is not fresh may have been ordered by a
+// SetPlacement enters what is to run, or that it is to stop. One that is not fresh may have been ordered by a
 // former owner, which the first list under this owner's token settles.
-func (a *Agent) Place(now time.Duration, placement taskrun.Placement) {
+func (a *Owner) SetPlacement(now time.Duration, placement taskrun.Placement) {
 	known := a.runs[placement.Task]
 	if known != nil && known.Run == placement.Run {
 		known.Stopping = known.Stopping || placement.Stopping
@@ -197,16 +197,16 @@
 	a.act(now)
 }
 
-// Remove enters that a run is over for the system.
-func (a *Agent) Remove(now time.Duration, task string, number uint64) {
+// RemovePlacement enters that a run is over for the system.
+func (a *Owner) RemovePlacement(now time.Duration, task string, number uint64) {
 	if known := a.runs[task]; known != nil && known.Run == number {
 		delete(a.runs, task)
 	}
 	a.act(now)
 }
 
-// Keep drops all runs that are not named: a new snapshot does not have them.
-func (a *Agent) Keep(named map[string]uint64) {
+// RetainPlacements drops all runs that are not named: a new snapshot does not have them.
+func (a *Owner) RetainPlacements(named map[string]uint64) {
 	for task, known := range a.runs {
 		if named[task] != known.Run {
 			delete(a.runs, task)
@@ -216,20 +216,20 @@
 
 // Tick is called now and then. Without mayRenew, holds are no longer renewed: the owner has been out
 // of touch with the control machines for so long that another one may count on that.
-func (a *Agent) Tick(now time.Duration, mayRenew bool) {
+func (a *Owner) Tick(now time.Duration, mayRenew bool) {
 	a.mayRenew = mayRenew
 	a.act(now)
 }
 
-// Take returns the calls to make since the last one.
-func (a *Agent) Take() Calls {
+// TakeActions returns the calls to make since the last one.
+func (a *Owner) TakeActions() Actions {
 	out := a.out
-	a.out = Calls{}
+	a.out = Actions{}
 	return out
 }
 
 // noted returns the number up to which the control machines have all ends.
-func (a *Agent) noted() uint64 {
+func (a *Owner) noted() uint64 {
 	seen := a.lastSeen
 	for a.reported[seen+1] {
 		seen++
@@ -241,8 +241,8 @@
 	return a.lastSeen
 }
 
-// Noted enters that the control machines have an end.
-func (a *Agent) Noted(now time.Duration, number uint64) {
+// AcknowledgeEnd enters that the control machines have an end.
+func (a *Owner) AcknowledgeEnd(now time.Duration, number uint64) {
 	if number > a.lastSeen {
 		a.reported[number] = true
 	}
--- a/scheduling/workerpool/pools.go
+++ b/scheduling/workerpool/pools.go
@@ -15,10 +15,10 @@
 
 import "math"
 
-// Arc gives of each place on a circle, in order, what part of it (0 to 1) lies in an arc.
+// ArcCoverage gives of each place on a circle, in order, what part of it (0 to 1) lies in an arc.
 // Places have sizes; the arc begins at start and goes on for length, both in the unit of
 // the sizes, and may pass the circle's end.
-func Arc(sizes []float64, start, length float64) []float64 {
+func ArcCoverage(sizes []float64, start, length float64) []float64 {
 	out := make([]float64, len(sizes))
 	for at, i := -start, 0; i < 2*len(sizes) && at < length; i++ { // twice round
 		n, size := i%len(sizes), sizes[i%len(sizes)]
@@ -28,9 +28,9 @@
 	return out
 }
 
-// Pool tells whose pool a worker is in, by its spot (0 to 1, spread evenly by its id alone,
+// PoolAt tells whose pool a worker is in, by its spot (0 to 1, spread evenly by its id alone,
 // so that others that come and go leave it where it is) and the pools' shares, in any unit.
-func Pool(spot float64, shares []float64) int {
+func PoolAt(spot float64, shares []float64) int {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s
@@ -47,8 +47,8 @@
 // rough, and with each move some workers hold jobs that are in the wrong pool then.
 const step = 0.05
 
-// Moved tells whether a share is another part of the whole than it was.
-func Moved(was, now []float64) bool {
+// SharesChanged tells whether a share is another part of the whole than it was.
+func SharesChanged(was, now []float64) bool {
 	if len(was) != len(now) {
 		return true
 	}
@@ -64,8 +64,8 @@
 	return false
 }
 
-// Flow is the work that one class has lately brought, in slot seconds.
-type Flow float64
+// RecentWork is the work that one class has lately brought, in slot seconds.
+type RecentWork float64
 
 // prior is the work, in slot seconds, that each class is taken to have brought before any
 // was seen: as much as the others. One dispatcher of many sees a few dozen jobs, of which
@@ -75,11 +75,11 @@
 // fade is what is left of a flow after a second: a memory of some 50 s.
 const fade = 0.98
 
-// Ran takes in a run, in slot seconds.
-func (f *Flow) Ran(seconds float64) { *f += Flow(seconds) }
+// Add takes in a run, in slot seconds.
+func (f *RecentWork) Add(seconds float64) { *f += RecentWork(seconds) }
 
-// Fade lets a second pass.
-func (f *Flow) Fade() { *f *= fade }
+// Decay lets a second pass.
+func (f *RecentWork) Decay() { *f *= fade }
 
-// Work is the class's work beside that of others.
-func (f *Flow) Work() float64 { return float64(*f) + prior }
+// Estimate is the class's work beside that of others.
+func (f *RecentWork) Estimate() float64 { return float64(*f) + prior }
