--- a/internal/testing/emulator/addresses_test.go
+++ b/internal/testing/emulator/addresses_test.go
@@ -22,7 +22,7 @@
 // The worker that lives at an address must keep what runs there: no task runs twice, none beyond its attempts.
 func TestAddressesUsedAgain(t *testing.T) {
 	t.Parallel()
-	var logs io.Writer = io.Discard
+	logs := io.Discard
 	if os.Getenv("PROVE_LOGS") != "" {
 		logs = os.Stderr
 	}
--- a/internal/testing/emulator/list.go
+++ b/internal/testing/emulator/list.go
@@ -36,7 +36,7 @@
 }
 
 type listEntry struct {
-	Id       string
+	ID       string `json:"Id"`
 	Service  string
 	Address  string
 	Zone     string
@@ -64,7 +64,7 @@
 	l.mu.Lock()
 	l.servers = append(l.servers, server)
 	l.mu.Unlock()
-	go server.Serve(listener)
+	go func() { _ = server.Serve(listener) }()
 }
 
 // add lets a new incarnation of the worker in the place begin.
@@ -150,7 +150,7 @@
 	if to < len(l.shown) {
 		page["NextToken"] = strconv.Itoa(to)
 	}
-	json.NewEncoder(out).Encode(page)
+	_ = json.NewEncoder(out).Encode(page)
 }
 
 func (l *instanceList) stop() {
@@ -160,7 +160,7 @@
 		w.Crash()
 	}
 	for _, server := range l.servers {
-		server.Close()
+		_ = server.Close()
 	}
 }
 
--- a/internal/testing/emulator/network.go
+++ b/internal/testing/emulator/network.go
@@ -148,7 +148,7 @@
 		s.reset(s.to == name)
 	}
 	for _, l := range closed {
-		l.Close()
+		_ = l.Close()
 	}
 }
 
--- a/internal/testing/emulator/operator.go
+++ b/internal/testing/emulator/operator.go
@@ -131,7 +131,7 @@
 }
 
 func versionOf(body string) (version int64) {
-	fmt.Sscanf(strings.TrimSpace(body), `{"Version":%d`, &version)
+	_, _ = fmt.Sscanf(strings.TrimSpace(body), `{"Version":%d`, &version)
 	return version
 }
 
--- a/internal/testing/emulator/processes.go
+++ b/internal/testing/emulator/processes.go
@@ -32,7 +32,7 @@
 	c.http = &http.Server{Handler: control}
 	stop := make(chan struct{})
 	c.stop, c.run = stop, control
-	go c.http.Serve(listener)
+	go func() { _ = c.http.Serve(listener) }()
 	go func() {
 		defer c.yard.noteStopped(c.name)
 		if err := control.Run(stop); err != nil {
@@ -58,7 +58,7 @@
 	}
 	close(c.stop)
 	c.stop = nil
-	c.http.Close()
+	_ = c.http.Close()
 }
 
 // Kill ends the process; the disk stays as it is.
@@ -144,7 +144,7 @@
 	listener, _ := machine.Listen(s.Listen.Front)
 	d.http = &http.Server{Handler: dispatcher}
 	d.stop = make(chan struct{})
-	go d.http.Serve(listener)
+	go func() { _ = d.http.Serve(listener) }()
 	go dispatcher.Run(d.stop)
 }
 
@@ -161,7 +161,7 @@
 	}
 	close(d.stop)
 	d.stop = nil
-	d.http.Close()
+	_ = d.http.Close()
 }
 
 // Back starts the machine again.
--- a/internal/testing/emulator/schedule_test.go
+++ b/internal/testing/emulator/schedule_test.go
@@ -173,7 +173,7 @@
 	for seed := first; seed < first+uint64(count); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			var logs io.Writer = io.Discard
+			logs := io.Discard
 			if os.Getenv("PROVE_LOGS") != "" {
 				logs = os.Stderr
 			}
--- a/internal/testing/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -96,7 +96,7 @@
 	}
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
-	json.NewEncoder(out).Encode(body)
+	_ = json.NewEncoder(out).Encode(body)
 }
 
 func (w *Worker) waitForEnd(r *http.Request, wait time.Duration) {
--- a/internal/testing/standin/day/day.go
+++ b/internal/testing/standin/day/day.go
@@ -30,7 +30,7 @@
 	Sigma float64       // of its logarithm: sizes are log-normal
 }
 
-// Holder, as a fault's worker, is the one that holds room at the moment; the fault
+// Holder stands, as a fault's worker, for the one that holds a reservation at the moment; the fault
 // waits until there is one.
 const Holder = -1
 
@@ -377,12 +377,12 @@
 	ends := make([]float64, d.Dispatchers) // running sums of the dispatchers' shares
 	sum := 0.0
 	for i := range ends {
-		if sum += 1; d.Uneven > 0 {
+		if sum++; d.Uneven > 0 {
 			sum += math.Exp(d.Uneven*d.rnd.NormFloat64()) - 1
 		}
 		ends[i] = sum
 	}
-	for at := time.Duration(base); ; {
+	for at := base; ; {
 		at += time.Duration(d.rnd.ExpFloat64() / (rate * most) * 1e9)
 		if at > base+d.Length {
 			return all
--- a/internal/testing/standin/deployment/shop.go
+++ b/internal/testing/standin/deployment/shop.go
@@ -58,7 +58,7 @@
 	for range nameServers {
 		d, err := dnsserver.Start()
 		if err != nil {
-			s.Close()
+			_ = s.Close()
 			return nil, err
 		}
 		s.DNS = append(s.DNS, d)
@@ -182,11 +182,11 @@
 func (s *Shop) Close() error {
 	var err error
 	if s.program != nil && s.program.Process != nil {
-		s.program.Process.Signal(syscall.SIGTERM)
+		_ = s.program.Process.Signal(syscall.SIGTERM)
 		select {
 		case err = <-s.ended:
 		case <-time.After(10 * time.Second):
-			s.program.Process.Kill()
+			_ = s.program.Process.Kill()
 			err = errors.New("the program does not stop")
 		}
 	}
--- a/internal/testing/standin/dnsserver/dnsd.go
+++ b/internal/testing/standin/dnsserver/dnsd.go
@@ -53,7 +53,7 @@
 // Start listens on a loopback port, the same for UDP and TCP.
 func Start() (*Server, error) {
 	s := &Server{}
-	s.Zone("")
+	_ = s.Zone("")
 	for range 50 {
 		packets, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
@@ -61,7 +61,7 @@
 		}
 		l, err := net.Listen("tcp4", packets.LocalAddr().String())
 		if err != nil { // another program has that TCP port
-			packets.Close()
+			_ = packets.Close()
 			continue
 		}
 		s.Addr = packets.LocalAddr().(*net.UDPAddr).AddrPort()
@@ -69,8 +69,8 @@
 		s.tcp = &dns.Server{Listener: l, Handler: dns.HandlerFunc(s.serve)}
 		up := make(chan struct{}, 2)
 		s.udp.NotifyStartedFunc, s.tcp.NotifyStartedFunc = func() { up <- struct{}{} }, func() { up <- struct{}{} }
-		go s.udp.ActivateAndServe()
-		go s.tcp.ActivateAndServe()
+		go func() { _ = s.udp.ActivateAndServe() }()
+		go func() { _ = s.tcp.ActivateAndServe() }()
 		<-up
 		<-up
 		return s, nil
@@ -80,8 +80,8 @@
 
 // Close ends it; its port answers no more.
 func (s *Server) Close() {
-	s.udp.Shutdown()
-	s.tcp.Shutdown()
+	_ = s.udp.Shutdown()
+	_ = s.tcp.Shutdown()
 }
 
 // Zone puts exactly these records in force at this moment, in the format of a
@@ -141,7 +141,7 @@
 	m := s.answer(q, f)
 	s.mu.Unlock()
 	if f.Drop || tcp && f.RefuseTCP {
-		w.Close()
+		_ = w.Close()
 		return
 	}
 	if f.Delay > 0 {
@@ -171,7 +171,7 @@
 	if f.Cut {
 		text = text[:len(text)*2/3]
 	}
-	w.Write(text)
+	_, _ = w.Write(text)
 }
 
 const udpSize = 1232
@@ -181,12 +181,12 @@
 	if f.OtherID {
 		other := m.Copy()
 		other.Id++
-		w.WriteMsg(other)
+		_ = w.WriteMsg(other)
 	}
 	if f.OtherQuestion {
 		other := m.Copy()
 		other.Question[0].Name = "other." + other.Question[0].Name
-		w.WriteMsg(other)
+		_ = w.WriteMsg(other)
 	}
 	if f.Garbage {
 		text := make([]byte, 40)
@@ -194,14 +194,14 @@
 		for i := 2; i < len(text); i++ {
 			text[i] = 0xff &^ 0x02 // not even cut short
 		}
-		w.Write(text)
+		_, _ = w.Write(text)
 	}
 	if f.OtherAddr {
 		if conn, err := net.ListenPacket("udp4", "127.0.0.1:0"); err == nil {
 			if text, err := m.Pack(); err == nil {
-				conn.WriteTo(text, w.RemoteAddr())
+				_, _ = conn.WriteTo(text, w.RemoteAddr())
 			}
-			conn.Close()
+			_ = conn.Close()
 		}
 	}
 }
--- a/internal/testing/standin/listservice/roster.go
+++ b/internal/testing/standin/listservice/roster.go
@@ -186,5 +186,5 @@
 	if list == nil {
 		list = []Entry{}
 	}
-	json.NewEncoder(w).Encode(map[string]any{"generation": generation, "reset": reset, "instances": list})
+	_ = json.NewEncoder(w).Encode(map[string]any{"generation": generation, "reset": reset, "instances": list})
 }
--- a/internal/testing/standin/machine/machine.go
+++ b/internal/testing/standin/machine/machine.go
@@ -180,13 +180,13 @@
 }
 
 // worked is how much work gets done from now on in a time.
-func (m *Machine) worked(from time.Duration, for_ float64) float64 {
+func (m *Machine) worked(from time.Duration, span float64) float64 {
 	age, full := (from - m.launched).Seconds(), m.ramp.Seconds()
 	if age >= full {
-		return m.speed * for_
+		return m.speed * span
 	}
-	cold := min(for_, full-age)
-	return (m.capacity(age)+m.capacity(min(age+cold, full-1e-12)))/2*cold + m.speed*(for_-cold)
+	cold := min(span, full-age)
+	return (m.capacity(age)+m.capacity(min(age+cold, full-1e-12)))/2*cold + m.speed*(span-cold)
 }
 
 // takes is how long so much work needs from now on.
--- a/internal/testing/standin/script/script.go
+++ b/internal/testing/standin/script/script.go
@@ -53,7 +53,7 @@
 // Answer reads one whole answer and gives its status and body.
 func (c *Client) Answer() (status int, body string) {
 	c.t.Helper()
-	c.Conn.SetReadDeadline(time.Now().Add(Patience))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(Patience))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.t.Fatalf("the client gets no answer: %v", err)
@@ -69,7 +69,7 @@
 // than a reset, and what else came before it.
 func (c *Client) End() (inOrder bool, rest string) {
 	c.t.Helper()
-	c.Conn.SetReadDeadline(time.Now().Add(Patience))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(Patience))
 	text, err := io.ReadAll(c.in)
 	if err != nil && !errors.Is(err, syscall.ECONNRESET) {
 		c.t.Fatalf("the connection does not end: %v", err)
@@ -85,7 +85,7 @@
 		c.t.Fatal(err)
 	}
 	pending := 0
-	raw.Control(func(fd uintptr) { pending, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) })
+	_ = raw.Control(func(fd uintptr) { pending, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) })
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Close closes the client's end.
-func (c *Client) Close() { c.Conn.Close() }
+func (c *Client) Close() { _ = c.Conn.Close() }
 
 // Worker is a loan worker. Each request that reaches it whole becomes a Call.
 type Worker struct {
--- a/internal/testing/standin/worker/worker.go
+++ b/internal/testing/standin/worker/worker.go
@@ -87,12 +87,12 @@
 	w.renew()
 	w.server = &http.Server{Handler: http.HandlerFunc(w.serve),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	go w.server.Serve(listener{l})
+	go func() { _ = w.server.Serve(listener{l}) }()
 	return w, nil
 }
 
 // Close ends it at once, with whatever it runs.
-func (w *Worker) Close() { w.server.Close() }
+func (w *Worker) Close() { _ = w.server.Close() }
 
 // Arrivals is what has come so far, in order.
 func (w *Worker) Arrivals() []Arrival {
@@ -160,7 +160,7 @@
 	}
 	flush := http.NewResponseController(out).Flush
 	out.WriteHeader(http.StatusOK)
-	flush()
+	_ = flush()
 	slots, err := strconv.Atoi(q.Header.Get("X-Slots"))
 	if err != nil {
 		slots = 1
@@ -204,6 +204,6 @@
 		if e.Kind != machine.Started {
 			return
 		}
-		flush()
+		_ = flush()
 	}
 }
--- a/lab/demo-system/main.go
+++ b/lab/demo-system/main.go
@@ -14,7 +14,7 @@
 func main() {
 	logs := flag.Bool("logs", false, "print the processes' logs")
 	flag.Parse()
-	var to io.Writer = io.Discard
+	to := io.Discard
 	if *logs {
 		to = os.Stderr
 	}
--- a/lab/demo/main.go
+++ b/lab/demo/main.go
@@ -9,6 +9,7 @@
 	"errors"
 	"flag"
 	"fmt"
+	"net/http"
 	"os"
 	"slices"
 	"strings"
@@ -165,12 +166,13 @@
 				continue
 			}
 			jobs++
-			switch slowest = max(slowest, r.Took); {
-			case r.Status == 200:
+			slowest = max(slowest, r.Took)
+			switch r.Status {
+			case http.StatusOK:
 				served++
-			case r.Status == 429 || r.Status == 503:
+			case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 				refused++
-			case r.Status == 0:
+			case 0:
 				broken = append(broken, fmt.Sprintf("%s got no answer: %v", r.ID, r.Err))
 			default:
 				other++
@@ -207,7 +209,7 @@
 		}
 		fmt.Fprintf(out, "%s\t%d\t%d\t%s\t%s\n", id, jobs, done, latest, aim)
 	}
-	out.Flush()
+	_ = out.Flush()
 	if twice := s.Twice("issue-loan"); len(twice) > 0 {
 		broken = append(broken, fmt.Sprintf("issue-loan was sent twice: %v", twice))
 	}
--- a/lab/fleet/main.go
+++ b/lab/fleet/main.go
@@ -117,7 +117,7 @@
 
 // causes splits the requests that did not end well by what took their time.
 func causes(jobs []*job, aim, every float64) {
-	type cell struct{ n, bad int }
+	type cell struct{ n int }
 	total := map[string]*cell{}
 	by := map[int]map[string]int{}
 	add := func(j *job, cause string) {
--- a/lab/prove-limits/main.go
+++ b/lab/prove-limits/main.go
@@ -127,7 +127,7 @@
 			hold := statemachine.Hold{Name: fmt.Sprint("d", i), Life: 1, Seq: seq, Knows: s.InForce().Version, Serves: 1, Heard: heard[i], Wants: wants[i]}
 			text, _ := statemachine.Encode(statemachine.Command{Hold: &hold})
 			var c statemachine.Command
-			statemachine.Decode(text, &c)
+			_ = statemachine.Decode(text, &c)
 			r := s.Apply(c)
 			heard[i] = r.Grant
 			answer, _ := statemachine.Encode(r)
--- a/lab/prove-policy/main.go
+++ b/lab/prove-policy/main.go
@@ -58,7 +58,7 @@
 	if err := proveProcesses(); err != nil {
 		row("real processes", err.Error(), "no fault of the stage", false)
 	}
-	table.Flush()
+	_ = table.Flush()
 	if !ok {
 		os.Exit(1)
 	}
@@ -287,7 +287,7 @@
 	callers.Go(func() { // changes, one after the other, some of them two at once
 		for n := 0; ctx.Err() == nil; n++ {
 			if s, _, err := r.Client.State(ctx); err == nil {
-				r.Client.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("storm", n), Text: fmt.Appendf(nil, "attempts = %d\n", 1+n%9), Base: s.InForce().Version, Who: "storm", WithoutSilent: true}})
+				_, _ = r.Client.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("storm", n), Text: fmt.Appendf(nil, "attempts = %d\n", 1+n%9), Base: s.InForce().Version, Who: "storm", WithoutSilent: true}})
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
--- a/lab/prove-room/main.go
+++ b/lab/prove-room/main.go
@@ -171,7 +171,7 @@
 		for _, r := range paired(cells, &on, &other) {
 			fmt.Fprintf(out, "%v\t%v\t%v\t%v\n", r.cell, r.gain, r.small, r.worth)
 		}
-		out.Flush()
+		_ = out.Flush()
 		return
 	}
 	fmt.Fprintln(out, "cell\tlarge in time without\tlarge, change\tsmall, change\tworth, change\ta clairvoyant plan: large, small, worth\taim\t")
@@ -202,7 +202,7 @@
 		}
 		fmt.Fprintf(out, "%v\t%.1f ± %.1f\t%v\t%v\t%v\t%s\t%s\t%s\n", r.cell, r.before.mean, r.before.half, r.gain, r.small, r.worth, best, aim, verdict)
 	}
-	out.Flush()
+	_ = out.Flush()
 	if !ok {
 		os.Exit(1)
 	}
--- a/lab/prove-sites/main.go
+++ b/lab/prove-sites/main.go
@@ -236,7 +236,7 @@
 			fmt.Fprintf(out, "  %s\n", b)
 		}
 	}
-	out.Flush()
+	_ = out.Flush()
 	if !ok {
 		os.Exit(1)
 	}
--- a/lab/prove-srv/main.go
+++ b/lab/prove-srv/main.go
@@ -76,7 +76,7 @@
 		}
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", r.what, r.got, r.aim, verdict)
 	}
-	out.Flush()
+	_ = out.Flush()
 	if err := errors.Join(errs...); err != nil {
 		fmt.Fprintln(os.Stderr, "prove-srv:", err)
 		ok = false
@@ -157,7 +157,7 @@
 	const out = 620 * time.Millisecond
 	s, _, err := open(1, workers, workers, 300, operator(""))
 	if s != nil {
-		defer s.Close()
+		defer func() { _ = s.Close() }()
 	}
 	if err != nil {
 		return nil, err
@@ -222,7 +222,7 @@
 func storm() ([]row, error) {
 	s, zone, err := open(1, 6, 2, 1, operator("floor = \"100ms\"\nceiling = \"100ms\"\nshrink_hold = \"0s\"\n"))
 	if s != nil {
-		defer s.Close()
+		defer func() { _ = s.Close() }()
 	}
 	if err != nil {
 		return nil, err
@@ -233,7 +233,7 @@
 	done := load(s, ctx, 60)
 	var drained time.Time
 	for i := 0; ctx.Err() == nil; i++ {
-		s.Zone([]string{few, zone}[i%2])
+		_ = s.Zone([]string{few, zone}[i%2])
 		if i == 50 {
 			if drained, err = s.Roster.Told(s.Roster.Mark("w0", "DRAINING"), 5*time.Second); err != nil {
 				return nil, err
@@ -266,7 +266,7 @@
 func silence() ([]row, error) {
 	s, _, err := open(2, 5, 2, 1, operator("stale = \"30s\"\n"))
 	if s != nil {
-		defer s.Close()
+		defer func() { _ = s.Close() }()
 	}
 	if err != nil {
 		return nil, err
@@ -340,7 +340,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	var zone strings.Builder
 	for i := range 2000 {
 		fmt.Fprintf(&zone, "_l._tcp.z. 5 IN SRV 0 0 %d w%d.z.\nw%d.z. 5 IN A 127.1.%d.%d\n", 10000+i, i, i, i/250, 1+i%250)
@@ -491,7 +491,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	config, err := os.ReadFile("deploy/example/config.json")
 	if err != nil {
 		return 0, err
--- a/lab/rig/main.go
+++ b/lab/rig/main.go
@@ -123,7 +123,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\n", d.Name, version, left, r.Answers(d.Name, 200), r.Answers(d.Name, 503), r.Answers(d.Name, 429), r.Answers(d.Name, 0))
 	}
-	w.Flush()
+	_ = w.Flush()
 	if d, what := r.Overlap(); d > 0 {
 		fmt.Println(what)
 	}
--- a/lab/rig/prove/prove.go
+++ b/lab/rig/prove/prove.go
@@ -42,7 +42,7 @@
 
 // End prints it, and ends the program with exit code 1 where an aim is missed.
 func (t *Table) End() {
-	t.w.Flush()
+	_ = t.w.Flush()
 	if t.missed {
 		os.Exit(1)
 	}
--- a/lab/rig/stage/clients.go
+++ b/lab/rig/stage/clients.go
@@ -34,7 +34,7 @@
 	status := 0
 	if resp, err := http.DefaultClient.Do(q); err == nil {
 		defer resp.Body.Close()
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 		status = resp.StatusCode
 	}
 	r.mu.Lock()
--- a/lab/rig/stage/flows.go
+++ b/lab/rig/stage/flows.go
@@ -87,7 +87,7 @@
 			}
 		}
 		if time.Now().After(limit) {
-			return v, fmt.Errorf("flow %s is never %v: %+v, %v", key, states, v, err)
+			return v, fmt.Errorf("flow %s is never %v: %+v, %w", key, states, v, err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/lab/rig/stage/jury.go
+++ b/lab/rig/stage/jury.go
@@ -171,7 +171,7 @@
 				stands[s.Of] = true
 				out.Sentences++
 				var w int
-				fmt.Sscanf(s.Of.Worker, "s-%d", &w)
+				_, _ = fmt.Sscanf(s.Of.Worker, "s-%d", &w)
 				if n := anyBad(now, w); n == 0 && (good == 0 || now > good+20*time.Second) || s.Zone == outlier.Everywhere && n == 1 && j.Zones > 1 {
 					out.False++
 				}
--- a/lab/rig/stage/links.go
+++ b/lab/rig/stage/links.go
@@ -260,7 +260,7 @@
 		return
 	}
 	defer y.drop(c)
-	go io.Copy(io.Discard, c)
+	go func() { _, _ = io.Copy(io.Discard, c) }()
 	for part := range text {
 		time.Sleep(after)
 		if _, err := c.Write(part); err != nil {
--- a/lab/rig/stage/process.go
+++ b/lab/rig/stage/process.go
@@ -66,7 +66,7 @@
 		for in.Scan() {
 			p.line(in.Text())
 		}
-		cmd.Wait()
+		_ = cmd.Wait()
 		p.line("ended: " + cmd.ProcessState.String()) // first: whoever starts it again looks from there on
 		close(over)
 	}()
@@ -169,7 +169,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
-		p.cmd.Process.Signal(s)
+		_ = p.cmd.Process.Signal(s)
 	}
 }
 
--- a/lab/rig/stage/proposer.go
+++ b/lab/rig/stage/proposer.go
@@ -55,7 +55,7 @@
 	for !reached && said.Scan() {
 		reached = strings.HasPrefix(said.Text(), step)
 	}
-	cmd.Process.Kill()
-	cmd.Wait()
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
 	return reached
 }
--- a/lab/rig/stage/scenarios_test.go
+++ b/lab/rig/stage/scenarios_test.go
@@ -28,7 +28,7 @@
 		os.Exit(1)
 	}
 	flag.Parse()
-	flag.Set("test.parallel", "6") // they wait for leases, mostly; with more of them jobs wait for the machine
+	_ = flag.Set("test.parallel", "6") // they wait for leases, mostly; with more of them jobs wait for the machine
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
--- a/lab/rig/stage/sim.go
+++ b/lab/rig/stage/sim.go
@@ -269,7 +269,7 @@
 			s.tell(k, st.GetTerm())
 		} else if k.term = 0; s.now-k.heard > k.patient {
 			k.heard, k.patient = s.now, s.span(10*simTick, 20*simTick)
-			k.node.Campaign()
+			_ = k.node.Campaign()
 		}
 		s.ready(k)
 		s.in(simTick, tick)
@@ -305,9 +305,9 @@
 	for k.up && k.node.HasReady() {
 		rd := k.node.Ready()
 		if !raft.IsEmptyHardState(rd.HardState) {
-			k.store.SetHardState(rd.HardState)
+			_ = k.store.SetHardState(rd.HardState)
 		}
-		k.store.Append(rd.Entries)
+		_ = k.store.Append(rd.Entries)
 		for _, m := range rd.Messages {
 			s.post(m)
 		}
@@ -335,7 +335,7 @@
 		if t := got.GetType(); t == raftpb.MessageType_MsgHeartbeat || t == raftpb.MessageType_MsgApp {
 			to.heard = s.now
 		}
-		to.node.Step(got)
+		_ = to.node.Step(got)
 		s.ready(to)
 	})
 }
--- a/lab/rig/stage/stage.go
+++ b/lab/rig/stage/stage.go
@@ -70,7 +70,7 @@
 		cmd := exec.Command("go", append([]string{"build"}, args...)...)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
-			return fmt.Errorf("%v: %s", err, out)
+			return fmt.Errorf("%w: %s", err, out)
 		}
 	}
 	return nil
--- a/lab/soak/play/client_test.go
+++ b/lab/soak/play/client_test.go
@@ -27,7 +27,7 @@
 	go func() {
 		request, err := http.ReadRequest(bufio.NewReader(server))
 		if err == nil {
-			io.Copy(io.Discard, request.Body)
+			_, _ = io.Copy(io.Discard, request.Body)
 			answer(server)
 		}
 	}()
--- a/lab/soak/play/process.go
+++ b/lab/soak/play/process.go
@@ -95,7 +95,7 @@
 // watch waits for the process's end. One that nobody has asked for is a fault, and so is an exit code: a panic, say, or
 // what the race detector found.
 func (p *process) watch(cmd *exec.Cmd, ended chan struct{}) {
-	cmd.Wait()
+	_ = cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -125,7 +125,7 @@
 	default:
 		p.planned = time.Now()
 	}
-	p.cmd.Process.Signal(signal)
+	_ = p.cmd.Process.Signal(signal)
 	return p.ended
 }
 
--- a/lab/worth/main.go
+++ b/lab/worth/main.go
@@ -119,7 +119,7 @@
 		printRow(writer, fmt.Sprint("priority ", priority), priorities[-1-priority], 0)
 	}
 	printRow(writer, "all", whole, 0)
-	writer.Flush()
+	_ = writer.Flush()
 }
 
 func printRow(out io.Writer, name string, r *row, bench float64) {
