--- a/internal/control/server/away_test.go
+++ b/internal/control/server/away_test.go
@@ -7,10 +7,10 @@
 	"yardflow/coordination/view"
 )
 
-// viewed returns a resting server that has learned of a view of three other electors and, if it is one, itself.
-func viewed(t *testing.T, member, elector bool) *Server {
+// serverInView returns a resting server that has learned of a view of three other electors and, if it is one, itself.
+func serverInView(t *testing.T, member, elector bool) *Server {
 	t.Helper()
-	s := resting(t)
+	s := newIdleServer(t)
 	v := view.View{Epoch: 4}
 	for id := view.MemberID(1); id <= 3; id++ {
 		other := view.Member{ID: id, Address: "core-other:" + string(rune('0'+id))}
@@ -28,7 +28,7 @@
 
 // A machine outside the chain tells dispatchers at once where they are served; one that has its place lets them wait,
 // since a view with it may follow in some milliseconds.
-func TestDispatchersAreSentAway(t *testing.T) {
+func TestMachineOutsideTheChainRedirectsDispatchers(t *testing.T) {
 	for name, c := range map[string]struct {
 		member, elector bool
 		away            bool
@@ -38,12 +38,12 @@
 		"a member that was started just now":  {true, true, false},
 		"a member of a chain, but no elector": {true, false, false},
 	} {
-		s := viewed(t, c.member, c.elector)
-		if got := s.isOutside(); got != c.away {
+		s := serverInView(t, c.member, c.elector)
+		if got := s.isOutsideChain(); got != c.away {
 			t.Errorf("%s: dispatchers are sent away: %v", name, got)
 		}
 		want := []string{"core-other:1", "core-other:2", "core-other:3"}
-		if told := s.controls(); c.away && !slices.Equal(told, want) {
+		if told := s.serviceAddresses(); c.away && !slices.Equal(told, want) {
 			t.Errorf("%s: they are told of %v", name, told)
 		}
 	}
@@ -51,12 +51,12 @@
 
 // Before the first view everybody waits for it, but for a machine with an empty disk in a system that has views.
 func TestDispatchersWaitForTheFirstView(t *testing.T) {
-	s := resting(t)
-	if !s.isOutside() {
+	s := newIdleServer(t)
+	if !s.isOutsideChain() {
 		t.Error("a machine with an empty disk is no outsider")
 	}
 	s.register = view.NewConsensus(view.HardState{Self: s.register.Self(), InitialMember: true})
-	if s.isOutside() {
+	if s.isOutsideChain() {
 		t.Error("a machine of the first start counts as an outsider")
 	}
 }
--- a/internal/control/server/changes.go
+++ b/internal/control/server/changes.go
@@ -2,35 +2,35 @@
 
 import "yardflow/internal/control/statemachine"
 
-// keptChanges is how many changes of the configuration are kept for dispatchers that come back: those of some
+// maxConfigHistory is how many changes of the configuration are kept for dispatchers that come back: those of some
 // seconds in which changes come in quick succession.
-const keptChanges = 64
+const maxConfigHistory = 64
 
-// recentChanges has the newest changes of the configuration as patches, each on top of the one before.
-type recentChanges struct{ list []statemachine.ConfigUpdate }
+// configHistory has the newest changes of the configuration as patches, each on top of the one before.
+type configHistory struct{ changes []statemachine.ConfigUpdate }
 
-func (r *recentChanges) clear() { r.list = nil }
+func (r *configHistory) reset() { r.changes = nil }
 
 // add enters a change that has just come in force.
-func (r *recentChanges) add(change *statemachine.ConfigUpdate) {
-	if last := len(r.list) - 1; last >= 0 && r.list[last].Version != change.BaseVersion {
-		r.clear()
+func (r *configHistory) add(change *statemachine.ConfigUpdate) {
+	if last := len(r.changes) - 1; last >= 0 && r.changes[last].Version != change.BaseVersion {
+		r.reset()
 	}
-	r.list = append(r.list, *change)
-	if len(r.list) > keptChanges {
-		r.list = append([]statemachine.ConfigUpdate(nil), r.list[1:]...)
+	r.changes = append(r.changes, *change)
+	if len(r.changes) > maxConfigHistory {
+		r.changes = append([]statemachine.ConfigUpdate(nil), r.changes[1:]...)
 	}
 }
 
 // since returns the changes behind a version, and nil where they are not all here.
-func (r *recentChanges) since(version int64) []statemachine.Update {
-	for first := range r.list {
-		if r.list[first].BaseVersion != version {
+func (r *configHistory) since(version int64) []statemachine.Update {
+	for first := range r.changes {
+		if r.changes[first].BaseVersion != version {
 			continue
 		}
-		updates := make([]statemachine.Update, 0, len(r.list)-first)
-		for i := first; i < len(r.list); i++ {
-			updates = append(updates, statemachine.Update{Config: &r.list[i]})
+		updates := make([]statemachine.Update, 0, len(r.changes)-first)
+		for i := first; i < len(r.changes); i++ {
+			updates = append(updates, statemachine.Update{Config: &r.changes[i]})
 		}
 		return updates
 	}
--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -13,66 +13,66 @@
 	"yardflow/coordination/segment"
 )
 
-// diskJob is one thing to make durable; done is called by the engine afterwards.
-type diskJob struct {
-	entries   []chain.Entry
-	committed uint64 // up to where entries are known to be committed
-	meta      []byte
-	snapshot  *segment.Snapshot
-	reset     bool // the snapshot comes from elsewhere: the log before it is void
-	done      func()
+// diskWrite is one thing to make durable; done is called by the engine afterwards.
+type diskWrite struct {
+	entries     []chain.Entry
+	commitIndex uint64 // up to where entries are known to be committed
+	metadata    []byte
+	snapshot    *segment.Snapshot
+	replacesLog bool // the snapshot comes from elsewhere: the log before it is void
+	onDurable   func()
 }
 
-// retryAfter is how long a refused write waits until it is tried again.
-const retryAfter = 200 * time.Millisecond
+// diskRetryInterval is how long a refused write waits until it is tried again.
+const diskRetryInterval = 200 * time.Millisecond
 
 // disk owns the store: one goroutine carries out what waits, with one sync for all of it.
 type disk struct {
 	store  *segment.Store
 	logger zerolog.Logger
-	finish func(jobs []diskJob, freeSegments int) // hands finished jobs to the engine
-	// troubled is called when the disk begins to refuse writes.
-	troubled func()
-
-	mu      sync.Mutex
-	queue   []diskJob
-	wake    chan struct{}
-	end     chan struct{}
-	closing sync.Once
-	busy    atomic.Int64 // since when the present batch has been written, ns on the steady clock; 0: idle
-	started time.Time
-	refuses atomic.Bool  // the last write was refused
-	slowAt  atomic.Int64 // when a batch last took long, ns on the steady clock; 0: never
+	onDone func(jobs []diskWrite, freeSegments int) // hands finished jobs to the engine
+	// onRejected is called when the disk begins to refuse writes.
+	onRejected func()
+
+	mu             sync.Mutex
+	queue          []diskWrite
+	wake           chan struct{}
+	stopped        chan struct{}
+	closeOnce      sync.Once
+	batchStartedAt atomic.Int64 // since when the present batch has been written, ns on the steady clock; 0: idle
+	openedAt       time.Time
+	rejects        atomic.Bool  // the last write was refused
+	lastSlowAt     atomic.Int64 // when a batch last took long, ns on the steady clock; 0: never
 }
 
 // Bounds of a disk that others had better do without.
 const (
-	stallAfter = 400 * time.Millisecond // for one batch
-	slowBatch  = 200 * time.Millisecond // a sound disk takes a tenth of that
-	slowFor    = 2 * time.Second        // after a slow batch; probes show whether it goes on
+	stallTimeout       = 400 * time.Millisecond // for one batch
+	slowBatchThreshold = 200 * time.Millisecond // a sound disk takes a tenth of that
+	slowDiskQuarantine = 2 * time.Second        // after a slow batch; probes show whether it goes on
 )
 
-// sick reports whether the disk refuses writes, hangs or is slow.
-func (d *disk) sick() bool {
-	if d.refuses.Load() || d.stalledFor() > stallAfter {
+// isUnhealthy reports whether the disk refuses writes, hangs or is slow.
+func (d *disk) isUnhealthy() bool {
+	if d.rejects.Load() || d.stalledFor() > stallTimeout {
 		return true
 	}
-	at := d.slowAt.Load()
-	return at > 0 && time.Since(d.started)-time.Duration(at) < slowFor
+	at := d.lastSlowAt.Load()
+	return at > 0 && time.Since(d.openedAt)-time.Duration(at) < slowDiskQuarantine
 }
 
 // close ends the disk's goroutine once it has carried out what it is at.
-func (d *disk) close() { d.closing.Do(func() { close(d.end) }) }
+func (d *disk) close() { d.closeOnce.Do(func() { close(d.stopped) }) }
 
-func (d *disk) idle() bool { return d.busy.Load() == 0 }
+func (d *disk) isIdle() bool { return d.batchStartedAt.Load() == 0 }
 
-func newDisk(store *segment.Store, logger zerolog.Logger, finish func([]diskJob, int), troubled func()) *disk {
-	d := &disk{store: store, logger: logger, finish: finish, troubled: troubled, wake: make(chan struct{}, 1), end: make(chan struct{}), started: time.Now()}
+func newDisk(store *segment.Store, logger zerolog.Logger, finish func([]diskWrite, int), troubled func()) *disk {
+	d := &disk{store: store, logger: logger, onDone: finish, onRejected: troubled, wake: make(chan struct{}, 1), stopped: make(chan struct{}), openedAt: time.Now()}
 	go d.run()
 	return d
 }
 
-func (d *disk) add(job diskJob) {
+func (d *disk) enqueue(job diskWrite) {
 	d.mu.Lock()
 	d.queue = append(d.queue, job)
 	d.mu.Unlock()
@@ -84,18 +84,18 @@
 
 // stalledFor returns how long the disk has made no progress with what it was given.
 func (d *disk) stalledFor() time.Duration {
-	since := d.busy.Load()
+	since := d.batchStartedAt.Load()
 	if since == 0 {
 		return 0
 	}
-	return time.Since(d.started) - time.Duration(since)
+	return time.Since(d.openedAt) - time.Duration(since)
 }
 
 func (d *disk) run() {
 	for {
 		select {
 		case <-d.wake:
-		case <-d.end:
+		case <-d.stopped:
 			return
 		}
 		d.mu.Lock()
@@ -105,54 +105,54 @@
 		if len(batch) == 0 {
 			continue
 		}
-		d.busy.Store(int64(time.Since(d.started)) + 1)
-		d.carryOut(batch)
-		if d.stalledFor() > slowBatch && !hasSnapshot(batch) {
-			d.slowAt.Store(int64(time.Since(d.started)) + 1)
+		d.batchStartedAt.Store(int64(time.Since(d.openedAt)) + 1)
+		d.writeBatch(batch)
+		if d.stalledFor() > slowBatchThreshold && !hasSnapshot(batch) {
+			d.lastSlowAt.Store(int64(time.Since(d.openedAt)) + 1)
 		}
-		d.busy.Store(0)
-		d.finish(batch, d.store.FreeSegments())
+		d.batchStartedAt.Store(0)
+		d.onDone(batch, d.store.FreeSegments())
 	}
 }
 
-func hasSnapshot(batch []diskJob) bool {
-	return slices.ContainsFunc(batch, func(job diskJob) bool { return job.snapshot != nil })
+func hasSnapshot(batch []diskWrite) bool {
+	return slices.ContainsFunc(batch, func(job diskWrite) bool { return job.snapshot != nil })
 }
 
-func (d *disk) carryOut(batch []diskJob) {
+func (d *disk) writeBatch(batch []diskWrite) {
 	var entries []segment.Record
 	for _, job := range batch {
 		for _, entry := range job.entries {
 			entries = append(entries, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
-				CommitIndex: job.committed, Data: entry.Data})
+				CommitIndex: job.commitIndex, Data: entry.Data})
 		}
 		if job.snapshot == nil {
 			continue
 		}
-		d.log(entries)
+		d.appendLog(entries)
 		entries = nil
 		snapshot := *job.snapshot
-		if job.reset {
-			d.insist("snapshot", func() error { return d.store.InstallSnapshot(snapshot) })
+		if job.replacesLog {
+			d.retryUntilWritten("snapshot", func() error { return d.store.InstallSnapshot(snapshot) })
 		} else {
-			d.insist("snapshot", func() error { return d.store.SaveSnapshot(snapshot) })
+			d.retryUntilWritten("snapshot", func() error { return d.store.SaveSnapshot(snapshot) })
 		}
 	}
-	d.log(entries)
+	d.appendLog(entries)
 	for i := len(batch) - 1; i >= 0; i-- {
-		if batch[i].meta != nil { // the newest holds what all before it hold
-			meta := batch[i].meta
-			d.insist("metadata", func() error { return d.store.SaveMetadata(meta) })
+		if batch[i].metadata != nil { // the newest holds what all before it hold
+			meta := batch[i].metadata
+			d.retryUntilWritten("metadata", func() error { return d.store.SaveMetadata(meta) })
 			break
 		}
 	}
 }
 
-func (d *disk) log(entries []segment.Record) {
+func (d *disk) appendLog(entries []segment.Record) {
 	if len(entries) == 0 {
 		return
 	}
-	d.insist("log", func() error {
+	d.retryUntilWritten("log", func() error {
 		if err := d.store.Append(entries); err != nil {
 			return errors.Trace(err)
 		}
@@ -160,24 +160,24 @@
 	})
 }
 
-// insist repeats what the disk refuses until it does it: a full or failing disk keeps this member
+// retryUntilWritten repeats what the disk refuses until it does it: a full or failing disk keeps this member
 // out of the chain, and nothing is acknowledged meanwhile.
-func (d *disk) insist(what string, write func() error) {
+func (d *disk) retryUntilWritten(what string, write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
 		if err == nil {
-			d.refuses.Store(false)
+			d.rejects.Store(false)
 			return
 		}
-		if !d.refuses.Swap(true) {
-			d.troubled()
+		if !d.rejects.Swap(true) {
+			d.onRejected()
 		}
 		if attempt == 0 {
 			d.logger.Error().Err(err).Str("what", what).Msg("the disk refuses a write; free space or replace it")
 		}
 		select {
-		case <-time.After(retryAfter):
-		case <-d.end:
+		case <-time.After(diskRetryInterval):
+		case <-d.stopped:
 			return
 		}
 	}
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -16,21 +16,21 @@
 
 // Spans of connections with dispatchers.
 const (
-	dispatcherSilence = 650 * time.Millisecond // heartbeats come every 250 ms
-	attachPatience    = 500 * time.Millisecond // for this replica to serve, which takes less after a change of view
-	heartbeatTicks    = 2                      // of tickEvery, between heartbeats to dispatchers
+	dispatcherTimeout        = 650 * time.Millisecond // heartbeats come every 250 ms
+	attachTimeout            = 500 * time.Millisecond // for this replica to serve, which takes less after a change of view
+	dispatcherHeartbeatTicks = 2                      // of tickInterval, between heartbeats to dispatchers
 )
 
 // dispatcher is a connected dispatcher. It belongs to the engine.
 type dispatcher struct {
-	conn     *frame.Conn
-	hello    protocol.SessionRequest
-	session  statemachine.SessionID
-	snapshot bool  // its session is open, and the snapshot is due
-	config   int64 // version that it has acknowledged
-	outbox   outbox
-	outcomes []protocol.Outcome // of commands that were just applied; they follow the updates of the same commands
-	quiet    int
+	conn        *frame.Conn
+	request     protocol.SessionRequest
+	session     statemachine.SessionID
+	snapshotDue bool  // its session is open, and the snapshot is due
+	ackedConfig int64 // version that it has acknowledged
+	outbox      outbox
+	outcomes    []protocol.Outcome // of commands that were just applied; they follow the updates of the same commands
+	idleTicks   int
 }
 
 func (s *Server) acceptDispatcher(w http.ResponseWriter, r *http.Request) {
@@ -48,13 +48,13 @@
 		conn.Close()
 		s.do(func() {
 			if broken && s.dispatchers[d] && s.bySession[d.session] == d {
-				s.reportBroken(d.session)
+				s.reportDisconnected(d.session)
 			}
 			s.removeDispatcher(d)
 		})
 	}()
 	for {
-		data, err := conn.Receive(dispatcherSilence)
+		data, err := conn.Receive(dispatcherTimeout)
 		if err != nil {
 			broken = !errors.Is(err, os.ErrDeadlineExceeded)
 			return
@@ -63,18 +63,18 @@
 		if !protocol.Decode(data, up) {
 			return
 		}
-		s.do(func() { s.receiveUp(d, up) })
+		s.do(func() { s.receiveFromDispatcher(d, up) })
 	}
 }
 
-// reportBroken tells the head that a dispatcher's connection has ended. An end that its machine has
+// reportDisconnected tells the head that a dispatcher's connection has ended. An end that its machine has
 // told mostly means that the process is gone.
-func (s *Server) reportBroken(id statemachine.SessionID) {
-	s.broken[id] = s.now()
+func (s *Server) reportDisconnected(id statemachine.SessionID) {
+	s.disconnectedAt[id] = s.now()
 	s.peers.broadcast(protocol.Encode(&protocol.PeerMessage{DisconnectedSessions: []statemachine.SessionID{id}}))
 }
 
-func (s *Server) receiveUp(d *dispatcher, up *protocol.DispatcherMessage) {
+func (s *Server) receiveFromDispatcher(d *dispatcher, up *protocol.DispatcherMessage) {
 	if up.SessionRequest != nil {
 		s.attach(d, up.SessionRequest)
 	}
@@ -84,21 +84,21 @@
 	if !s.dispatchers[d] {
 		return
 	}
-	d.config = max(d.config, up.ConfigVersion)
-	d.outbox.noteAcknowledged(up.ReceivedBytes)
+	d.ackedConfig = max(d.ackedConfig, up.ConfigVersion)
+	d.outbox.acknowledge(up.ReceivedBytes)
 	for i := range up.Commands {
 		s.receiveCommand(d, &up.Commands[i])
 	}
 }
 
 func (s *Server) attach(d *dispatcher, hello *protocol.SessionRequest) {
-	d.hello = *hello
+	d.request = *hello
 	d.outbox.acknowledges = hello.AcknowledgesBytes
 	switch {
-	case s.isOutside():
-		s.sendAway(d)
+	case s.isOutsideChain():
+		s.redirect(d)
 		return
-	case !s.inTouch():
+	case !s.canServe():
 		s.waiting[d] = s.now()
 		return
 	}
@@ -109,7 +109,7 @@
 
 // openSession opens a dispatcher's session behind the newest one that its node has had.
 func (s *Server) openSession(d *dispatcher, behind statemachine.SessionID) {
-	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.hello.Node, Zone: d.hello.Zone, Incarnation: d.hello.Incarnation,
+	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.request.Node, Zone: d.request.Zone, Incarnation: d.request.Incarnation,
 		ExpectedLatest: behind}}
 	s.submitFor(d, open, protocol.Encode(open), func(result statemachine.Result) {
 		switch {
@@ -117,7 +117,7 @@
 		case result.Code == statemachine.Conflict:
 			s.openSession(d, result.Session) // there was a newer one, which this replica had not applied
 		default:
-			d.session, d.snapshot = result.Session, true
+			d.session, d.snapshotDue = result.Session, true
 			s.bySession[d.session] = d
 		}
 	})
@@ -127,24 +127,24 @@
 func (s *Server) attachWaiting() {
 	for d, since := range s.waiting {
 		switch {
-		case s.inTouch():
-			s.attach(d, &d.hello)
-		case s.isOutside() || s.now()-since > attachPatience:
-			s.sendAway(d)
+		case s.canServe():
+			s.attach(d, &d.request)
+		case s.isOutsideChain() || s.now()-since > attachTimeout:
+			s.redirect(d)
 		}
 	}
 }
 
-// sendAway tells a dispatcher to try another control machine.
-func (s *Server) sendAway(d *dispatcher) {
+// redirect tells a dispatcher to try another control machine.
+func (s *Server) redirect(d *dispatcher) {
 	delete(s.waiting, d)
-	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.controls()}))
+	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.serviceAddresses()}))
 }
 
-// isOutside reports whether the newest view known here has this machine not in its chain, so that no dispatcher can be
+// isOutsideChain reports whether the newest view known here has this machine not in its chain, so that no dispatcher can be
 // served before another view. One that has its place, but has no part in the view since it was started, is not outside:
 // a view may follow at once.
-func (s *Server) isOutside() bool {
+func (s *Server) isOutsideChain() bool {
 	return !s.register.IsInitialMember() && s.register.View().ChainPosition(s.register.Self().ID) < 0
 }
 
@@ -166,7 +166,7 @@
 		return
 	}
 	delete(s.dispatchers, d)
-	s.forgetRequests(d)
+	s.forgetIssuer(d)
 	if s.bySession[d.session] == d {
 		delete(s.bySession, d.session)
 	}
@@ -180,9 +180,9 @@
 	}
 }
 
-// controls returns the addresses at which dispatchers are served: those of the chain, and before the first view those
+// serviceAddresses returns the addresses at which dispatchers are served: those of the chain, and before the first view those
 // of the electors.
-func (s *Server) controls() []string {
+func (s *Server) serviceAddresses() []string {
 	v := s.register.View()
 	members := v.Chain
 	if len(members) == 0 {
@@ -199,7 +199,7 @@
 	return addresses
 }
 
-func (s *Server) sessionsInTouch() []statemachine.SessionID {
+func (s *Server) connectedSessions() []statemachine.SessionID {
 	ids := []statemachine.SessionID{}
 	for id := range s.bySession {
 		ids = append(ids, id)
@@ -210,10 +210,10 @@
 // deliver sends updates to those whom they concern, then outcomes.
 func (s *Server) deliver() {
 	s.attachWaiting()
-	s.addUpdates()
+	s.enqueueUpdates()
 	var shared sharedSnapshot
 	for d := range s.dispatchers {
-		if d.snapshot {
+		if d.snapshotDue {
 			s.sendSnapshot(d, &shared)
 		}
 		for _, outcome := range d.outcomes {
@@ -221,7 +221,7 @@
 		}
 		d.outcomes = nil
 		for down, due := d.outbox.next(); due; down, due = d.outbox.next() {
-			s.sendDown(d, down)
+			s.send(d, down)
 		}
 		if d.outbox.overflows() {
 			d.conn.Close() // it attaches again, and a snapshot stands for all that waits
@@ -229,17 +229,17 @@
 	}
 }
 
-func (s *Server) sendDown(d *dispatcher, down protocol.ControlMessage) {
+func (s *Server) send(d *dispatcher, down protocol.ControlMessage) {
 	message := protocol.Encode(down)
 	d.conn.Send(message)
-	d.outbox.noteSent(len(message))
-	d.quiet = 0
+	d.outbox.sent(len(message))
+	d.idleTicks = 0
 }
 
-func (s *Server) addUpdates() {
+func (s *Server) enqueueUpdates() {
 	for _, addressed := range s.updates {
 		if addressed.To != 0 {
-			if d := s.bySession[addressed.To]; d != nil && !d.snapshot {
+			if d := s.bySession[addressed.To]; d != nil && !d.snapshotDue {
 				d.outbox.addUpdate(&addressed.Update, protocol.Encode(addressed.Update))
 			}
 			continue
@@ -249,7 +249,7 @@
 		}
 		encoded := protocol.CompressUpdates([]cbor.RawMessage{protocol.Encode(addressed.Update)})
 		for d := range s.dispatchers {
-			if d.session != 0 && !d.snapshot {
+			if d.session != 0 && !d.snapshotDue {
 				d.outbox.addUpdate(&addressed.Update, encoded)
 			}
 		}
@@ -269,22 +269,22 @@
 	if shared.state == nil {
 		shared.state = protocol.CompressUpdates(encodeAll(s.cluster.SharedSnapshot()))
 	}
-	d.snapshot = false
-	updates := append(s.configFor(d, shared), shared.state)
+	d.snapshotDue = false
+	updates := append(s.configUpdatesFor(d, shared), shared.state)
 	if own := s.cluster.SessionSnapshot(d.session); len(own) > 0 {
 		updates = append(updates, protocol.CompressUpdates(encodeAll(own)))
 	}
-	s.sendDown(d, protocol.ControlMessage{Session: d.session, ControlAddresses: s.controls(), Updates: updates})
+	s.send(d, protocol.ControlMessage{Session: d.session, ControlAddresses: s.serviceAddresses(), Updates: updates})
 }
 
-// configFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
+// configUpdatesFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
 // changes since, or the whole.
-func (s *Server) configFor(d *dispatcher, shared *sharedSnapshot) []cbor.RawMessage {
+func (s *Server) configUpdatesFor(d *dispatcher, shared *sharedSnapshot) []cbor.RawMessage {
 	whole := s.cluster.FullConfig()
-	if whole == nil || d.hello.ConfigVersion == whole.Version {
+	if whole == nil || d.request.ConfigVersion == whole.Version {
 		return nil
 	}
-	if since := s.changes.since(d.hello.ConfigVersion); since != nil {
+	if since := s.configHistory.since(d.request.ConfigVersion); since != nil {
 		return []cbor.RawMessage{protocol.CompressUpdates(encodeAll(since))}
 	}
 	if shared.config == nil {
@@ -301,10 +301,10 @@
 	return encoded
 }
 
-func (s *Server) dispatcherTick() {
+func (s *Server) sendIdleHeartbeats() {
 	for d := range s.dispatchers {
-		if d.quiet++; d.quiet >= heartbeatTicks {
-			s.sendDown(d, protocol.ControlMessage{ControlAddresses: s.controls()})
+		if d.idleTicks++; d.idleTicks >= dispatcherHeartbeatTicks {
+			s.send(d, protocol.ControlMessage{ControlAddresses: s.serviceAddresses()})
 		}
 	}
 }
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -22,24 +22,24 @@
 
 // Spans of the engine.
 const (
-	tickEvery      = 100 * time.Millisecond
-	retryTicks     = 4                      // without progress of the successor before it is sent everything anew
-	resendAfter    = 500 * time.Millisecond // for commands without an outcome
-	sessionTimeout = 1100 * time.Millisecond
-	brokenTimeout  = 300 * time.Millisecond // for a dispatcher whose connection has ended to come back
-	sessionGrace   = 3 * time.Second        // for dispatchers to come back after a change of view
-	ageEvery       = 5 * time.Second
-	jobMargin      = 20 * time.Second // for which jobs are known beyond what clients were promised
+	tickInterval       = 100 * time.Millisecond
+	retransmitTicks    = 4                      // without progress of the successor before it is sent everything anew
+	resubmitAfter      = 500 * time.Millisecond // for commands without an outcome
+	sessionTimeout     = 1100 * time.Millisecond
+	disconnectTimeout  = 300 * time.Millisecond // for a dispatcher whose connection has ended to come back
+	viewChangeGrace    = 3 * time.Second        // for dispatchers to come back after a change of view
+	clockInterval      = 5 * time.Second
+	jobRetentionMargin = 20 * time.Second // for which jobs are known beyond what clients were promised
 )
 
 // Server is one control process. All its state belongs to one goroutine, to which
 // others hand functions.
 type Server struct {
-	settings *settings.Settings
-	logger   zerolog.Logger
-	network  frame.Network
-	began    time.Time
-	inbox    chan func()
+	settings  *settings.Settings
+	logger    zerolog.Logger
+	network   frame.Network
+	startedAt time.Time
+	inbox     chan func()
 
 	disk     *disk
 	register *view.Consensus
@@ -47,33 +47,33 @@
 	replica  *chain.Replica
 	cluster  *statemachine.FSM
 
-	leaving       bool   // the process is to stop, and hands its place in the chain over
-	restartedIn   uint64 // epoch in whose view this life has no part
-	pace          fetchPace
-	applied       uint64
-	freeSegments  int
-	compacting    bool
-	logBytes      int  // applied since the newest snapshot
-	snapshotBytes int  // of the newest snapshot
-	unreadable    bool // the last snapshot of another member could not be read
+	leaving            bool   // the process is to stop, and hands its place in the chain over
+	epochAtStart       uint64 // epoch in whose view this life has no part
+	catchUp            catchUpLimit
+	appliedIndex       uint64
+	freeSegments       int
+	savingSnapshot     bool
+	logBytes           int  // applied since the newest snapshot
+	snapshotBytes      int  // of the newest snapshot
+	receivedUnreadable bool // the last snapshot of another member could not be read
 
-	toldDivergence bool // that another member's log contradicts this one's is in the log
+	divergenceLogged bool // that another member's log contradicts this one's is in the log
 
-	peers       *peers
-	heartbeats  *heartbeats
-	pending     map[uint64]*request
-	nextTag     uint64
-	outgoing    []chain.Proposal // for the head
-	updates     []statemachine.AddressedUpdate
-	changes     recentChanges
-	dispatchers map[*dispatcher]bool
-	bySession   map[statemachine.SessionID]*dispatcher
-	seen        map[statemachine.SessionID]time.Duration // by the head: when a session was last in touch
-	waiting     map[*dispatcher]time.Duration            // dispatchers that came while this replica did not serve
-	broken      map[statemachine.SessionID]time.Duration // when a session's connection ended
-	viewSince   time.Duration
-	agedAt      time.Duration
-	ended       chan struct{}
+	peers           *peers
+	heartbeats      *heartbeatRepeater
+	pending         map[uint64]*pendingCommand
+	lastTag         uint64
+	proposals       []chain.Proposal // for the head
+	updates         []statemachine.AddressedUpdate
+	configHistory   configHistory
+	dispatchers     map[*dispatcher]bool
+	bySession       map[statemachine.SessionID]*dispatcher
+	lastSeen        map[statemachine.SessionID]time.Duration // by the head: when a session was last in touch
+	waiting         map[*dispatcher]time.Duration            // dispatchers that came while this replica did not serve
+	disconnectedAt  map[statemachine.SessionID]time.Duration // when a session's connection ended
+	viewInstalledAt time.Duration
+	clockAdvancedAt time.Duration
+	ended           chan struct{}
 }
 
 // Open reads the disk and returns a server that is not running yet.
@@ -92,29 +92,29 @@
 	} else if !protocol.Decode(recovered.Metadata, &durable) {
 		return nil, errors.Errorf("%s: the metadata can't be read; replace this disk, or empty the folder so that this machine joins anew", s.DataDir)
 	}
-	keepAges := uint64((s.Bounds.StatusRetentionS + jobMargin.Seconds()) / ageEvery.Seconds())
+	keepAges := uint64((s.Bounds.StatusRetentionS + jobRetentionMargin.Seconds()) / clockInterval.Seconds())
 	server := &Server{
-		settings:    s,
-		logger:      logger,
-		network:     network,
-		began:       time.Now(),
-		inbox:       make(chan func(), 4096),
-		register:    view.NewConsensus(durable),
-		cluster:     statemachine.New(keepAges),
-		restartedIn: durable.View.Epoch,
-		pending:     map[uint64]*request{},
-		dispatchers: map[*dispatcher]bool{},
-		bySession:   map[statemachine.SessionID]*dispatcher{},
-		seen:        map[statemachine.SessionID]time.Duration{},
-		broken:      map[statemachine.SessionID]time.Duration{},
-		waiting:     map[*dispatcher]time.Duration{},
-		nextTag:     rand.Uint64() >> 8,
-		ended:       make(chan struct{}),
+		settings:       s,
+		logger:         logger,
+		network:        network,
+		startedAt:      time.Now(),
+		inbox:          make(chan func(), 4096),
+		register:       view.NewConsensus(durable),
+		cluster:        statemachine.New(keepAges),
+		epochAtStart:   durable.View.Epoch,
+		pending:        map[uint64]*pendingCommand{},
+		dispatchers:    map[*dispatcher]bool{},
+		bySession:      map[statemachine.SessionID]*dispatcher{},
+		lastSeen:       map[statemachine.SessionID]time.Duration{},
+		disconnectedAt: map[statemachine.SessionID]time.Duration{},
+		waiting:        map[*dispatcher]time.Duration{},
+		lastTag:        rand.Uint64() >> 8,
+		ended:          make(chan struct{}),
 	}
 	if recovered.Snapshot.Index > 0 && !server.restoreState(recovered.Snapshot.Data) {
 		return nil, errors.Errorf("%s: the snapshot can't be read; replace this disk, or empty the folder so that this machine joins anew", s.DataDir)
 	}
-	server.applied, server.snapshotBytes = recovered.Snapshot.Index, len(recovered.Snapshot.Data)
+	server.appliedIndex, server.snapshotBytes = recovered.Snapshot.Index, len(recovered.Snapshot.Data)
 	entries := make([]chain.Entry, len(recovered.Records))
 	for i, record := range recovered.Records {
 		entries[i] = chain.Entry{Index: record.Index, Epoch: record.Epoch, Data: record.Data}
@@ -124,11 +124,11 @@
 	server.replay(entries)
 	server.detector = view.NewDetector(durable.Self, 0, s.Tolerate.Machines+1)
 	server.freeSegments = store.FreeSegments()
-	server.disk = newDisk(store, logger, server.diskDone, func() {
-		server.do(server.beat)
+	server.disk = newDisk(store, logger, server.writesDone, func() {
+		server.do(server.sendHeartbeat)
 	})
 	server.peers = newPeers(server)
-	server.heartbeats = newHeartbeats()
+	server.heartbeats = newHeartbeatRepeater()
 	logger.Info().Uint64("epoch", durable.View.Epoch).Uint64("entries", server.replica.LastIndex()).
 		Bool("fresh", recovered.Fresh).Msg("disk read")
 	return server, nil
@@ -161,7 +161,7 @@
 	return mux
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 // do hands a function to the engine.
 func (s *Server) do(f func()) {
@@ -175,11 +175,11 @@
 func (s *Server) Run(stop <-chan struct{}) {
 	defer s.disk.close()
 	defer close(s.ended)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	s.peers.meet(s.settings.Seeds)
-	s.peers.meet(addressesOf(s.register.View().Electors))
-	s.peers.tick()
+	s.peers.add(s.settings.Seeds)
+	s.peers.add(addressesOf(s.register.View().Electors))
+	s.peers.redial()
 	go s.heartbeats.run(s.now, s.ended)
 	for {
 		select {
@@ -208,12 +208,12 @@
 	}
 }
 
-func (s *Server) diskDone(jobs []diskJob, free int) {
+func (s *Server) writesDone(jobs []diskWrite, free int) {
 	s.do(func() {
 		s.freeSegments = free
 		for _, job := range jobs {
-			if job.done != nil {
-				job.done()
+			if job.onDurable != nil {
+				job.onDurable()
 			}
 		}
 	})
@@ -244,7 +244,7 @@
 		act()
 		return true
 	}
-	s.disk.add(diskJob{meta: protocol.Encode(out.HardState), done: act})
+	s.disk.enqueue(diskWrite{metadata: protocol.Encode(out.HardState), onDurable: act})
 	return true
 }
 
@@ -263,12 +263,12 @@
 		return false
 	}
 	if out.Snapshot != nil {
-		s.restore(out.Snapshot)
+		s.installSnapshot(out.Snapshot)
 	}
 	for _, write := range out.Writes {
 		last := write.Entries[len(write.Entries)-1].Index
 		generation := write.Generation
-		s.disk.add(diskJob{entries: write.Entries, committed: s.replica.CommitIndex(), done: func() { s.replica.EntriesPersisted(last, generation) }})
+		s.disk.enqueue(diskWrite{entries: write.Entries, commitIndex: s.replica.CommitIndex(), onDurable: func() { s.replica.EntriesPersisted(last, generation) }})
 	}
 	for _, send := range out.Messages {
 		s.peers.send(send.To, &protocol.PeerMessage{Chain: &send.Message})
@@ -279,7 +279,7 @@
 		saved := s.register.Ready()
 		done := func() { s.replica.CompletenessPersisted(epoch) }
 		if saved.HardState != nil {
-			s.disk.add(diskJob{meta: protocol.Encode(saved.HardState), done: done})
+			s.disk.enqueue(diskWrite{metadata: protocol.Encode(saved.HardState), onDurable: done})
 		} else {
 			done()
 		}
@@ -289,26 +289,26 @@
 	}
 	s.logNotices()
 	for _, read := range out.ConfirmedReads {
-		s.answerRead(read)
+		s.completeRead(read)
 	}
 	return true
 }
 
-// restore takes over a snapshot of another member. One that can't be read is never made durable here, so this
+// installSnapshot takes over a snapshot of another member. One that can't be read is never made durable here, so this
 // member stays incomplete; it reports itself as sick, and the chain goes on without it.
-func (s *Server) restore(snapshot *chain.Snapshot) {
+func (s *Server) installSnapshot(snapshot *chain.Snapshot) {
 	index := snapshot.Index
 	if !s.restoreState(snapshot.Data) {
-		s.unreadable = true
+		s.receivedUnreadable = true
 		s.logger.Error().Uint64("index", index).Msg("a snapshot of another member can't be read; staying out of the chain: are all machines of one version?")
 		return
 	}
-	s.unreadable = false
+	s.receivedUnreadable = false
 	s.logBytes, s.snapshotBytes = 0, len(snapshot.Data)
-	s.disk.add(diskJob{reset: true,
-		snapshot: &segment.Snapshot{Index: index, Epoch: snapshot.IndexEpoch, Data: snapshot.Data},
-		done:     func() { s.replica.SnapshotPersisted(index) }})
-	s.applied = index
+	s.disk.enqueue(diskWrite{replacesLog: true,
+		snapshot:  &segment.Snapshot{Index: index, Epoch: snapshot.IndexEpoch, Data: snapshot.Data},
+		onDurable: func() { s.replica.SnapshotPersisted(index) }})
+	s.appliedIndex = index
 	s.dropDispatchers()
 }
 
@@ -319,13 +319,13 @@
 		return false
 	}
 	s.cluster.Restore(state)
-	s.changes.clear()
+	s.configHistory.reset()
 	return true
 }
 
 func (s *Server) apply(entry *chain.Entry) {
 	command := &statemachine.Command{}
-	s.applied = entry.Index
+	s.appliedIndex = entry.Index
 	s.logBytes += len(entry.Data)
 	if !protocol.Decode(entry.Data, command) {
 		return
@@ -335,32 +335,32 @@
 	s.updates = append(s.updates, updates...)
 	for i := range updates {
 		if updates[i].Update.Config != nil {
-			s.changes.add(updates[i].Update.Config)
+			s.configHistory.add(updates[i].Update.Config)
 		}
 	}
 	if entry.Origin == s.register.Self().ID {
-		s.answer(entry.Tag, result)
+		s.complete(entry.Tag, result)
 	}
 }
 
 func (s *Server) tick() {
 	now := s.now()
 	s.register.Tick()
-	s.replica.Tick(retryTicks)
-	s.peers.tick()
-	s.resend(resendAfter)
-	s.beat()
-	s.tellDivergence()
-	s.considerView()
-	s.fetchSome()
-	if !s.standing() {
+	s.replica.Tick(retransmitTicks)
+	s.peers.redial()
+	s.repropose(resubmitAfter)
+	s.sendHeartbeat()
+	s.logDivergence()
+	s.proposeView()
+	s.requestCatchUpFromChain()
+	if !s.isMemberWithQuorum() {
 		s.dropDispatchers()
 		s.abandon()
 	}
-	s.dispatcherTick()
+	s.sendIdleHeartbeats()
 	if s.replica.IsHead() && s.replica.IsServing() {
 		s.headTick(now)
 	}
-	s.compact()
+	s.saveSnapshotIfDue()
 	s.probeDisk()
 }
--- a/internal/control/server/fetch.go
+++ b/internal/control/server/fetch.go
@@ -7,43 +7,43 @@
 	"yardflow/internal/control/protocol"
 )
 
-// fetchAgain is how long a lesson is waited for before it is asked for anew.
-const fetchAgain = 200 * time.Millisecond
+// catchUpTimeout is how long a lesson is waited for before it is asked for anew.
+const catchUpTimeout = 200 * time.Millisecond
 
-// fetchPace lets one lesson be under way at a time: more would be the same once again, and heartbeats
+// catchUpLimit lets one lesson be under way at a time: more would be the same once again, and heartbeats
 // wait behind them.
-type fetchPace struct {
-	underWay bool
-	askedAt  time.Duration
+type catchUpLimit struct {
+	inFlight    bool
+	requestedAt time.Duration
 }
 
-// ask reports whether a lesson may be asked for now, and notes that it is.
-func (p *fetchPace) ask(now time.Duration) bool {
-	if p.underWay && now-p.askedAt < fetchAgain {
+// tryStart reports whether a lesson may be asked for now, and notes that it is.
+func (p *catchUpLimit) tryStart(now time.Duration) bool {
+	if p.inFlight && now-p.requestedAt < catchUpTimeout {
 		return false
 	}
-	p.underWay, p.askedAt = true, now
+	p.inFlight, p.requestedAt = true, now
 	return true
 }
 
-// answered notes that a lesson has come.
-func (p *fetchPace) answered() { p.underWay = false }
+// done notes that a lesson has come.
+func (p *catchUpLimit) done() { p.inFlight = false }
 
-// fetch asks a member for what this replica, outside the chain, lacks.
-func (s *Server) fetch(member view.MemberID) {
+// requestCatchUp asks a member for what this replica, outside the chain, lacks.
+func (s *Server) requestCatchUp(member view.MemberID) {
 	fetch, outside := s.replica.NextCatchUpRequest()
-	if !outside || s.register.View().Epoch == 0 || s.restarted() || !s.pace.ask(s.now()) {
+	if !outside || s.register.View().Epoch == 0 || s.hasRestartedInView() || !s.catchUp.tryStart(s.now()) {
 		return
 	}
 	s.peers.send(member, &protocol.PeerMessage{CatchUpRequest: &fetch})
 }
 
-// fetchSome asks the last live member of the chain, which has least to do.
-func (s *Server) fetchSome() {
+// requestCatchUpFromChain asks the last live member of the chain, which has least to do.
+func (s *Server) requestCatchUpFromChain() {
 	members := s.register.View().Chain
 	for i := len(members) - 1; i >= 0; i-- {
 		if s.detector.IsAlive(s.now(), members[i].ID) && members[i].ID != s.register.Self().ID {
-			s.fetch(members[i].ID)
+			s.requestCatchUp(members[i].ID)
 			return
 		}
 	}
--- a/internal/control/server/fetch_test.go
+++ b/internal/control/server/fetch_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestOneLessonAtATime keeps a fault of the grown yards: a lesson was asked for at every tick though one was
+// TestOneCatchUpRequestInFlight keeps a fault of the grown yards: a lesson was asked for at every tick though one was
 // under way, the same entries came many times, and the heartbeats behind them came too late.
-func TestOneLessonAtATime(t *testing.T) {
-	pace := fetchPace{}
+func TestOneCatchUpRequestInFlight(t *testing.T) {
+	pace := catchUpLimit{}
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	for _, step := range []struct {
 		at       int
@@ -16,9 +16,9 @@
 		want     bool
 	}{{0, false, true}, {100, false, false}, {150, true, true}, {160, false, false}, {350, false, true}, {360, true, true}} {
 		if step.answered {
-			pace.answered()
+			pace.done()
 		}
-		if got := pace.ask(at(step.at)); got != step.want {
+		if got := pace.tryStart(at(step.at)); got != step.want {
 			t.Errorf("at %d ms: asked %v", step.at, got)
 		}
 	}
--- a/internal/control/server/head_test.go
+++ b/internal/control/server/head_test.go
@@ -9,12 +9,12 @@
 		log, snapshot, segments int
 		due                     bool
 	}{
-		"a short log":                         {logLeast - 1, 0, manySegments, false},
-		"a long log":                          {logLeast + 1, 0, manySegments, true},
-		"a log that is short for the state":   {2 * logLeast, logLeast, manySegments, false},
-		"a log that is long for the state":    {logSnapshots*logLeast + 1, logLeast, manySegments, true},
-		"a short log where the ring is full":  {0, 0, freeLeast, true},
-		"a short log where the ring has room": {0, 0, freeLeast + 1, false},
+		"a short log":                         {minLogBytes - 1, 0, manySegments, false},
+		"a long log":                          {minLogBytes + 1, 0, manySegments, true},
+		"a log that is short for the state":   {2 * minLogBytes, minLogBytes, manySegments, false},
+		"a log that is long for the state":    {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
+		"a short log where the ring is full":  {0, 0, minFreeSegments, true},
+		"a short log where the ring has room": {0, 0, minFreeSegments + 1, false},
 	} {
 		s := &Server{logBytes: c.log, snapshotBytes: c.snapshot, freeSegments: c.segments}
 		if got := s.snapshotDue(); got != c.due {
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -10,17 +10,17 @@
 
 // Spans of heartbeats.
 const (
-	// heartbeatLate is how old the engine's last heartbeat is when another goroutine repeats it.
-	heartbeatLate = tickEvery * 3 / 2
-	// heartbeatMost is how long heartbeats go on without the engine: longer than it takes to apply a log
+	// heartbeatOverdue is how old the engine's last heartbeat is when another goroutine repeats it.
+	heartbeatOverdue = tickInterval * 3 / 2
+	// maxHeartbeatAge is how long heartbeats go on without the engine: longer than it takes to apply a log
 	// that was fetched, short enough that an engine that is stuck counts as silent.
-	heartbeatMost = 2 * time.Second
+	maxHeartbeatAge = 2 * time.Second
 )
 
 // heartbeat is what the engine last told its peers and dispatchers.
 type heartbeat struct {
-	at          time.Duration
-	ping        []byte
+	sentAt      time.Duration
+	peerMessage []byte
 	peers       []sender
 	dispatchers []sender
 }
@@ -28,57 +28,57 @@
 // sender is a connection to which heartbeats go.
 type sender interface{ Send(message []byte) bool }
 
-// heartbeats repeats the engine's last heartbeat while the engine is busy with a long piece of work, such as
+// heartbeatRepeater repeats the engine's last heartbeat while the engine is busy with a long piece of work, such as
 // a snapshot or a log that was fetched: a member at work isn't taken for one that is gone.
-type heartbeats struct {
-	last  atomic.Pointer[heartbeat]
-	empty []byte // for dispatchers
+type heartbeatRepeater struct {
+	last              atomic.Pointer[heartbeat]
+	dispatcherMessage []byte // for dispatchers
 }
 
-func newHeartbeats() *heartbeats {
-	return &heartbeats{empty: protocol.Encode(protocol.ControlMessage{})}
+func newHeartbeatRepeater() *heartbeatRepeater {
+	return &heartbeatRepeater{dispatcherMessage: protocol.Encode(protocol.ControlMessage{})}
 }
 
-// repeat sends the last heartbeat again where the next one is late, and reports whether it did.
-func (h *heartbeats) repeat(now time.Duration) bool {
+// repeatIfOverdue sends the last heartbeat again where the next one is late, and reports whether it did.
+func (h *heartbeatRepeater) repeatIfOverdue(now time.Duration) bool {
 	last := h.last.Load()
-	if last == nil || now-last.at < heartbeatLate || now-last.at > heartbeatMost {
+	if last == nil || now-last.sentAt < heartbeatOverdue || now-last.sentAt > maxHeartbeatAge {
 		return false
 	}
 	for _, peer := range last.peers {
-		peer.Send(last.ping)
+		peer.Send(last.peerMessage)
 	}
 	for _, dispatcher := range last.dispatchers {
-		dispatcher.Send(h.empty)
+		dispatcher.Send(h.dispatcherMessage)
 	}
 	return true
 }
 
 // run repeats late heartbeats until the server has ended.
-func (h *heartbeats) run(now func() time.Duration, ended <-chan struct{}) {
-	ticker := time.NewTicker(tickEvery)
+func (h *heartbeatRepeater) run(now func() time.Duration, ended <-chan struct{}) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			h.repeat(now())
+			h.repeatIfOverdue(now())
 		case <-ended:
 			return
 		}
 	}
 }
 
-// beat sends a heartbeat to all peers, and keeps it for the time that the engine is busy.
-func (s *Server) beat() {
-	next := &heartbeat{at: s.now(), ping: protocol.Encode(s.ping())}
-	s.peers.broadcast(next.ping)
+// sendHeartbeat sends a heartbeat to all peers, and keeps it for the time that the engine is busy.
+func (s *Server) sendHeartbeat() {
+	next := &heartbeat{sentAt: s.now(), peerMessage: protocol.Encode(s.heartbeatMessage())}
+	s.peers.broadcast(next.peerMessage)
 	for _, other := range s.peers.byAddress {
 		if other.conn != nil {
 			next.peers = append(next.peers, other.conn)
 		}
 	}
 	for d := range s.dispatchers {
-		if d.session != 0 && !d.snapshot {
+		if d.session != 0 && !d.snapshotDue {
 			next.dispatchers = append(next.dispatchers, d.conn)
 		}
 	}
--- a/internal/control/server/leave.go
+++ b/internal/control/server/leave.go
@@ -4,9 +4,9 @@
 
 // Spans of a stop in order.
 const (
-	leaveCheck  = 20 * time.Millisecond
-	leaveMargin = 2 * time.Second // of the time until SIGKILL, for open calls to end
-	leaveUsual  = 4 * time.Second // where the settings don't tell that time
+	leavePollInterval   = 20 * time.Millisecond
+	leaveGraceMargin    = 2 * time.Second // of the time until SIGKILL, for open calls to end
+	defaultLeaveTimeout = 4 * time.Second // where the settings don't tell that time
 )
 
 // LeaveChain hands this member's place over before the process stops: the others agree on a chain without it, and on
@@ -16,17 +16,17 @@
 	s.do(func() {
 		s.leaving = true
 		s.detector.Leave()
-		s.beat()
-		s.considerView()
+		s.sendHeartbeat()
+		s.proposeView()
 	})
-	deadline := time.NewTimer(s.leaveWithin())
+	deadline := time.NewTimer(s.leaveTimeout())
 	defer deadline.Stop()
-	check := time.NewTicker(leaveCheck)
+	check := time.NewTicker(leavePollInterval)
 	defer check.Stop()
 	for {
 		select {
 		case <-check.C:
-			if s.hasLeft() {
+			if s.hasLeftChain() {
 				s.logger.Info().Msg("place in the chain handed over")
 				return
 			}
@@ -39,16 +39,16 @@
 	}
 }
 
-func (s *Server) leaveWithin() time.Duration {
+func (s *Server) leaveTimeout() time.Duration {
 	grace := time.Duration(s.settings.Bounds.GraceS * float64(time.Second))
-	if grace <= leaveMargin {
-		return leaveUsual
+	if grace <= leaveGraceMargin {
+		return defaultLeaveTimeout
 	}
-	return grace - leaveMargin
+	return grace - leaveGraceMargin
 }
 
-// hasLeft reports whether the view in force is without this member in its chain.
-func (s *Server) hasLeft() bool {
+// hasLeftChain reports whether the view in force is without this member in its chain.
+func (s *Server) hasLeftChain() bool {
 	answer := make(chan bool, 1)
 	s.do(func() { answer <- !s.replica.IsMember() })
 	select {
--- a/internal/control/server/operator.go
+++ b/internal/control/server/operator.go
@@ -14,22 +14,22 @@
 
 // Bounds of the operator's calls.
 const (
-	maxConfigBytes = 32 << 20
-	answerWithin   = 3 * time.Second
+	maxConfigBytes  = 32 << 20
+	operatorTimeout = 3 * time.Second
 )
 
-// ask sends a command through the chain and waits for its outcome, which is Unknown where none comes in time.
+// execute sends a command through the chain and waits for its outcome, which is Unknown where none comes in time.
 // The command is made by the engine, from the state here.
-func (s *Server) ask(command func() *statemachine.Command) statemachine.Result {
+func (s *Server) execute(command func() *statemachine.Command) statemachine.Result {
 	answer := make(chan statemachine.Result, 1)
 	s.do(func() {
-		if s.inTouch() {
+		if s.canServe() {
 			s.submit(command(), func(result statemachine.Result) { answer <- result })
 		} else {
 			answer <- statemachine.Result{Code: statemachine.Unknown}
 		}
 	})
-	timer := time.NewTimer(answerWithin)
+	timer := time.NewTimer(operatorTimeout)
 	defer timer.Stop()
 	select {
 	case result := <-answer:
@@ -59,7 +59,7 @@
 		http.Error(w, fault.Error(), http.StatusBadRequest)
 		return
 	}
-	result := s.ask(func() *statemachine.Command {
+	result := s.execute(func() *statemachine.Command {
 		return &statemachine.Command{Configure: s.cluster.NewConfigure(configured.Version, match, body)}
 	})
 	switch result.Code {
@@ -79,7 +79,7 @@
 }
 
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	result := s.ask(func() *statemachine.Command {
+	result := s.execute(func() *statemachine.Command {
 		return &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}
 	})
 	switch result.Code {
@@ -104,37 +104,37 @@
 
 // Status is what operators see of a control process.
 type Status struct {
-	Node       string
-	Waiting    string `json:",omitempty"` // why the process has not read its disk yet
-	Epoch      uint64
-	Chain      []string
-	Copies     int // of each committed entry: the first members of Chain, as many as this, have it
-	Electors   []string
-	Serves     bool
-	Last       uint64 // newest entry here
-	Committed  uint64
-	Pending    int // commands without an outcome
-	Version    int64
-	Sessions   int
-	Workers    int
-	Jobs       int
-	Open       int // jobs that are not over
-	StalledMs  int64
-	Dispatched int // dispatchers connected here
-	Behind     int // of these, dispatchers that have not acknowledged the configuration in force
+	Node                 string
+	StartupBlockedBy     string `json:"Waiting,omitempty"` // why the process has not read its disk yet
+	Epoch                uint64
+	Chain                []string
+	ReplicationFactor    int `json:"Copies"` // of each committed entry: the first members of Chain, as many as this, have it
+	Electors             []string
+	Serves               bool
+	LastIndex            uint64 `json:"Last"` // newest entry here
+	CommitIndex          uint64 `json:"Committed"`
+	PendingCommands      int    `json:"Pending"` // commands without an outcome
+	ConfigVersion        int64  `json:"Version"`
+	Sessions             int
+	Workers              int
+	Jobs                 int
+	UnfinishedJobs       int   `json:"Open"` // jobs that are not over
+	DiskStalledMs        int64 `json:"StalledMs"`
+	ConnectedDispatchers int   `json:"Dispatched"` // dispatchers connected here
+	Behind               int   `json:"Behind"`     // of these, dispatchers that have not acknowledged the configuration in force
 
-	Diverged bool `json:",omitempty"` // another member's log contradicts what is committed here
+	LogDiverged bool `json:"Diverged,omitempty"` // another member's log contradicts what is committed here
 }
 
 func (s *Server) currentStatus() Status {
 	answer := make(chan Status, 1)
 	s.do(func() {
 		v := s.register.View()
-		status := Status{Node: s.settings.Node, Epoch: v.Epoch, Copies: v.WriterCount(), Serves: s.inTouch(), Last: s.replica.LastIndex(),
-			Committed: s.replica.CommitIndex(), Pending: len(s.pending), Version: s.cluster.ConfigVersion,
+		status := Status{Node: s.settings.Node, Epoch: v.Epoch, ReplicationFactor: v.WriterCount(), Serves: s.canServe(), LastIndex: s.replica.LastIndex(),
+			CommitIndex: s.replica.CommitIndex(), PendingCommands: len(s.pending), ConfigVersion: s.cluster.ConfigVersion,
 			Sessions: len(s.cluster.Sessions), Workers: len(s.cluster.Workers), Jobs: len(s.cluster.Jobs),
-			StalledMs: s.disk.stalledFor().Milliseconds(), Dispatched: len(s.dispatchers),
-			Diverged: s.replica.Divergence() != nil}
+			DiskStalledMs: s.disk.stalledFor().Milliseconds(), ConnectedDispatchers: len(s.dispatchers),
+			LogDiverged: s.replica.Divergence() != nil}
 		for _, member := range v.Chain {
 			status.Chain = append(status.Chain, member.Node)
 		}
@@ -143,11 +143,11 @@
 		}
 		for _, known := range s.cluster.Jobs {
 			if !known.State.Terminal() {
-				status.Open++
+				status.UnfinishedJobs++
 			}
 		}
 		for d := range s.dispatchers {
-			if d.config < s.cluster.ConfigVersion {
+			if d.ackedConfig < s.cluster.ConfigVersion {
 				status.Behind++
 			}
 		}
@@ -173,18 +173,18 @@
 		value int64
 	}{
 		{"yardflow_view_epoch", int64(status.Epoch)},
-		{"yardflow_serves", oneIf(status.Serves)},
-		{"yardflow_diverged", oneIf(status.Diverged)},
-		{"yardflow_chain_last", int64(status.Last)},
-		{"yardflow_chain_committed", int64(status.Committed)},
-		{"yardflow_commands_pending", int64(status.Pending)},
-		{"yardflow_config_version", status.Version},
+		{"yardflow_serves", boolMetric(status.Serves)},
+		{"yardflow_diverged", boolMetric(status.LogDiverged)},
+		{"yardflow_chain_last", int64(status.LastIndex)},
+		{"yardflow_chain_committed", int64(status.CommitIndex)},
+		{"yardflow_commands_pending", int64(status.PendingCommands)},
+		{"yardflow_config_version", status.ConfigVersion},
 		{"yardflow_sessions", int64(status.Sessions)},
 		{"yardflow_workers", int64(status.Workers)},
 		{"yardflow_jobs", int64(status.Jobs)},
-		{"yardflow_jobs_open", int64(status.Open)},
-		{"yardflow_disk_stalled_ms", status.StalledMs},
-		{"yardflow_dispatchers_connected", int64(status.Dispatched)},
+		{"yardflow_jobs_open", int64(status.UnfinishedJobs)},
+		{"yardflow_disk_stalled_ms", status.DiskStalledMs},
+		{"yardflow_dispatchers_connected", int64(status.ConnectedDispatchers)},
 		{"yardflow_dispatchers_behind", int64(status.Behind)},
 	}
 	for _, figure := range figures {
@@ -192,8 +192,8 @@
 	}
 }
 
-// oneIf writes a flag as a figure.
-func oneIf(set bool) int64 {
+// boolMetric writes a flag as a figure.
+func boolMetric(set bool) int64 {
 	if set {
 		return 1
 	}
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -9,11 +9,11 @@
 
 // Bounds of what is on its way to one dispatcher.
 const (
-	pieceBytes   = 32 << 10 // of one message, but for a snapshot and for an update that is larger by itself
-	windowBytes  = 96 << 10 // that the dispatcher has not acknowledged: 0.4 s of a link of 2 Mbit/s
-	urgentBytes  = 1 << 20  // likewise, past which configurations wait as well
-	backlogBytes = 32 << 20 // that wait, past which the dispatcher is to attach anew
-	outcomeBytes = 24       // of an outcome beside its body
+	maxMessageBytes      = 32 << 10 // of one message, but for a snapshot and for an update that is larger by itself
+	sendWindowBytes      = 96 << 10 // that the dispatcher has not acknowledged: 0.4 s of a link of 2 Mbit/s
+	configWindowBytes    = 1 << 20  // likewise, past which configurations wait as well
+	maxBacklogBytes      = 32 << 20 // that wait, past which the dispatcher is to attach anew
+	outcomeOverheadBytes = 24       // of an outcome beside its body
 )
 
 // outbox has what one dispatcher is to be told and the order in which that goes out. A change of the configuration goes
@@ -22,99 +22,99 @@
 // ones.
 type outbox struct {
 	acknowledges bool // whether the dispatcher does; former versions don't
-	sent         uint64
-	acknowledged uint64
-
-	urgent   []cbor.RawMessage // changes of the configuration
-	waiting  []news
-	first    uint64 // place of waiting[0] in the order of all that ever waited
-	bytes    int    // that wait, but for the urgent
-	uses     map[string]uint64
-	sessions uint64 // place of the newest list of sessions that waits, plus 1; 0: none does
+	sentBytes    uint64
+	ackedBytes   uint64
+
+	configs        []cbor.RawMessage // changes of the configuration
+	backlog        []outboxEntry
+	firstPosition  uint64 // place of waiting[0] in the order of all that ever waited
+	backlogBytes   int    // that wait, but for the urgent
+	newestUsage    map[string]uint64
+	newestSessions uint64 // place of the newest list of sessions that waits, plus 1; 0: none does
 }
 
-// news is one update or one outcome. One that a newer one has replaced has neither.
-type news struct {
+// outboxEntry is one update or one outcome. One that a newer one has replaced has neither.
+type outboxEntry struct {
 	update  cbor.RawMessage
 	outcome *protocol.Outcome
 	worker  string // whose use it tells
 }
 
-func (n *news) size() int {
+func (n *outboxEntry) size() int {
 	if n.outcome != nil {
-		return outcomeBytes + len(n.outcome.Result.Body)
+		return outcomeOverheadBytes + len(n.outcome.Result.Body)
 	}
 	return len(n.update)
 }
 
 // addUpdate enters an update with its encoding.
 func (o *outbox) addUpdate(update *statemachine.Update, encoded cbor.RawMessage) {
-	place := o.first + uint64(len(o.waiting))
-	added := news{update: encoded}
+	place := o.firstPosition + uint64(len(o.backlog))
+	added := outboxEntry{update: encoded}
 	switch {
 	case update.Config != nil:
-		o.urgent = append(o.urgent, encoded)
+		o.configs = append(o.configs, encoded)
 		return
 	case update.Usage != nil:
 		added.worker = update.Usage.Worker
-		if former, waits := o.uses[added.worker]; waits {
-			o.replace(former)
+		if former, waits := o.newestUsage[added.worker]; waits {
+			o.drop(former)
 		}
-		if o.uses == nil {
-			o.uses = map[string]uint64{}
+		if o.newestUsage == nil {
+			o.newestUsage = map[string]uint64{}
 		}
-		o.uses[added.worker] = place
+		o.newestUsage[added.worker] = place
 	case update.Sessions != nil:
-		if o.sessions > o.first {
-			o.replace(o.sessions - 1)
+		if o.newestSessions > o.firstPosition {
+			o.drop(o.newestSessions - 1)
 		}
-		o.sessions = place + 1
+		o.newestSessions = place + 1
 	}
 	o.add(added)
 }
 
 // addOutcome enters the outcome of a command of the dispatcher.
-func (o *outbox) addOutcome(outcome protocol.Outcome) { o.add(news{outcome: &outcome}) }
+func (o *outbox) addOutcome(outcome protocol.Outcome) { o.add(outboxEntry{outcome: &outcome}) }
 
-func (o *outbox) add(added news) {
-	o.waiting = append(o.waiting, added)
-	o.bytes += added.size()
+func (o *outbox) add(added outboxEntry) {
+	o.backlog = append(o.backlog, added)
+	o.backlogBytes += added.size()
 }
 
-// replace takes out what waits in a place: something newer stands for it.
-func (o *outbox) replace(place uint64) {
-	former := &o.waiting[place-o.first]
-	o.bytes -= former.size()
-	*former = news{}
+// drop takes out what waits in a place: something newer stands for it.
+func (o *outbox) drop(place uint64) {
+	former := &o.backlog[place-o.firstPosition]
+	o.backlogBytes -= former.size()
+	*former = outboxEntry{}
 }
 
-// noteSent enters that a message was handed to the connection.
-func (o *outbox) noteSent(bytes int) { o.sent += uint64(bytes) }
+// sent enters that a message was handed to the connection.
+func (o *outbox) sent(bytes int) { o.sentBytes += uint64(bytes) }
 
-// noteAcknowledged enters how many bytes the dispatcher has taken in.
-func (o *outbox) noteAcknowledged(bytes uint64) { o.acknowledged = max(o.acknowledged, bytes) }
+// acknowledge enters how many bytes the dispatcher has taken in.
+func (o *outbox) acknowledge(bytes uint64) { o.ackedBytes = max(o.ackedBytes, bytes) }
 
-// underWay returns how many bytes the dispatcher has not acknowledged.
-func (o *outbox) underWay() uint64 {
-	if !o.acknowledges || o.acknowledged > o.sent {
+// inFlightBytes returns how many bytes the dispatcher has not acknowledged.
+func (o *outbox) inFlightBytes() uint64 {
+	if !o.acknowledges || o.ackedBytes > o.sentBytes {
 		return 0
 	}
-	return o.sent - o.acknowledged
+	return o.sentBytes - o.ackedBytes
 }
 
 // overflows reports whether so much waits that a snapshot would take less.
-func (o *outbox) overflows() bool { return o.bytes > backlogBytes }
+func (o *outbox) overflows() bool { return o.backlogBytes > maxBacklogBytes }
 
 // next returns the next message that may go out now, and false while there is none.
 func (o *outbox) next() (protocol.ControlMessage, bool) {
 	down, size := protocol.ControlMessage{}, 0
-	if o.underWay() < urgentBytes {
-		down.Updates, o.urgent = o.urgent, nil
+	if o.inFlightBytes() < configWindowBytes {
+		down.Updates, o.configs = o.configs, nil
 	}
 	for _, update := range down.Updates {
 		size += len(update)
 	}
-	if o.underWay() < windowBytes {
+	if o.inFlightBytes() < sendWindowBytes {
 		o.fill(&down, size)
 	}
 	return down, len(down.Updates)+len(down.Outcomes) > 0
@@ -123,13 +123,13 @@
 // fill moves what waits to a message until that is as large as it may be.
 func (o *outbox) fill(down *protocol.ControlMessage, size int) {
 	taken := 0
-	for ; taken < len(o.waiting); taken++ {
-		told := &o.waiting[taken]
-		if size > 0 && size+told.size() > pieceBytes {
+	for ; taken < len(o.backlog); taken++ {
+		told := &o.backlog[taken]
+		if size > 0 && size+told.size() > maxMessageBytes {
 			break
 		}
 		size += told.size()
-		o.bytes -= told.size()
+		o.backlogBytes -= told.size()
 		switch {
 		case told.outcome != nil:
 			down.Outcomes = append(down.Outcomes, *told.outcome)
@@ -137,14 +137,14 @@
 			down.Updates = append(down.Updates, told.update)
 		}
 		if told.worker != "" {
-			delete(o.uses, told.worker)
+			delete(o.newestUsage, told.worker)
 		}
 	}
-	o.first += uint64(taken)
-	if taken < len(o.waiting) {
-		o.waiting = o.waiting[taken:]
+	o.firstPosition += uint64(taken)
+	if taken < len(o.backlog) {
+		o.backlog = o.backlog[taken:]
 		return
 	}
-	clear(o.waiting)
-	o.waiting = o.waiting[:0]
+	clear(o.backlog)
+	o.backlog = o.backlog[:0]
 }
--- a/internal/control/server/outbox_test.go
+++ b/internal/control/server/outbox_test.go
@@ -12,22 +12,22 @@
 	"yardflow/scheduling/job"
 )
 
-func enter(o *outbox, update statemachine.Update) { o.addUpdate(&update, protocol.Encode(update)) }
+func addUpdate(o *outbox, update statemachine.Update) { o.addUpdate(&update, protocol.Encode(update)) }
 
-// gone returns an update of about so many bytes.
-func gone(name string, size int) statemachine.Update {
+// jobRemoved returns an update of about so many bytes.
+func jobRemoved(name string, size int) statemachine.Update {
 	return statemachine.Update{JobRemoved: name + strings.Repeat("x", size)}
 }
 
-func used(worker string, amount int64) statemachine.Update {
+func usageOf(worker string, amount int64) statemachine.Update {
 	return statemachine.Update{Usage: &statemachine.UsageUpdate{Worker: worker, Used: job.Resources{MemoryMB: amount}}}
 }
 
-// send hands out all that may go out now, and returns it with the bytes of each message.
-func send(o *outbox) (updates []statemachine.Update, outcomes []protocol.Outcome, sizes []int) {
+// drainOutbox hands out all that may go out now, and returns it with the bytes of each message.
+func drainOutbox(o *outbox) (updates []statemachine.Update, outcomes []protocol.Outcome, sizes []int) {
 	for down, due := o.next(); due; down, due = o.next() {
 		message := protocol.Encode(down)
-		o.noteSent(len(message))
+		o.sent(len(message))
 		sizes = append(sizes, len(message))
 		for _, raw := range protocol.DecompressUpdates(down.Updates) {
 			update := statemachine.Update{}
@@ -40,49 +40,49 @@
 	return updates, outcomes, sizes
 }
 
-func TestLittleGoesOutWhole(t *testing.T) {
+func TestSmallBacklogIsOneMessage(t *testing.T) {
 	o := outbox{acknowledges: true}
-	enter(&o, gone("a", 0))
-	enter(&o, used("w", 1))
+	addUpdate(&o, jobRemoved("a", 0))
+	addUpdate(&o, usageOf("w", 1))
 	o.addOutcome(protocol.Outcome{Tag: 7})
-	updates, outcomes, sizes := send(&o)
+	updates, outcomes, sizes := drainOutbox(&o)
 	if len(updates) != 2 || len(outcomes) != 1 || len(sizes) != 1 {
 		t.Errorf("%d updates and %d outcomes in %d messages", len(updates), len(outcomes), len(sizes))
 	}
-	if _, _, more := send(&o); len(more) > 0 {
+	if _, _, more := drainOutbox(&o); len(more) > 0 {
 		t.Errorf("%d messages more", len(more))
 	}
 }
 
-// TestStormWaitsForAcknowledgements keeps that a storm of updates fills no slow link: it waits at the control machine,
+// TestBurstOfUpdatesWaitsForAcknowledgements keeps that a storm of updates fills no slow link: it waits at the control machine,
 // in bounded messages and in order, and a configuration overtakes it.
-func TestStormWaitsForAcknowledgements(t *testing.T) {
+func TestBurstOfUpdatesWaitsForAcknowledgements(t *testing.T) {
 	const storm, size = 2000, 500
 	o := outbox{acknowledges: true}
 	for i := range storm {
-		enter(&o, gone(fmt.Sprintf("%04d-", i), size))
+		addUpdate(&o, jobRemoved(fmt.Sprintf("%04d-", i), size))
 	}
 	var all []statemachine.Update
 	for sent := uint64(0); ; {
-		updates, _, sizes := send(&o)
+		updates, _, sizes := drainOutbox(&o)
 		if len(updates) == 0 {
 			break
 		}
 		for _, bytes := range sizes {
 			sent += uint64(bytes)
-			if bytes > pieceBytes+pieceBytes/8 {
+			if bytes > maxMessageBytes+maxMessageBytes/8 {
 				t.Fatalf("a message of %d bytes", bytes)
 			}
 		}
-		if o.underWay() > windowBytes+pieceBytes+pieceBytes/8 {
-			t.Fatalf("%d bytes under way", o.underWay())
+		if o.inFlightBytes() > sendWindowBytes+maxMessageBytes+maxMessageBytes/8 {
+			t.Fatalf("%d bytes under way", o.inFlightBytes())
 		}
 		all = append(all, updates...)
-		enter(&o, statemachine.Update{Config: &statemachine.ConfigUpdate{Version: int64(len(all))}})
-		if updates, _, _ := send(&o); len(updates) != 1 || updates[0].Config == nil {
+		addUpdate(&o, statemachine.Update{Config: &statemachine.ConfigUpdate{Version: int64(len(all))}})
+		if updates, _, _ := drainOutbox(&o); len(updates) != 1 || updates[0].Config == nil {
 			t.Fatalf("behind %d updates a configuration waits", len(all))
 		}
-		o.noteAcknowledged(o.sent)
+		o.acknowledge(o.sentBytes)
 	}
 	if len(all) != storm {
 		t.Fatalf("%d updates went out, want %d", len(all), storm)
@@ -92,24 +92,24 @@
 			t.Fatalf("update %d is %.6s", i, update.JobRemoved)
 		}
 	}
-	if o.bytes != 0 {
-		t.Errorf("%d bytes are counted as waiting", o.bytes)
+	if o.backlogBytes != 0 {
+		t.Errorf("%d bytes are counted as waiting", o.backlogBytes)
 	}
 }
 
-// TestNewerFiguresReplaceOlderOnes keeps that what waits does not grow by figures that something newer stands for.
-func TestNewerFiguresReplaceOlderOnes(t *testing.T) {
+// TestNewerUsageReplacesOlderUsage keeps that what waits does not grow by figures that something newer stands for.
+func TestNewerUsageReplacesOlderUsage(t *testing.T) {
 	o := outbox{acknowledges: true}
-	o.noteSent(windowBytes)
+	o.sent(sendWindowBytes)
 	for i := range 1000 {
-		enter(&o, used(fmt.Sprint("w", i%10), int64(i)))
-		enter(&o, statemachine.Update{Sessions: []statemachine.SessionID{1, statemachine.SessionID(i)}})
+		addUpdate(&o, usageOf(fmt.Sprint("w", i%10), int64(i)))
+		addUpdate(&o, statemachine.Update{Sessions: []statemachine.SessionID{1, statemachine.SessionID(i)}})
 	}
-	if o.bytes > 2000 {
-		t.Errorf("%d bytes wait", o.bytes)
+	if o.backlogBytes > 2000 {
+		t.Errorf("%d bytes wait", o.backlogBytes)
 	}
-	o.noteAcknowledged(o.sent)
-	updates, _, _ := send(&o)
+	o.acknowledge(o.sentBytes)
+	updates, _, _ := drainOutbox(&o)
 	if len(updates) != 11 {
 		t.Fatalf("%d updates, want the newest of ten workers and of the sessions", len(updates))
 	}
@@ -121,8 +121,8 @@
 			t.Errorf("sessions of step %d", update.Sessions[1])
 		}
 	}
-	enter(&o, used("w1", 5000))
-	if updates, _, _ := send(&o); len(updates) != 1 {
+	addUpdate(&o, usageOf("w1", 5000))
+	if updates, _, _ := drainOutbox(&o); len(updates) != 1 {
 		t.Errorf("%d updates behind it, want one", len(updates))
 	}
 }
@@ -131,7 +131,7 @@
 func TestOutcomesFollowTheirUpdates(t *testing.T) {
 	o := outbox{acknowledges: true}
 	for i := range 400 {
-		enter(&o, gone(fmt.Sprint(i, "-"), 300))
+		addUpdate(&o, jobRemoved(fmt.Sprint(i, "-"), 300))
 		o.addOutcome(protocol.Outcome{Tag: uint64(i + 1)})
 	}
 	seen := 0
@@ -152,24 +152,24 @@
 	}
 }
 
-// TestFormerDispatcherIsToldAllAtOnce keeps that a dispatcher of a version that acknowledges nothing is not waited for.
-func TestFormerDispatcherIsToldAllAtOnce(t *testing.T) {
+// TestDispatcherWithoutAcknowledgementsIsSentAllAtOnce keeps that a dispatcher of a version that acknowledges nothing is not waited for.
+func TestDispatcherWithoutAcknowledgementsIsSentAllAtOnce(t *testing.T) {
 	o := outbox{}
 	for i := range 2000 {
-		enter(&o, gone(fmt.Sprint(i), 500))
+		addUpdate(&o, jobRemoved(fmt.Sprint(i), 500))
 	}
-	if updates, _, _ := send(&o); len(updates) != 2000 {
+	if updates, _, _ := drainOutbox(&o); len(updates) != 2000 {
 		t.Errorf("%d updates went out", len(updates))
 	}
 }
 
-func TestOverflow(t *testing.T) {
+func TestBacklogOverflow(t *testing.T) {
 	o := outbox{acknowledges: true}
-	o.noteSent(windowBytes)
-	for range backlogBytes / (1 << 20) {
-		enter(&o, gone("", 1<<20))
+	o.sent(sendWindowBytes)
+	for range maxBacklogBytes / (1 << 20) {
+		addUpdate(&o, jobRemoved("", 1<<20))
 	}
 	if !o.overflows() {
-		t.Errorf("%d bytes wait", o.bytes)
+		t.Errorf("%d bytes wait", o.backlogBytes)
 	}
 }
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -14,19 +14,19 @@
 
 // Spans of connections among control machines.
 const (
-	dialWithin  = 300 * time.Millisecond
-	redialAfter = 150 * time.Millisecond
-	peerSilence = 1200 * time.Millisecond // heartbeats come every 100 ms
+	dialTimeout    = 300 * time.Millisecond
+	redialInterval = 150 * time.Millisecond
+	peerTimeout    = 1200 * time.Millisecond // heartbeats come every 100 ms
 )
 
 // peer is another control machine at an address. Each side dials the other, and sends
 // on the connection that it has dialled.
 type peer struct {
-	address string
-	conn    *frame.Conn
-	dialing bool
-	triedAt time.Duration
-	heardAt time.Duration // when it last said something, on its own connection
+	address  string
+	conn     *frame.Conn
+	dialing  bool
+	dialedAt time.Duration
+	heardAt  time.Duration // when it last said something, on its own connection
 }
 
 // peers keeps a connection to every control machine that is known. It belongs to the engine.
@@ -40,11 +40,11 @@
 	return &peers{server: s, byAddress: map[string]*peer{}, addresses: map[view.MemberID]string{}}
 }
 
-// meet enters addresses that are to be dialled from now on.
-func (p *peers) meet(addresses []string) {
+// add enters addresses that are to be dialled from now on.
+func (p *peers) add(addresses []string) {
 	for _, address := range addresses {
 		if address != p.server.settings.Listen.Control && p.byAddress[address] == nil {
-			p.byAddress[address] = &peer{address: address, triedAt: -redialAfter}
+			p.byAddress[address] = &peer{address: address, dialedAt: -redialInterval}
 		}
 	}
 	for _, member := range p.server.register.View().Electors {
@@ -55,34 +55,34 @@
 	}
 }
 
-func (p *peers) tick() {
+func (p *peers) redial() {
 	now := p.server.now()
 	for _, other := range p.byAddress {
-		if other.conn != nil && now-max(other.heardAt, other.triedAt) > peerSilence {
+		if other.conn != nil && now-max(other.heardAt, other.dialedAt) > peerTimeout {
 			// What waits in a connection that a cut has held up would come too late to be of use.
 			other.conn.Close()
 			other.conn = nil
 		}
-		if other.conn != nil || other.dialing || now-other.triedAt < redialAfter {
+		if other.conn != nil || other.dialing || now-other.dialedAt < redialInterval {
 			continue
 		}
-		other.dialing, other.triedAt = true, now
+		other.dialing, other.dialedAt = true, now
 		go p.dial(other)
 	}
 }
 
 func (p *peers) dial(other *peer) {
-	conn, err := frame.Dial(p.server.network, other.address, protocol.PeerPath, dialWithin)
+	conn, err := frame.Dial(p.server.network, other.address, protocol.PeerPath, dialTimeout)
 	p.server.do(func() {
 		other.dialing = false
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				p.refused(other)
+				p.connectionRefused(other)
 			}
 			return
 		}
 		other.conn = conn
-		other.conn.Send(protocol.Encode(p.server.ping()))
+		other.conn.Send(protocol.Encode(p.server.heartbeatMessage()))
 		for id, address := range p.addresses {
 			if address == other.address {
 				p.server.replica.Reconnected(id)
@@ -104,14 +104,14 @@
 			other.conn = nil
 		}
 		if other.conn == nil && !other.dialing {
-			other.dialing, other.triedAt = true, p.server.now()
+			other.dialing, other.dialedAt = true, p.server.now()
 			go p.dial(other) // at once: it shows whether the process is gone
 		}
 	})
 }
 
-// refused tells the detector that nothing listens at an address.
-func (p *peers) refused(other *peer) {
+// connectionRefused tells the detector that nothing listens at an address.
+func (p *peers) connectionRefused(other *peer) {
 	for id, address := range p.addresses {
 		if address == other.address {
 			p.server.detector.ConnectionRefused(p.server.now(), id)
@@ -132,7 +132,7 @@
 	defer conn.Close()
 	var from view.Member
 	for {
-		data, err := conn.Receive(peerSilence)
+		data, err := conn.Receive(peerTimeout)
 		if err != nil {
 			return
 		}
@@ -150,7 +150,7 @@
 		p.server.do(func() {
 			if message.Heartbeat != nil {
 				p.addresses[sender.ID] = sender.Address
-				p.meet([]string{sender.Address})
+				p.add([]string{sender.Address})
 				if other := p.byAddress[sender.Address]; other != nil {
 					other.heardAt = at
 				}
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -17,13 +17,13 @@
 // Process is a control process from its start on. While its disk refuses, as a full one does, it waits outside
 // the chain and says so; once there is room it joins.
 type Process struct {
-	settings *settings.Settings
-	network  frame.Network
-	folder   segment.Folder
-	logger   zerolog.Logger
-	server   atomic.Pointer[Server] // once it is open
-	handler  atomic.Pointer[http.Handler]
-	trouble  atomic.Pointer[string] // what the disk last refused
+	settings      *settings.Settings
+	network       frame.Network
+	folder        segment.Folder
+	logger        zerolog.Logger
+	server        atomic.Pointer[Server] // once it is open
+	handler       atomic.Pointer[http.Handler]
+	diskRejection atomic.Pointer[string] // what the disk last refused
 }
 
 // NewProcess returns a process that has not opened its disk.
@@ -68,10 +68,10 @@
 // waitForDisk waits until the disk is to be tried again, and reports whether the process goes on.
 func (p *Process) waitForDisk(err error, stop <-chan struct{}) bool {
 	text := err.Error()
-	if former := p.trouble.Swap(&text); former == nil || *former != text {
+	if former := p.diskRejection.Swap(&text); former == nil || *former != text {
 		p.logger.Error().Err(err).Msg("the disk refuses at the start; waiting outside the chain: free space or replace it")
 	}
-	timer := time.NewTimer(retryAfter)
+	timer := time.NewTimer(diskRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -91,9 +91,9 @@
 		http.Error(w, "the disk is not open yet", http.StatusServiceUnavailable)
 		return
 	}
-	status := Status{Node: p.settings.Node, Waiting: "the disk is being read"}
-	if trouble := p.trouble.Load(); trouble != nil {
-		status.Waiting = "the disk refuses: " + *trouble
+	status := Status{Node: p.settings.Node, StartupBlockedBy: "the disk is being read"}
+	if trouble := p.diskRejection.Load(); trouble != nil {
+		status.StartupBlockedBy = "the disk refuses: " + *trouble
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(status)
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -36,16 +36,16 @@
 		stop, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- process.Run(stop) }()
 		time.Sleep(5 * time.Second)
-		if code, status := ask(process, "/-/status"); code != http.StatusOK || !strings.Contains(status.Waiting, "no space") {
-			t.Errorf("the status answers %d, waiting for %q", code, status.Waiting)
+		if code, status := ask(process, "/-/status"); code != http.StatusOK || !strings.Contains(status.StartupBlockedBy, "no space") {
+			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
 		}
 		if code, _ := ask(process, "/-/config"); code != http.StatusServiceUnavailable {
 			t.Errorf("a read is answered %d", code)
 		}
 		disk.Fill(false)
 		time.Sleep(time.Second)
-		if code, status := ask(process, "/-/status"); code != http.StatusOK || status.Waiting != "" {
-			t.Errorf("the status answers %d, waiting for %q", code, status.Waiting)
+		if code, status := ask(process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
+			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
 		}
 		close(stop)
 		if err := <-ended; err != nil {
--- a/internal/control/server/requests.go
+++ b/internal/control/server/requests.go
@@ -10,26 +10,26 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// request is a command on its way through the chain.
-type request struct {
-	data    []byte
-	read    bool
-	command *statemachine.Command
-	from    *dispatcher               // whose command it is; nil: this machine's own or an operator's
-	done    func(statemachine.Result) // called by the engine
-	sentAt  time.Duration
+// pendingCommand is a command on its way through the chain.
+type pendingCommand struct {
+	encoded    []byte
+	isRead     bool
+	command    *statemachine.Command
+	issuer     *dispatcher               // whose command it is; nil: this machine's own or an operator's
+	onResult   func(statemachine.Result) // called by the engine
+	proposedAt time.Duration
 }
 
-func (s *Server) answer(tag uint64, result statemachine.Result) {
+func (s *Server) complete(tag uint64, result statemachine.Result) {
 	if waiting := s.pending[tag]; waiting != nil {
 		delete(s.pending, tag)
-		waiting.done(result)
+		waiting.onResult(result)
 	}
 }
 
-func (s *Server) answerRead(read chain.Read) {
+func (s *Server) completeRead(read chain.Read) {
 	if waiting := s.pending[read.Tag]; waiting != nil {
-		s.answer(read.Tag, s.cluster.Apply(waiting.command))
+		s.complete(read.Tag, s.cluster.Apply(waiting.command))
 	}
 }
 
@@ -42,10 +42,10 @@
 // submitFor sends a dispatcher's command through the chain. The dispatcher sends it again itself once it has
 // another connection, so nothing of it is kept here after that.
 func (s *Server) submitFor(from *dispatcher, command *statemachine.Command, data []byte, done func(statemachine.Result)) {
-	s.nextTag++
-	waiting := &request{data: data, command: command, read: command.IsRead(), from: from, done: done, sentAt: s.now()}
-	s.pending[s.nextTag] = waiting
-	s.propose(s.nextTag, waiting)
+	s.lastTag++
+	waiting := &pendingCommand{encoded: data, command: command, isRead: command.IsRead(), issuer: from, onResult: done, proposedAt: s.now()}
+	s.pending[s.lastTag] = waiting
+	s.propose(s.lastTag, waiting)
 }
 
 // abandon gives up all commands without an outcome: this member has lost the majority, or its place in the
@@ -53,36 +53,36 @@
 // grown old meanwhile.
 func (s *Server) abandon() {
 	given := s.pending
-	s.pending, s.outgoing = map[uint64]*request{}, nil
+	s.pending, s.proposals = map[uint64]*pendingCommand{}, nil
 	for _, waiting := range given {
-		if waiting.from == nil {
-			waiting.done(statemachine.Result{Code: statemachine.Unknown})
+		if waiting.issuer == nil {
+			waiting.onResult(statemachine.Result{Code: statemachine.Unknown})
 		}
 	}
 }
 
-// forgetRequests gives up the commands of a dispatcher that is connected here no more.
-func (s *Server) forgetRequests(d *dispatcher) {
+// forgetIssuer gives up the commands of a dispatcher that is connected here no more.
+func (s *Server) forgetIssuer(d *dispatcher) {
 	for tag, waiting := range s.pending {
-		if waiting.from == d {
+		if waiting.issuer == d {
 			delete(s.pending, tag)
 		}
 	}
 }
 
-func (s *Server) propose(tag uint64, r *request) {
-	proposal := chain.Proposal{Origin: s.register.Self().ID, Tag: tag, Read: r.read}
-	if !r.read {
-		proposal.Data = r.data
+func (s *Server) propose(tag uint64, r *pendingCommand) {
+	proposal := chain.Proposal{Origin: s.register.Self().ID, Tag: tag, Read: r.isRead}
+	if !r.isRead {
+		proposal.Data = r.encoded
 	}
-	r.sentAt = s.now()
-	s.outgoing = append(s.outgoing, proposal)
+	r.proposedAt = s.now()
+	s.proposals = append(s.proposals, proposal)
 }
 
-// resend proposes anew what has been without an outcome for so long, in the order in which it came in.
-func (s *Server) resend(after time.Duration) {
+// repropose proposes anew what has been without an outcome for so long, in the order in which it came in.
+func (s *Server) repropose(after time.Duration) {
 	for _, tag := range slices.Sorted(maps.Keys(s.pending)) {
-		if waiting := s.pending[tag]; s.now()-waiting.sentAt >= after {
+		if waiting := s.pending[tag]; s.now()-waiting.proposedAt >= after {
 			s.propose(tag, waiting)
 		}
 	}
@@ -90,11 +90,11 @@
 
 // forward hands what waits to the head.
 func (s *Server) forward() {
-	if len(s.outgoing) == 0 {
+	if len(s.proposals) == 0 {
 		return
 	}
-	proposals := s.outgoing
-	s.outgoing = nil
+	proposals := s.proposals
+	s.proposals = nil
 	if s.replica.Propose(proposals) {
 		return
 	}
--- a/internal/control/server/server_test.go
+++ b/internal/control/server/server_test.go
@@ -15,8 +15,8 @@
 	"yardflow/internal/platform/settings"
 )
 
-// resting returns a server whose engine does not run, so that a test can call what belongs to it.
-func resting(t *testing.T) *Server {
+// newIdleServer returns a server whose engine does not run, so that a test can call what belongs to it.
+func newIdleServer(t *testing.T) *Server {
 	t.Helper()
 	s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"}, Limits: settings.Limits{DiskMb: 16}}
 	server, err := Open(s, frame.TCP{}, segment.Dir(t.TempDir()), zerolog.Nop())
@@ -27,10 +27,10 @@
 	return server
 }
 
-// TestMemberWithoutMajorityGivesUpWhatIsPending keeps that a member that was cut off proposes nothing on its return
+// TestMemberWithoutMajorityAbandonsPendingCommands keeps that a member that was cut off proposes nothing on its return
 // that has grown old: operators are told that the outcome is unknown, dispatchers send again by themselves.
-func TestMemberWithoutMajorityGivesUpWhatIsPending(t *testing.T) {
-	s := resting(t)
+func TestMemberWithoutMajorityAbandonsPendingCommands(t *testing.T) {
+	s := newIdleServer(t)
 	told := statemachine.Result{}
 	s.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(result statemachine.Result) { told = result })
 	s.submitFor(&dispatcher{}, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, nil, func(statemachine.Result) {
@@ -40,14 +40,14 @@
 	if told.Code != statemachine.Unknown {
 		t.Errorf("the operator is told %d", told.Code)
 	}
-	s.resend(0)
-	if len(s.pending) != 0 || len(s.outgoing) != 0 {
-		t.Errorf("%d commands are kept, %d are proposed", len(s.pending), len(s.outgoing))
+	s.repropose(0)
+	if len(s.pending) != 0 || len(s.proposals) != 0 {
+		t.Errorf("%d commands are kept, %d are proposed", len(s.pending), len(s.proposals))
 	}
 }
 
-func TestCommandsOfADispatcherThatIsGone(t *testing.T) {
-	s := resting(t)
+func TestCommandsOfADisconnectedDispatcherAreForgotten(t *testing.T) {
+	s := newIdleServer(t)
 	gone, other := &dispatcher{}, &dispatcher{}
 	s.dispatchers[gone], s.dispatchers[other] = true, true
 	for range 3 {
@@ -60,61 +60,61 @@
 	}
 }
 
-// TestProposedAgainInOrder keeps that commands without an outcome go out again in the order in which they came.
-func TestProposedAgainInOrder(t *testing.T) {
-	s := resting(t)
+// TestPendingCommandsAreReproposedInOrder keeps that commands without an outcome go out again in the order in which they came.
+func TestPendingCommandsAreReproposedInOrder(t *testing.T) {
+	s := newIdleServer(t)
 	for i := range 50 {
 		s.submit(&statemachine.Command{CancelJob: &statemachine.CancelJob{Job: fmt.Sprint(i)}}, func(statemachine.Result) {})
 	}
-	s.outgoing = nil
-	s.resend(0)
-	for i := 1; i < len(s.outgoing); i++ {
-		if s.outgoing[i-1].Tag >= s.outgoing[i].Tag {
-			t.Fatalf("tag %d before %d", s.outgoing[i-1].Tag, s.outgoing[i].Tag)
+	s.proposals = nil
+	s.repropose(0)
+	for i := 1; i < len(s.proposals); i++ {
+		if s.proposals[i-1].Tag >= s.proposals[i].Tag {
+			t.Fatalf("tag %d before %d", s.proposals[i-1].Tag, s.proposals[i].Tag)
 		}
 	}
-	if len(s.outgoing) != 50 {
-		t.Errorf("%d of 50 go out again", len(s.outgoing))
+	if len(s.proposals) != 50 {
+		t.Errorf("%d of 50 go out again", len(s.proposals))
 	}
 }
 
 // TestUnreadableSnapshotKeepsTheMemberOut keeps a fault that a reading found: the member counted as complete with the
 // state that it had before.
 func TestUnreadableSnapshotKeepsTheMemberOut(t *testing.T) {
-	s := resting(t)
+	s := newIdleServer(t)
 	s.cluster.ClockTicks = 7
-	s.restore(snapshotOf(9, []byte("no state")))
-	if s.applied == 9 || s.cluster.ClockTicks != 7 || !s.stalled() {
-		t.Errorf("applied %d, stalled %v", s.applied, s.stalled())
+	s.installSnapshot(snapshotOf(9, []byte("no state")))
+	if s.appliedIndex == 9 || s.cluster.ClockTicks != 7 || !s.isUnhealthy() {
+		t.Errorf("applied %d, stalled %v", s.appliedIndex, s.isUnhealthy())
 	}
 }
 
 // TestDivergedMemberStaysOut keeps that a member whose log is contradicted asks to be left out of the chain, serves
 // nobody, and says so once.
 func TestDivergedMemberStaysOut(t *testing.T) {
-	s := resting(t)
+	s := newIdleServer(t)
 	logs := bytes.Buffer{}
 	s.logger = zerolog.New(&logs)
 	const me, other = 2, 1
 	s.replica = chain.New(me, 1, chain.Snapshot{}, []chain.Entry{{Index: 1, Epoch: 1}}, 1)
 	s.replica.SetView(chain.View{Epoch: 3, Members: []chain.MemberID{other, me}})
 	s.tick()
-	if s.stalled() || logs.Len() > 0 {
+	if s.isUnhealthy() || logs.Len() > 0 {
 		t.Fatalf("stalled before anything came; logged: %s", logs.String())
 	}
 	s.replica.Receive(other, &chain.Message{Append: &chain.Append{Epoch: 3, PrevIndex: 1, PrevEpoch: 2}})
 	s.tick()
 	s.tick()
-	if !s.stalled() || s.standing() || s.inTouch() {
-		t.Errorf("stalled %v, standing %v, in touch %v", s.stalled(), s.standing(), s.inTouch())
+	if !s.isUnhealthy() || s.isMemberWithQuorum() || s.canServe() {
+		t.Errorf("stalled %v, standing %v, in touch %v", s.isUnhealthy(), s.isMemberWithQuorum(), s.canServe())
 	}
 	if told := strings.Count(logs.String(), "contradicts"); told != 1 {
 		t.Errorf("said %d times: %s", told, logs.String())
 	}
 }
 
-func TestChangesSince(t *testing.T) {
-	changes := recentChanges{}
+func TestConfigHistorySince(t *testing.T) {
+	changes := configHistory{}
 	versions := func(since int64) string {
 		text := ""
 		for _, update := range changes.since(since) {
@@ -136,8 +136,8 @@
 	for version := int64(20); version < 500; version++ {
 		changes.add(&statemachine.ConfigUpdate{Version: version + 1, BaseVersion: version})
 	}
-	if len(changes.list) != keptChanges {
-		t.Errorf("%d changes are kept", len(changes.list))
+	if len(changes.changes) != maxConfigHistory {
+		t.Errorf("%d changes are kept", len(changes.changes))
 	}
 }
 
@@ -145,9 +145,9 @@
 	return &chain.Snapshot{Epoch: 1, Index: index, IndexEpoch: 1, Data: data}
 }
 
-// TestAnswerForAnotherLife keeps that an answer for a former life of a member, which has the same name, meets no
+// TestAnswerForAnotherIncarnationIsIgnored keeps that an answer for a former life of a member, which has the same name, meets no
 // command of the present one. Planted: both lives begin at the same tag.
-func TestAnswerForAnotherLife(t *testing.T) {
+func TestAnswerForAnotherIncarnationIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	life := func() *Server {
 		s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"}, Limits: settings.Limits{DiskMb: 16}}
@@ -161,18 +161,18 @@
 	// answered reports whether the present life's read is answered by one of the former life.
 	answered := func(sameTags bool) bool {
 		former := life()
-		first := former.nextTag
+		first := former.lastTag
 		former.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) {})
 		present := life()
 		if present.register.Self().ID != former.register.Self().ID {
 			t.Fatal("the member has another name in its next life")
 		}
 		if sameTags {
-			present.nextTag = first
+			present.lastTag = first
 		}
 		taken := false
 		present.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) { taken = true })
-		present.answerRead(chain.Read{Origin: present.register.Self().ID, Tag: former.nextTag})
+		present.completeRead(chain.Read{Origin: present.register.Self().ID, Tag: former.lastTag})
 		return taken
 	}
 	if answered(false) {
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -51,13 +51,13 @@
 	{"avoid-last", "a task may go back at once to the worker at which it failed", []edit{
 		{placementFile, "func (u *Unit) AvoidWorker(worker string) { u.avoid = worker }", "func (u *Unit) AvoidWorker(string) { u.avoid = \"\" }"}}},
 	{"thinning", "every figure of a worker's use is told", []edit{
-		{"internal/control/server/outbox.go", "if former, waits := o.uses[added.worker]; waits {", "if former, waits := o.uses[added.worker]; waits && former == 0 && o.first > former {"}}},
+		{"internal/control/server/outbox.go", "if former, waits := o.newestUsage[added.worker]; waits {", "if former, waits := o.newestUsage[added.worker]; waits && former == 0 && o.firstPosition > former {"}}},
 	{"writers", "every member of the chain has to sync before a commit", []edit{
 		{"coordination/view/view.go", "func copies(least, electors int) int { return max(least, electors-electors/2) }", "func copies(int, int) int { return 0 }"}}},
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
 		{"internal/dispatcher/intake.go", "\t\td.expectJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
-		{"internal/control/server/head.go", "s.logBytes > max(logLeast, logSnapshots*s.snapshotBytes) || s.freeSegments", "s.freeSegments"}}},
+		{"internal/control/server/head.go", "s.logBytes > max(minLogBytes, logToSnapshotRatio*s.snapshotBytes) || s.freeSegments", "s.freeSegments"}}},
 	{"sent-away", "a machine outside the chain lets dispatchers wait for half a second", []edit{
-		{dispatchers, "return !s.register.IsInitialMember() && s.register.View()", "return s.began.IsZero() && s.register.View()"}}},
+		{dispatchers, "return !s.register.IsInitialMember() && s.register.View()", "return s.startedAt.IsZero() && s.register.View()"}}},
 }
