--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -11,70 +11,68 @@
 
 	"yardflow/coordination/chain"
 	"yardflow/coordination/segment"
+	"yardflow/internal/control/protocol"
 )
 
-// diskWrite is one thing to make durable; done is called by the engine afterwards.
+// diskRetryInterval is how long a rejected write, or opening the disk, waits until it is retried.
+const diskRetryInterval = 200 * time.Millisecond
+
+// Limits beyond which a disk counts as unhealthy: the chain had better do without this member.
+const (
+	// stallTimeout is how long one batch may take while it is being written.
+	stallTimeout = 400 * time.Millisecond
+	// slowBatchThreshold is how long a finished batch without a snapshot may have taken. A healthy disk takes a tenth of
+	// that.
+	slowBatchThreshold = 200 * time.Millisecond
+	// slowDiskQuarantine is how long a disk counts as unhealthy after a slow batch; probes show whether it is still slow.
+	slowDiskQuarantine = 2 * time.Second
+)
+
+// diskWrite is one thing to make durable: log entries, metadata or a snapshot.
 type diskWrite struct {
 	entries     []chain.Entry
-	commitIndex uint64 // up to where entries are known to be committed
+	commitIndex uint64 // up to where entries were known to be committed
 	metadata    []byte
 	snapshot    *segment.Snapshot
-	replacesLog bool // the snapshot comes from elsewhere: the log before it is void
-	onDurable   func()
+	replacesLog bool   // the snapshot comes from another member: the log before it is void
+	onDurable   func() // called by the engine once the write is synced; nil: nobody waits for it
 }
 
-// diskRetryInterval is how long a refused write waits until it is tried again.
-const diskRetryInterval = 200 * time.Millisecond
-
-// disk owns the store: one goroutine carries out what waits, with one sync for all of it.
+// disk owns the store. One goroutine, which newDisk starts and close ends, takes all writes that wait as one batch, with
+// one sync of the log for all of them.
 type disk struct {
-	store  *segment.Store
-	logger zerolog.Logger
-	onDone func(jobs []diskWrite, freeSegments int) // hands finished jobs to the engine
-	// onRejected is called when the disk begins to refuse writes.
-	onRejected func()
-
-	mu             sync.Mutex
-	queue          []diskWrite
-	wake           chan struct{}
-	stopped        chan struct{}
-	closeOnce      sync.Once
-	batchStartedAt atomic.Int64 // since when the present batch has been written, ns on the steady clock; 0: idle
-	openedAt       time.Time
-	rejects        atomic.Bool  // the last write was refused
-	lastSlowAt     atomic.Int64 // when a batch last took long, ns on the steady clock; 0: never
-}
-
-// Bounds of a disk that others had better do without.
-const (
-	stallTimeout       = 400 * time.Millisecond // for one batch
-	slowBatchThreshold = 200 * time.Millisecond // a sound disk takes a tenth of that
-	slowDiskQuarantine = 2 * time.Second        // after a slow batch; probes show whether it goes on
-)
-
-// isUnhealthy reports whether the disk refuses writes, hangs or is slow.
-func (d *disk) isUnhealthy() bool {
-	if d.rejects.Load() || d.stalledFor() > stallTimeout {
-		return true
-	}
-	at := d.lastSlowAt.Load()
-	return at > 0 && time.Since(d.openedAt)-time.Duration(at) < slowDiskQuarantine
+	store      *segment.Store
+	logger     zerolog.Logger
+	onDone     func(writes []diskWrite, freeSegments int) // hands writes that are durable to the engine
+	onRejected func()                                     // called when the disk begins to reject writes
+
+	mu        sync.Mutex
+	queue     []diskWrite
+	wake      chan struct{}
+	stopped   chan struct{}
+	closeOnce sync.Once
+
+	openedAt       time.Time    // zero of the times below
+	batchStartedAt atomic.Int64 // when the batch that is being written was begun, ns; 0: the disk is idle
+	lastSlowAt     atomic.Int64 // when a batch was last found slow, ns; 0: never
+	rejects        atomic.Bool  // the last write was rejected
 }
 
-// close ends the disk's goroutine once it has carried out what it is at.
-func (d *disk) close() { d.closeOnce.Do(func() { close(d.stopped) }) }
-
-func (d *disk) isIdle() bool { return d.batchStartedAt.Load() == 0 }
-
-func newDisk(store *segment.Store, logger zerolog.Logger, finish func([]diskWrite, int), troubled func()) *disk {
-	d := &disk{store: store, logger: logger, onDone: finish, onRejected: troubled, wake: make(chan struct{}, 1), stopped: make(chan struct{}), openedAt: time.Now()}
+// newDisk returns a disk whose goroutine runs until close.
+func newDisk(store *segment.Store, logger zerolog.Logger, onDone func([]diskWrite, int), onRejected func()) *disk {
+	d := &disk{store: store, logger: logger, onDone: onDone, onRejected: onRejected, wake: make(chan struct{}, 1),
+		stopped: make(chan struct{}), openedAt: time.Now()}
 	go d.run()
 	return d
 }
 
-func (d *disk) enqueue(job diskWrite) {
+// close lets the disk's goroutine end once the write that it is at is done; what waits is lost. It may be called again.
+func (d *disk) close() { d.closeOnce.Do(func() { close(d.stopped) }) }
+
+// enqueue adds a write to the next batch.
+func (d *disk) enqueue(write diskWrite) {
 	d.mu.Lock()
-	d.queue = append(d.queue, job)
+	d.queue = append(d.queue, write)
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -82,15 +80,30 @@
 	}
 }
 
-// stalledFor returns how long the disk has made no progress with what it was given.
+// isUnhealthy reports whether the disk rejects writes, hangs or is slow.
+func (d *disk) isUnhealthy() bool {
+	if d.rejects.Load() || d.stalledFor() > stallTimeout {
+		return true
+	}
+	slowAt := d.lastSlowAt.Load()
+	return slowAt > 0 && time.Since(d.openedAt)-time.Duration(slowAt) < slowDiskQuarantine
+}
+
+func (d *disk) isIdle() bool { return d.batchStartedAt.Load() == 0 }
+
+// stalledFor returns how long the present batch has been written; 0: the disk is idle.
 func (d *disk) stalledFor() time.Duration {
-	since := d.batchStartedAt.Load()
-	if since == 0 {
+	startedAt := d.batchStartedAt.Load()
+	if startedAt == 0 {
 		return 0
 	}
-	return time.Since(d.openedAt) - time.Duration(since)
+	return time.Since(d.openedAt) - time.Duration(startedAt)
 }
 
+// clock returns the time since the disk was opened, plus 1 ns: it is never 0, which stands for "never".
+func (d *disk) clock() int64 { return int64(time.Since(d.openedAt)) + 1 }
+
+// run writes batches until the disk is closed.
 func (d *disk) run() {
 	for {
 		select {
@@ -98,70 +111,80 @@
 		case <-d.stopped:
 			return
 		}
-		d.mu.Lock()
-		batch := d.queue
-		d.queue = nil
-		d.mu.Unlock()
-		if len(batch) == 0 {
-			continue
-		}
-		d.batchStartedAt.Store(int64(time.Since(d.openedAt)) + 1)
-		d.writeBatch(batch)
-		if d.stalledFor() > slowBatchThreshold && !hasSnapshot(batch) {
-			d.lastSlowAt.Store(int64(time.Since(d.openedAt)) + 1)
+		if batch := d.takeBatch(); len(batch) > 0 {
+			d.writeTimed(batch)
+			d.onDone(batch, d.store.FreeSegments())
 		}
-		d.batchStartedAt.Store(0)
-		d.onDone(batch, d.store.FreeSegments())
 	}
 }
 
+func (d *disk) takeBatch() []diskWrite {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	batch := d.queue
+	d.queue = nil
+	return batch
+}
+
+// writeTimed writes a batch and notes whether that was slow. A batch with a snapshot may take long at a healthy disk.
+func (d *disk) writeTimed(batch []diskWrite) {
+	d.batchStartedAt.Store(d.clock())
+	d.writeBatch(batch)
+	if d.stalledFor() > slowBatchThreshold && !hasSnapshot(batch) {
+		d.lastSlowAt.Store(d.clock())
+	}
+	d.batchStartedAt.Store(0)
+}
+
 func hasSnapshot(batch []diskWrite) bool {
-	return slices.ContainsFunc(batch, func(job diskWrite) bool { return job.snapshot != nil })
+	return slices.ContainsFunc(batch, func(write diskWrite) bool { return write.snapshot != nil })
 }
 
+// writeBatch writes entries and snapshots in their order, and then the newest metadata: that has what all before it have.
 func (d *disk) writeBatch(batch []diskWrite) {
-	var entries []segment.Record
-	for _, job := range batch {
-		for _, entry := range job.entries {
-			entries = append(entries, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
-				CommitIndex: job.commitIndex, Data: entry.Data})
+	var records []segment.Record
+	for _, write := range batch {
+		for _, entry := range write.entries {
+			records = append(records, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
+				CommitIndex: write.commitIndex, Data: entry.Data})
 		}
-		if job.snapshot == nil {
-			continue
-		}
-		d.appendLog(entries)
-		entries = nil
-		snapshot := *job.snapshot
-		if job.replacesLog {
-			d.retryUntilWritten("snapshot", func() error { return d.store.InstallSnapshot(snapshot) })
-		} else {
-			d.retryUntilWritten("snapshot", func() error { return d.store.SaveSnapshot(snapshot) })
+		if write.snapshot != nil {
+			d.appendLog(records)
+			records = nil
+			d.writeSnapshot(*write.snapshot, write.replacesLog)
 		}
 	}
-	d.appendLog(entries)
+	d.appendLog(records)
 	for i := len(batch) - 1; i >= 0; i-- {
-		if batch[i].metadata != nil { // the newest holds what all before it hold
-			meta := batch[i].metadata
-			d.retryUntilWritten("metadata", func() error { return d.store.SaveMetadata(meta) })
+		if metadata := batch[i].metadata; metadata != nil {
+			d.retryUntilWritten("metadata", func() error { return d.store.SaveMetadata(metadata) })
 			break
 		}
 	}
 }
 
-func (d *disk) appendLog(entries []segment.Record) {
-	if len(entries) == 0 {
+func (d *disk) writeSnapshot(snapshot segment.Snapshot, replacesLog bool) {
+	save := d.store.SaveSnapshot
+	if replacesLog {
+		save = d.store.InstallSnapshot
+	}
+	d.retryUntilWritten("snapshot", func() error { return save(snapshot) })
+}
+
+func (d *disk) appendLog(records []segment.Record) {
+	if len(records) == 0 {
 		return
 	}
 	d.retryUntilWritten("log", func() error {
-		if err := d.store.Append(entries); err != nil {
+		if err := d.store.Append(records); err != nil {
 			return errors.Trace(err)
 		}
 		return errors.Trace(d.store.Sync())
 	})
 }
 
-// retryUntilWritten repeats what the disk refuses until it does it: a full or failing disk keeps this member
-// out of the chain, and nothing is acknowledged meanwhile.
+// retryUntilWritten retries a write until the disk takes it, or is closed: a full or failing disk keeps this member out
+// of the chain, and nothing is acknowledged meanwhile.
 func (d *disk) retryUntilWritten(what string, write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
@@ -182,3 +205,22 @@
 		}
 	}
 }
+
+// writesDone takes in that writes are durable. It is called by the disk's goroutine.
+func (s *Server) writesDone(writes []diskWrite, freeSegments int) {
+	s.do(func() {
+		s.snapshots.freeSegments = freeSegments
+		for _, write := range writes {
+			if write.onDurable != nil {
+				write.onDurable()
+			}
+		}
+	})
+}
+
+// probeDisk writes to an unhealthy disk that is idle, to see whether it still is slow.
+func (s *Server) probeDisk() {
+	if s.disk.isUnhealthy() && s.disk.isIdle() {
+		s.disk.enqueue(diskWrite{metadata: protocol.Encode(s.membership.consensus.HardState())})
+	}
+}
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -5,306 +5,229 @@
 	"os"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
 	"yardflow/coordination/frame"
-	"yardflow/coordination/view"
 	"yardflow/internal/control/protocol"
 	"yardflow/internal/control/statemachine"
 )
 
-// Spans of connections with dispatchers.
+// Limits of connections from dispatchers.
 const (
-	dispatcherTimeout        = 650 * time.Millisecond // heartbeats come every 250 ms
-	attachTimeout            = 500 * time.Millisecond // for this replica to serve, which takes less after a change of view
-	dispatcherHeartbeatTicks = 2                      // of tickInterval, between heartbeats to dispatchers
+	// dispatcherTimeout is how long a dispatcher may be silent before its connection is closed. It sends a heartbeat
+	// every 250 ms.
+	dispatcherTimeout = 650 * time.Millisecond
+	// attachTimeout is how long a dispatcher waits for this replica to serve before it is redirected to another control
+	// machine. After a change of view the replica serves sooner than that.
+	attachTimeout = 500 * time.Millisecond
+	// dispatcherHeartbeatTicks is how many ticks a dispatcher may go without a message before it is sent a heartbeat.
+	dispatcherHeartbeatTicks = 2
 )
 
-// dispatcher is a connected dispatcher. It belongs to the engine.
+// dispatcher is a connection from a dispatcher. It is made with the connection, attached by the dispatcher's session
+// request, and removed when the connection ends. It belongs to the engine.
 type dispatcher struct {
 	conn        *frame.Conn
 	request     protocol.SessionRequest
-	session     statemachine.SessionID
-	snapshotDue bool  // its session is open, and the snapshot is due
-	ackedConfig int64 // version that it has acknowledged
+	session     statemachine.SessionID // 0: none is open yet
+	snapshotDue bool                   // the session is open, and the snapshot that it begins with was not sent yet
+	ackedConfig int64                  // newest version of the configuration that the dispatcher has acknowledged
 	outbox      outbox
 	outcomes    []protocol.Outcome // of commands that were just applied; they follow the updates of the same commands
-	idleTicks   int
+	idleTicks   int                // since it was last sent something
 }
 
+// dispatcherTable knows the dispatchers that are connected to this machine. It belongs to the engine.
+type dispatcherTable struct {
+	attached  map[*dispatcher]bool
+	bySession map[statemachine.SessionID]*dispatcher
+	waiting   map[*dispatcher]time.Duration // connected while this replica did not serve: since when
+}
+
+func newDispatcherTable() *dispatcherTable {
+	return &dispatcherTable{
+		attached:  map[*dispatcher]bool{},
+		bySession: map[statemachine.SessionID]*dispatcher{},
+		waiting:   map[*dispatcher]time.Duration{},
+	}
+}
+
+// sessions returns the sessions of the dispatchers that are connected here, in no order.
+func (t *dispatcherTable) sessions() []statemachine.SessionID {
+	ids := []statemachine.SessionID{}
+	for id := range t.bySession {
+		ids = append(ids, id)
+	}
+	return ids
+}
+
+// attach enters a dispatcher whose session is about to be opened.
+func (t *dispatcherTable) attach(d *dispatcher) {
+	delete(t.waiting, d)
+	t.attached[d] = true
+}
+
+// owns reports whether a dispatcher is attached and its session was not resumed over another connection.
+func (t *dispatcherTable) owns(d *dispatcher) bool {
+	return t.attached[d] && t.bySession[d.session] == d
+}
+
+// remove forgets a dispatcher, and reports whether it was attached.
+func (t *dispatcherTable) remove(d *dispatcher) bool {
+	delete(t.waiting, d)
+	if !t.attached[d] {
+		return false
+	}
+	delete(t.attached, d)
+	if t.bySession[d.session] == d {
+		delete(t.bySession, d.session)
+	}
+	return true
+}
+
+// acceptDispatcher serves a dispatcher's connection.
 func (s *Server) acceptDispatcher(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Upgrade(w, r)
 	if err != nil {
-		return
+		return // the caller was answered by Upgrade
 	}
 	go s.listenDispatcher(conn)
 }
 
+// listenDispatcher hands a dispatcher's messages to the engine until its connection ends, by whichever side, or it is
+// silent for dispatcherTimeout. It owns the connection's end.
 func (s *Server) listenDispatcher(conn *frame.Conn) {
 	d := &dispatcher{conn: conn}
-	broken := false
-	defer func() {
-		conn.Close()
-		s.do(func() {
-			if broken && s.dispatchers[d] && s.bySession[d.session] == d {
-				s.reportDisconnected(d.session)
-			}
-			s.removeDispatcher(d)
-		})
-	}()
+	err := s.receiveDispatcher(d)
+	conn.Close()
+	// An end that the dispatcher's machine has announced mostly means that the process has ended; silence does not.
+	disconnected := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+	s.do(func() {
+		if disconnected && s.dispatchers.owns(d) {
+			s.reportDisconnected(d.session)
+		}
+		s.removeDispatcher(d)
+	})
+}
+
+// receiveDispatcher hands messages to the engine. It returns the connection's error, and nil for a message that can't be
+// read.
+func (s *Server) receiveDispatcher(d *dispatcher) error {
 	for {
-		data, err := conn.Receive(dispatcherTimeout)
+		data, err := d.conn.Receive(dispatcherTimeout)
 		if err != nil {
-			broken = !errors.Is(err, os.ErrDeadlineExceeded)
-			return
+			return errors.Trace(err)
 		}
-		up := &protocol.DispatcherMessage{}
-		if !protocol.Decode(data, up) {
-			return
+		message := &protocol.DispatcherMessage{}
+		if !protocol.Decode(data, message) {
+			return nil
 		}
-		s.do(func() { s.receiveFromDispatcher(d, up) })
+		s.do(func() { s.receiveFromDispatcher(d, message) })
 	}
 }
 
-// reportDisconnected tells the head that a dispatcher's connection has ended. An end that its machine has
-// told mostly means that the process is gone.
+// reportDisconnected notifies the head, which is any of the peers, that a dispatcher's connection has ended.
 func (s *Server) reportDisconnected(id statemachine.SessionID) {
-	s.disconnectedAt[id] = s.now()
-	s.peers.broadcast(protocol.Encode(&protocol.PeerMessage{DisconnectedSessions: []statemachine.SessionID{id}}))
+	ids := []statemachine.SessionID{id}
+	s.sessions.disconnected(s.now(), ids)
+	s.peers.broadcast(protocol.Encode(&protocol.PeerMessage{DisconnectedSessions: ids}))
 }
 
-func (s *Server) receiveFromDispatcher(d *dispatcher, up *protocol.DispatcherMessage) {
-	if up.SessionRequest != nil {
-		s.attach(d, up.SessionRequest)
+// receiveFromDispatcher takes in a dispatcher's message. Commands of a dispatcher that is not attached are dropped: it
+// submits them again once it is.
+func (s *Server) receiveFromDispatcher(d *dispatcher, message *protocol.DispatcherMessage) {
+	if message.SessionRequest != nil {
+		s.attach(d, message.SessionRequest)
 	}
-	if up.ShuttingDown && d.session != 0 {
-		s.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}}, func(statemachine.Result) {})
+	if message.ShuttingDown && d.session != 0 {
+		s.commands.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}}, func(statemachine.Result) {})
 	}
-	if !s.dispatchers[d] {
+	if !s.dispatchers.attached[d] {
 		return
 	}
-	d.ackedConfig = max(d.ackedConfig, up.ConfigVersion)
-	d.outbox.acknowledge(up.ReceivedBytes)
-	for i := range up.Commands {
-		s.receiveCommand(d, &up.Commands[i])
+	d.ackedConfig = max(d.ackedConfig, message.ConfigVersion)
+	d.outbox.acknowledge(message.ReceivedBytes)
+	for i := range message.Commands {
+		s.receiveCommand(d, &message.Commands[i])
+	}
+}
+
+// receiveCommand submits a dispatcher's command; its outcome goes back under the dispatcher's own tag.
+func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.TaggedCommand) {
+	tag := tagged.Tag
+	command := &statemachine.Command{}
+	if !protocol.Decode(tagged.Command, command) {
+		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tag, Result: statemachine.Result{Code: statemachine.Invalid}})
+		return
 	}
+	s.commands.submitFor(d, command, tagged.Command, func(result statemachine.Result) {
+		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tag, Result: result})
+	})
 }
 
-func (s *Server) attach(d *dispatcher, hello *protocol.SessionRequest) {
-	d.request = *hello
-	d.outbox.acknowledges = hello.AcknowledgesBytes
+// attach opens a dispatcher's session, or lets the dispatcher wait until this replica serves, or redirects it to another
+// control machine.
+func (s *Server) attach(d *dispatcher, request *protocol.SessionRequest) {
+	d.request = *request
+	d.outbox.acknowledges = request.AcknowledgesBytes
 	switch {
-	case s.isOutsideChain():
+	case s.membership.isOutsideChain():
 		s.redirect(d)
-		return
 	case !s.canServe():
-		s.waiting[d] = s.now()
-		return
+		s.dispatchers.waiting[d] = s.now()
+	default:
+		s.dispatchers.attach(d)
+		s.openSession(d, s.state.fsm.LatestSession(request.Node))
 	}
-	delete(s.waiting, d)
-	s.dispatchers[d] = true
-	s.openSession(d, s.cluster.LatestSession(hello.Node))
 }
 
-// openSession opens a dispatcher's session behind the newest one that its node has had.
-func (s *Server) openSession(d *dispatcher, behind statemachine.SessionID) {
-	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: d.request.Node, Zone: d.request.Zone, Incarnation: d.request.Incarnation,
-		ExpectedLatest: behind}}
-	s.submitFor(d, open, protocol.Encode(open), func(result statemachine.Result) {
+// openSession opens a dispatcher's session, where the latest one of its node is still the expected one.
+func (s *Server) openSession(d *dispatcher, expectedLatest statemachine.SessionID) {
+	request := &d.request
+	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: request.Node, Zone: request.Zone,
+		Incarnation: request.Incarnation, ExpectedLatest: expectedLatest}}
+	s.commands.submitFor(d, open, protocol.Encode(open), func(result statemachine.Result) {
 		switch {
-		case !s.dispatchers[d]:
+		case !s.dispatchers.attached[d]:
 		case result.Code == statemachine.Conflict:
-			s.openSession(d, result.Session) // there was a newer one, which this replica had not applied
+			s.openSession(d, result.Session) // there was a later one, which this replica had not applied
 		default:
 			d.session, d.snapshotDue = result.Session, true
-			s.bySession[d.session] = d
+			s.dispatchers.bySession[d.session] = d
 		}
 	})
 }
 
-// attachWaiting serves those who came too early, and sends those away who have waited for long.
+// attachWaiting attaches the dispatchers that connected before this replica served, and redirects those that it makes
+// wait for too long.
 func (s *Server) attachWaiting() {
-	for d, since := range s.waiting {
+	for d, since := range s.dispatchers.waiting {
 		switch {
 		case s.canServe():
 			s.attach(d, &d.request)
-		case s.isOutsideChain() || s.now()-since > attachTimeout:
+		case s.membership.isOutsideChain() || s.now()-since > attachTimeout:
 			s.redirect(d)
 		}
 	}
 }
 
-// redirect tells a dispatcher to try another control machine.
+// redirect asks a dispatcher to try another control machine.
 func (s *Server) redirect(d *dispatcher) {
-	delete(s.waiting, d)
-	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.serviceAddresses()}))
-}
-
-// isOutsideChain reports whether the newest view known here has this machine not in its chain, so that no dispatcher can be
-// served before another view. One that has its place, but has no part in the view since it was started, is not outside:
-// a view may follow at once.
-func (s *Server) isOutsideChain() bool {
-	return !s.register.IsInitialMember() && s.register.View().ChainPosition(s.register.Self().ID) < 0
-}
-
-func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.TaggedCommand) {
-	command := &statemachine.Command{}
-	if !protocol.Decode(tagged.Command, command) {
-		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tagged.Tag, Result: statemachine.Result{Code: statemachine.Invalid}})
-		return
-	}
-	tag := tagged.Tag
-	s.submitFor(d, command, tagged.Command, func(result statemachine.Result) {
-		d.outcomes = append(d.outcomes, protocol.Outcome{Tag: tag, Result: result})
-	})
+	delete(s.dispatchers.waiting, d)
+	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.membership.serviceAddresses()}))
 }
 
+// removeDispatcher forgets a dispatcher whose connection has ended, and its commands.
 func (s *Server) removeDispatcher(d *dispatcher) {
-	delete(s.waiting, d)
-	if !s.dispatchers[d] {
-		return
-	}
-	delete(s.dispatchers, d)
-	s.forgetIssuer(d)
-	if s.bySession[d.session] == d {
-		delete(s.bySession, d.session)
+	if s.dispatchers.remove(d) {
+		s.commands.forgetIssuer(d)
 	}
 }
 
-// dropDispatchers ends all connections to dispatchers: they look for a control machine in touch.
-func (s *Server) dropDispatchers() {
-	for d := range s.dispatchers {
+// disconnectDispatchers closes all connections to dispatchers: they look for a control machine that serves.
+func (s *Server) disconnectDispatchers() {
+	for d := range s.dispatchers.attached {
 		d.conn.Close()
 		s.removeDispatcher(d)
 	}
 }
-
-// serviceAddresses returns the addresses at which dispatchers are served: those of the chain, and before the first view those
-// of the electors.
-func (s *Server) serviceAddresses() []string {
-	v := s.register.View()
-	members := v.Chain
-	if len(members) == 0 {
-		members = v.Electors
-	}
-	return addressesOf(members)
-}
-
-func addressesOf(members []view.Member) []string {
-	addresses := make([]string, len(members))
-	for i, member := range members {
-		addresses[i] = member.Address
-	}
-	return addresses
-}
-
-func (s *Server) connectedSessions() []statemachine.SessionID {
-	ids := []statemachine.SessionID{}
-	for id := range s.bySession {
-		ids = append(ids, id)
-	}
-	return ids
-}
-
-// deliver sends updates to those whom they concern, then outcomes.
-func (s *Server) deliver() {
-	s.attachWaiting()
-	s.enqueueUpdates()
-	var shared sharedSnapshot
-	for d := range s.dispatchers {
-		if d.snapshotDue {
-			s.sendSnapshot(d, &shared)
-		}
-		for _, outcome := range d.outcomes {
-			d.outbox.addOutcome(outcome)
-		}
-		d.outcomes = nil
-		for down, due := d.outbox.next(); due; down, due = d.outbox.next() {
-			s.send(d, down)
-		}
-		if d.outbox.overflows() {
-			d.conn.Close() // it attaches again, and a snapshot stands for all that waits
-		}
-	}
-}
-
-func (s *Server) send(d *dispatcher, down protocol.ControlMessage) {
-	message := protocol.Encode(down)
-	d.conn.Send(message)
-	d.outbox.sent(len(message))
-	d.idleTicks = 0
-}
-
-func (s *Server) enqueueUpdates() {
-	for _, addressed := range s.updates {
-		if addressed.To != 0 {
-			if d := s.bySession[addressed.To]; d != nil && !d.snapshotDue {
-				d.outbox.addUpdate(&addressed.Update, protocol.Encode(addressed.Update))
-			}
-			continue
-		}
-		if len(s.bySession) == 0 {
-			continue
-		}
-		encoded := protocol.CompressUpdates([]cbor.RawMessage{protocol.Encode(addressed.Update)})
-		for d := range s.dispatchers {
-			if d.session != 0 && !d.snapshotDue {
-				d.outbox.addUpdate(&addressed.Update, encoded)
-			}
-		}
-	}
-	s.updates = nil
-}
-
-// sharedSnapshot keeps the parts of snapshots that are the same for all dispatchers that come at once, as
-// after a change of view.
-type sharedSnapshot struct {
-	state  cbor.RawMessage
-	config cbor.RawMessage
-}
-
-// sendSnapshot tells a dispatcher whose session is open the whole state that concerns it.
-func (s *Server) sendSnapshot(d *dispatcher, shared *sharedSnapshot) {
-	if shared.state == nil {
-		shared.state = protocol.CompressUpdates(encodeAll(s.cluster.SharedSnapshot()))
-	}
-	d.snapshotDue = false
-	updates := append(s.configUpdatesFor(d, shared), shared.state)
-	if own := s.cluster.SessionSnapshot(d.session); len(own) > 0 {
-		updates = append(updates, protocol.CompressUpdates(encodeAll(own)))
-	}
-	s.send(d, protocol.ControlMessage{Session: d.session, ControlAddresses: s.serviceAddresses(), Updates: updates})
-}
-
-// configUpdatesFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
-// changes since, or the whole.
-func (s *Server) configUpdatesFor(d *dispatcher, shared *sharedSnapshot) []cbor.RawMessage {
-	whole := s.cluster.FullConfig()
-	if whole == nil || d.request.ConfigVersion == whole.Version {
-		return nil
-	}
-	if since := s.configHistory.since(d.request.ConfigVersion); since != nil {
-		return []cbor.RawMessage{protocol.CompressUpdates(encodeAll(since))}
-	}
-	if shared.config == nil {
-		shared.config = protocol.CompressUpdates(encodeAll([]statemachine.Update{{Config: whole}}))
-	}
-	return []cbor.RawMessage{shared.config}
-}
-
-func encodeAll(updates []statemachine.Update) []cbor.RawMessage {
-	encoded := make([]cbor.RawMessage, len(updates))
-	for i := range updates {
-		encoded[i] = protocol.Encode(updates[i])
-	}
-	return encoded
-}
-
-func (s *Server) sendIdleHeartbeats() {
-	for d := range s.dispatchers {
-		if d.idleTicks++; d.idleTicks >= dispatcherHeartbeatTicks {
-			s.send(d, protocol.ControlMessage{ControlAddresses: s.serviceAddresses()})
-		}
-	}
-}
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -5,20 +5,21 @@
 	"time"
 
 	"yardflow/coordination/frame"
+	"yardflow/coordination/view"
 	"yardflow/internal/control/protocol"
 )
 
-// Spans of heartbeats.
+// Limits of repeated heartbeats.
 const (
-	// heartbeatOverdue is how old the engine's last heartbeat is when another goroutine repeats it.
+	// heartbeatOverdue is how old the engine's last heartbeat is when it is repeated on the engine's behalf.
 	heartbeatOverdue = tickInterval * 3 / 2
-	// maxHeartbeatAge is how long heartbeats go on without the engine: longer than it takes to apply a log
-	// that was fetched, short enough that an engine that is stuck counts as silent.
+	// maxHeartbeatAge is for how long heartbeats are repeated without the engine: longer than it takes to apply a log
+	// that was caught up with, short enough that an engine that is stuck is taken for dead.
 	maxHeartbeatAge = 2 * time.Second
 )
 
-// heartbeat is what the engine last told its peers and dispatchers.
-type heartbeat struct {
+// sentHeartbeat is the engine's last heartbeat and the connections that it went to.
+type sentHeartbeat struct {
 	sentAt      time.Duration
 	peerMessage []byte
 	peers       []sender
@@ -28,56 +29,58 @@
 // sender is a connection to which heartbeats go.
 type sender interface{ Send(message []byte) bool }
 
-// heartbeatRepeater repeats the engine's last heartbeat while the engine is busy with a long piece of work, such as
-// a snapshot or a log that was fetched: a member at work isn't taken for one that is gone.
+var _ sender = (*frame.Conn)(nil)
+
+// heartbeatRepeater repeats the engine's last heartbeat while the engine is busy with a long piece of work, such as a
+// snapshot or a log that it catches up with: a busy member must not be taken for a dead one.
 type heartbeatRepeater struct {
-	last              atomic.Pointer[heartbeat]
-	dispatcherMessage []byte // for dispatchers
+	last              atomic.Pointer[sentHeartbeat]
+	dispatcherMessage []byte
 }
 
 func newHeartbeatRepeater() *heartbeatRepeater {
 	return &heartbeatRepeater{dispatcherMessage: protocol.Encode(protocol.ControlMessage{})}
 }
 
-// repeatIfOverdue sends the last heartbeat again where the next one is late, and reports whether it did.
-func (h *heartbeatRepeater) repeatIfOverdue(now time.Duration) bool {
-	last := h.last.Load()
-	if last == nil || now-last.sentAt < heartbeatOverdue || now-last.sentAt > maxHeartbeatAge {
-		return false
-	}
-	for _, peer := range last.peers {
-		peer.Send(last.peerMessage)
-	}
-	for _, dispatcher := range last.dispatchers {
-		dispatcher.Send(h.dispatcherMessage)
-	}
-	return true
-}
-
-// run repeats late heartbeats until the server has ended.
-func (h *heartbeatRepeater) run(now func() time.Duration, ended <-chan struct{}) {
+// run repeats overdue heartbeats until the server has ended.
+func (r *heartbeatRepeater) run(now func() time.Duration, ended <-chan struct{}) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			h.repeatIfOverdue(now())
+			r.repeatIfOverdue(now())
 		case <-ended:
 			return
 		}
 	}
 }
 
-// sendHeartbeat sends a heartbeat to all peers, and keeps it for the time that the engine is busy.
+// repeatIfOverdue sends the last heartbeat again where the next one is overdue, and reports whether it did.
+func (r *heartbeatRepeater) repeatIfOverdue(now time.Duration) bool {
+	last := r.last.Load()
+	if last == nil || now-last.sentAt < heartbeatOverdue || now-last.sentAt > maxHeartbeatAge {
+		return false
+	}
+	for _, peer := range last.peers {
+		peer.Send(last.peerMessage)
+	}
+	for _, dispatcher := range last.dispatchers {
+		dispatcher.Send(r.dispatcherMessage)
+	}
+	return true
+}
+
+// sendHeartbeat sends a heartbeat to all peers, and leaves it with the repeater for as long as the engine is busy.
 func (s *Server) sendHeartbeat() {
-	next := &heartbeat{sentAt: s.now(), peerMessage: protocol.Encode(s.heartbeatMessage())}
+	next := &sentHeartbeat{sentAt: s.now(), peerMessage: protocol.Encode(s.heartbeatMessage())}
 	s.peers.broadcast(next.peerMessage)
 	for _, other := range s.peers.byAddress {
 		if other.conn != nil {
 			next.peers = append(next.peers, other.conn)
 		}
 	}
-	for d := range s.dispatchers {
+	for d := range s.dispatchers.attached {
 		if d.session != 0 && !d.snapshotDue {
 			next.dispatchers = append(next.dispatchers, d.conn)
 		}
@@ -85,4 +88,10 @@
 	s.heartbeats.last.Store(next)
 }
 
-var _ sender = (*frame.Conn)(nil)
+// heartbeatMessage returns what peers learn of this machine by each heartbeat.
+func (s *Server) heartbeatMessage() *protocol.PeerMessage {
+	m := &s.membership
+	return &protocol.PeerMessage{ConnectedSessions: s.dispatchers.sessions(), Heartbeat: &view.Heartbeat{
+		From: m.self(), Epoch: m.view().Epoch, InitialMember: m.consensus.IsInitialMember(), Unhealthy: s.isUnhealthy(),
+		Restarted: m.hasRestartedInView(), LastIndex: s.replica.LastIndex(), HeardFrom: m.detector.HeardFrom(s.now()), Leaving: m.leaving}}
+}
--- a/internal/control/server/heartbeat_test.go
+++ b/internal/control/server/heartbeat_test.go
@@ -16,7 +16,7 @@
 	if beats.repeatIfOverdue(time.Second) {
 		t.Error("a heartbeat before the first one")
 	}
-	beats.last.Store(&heartbeat{sentAt: time.Second, peerMessage: []byte("ping"), peers: []sender{&peer}, dispatchers: []sender{&dispatcher}})
+	beats.last.Store(&sentHeartbeat{sentAt: time.Second, peerMessage: []byte("ping"), peers: []sender{&peer}, dispatchers: []sender{&dispatcher}})
 	for _, step := range []struct {
 		after time.Duration
 		want  bool
--- a/internal/control/server/leave.go
+++ b/internal/control/server/leave.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// Spans of a stop in order.
+// Intervals of an orderly stop.
 const (
-	leavePollInterval   = 20 * time.Millisecond
-	leaveGraceMargin    = 2 * time.Second // of the time until SIGKILL, for open calls to end
-	defaultLeaveTimeout = 4 * time.Second // where the settings don't tell that time
+	leavePollInterval = 20 * time.Millisecond
+	// leaveGraceMargin is what is left of the time between SIGTERM and SIGKILL (settings key Bounds.GraceS) for open
+	// requests to end.
+	leaveGraceMargin = 2 * time.Second
+	// defaultLeaveTimeout serves where the settings don't name that time, or no more than the margin.
+	defaultLeaveTimeout = 4 * time.Second
 )
 
-// LeaveChain hands this member's place over before the process stops: the others agree on a chain without it, and on
-// a newcomer in its place where one waits. A member without which the chain is too short stays until another one
-// has the whole log, or its time is over. It returns once the place is handed over, or can't be.
+// LeaveChain hands this member's chain position over before the process stops: the others agree on a chain without it,
+// and on a newcomer in its position where one waits. A member without which the chain is too short stays until another
+// one has the whole log, or its time is over. It returns once the position is handed over or can't be, and may be called
+// by any goroutine but the engine.
 func (s *Server) LeaveChain() {
 	s.do(func() {
-		s.leaving = true
-		s.detector.Leave()
+		s.membership.leaving = true
+		s.membership.detector.Leave()
 		s.sendHeartbeat()
 		s.proposeView()
 	})
 	deadline := time.NewTimer(s.leaveTimeout())
 	defer deadline.Stop()
-	check := time.NewTicker(leavePollInterval)
-	defer check.Stop()
+	poll := time.NewTicker(leavePollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case <-check.C:
+		case <-poll.C:
 			if s.hasLeftChain() {
 				s.logger.Info().Msg("place in the chain handed over")
 				return
@@ -47,7 +51,7 @@
 	return grace - leaveGraceMargin
 }
 
-// hasLeftChain reports whether the view in force is without this member in its chain.
+// hasLeftChain reports whether the view in force has this member not in its chain, or the engine has ended.
 func (s *Server) hasLeftChain() bool {
 	answer := make(chan bool, 1)
 	s.do(func() { answer <- !s.replica.IsMember() })
--- /dev/null
+++ b/internal/control/server/membership.go
@@ -0,0 +1,142 @@
+package server
+
+import (
+	"time"
+
+	"yardflow/coordination/chain"
+	"yardflow/coordination/view"
+)
+
+// membership is this machine's part in agreeing on views: which control machines are electors, and which of them form
+// the chain.
+type membership struct {
+	consensus       *view.Consensus
+	detector        *view.Detector
+	epochAtStart    uint64        // epoch of the view that the disk held when this incarnation began
+	leaving         bool          // this machine is to stop in order
+	viewInstalledAt time.Duration // when the view in force was installed; 0: none was in this incarnation
+}
+
+// self returns this machine as a member.
+func (m *membership) self() view.Member { return m.consensus.Self() }
+
+// view returns the view in force.
+func (m *membership) view() *view.View { return m.consensus.View() }
+
+// isOutsideChain reports whether the newest view known here has this machine not in its chain, so that no dispatcher can
+// be served before another view. One that has its position, but takes no part in the view since it was restarted, is not
+// outside: a view with it may follow at once. Nor is one that waits for the very first view.
+func (m *membership) isOutsideChain() bool {
+	return !m.consensus.IsInitialMember() && m.view().ChainPosition(m.self().ID) < 0
+}
+
+// hasRestartedInView reports whether this incarnation takes no part in the view in force though the former one did: what
+// it had promised its neighbours in the chain is lost, so it waits for another view.
+func (m *membership) hasRestartedInView() bool {
+	epoch := m.view().Epoch
+	return epoch > 0 && epoch == m.epochAtStart && m.view().ChainPosition(m.self().ID) >= 0
+}
+
+// hasQuorum reports whether this member and more than half of the electors hear each other.
+func (m *membership) hasQuorum(now time.Duration) bool {
+	return m.detector.HasQuorum(now, m.view())
+}
+
+// serviceAddresses returns the addresses at which dispatchers are served: those of the chain, and before the first view
+// those of the electors.
+func (m *membership) serviceAddresses() []string {
+	members := m.view().Chain
+	if len(members) == 0 {
+		members = m.view().Electors
+	}
+	return addressesOf(members)
+}
+
+func addressesOf(members []view.Member) []string {
+	addresses := make([]string, len(members))
+	for i, member := range members {
+		addresses[i] = member.Address
+	}
+	return addresses
+}
+
+// exclusionReason returns why a desired view leaves a member out of the chain. Beside members with a fault, which the
+// detector names, it leaves out one whose address a newcomer with an empty disk has taken over, and those that are to
+// stop in order.
+func (m *membership) exclusionReason(now time.Duration, desired *view.View, member view.Member) string {
+	if reason := m.detector.ExclusionReason(now, member.ID); reason != "" {
+		return reason
+	}
+	for _, elector := range desired.Electors {
+		if elector.Address == member.Address && elector.ID != member.ID {
+			return "replaced by a newcomer at its address"
+		}
+	}
+	return "stops in order"
+}
+
+// canServe reports whether this replica follows what is committed and is in touch with a quorum, so that what it answers
+// is up to date.
+func (s *Server) canServe() bool {
+	return s.replica.IsServing() && s.membership.hasQuorum(s.now())
+}
+
+// isMemberWithQuorum reports whether this replica is a member of the chain on the quorum's side of a network partition.
+// Commands may have to wait for a new member of the chain, but they come through.
+func (s *Server) isMemberWithQuorum() bool {
+	return s.replica.IsMember() && s.replica.Divergence() == nil && s.membership.hasQuorum(s.now())
+}
+
+// isUnhealthy reports whether the chain had better do without this member.
+func (s *Server) isUnhealthy() bool {
+	return s.disk.isUnhealthy() || s.snapshots.receivedUnreadable || s.replica.Divergence() != nil
+}
+
+// installView puts a view in force at this replica, and proposes all pending commands to its head. A view that another
+// one has replaced since it was agreed on is ignored.
+func (s *Server) installView(v view.View) {
+	if v.Epoch != s.membership.view().Epoch || v.Epoch <= s.replica.Epoch() {
+		return
+	}
+	members := make([]chain.MemberID, len(v.Chain))
+	names := make([]string, len(v.Chain))
+	for i, member := range v.Chain {
+		members[i], names[i] = member.ID, member.Node
+	}
+	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.ReplicationFactor).Msg("view")
+	s.membership.viewInstalledAt = s.now()
+	s.replica.SetView(chain.View{Epoch: v.Epoch, Members: members, WriterCount: v.ReplicationFactor})
+	s.peers.add(addressesOf(v.Chain))
+	s.peers.add(addressesOf(v.Electors))
+	s.commands.repropose(0)
+}
+
+// proposeView proposes another view where the detector desires one. Before the very first view it first names the
+// electors, once all seeds are heard.
+func (s *Server) proposeView() {
+	now := s.now()
+	m := &s.membership
+	if m.view().Epoch == 0 && m.consensus.IsInitialMember() {
+		if electors := m.detector.InitialElectors(now, s.settings.Seeds); electors != nil {
+			m.consensus.Bootstrap(electors)
+		}
+	}
+	if m.consensus.IsProposing() {
+		return
+	}
+	desired, expected := m.detector.DesiredView(now, m.view(), m.hasRestartedInView(), s.isUnhealthy(), s.replica.CommitIndex())
+	if desired == nil {
+		return
+	}
+	s.logExcluded(now, desired)
+	m.consensus.Propose(*desired, expected, s.settings.Tolerate.Machines+1)
+}
+
+// logExcluded logs which members a proposal leaves out of the chain, and why.
+func (s *Server) logExcluded(now time.Duration, desired *view.View) {
+	for _, member := range s.membership.view().Chain {
+		if desired.ChainPosition(member.ID) < 0 {
+			s.logger.Warn().Str("member", member.Node).Str("reason", s.membership.exclusionReason(now, desired, member)).Msg("member left out of the chain")
+		}
+	}
+}
--- a/internal/control/server/away_test.go
+++ b/internal/control/server/membership_test.go
@@ -17,12 +17,12 @@
 		v.Chain, v.Electors = append(v.Chain, other), append(v.Electors, other)
 	}
 	if member {
-		v.Chain = append(v.Chain, s.register.Self())
+		v.Chain = append(v.Chain, s.membership.self())
 	}
 	if elector {
-		v.Electors = append(v.Electors, s.register.Self())
+		v.Electors = append(v.Electors, s.membership.self())
 	}
-	s.register.Receive(1, &view.Message{Decided: &v})
+	s.membership.consensus.Receive(1, &view.Message{Decided: &v})
 	return s
 }
 
@@ -39,11 +39,11 @@
 		"a member of a chain, but no elector": {true, false, false},
 	} {
 		s := serverInView(t, c.member, c.elector)
-		if got := s.isOutsideChain(); got != c.away {
+		if got := s.membership.isOutsideChain(); got != c.away {
 			t.Errorf("%s: dispatchers are sent away: %v", name, got)
 		}
 		want := []string{"core-other:1", "core-other:2", "core-other:3"}
-		if told := s.serviceAddresses(); c.away && !slices.Equal(told, want) {
+		if told := s.membership.serviceAddresses(); c.away && !slices.Equal(told, want) {
 			t.Errorf("%s: they are told of %v", name, told)
 		}
 	}
@@ -52,11 +52,11 @@
 // Before the first view everybody waits for it, but for a machine with an empty disk in a system that has views.
 func TestDispatchersWaitForTheFirstView(t *testing.T) {
 	s := newIdleServer(t)
-	if !s.isOutsideChain() {
+	if !s.membership.isOutsideChain() {
 		t.Error("a machine with an empty disk is no outsider")
 	}
-	s.register = view.NewConsensus(view.HardState{Self: s.register.Self(), InitialMember: true})
-	if s.isOutsideChain() {
+	s.membership.consensus = view.NewConsensus(view.HardState{Self: s.membership.self(), InitialMember: true})
+	if s.membership.isOutsideChain() {
 		t.Error("a machine of the first start counts as an outsider")
 	}
 }
--- a/internal/control/server/notices.go
+++ b/internal/control/server/notices.go
@@ -6,16 +6,17 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// logNotices writes what the state machine tells operators of. Of all replicas the head does so.
+// logNotices logs the decisions of the state machine that operators look for. All replicas take the same decisions; the
+// head alone logs them.
 func (s *Server) logNotices() {
-	notices := s.cluster.DequeueNotices()
+	notices := s.state.fsm.DequeueNotices()
 	if !s.replica.IsHead() {
 		return
 	}
 	for i := range notices {
 		line := s.logger.Info()
 		if notices[i].Kind == statemachine.NoticeEndIgnored {
-			line = s.logger.Debug() // owners tell ends again until they have an outcome: there may be a thousand a day
+			line = s.logger.Debug() // owners report ends again until they have an outcome: there may be a thousand a day
 		}
 		logNotice(line, &notices[i])
 	}
--- /dev/null
+++ b/internal/control/server/operator_config.go
@@ -0,0 +1,133 @@
+package server
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"yardflow/internal/control/configuration"
+	"yardflow/internal/control/statemachine"
+)
+
+// Limits of the operators' requests.
+const (
+	// maxConfigBytes is the largest configuration that is taken, 32 MiB; a larger one is answered 413.
+	maxConfigBytes = 32 << 20
+	// operatorTimeout is how long an operator's request waits for its outcome, beyond which it is answered 503.
+	operatorTimeout = 3 * time.Second
+)
+
+// operatorAPI answers the operators' requests. Its methods run in goroutines of the HTTP server.
+type operatorAPI struct{ server *Server }
+
+// execute sends a command through the chain and waits for its outcome, which is Unknown where none comes in time or this
+// replica does not serve. The engine calls the function that makes the command, which may read the state.
+func (a *operatorAPI) execute(command func() *statemachine.Command) statemachine.Result {
+	s := a.server
+	outcome := make(chan statemachine.Result, 1)
+	s.do(func() {
+		if s.canServe() {
+			s.commands.submit(command(), func(result statemachine.Result) { outcome <- result })
+		} else {
+			outcome <- statemachine.Result{Code: statemachine.Unknown}
+		}
+	})
+	timer := time.NewTimer(operatorTimeout)
+	defer timer.Stop()
+	select {
+	case result := <-outcome:
+		return result
+	case <-timer.C:
+		return statemachine.Result{Code: statemachine.Unknown}
+	}
+}
+
+// configChange is what an operator asks for by PUT /-/config.
+type configChange struct {
+	version     int64
+	baseVersion int64 // the version that it builds on, from If-Match
+	body        []byte
+}
+
+// badRequest is an operator's request that is rejected as it stands.
+type badRequest struct {
+	status int
+	text   string
+}
+
+// readConfigChange reads and checks a request; badRequest is nil where it is sound.
+func readConfigChange(r *http.Request) (configChange, *badRequest) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigBytes+1))
+	if err != nil {
+		return configChange{}, &badRequest{http.StatusBadRequest, "the body can't be read"}
+	}
+	if len(body) > maxConfigBytes {
+		return configChange{}, &badRequest{http.StatusRequestEntityTooLarge, "the configuration is too large"}
+	}
+	baseVersion, err := strconv.ParseInt(strings.Trim(r.Header.Get("If-Match"), `" `), 10, 64)
+	if err != nil {
+		return configChange{}, &badRequest{http.StatusBadRequest, "If-Match must hold the version on which this one builds"}
+	}
+	parsed, invalid := configuration.Parse(body)
+	if invalid != nil {
+		return configChange{}, &badRequest{http.StatusBadRequest, invalid.Error()}
+	}
+	return configChange{version: parsed.Version, baseVersion: baseVersion, body: body}, nil
+}
+
+// putConfig proposes a configuration, and answers 200 once it is committed.
+func (a *operatorAPI) putConfig(w http.ResponseWriter, r *http.Request) {
+	change, bad := readConfigChange(r)
+	if bad != nil {
+		http.Error(w, bad.text, bad.status)
+		return
+	}
+	s := a.server
+	result := a.execute(func() *statemachine.Command {
+		return &statemachine.Command{Configure: s.state.fsm.NewConfigure(change.version, change.baseVersion, change.body)}
+	})
+	switch result.Code {
+	case statemachine.Unknown:
+		http.Error(w, "no outcome yet; send the same again", http.StatusServiceUnavailable)
+	case statemachine.Conflict:
+		http.Error(w, "another version is current", http.StatusPreconditionFailed)
+	case statemachine.Invalid:
+		http.Error(w, "Version: must be above the current one", http.StatusBadRequest)
+	case statemachine.OK:
+		s.logger.Info().Int64("version", change.version).Msg("configuration acknowledged")
+		w.WriteHeader(http.StatusOK)
+	default:
+		s.logger.Error().Uint8("code", uint8(result.Code)).Msg("a configuration has an outcome of another command")
+		http.Error(w, "no outcome yet; send the same again", http.StatusServiceUnavailable)
+	}
+}
+
+// getConfig answers the configuration in force, with its version as ETag. The read passes the chain, so the answer is not
+// older than the request.
+func (a *operatorAPI) getConfig(w http.ResponseWriter, _ *http.Request) {
+	result := a.execute(func() *statemachine.Command {
+		return &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}
+	})
+	switch result.Code {
+	case statemachine.NotFound:
+		http.Error(w, "no configuration yet", http.StatusNotFound)
+	case statemachine.OK:
+		w.Header().Set("Content-Type", "application/json")
+		w.Header().Set("ETag", `"`+strconv.FormatInt(configVersion(result.Body), 10)+`"`)
+		w.Write(result.Body)
+	default:
+		http.Error(w, "not in touch with the other control machines", http.StatusServiceUnavailable)
+	}
+}
+
+// configVersion returns the version that a configuration names; 0: it names none.
+func configVersion(body []byte) int64 {
+	head := struct{ Version int64 }{}
+	if json.Unmarshal(body, &head) != nil {
+		return 0
+	}
+	return head.Version
+}
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -7,49 +7,57 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// Bounds of what is on its way to one dispatcher.
+// Limits of what is on its way to one dispatcher, in bytes.
 const (
-	maxMessageBytes      = 32 << 10 // of one message, but for a snapshot and for an update that is larger by itself
-	sendWindowBytes      = 96 << 10 // that the dispatcher has not acknowledged: 0.4 s of a link of 2 Mbit/s
-	configWindowBytes    = 1 << 20  // likewise, past which configurations wait as well
-	maxBacklogBytes      = 32 << 20 // that wait, past which the dispatcher is to attach anew
-	outcomeOverheadBytes = 24       // of an outcome beside its body
+	// maxMessageBytes bounds one message, so that heartbeats and configurations need not wait long behind it. A snapshot
+	// and a single update may be larger.
+	maxMessageBytes = 32 << 10
+	// sendWindowBytes is how much may be in flight, beyond which the backlog waits: 0.4 s of a link of 2 Mbit/s.
+	sendWindowBytes = 96 << 10
+	// configWindowBytes is how much may be in flight, beyond which configurations wait too.
+	configWindowBytes = 1 << 20
+	// maxBacklogBytes is how large the backlog may grow, beyond which the connection is closed: the dispatcher attaches
+	// again, and a snapshot takes the backlog's place.
+	maxBacklogBytes = 32 << 20
+	// outcomeOverheadBytes is what an outcome takes beside its body.
+	outcomeOverheadBytes = 24
 )
 
-// outbox has what one dispatcher is to be told and the order in which that goes out. A change of the configuration goes
-// out at once. All else goes in order, in messages of bounded size, while the dispatcher acknowledges what it was sent:
-// whatever gathers for a slow link waits here, where a configuration can overtake it and newer figures replace older
-// ones.
+// outbox has what one dispatcher is to be sent, in the order in which that goes out. A change of the configuration goes
+// out at once. All else goes in order, in messages of bounded size, while the dispatcher acknowledges the bytes that it
+// has received: the backlog for a slow link waits here, where a configuration can overtake it and newer usage can replace
+// older usage.
 type outbox struct {
-	acknowledges bool // whether the dispatcher does; former versions don't
+	acknowledges bool // whether the dispatcher acknowledges; former versions don't, and are sent all at once
 	sentBytes    uint64
 	ackedBytes   uint64
 
 	configs        []cbor.RawMessage // changes of the configuration
 	backlog        []outboxEntry
-	firstPosition  uint64 // place of waiting[0] in the order of all that ever waited
-	backlogBytes   int    // that wait, but for the urgent
-	newestUsage    map[string]uint64
-	newestSessions uint64 // place of the newest list of sessions that waits, plus 1; 0: none does
+	firstPosition  uint64            // of backlog[0] among all that was ever in the backlog
+	backlogBytes   int               // size of the backlog
+	newestUsage    map[string]uint64 // positions of the newest usage of each worker in the backlog
+	newestSessions uint64            // position of the newest list of sessions, plus 1; at most firstPosition: none waits
 }
 
-// outboxEntry is one update or one outcome. One that a newer one has replaced has neither.
+// outboxEntry is an update or an outcome. One that a newer entry has replaced is empty.
 type outboxEntry struct {
 	update  cbor.RawMessage
 	outcome *protocol.Outcome
-	worker  string // whose use it tells
+	worker  string // whose usage the update has; "": it has none
 }
 
-func (n *outboxEntry) size() int {
-	if n.outcome != nil {
-		return outcomeOverheadBytes + len(n.outcome.Result.Body)
+// size returns about how many bytes the entry takes in a message.
+func (e *outboxEntry) size() int {
+	if e.outcome != nil {
+		return outcomeOverheadBytes + len(e.outcome.Result.Body)
 	}
-	return len(n.update)
+	return len(e.update)
 }
 
-// addUpdate enters an update with its encoding.
+// addUpdate appends an update, given with its encoding.
 func (o *outbox) addUpdate(update *statemachine.Update, encoded cbor.RawMessage) {
-	place := o.firstPosition + uint64(len(o.backlog))
+	position := o.firstPosition + uint64(len(o.backlog))
 	added := outboxEntry{update: encoded}
 	switch {
 	case update.Config != nil:
@@ -63,17 +71,17 @@
 		if o.newestUsage == nil {
 			o.newestUsage = map[string]uint64{}
 		}
-		o.newestUsage[added.worker] = place
+		o.newestUsage[added.worker] = position
 	case update.Sessions != nil:
 		if o.newestSessions > o.firstPosition {
 			o.drop(o.newestSessions - 1)
 		}
-		o.newestSessions = place + 1
+		o.newestSessions = position + 1
 	}
 	o.add(added)
 }
 
-// addOutcome enters the outcome of a command of the dispatcher.
+// addOutcome appends the outcome of one of the dispatcher's commands.
 func (o *outbox) addOutcome(outcome protocol.Outcome) { o.add(outboxEntry{outcome: &outcome}) }
 
 func (o *outbox) add(added outboxEntry) {
@@ -81,17 +89,17 @@
 	o.backlogBytes += added.size()
 }
 
-// drop takes out what waits in a place: something newer stands for it.
-func (o *outbox) drop(place uint64) {
-	former := &o.backlog[place-o.firstPosition]
+// drop empties the entry at a position: a newer one replaces it.
+func (o *outbox) drop(position uint64) {
+	former := &o.backlog[position-o.firstPosition]
 	o.backlogBytes -= former.size()
 	*former = outboxEntry{}
 }
 
-// sent enters that a message was handed to the connection.
+// sent notes that a message was handed to the connection.
 func (o *outbox) sent(bytes int) { o.sentBytes += uint64(bytes) }
 
-// acknowledge enters how many bytes the dispatcher has taken in.
+// acknowledge notes how many bytes the dispatcher has received on this connection.
 func (o *outbox) acknowledge(bytes uint64) { o.ackedBytes = max(o.ackedBytes, bytes) }
 
 // inFlightBytes returns how many bytes the dispatcher has not acknowledged.
@@ -102,42 +110,42 @@
 	return o.sentBytes - o.ackedBytes
 }
 
-// overflows reports whether so much waits that a snapshot would take less.
+// overflows reports whether the backlog is so large that a snapshot would take less.
 func (o *outbox) overflows() bool { return o.backlogBytes > maxBacklogBytes }
 
 // next returns the next message that may go out now, and false while there is none.
 func (o *outbox) next() (protocol.ControlMessage, bool) {
-	down, size := protocol.ControlMessage{}, 0
+	message, size := protocol.ControlMessage{}, 0
 	if o.inFlightBytes() < configWindowBytes {
-		down.Updates, o.configs = o.configs, nil
+		message.Updates, o.configs = o.configs, nil
 	}
-	for _, update := range down.Updates {
+	for _, update := range message.Updates {
 		size += len(update)
 	}
 	if o.inFlightBytes() < sendWindowBytes {
-		o.fill(&down, size)
+		o.fill(&message, size)
 	}
-	return down, len(down.Updates)+len(down.Outcomes) > 0
+	return message, len(message.Updates)+len(message.Outcomes) > 0
 }
 
-// fill moves what waits to a message until that is as large as it may be.
-func (o *outbox) fill(down *protocol.ControlMessage, size int) {
+// fill moves entries from the backlog to a message of the given size until that has maxMessageBytes.
+func (o *outbox) fill(message *protocol.ControlMessage, size int) {
 	taken := 0
 	for ; taken < len(o.backlog); taken++ {
-		told := &o.backlog[taken]
-		if size > 0 && size+told.size() > maxMessageBytes {
+		entry := &o.backlog[taken]
+		if size > 0 && size+entry.size() > maxMessageBytes {
 			break
 		}
-		size += told.size()
-		o.backlogBytes -= told.size()
+		size += entry.size()
+		o.backlogBytes -= entry.size()
 		switch {
-		case told.outcome != nil:
-			down.Outcomes = append(down.Outcomes, *told.outcome)
-		case told.update != nil:
-			down.Updates = append(down.Updates, told.update)
+		case entry.outcome != nil:
+			message.Outcomes = append(message.Outcomes, *entry.outcome)
+		case entry.update != nil:
+			message.Updates = append(message.Updates, entry.update)
 		}
-		if told.worker != "" {
-			delete(o.newestUsage, told.worker)
+		if entry.worker != "" {
+			delete(o.newestUsage, entry.worker)
 		}
 	}
 	o.firstPosition += uint64(taken)
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"encoding/json"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -14,16 +13,16 @@
 	"yardflow/internal/platform/settings"
 )
 
-// Process is a control process from its start on. While its disk refuses, as a full one does, it waits outside
-// the chain and says so; once there is room it joins.
+// Process is a control process from its start on. While its disk rejects reads or writes, as a full one does, the process
+// waits outside the chain and answers requests for its status; then it opens a Server.
 type Process struct {
 	settings      *settings.Settings
 	network       frame.Network
 	folder        segment.Folder
 	logger        zerolog.Logger
-	server        atomic.Pointer[Server] // once it is open
+	server        atomic.Pointer[Server] // nil until the disk is read
 	handler       atomic.Pointer[http.Handler]
-	diskRejection atomic.Pointer[string] // what the disk last refused
+	diskRejection atomic.Pointer[string] // text of the error by which the disk last rejected something; nil: none yet
 }
 
 // NewProcess returns a process that has not opened its disk.
@@ -31,11 +30,12 @@
 	return &Process{settings: s, network: network, folder: folder, logger: logger}
 }
 
-// Run opens the disk and carries the server until stop is closed. It fails where the disk's content can't be used.
+// Run opens the disk and runs the server until stop is closed. It fails, as Open does, where the disk's content can't be
+// used.
 func (p *Process) Run(stop <-chan struct{}) error {
-	patient := segment.NewRetryingFolder(p.folder, func(err error) bool { return p.waitForDisk(err, stop) })
-	server, err := Open(p.settings, p.network, patient, p.logger)
-	patient.StopRetrying()
+	folder := segment.NewRetryingFolder(p.folder, func(err error) bool { return p.waitForDisk(err, stop) })
+	server, err := Open(p.settings, p.network, folder, p.logger)
+	folder.StopRetrying() // from here on the server's own disk retries
 	if err != nil {
 		if isClosed(stop) {
 			return nil
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// LeaveChain hands this machine's place in the chain over, before Run is stopped.
+// LeaveChain hands this machine's chain position over, before Run is stopped; see Server.LeaveChain.
 func (p *Process) LeaveChain() {
 	if server := p.server.Load(); server != nil {
 		server.LeaveChain()
@@ -65,7 +65,8 @@
 	}
 }
 
-// waitForDisk waits until the disk is to be tried again, and reports whether the process goes on.
+// waitForDisk waits for diskRetryInterval, and reports whether the disk is to be tried again rather than stop closed. An
+// error is logged once for each text.
 func (p *Process) waitForDisk(err error, stop <-chan struct{}) bool {
 	text := err.Error()
 	if former := p.diskRejection.Swap(&text); former == nil || *former != text {
@@ -81,7 +82,8 @@
 	}
 }
 
-// ServeHTTP serves all that a control process answers. Before its disk is open that is the status alone.
+// ServeHTTP serves all requests to a control process. Before its disk is read that is the status alone; all else is
+// answered 503.
 func (p *Process) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if handler := p.handler.Load(); handler != nil {
 		(*handler).ServeHTTP(w, r)
@@ -92,9 +94,8 @@
 		return
 	}
 	status := Status{Node: p.settings.Node, StartupBlockedBy: "the disk is being read"}
-	if trouble := p.diskRejection.Load(); trouble != nil {
-		status.StartupBlockedBy = "the disk refuses: " + *trouble
+	if rejection := p.diskRejection.Load(); rejection != nil {
+		status.StartupBlockedBy = "the disk refuses: " + *rejection
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(status)
+	writeStatus(w, status)
 }
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -17,11 +17,17 @@
 	"yardflow/internal/testing/emulator"
 )
 
-func ask(handler http.Handler, path string) (int, server.Status) {
+// ask sends a GET request, and returns the answer's code and, of one that is a status, the status.
+func ask(t *testing.T, handler http.Handler, path string) (int, server.Status) {
+	t.Helper()
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
 	status := server.Status{}
-	json.Unmarshal(answer.Body.Bytes(), &status)
+	if answer.Code == http.StatusOK {
+		if err := json.Unmarshal(answer.Body.Bytes(), &status); err != nil {
+			t.Errorf("%s: %v: %q", path, err, answer.Body)
+		}
+	}
 	return answer.Code, status
 }
 
@@ -36,15 +42,15 @@
 		stop, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- process.Run(stop) }()
 		time.Sleep(5 * time.Second)
-		if code, status := ask(process, "/-/status"); code != http.StatusOK || !strings.Contains(status.StartupBlockedBy, "no space") {
+		if code, status := ask(t, process, "/-/status"); code != http.StatusOK || !strings.Contains(status.StartupBlockedBy, "no space") {
 			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
 		}
-		if code, _ := ask(process, "/-/config"); code != http.StatusServiceUnavailable {
+		if code, _ := ask(t, process, "/-/config"); code != http.StatusServiceUnavailable {
 			t.Errorf("a read is answered %d", code)
 		}
 		disk.Fill(false)
 		time.Sleep(time.Second)
-		if code, status := ask(process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
+		if code, status := ask(t, process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
 			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
 		}
 		close(stop)
--- a/internal/control/server/server_test.go
+++ b/internal/control/server/server_test.go
@@ -32,31 +32,31 @@
 func TestMemberWithoutMajorityAbandonsPendingCommands(t *testing.T) {
 	s := newIdleServer(t)
 	told := statemachine.Result{}
-	s.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(result statemachine.Result) { told = result })
-	s.submitFor(&dispatcher{}, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, nil, func(statemachine.Result) {
+	s.commands.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(result statemachine.Result) { told = result })
+	s.commands.submitFor(&dispatcher{}, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, nil, func(statemachine.Result) {
 		t.Error("a dispatcher that is gone is answered")
 	})
 	s.tick()
 	if told.Code != statemachine.Unknown {
 		t.Errorf("the operator is told %d", told.Code)
 	}
-	s.repropose(0)
-	if len(s.pending) != 0 || len(s.proposals) != 0 {
-		t.Errorf("%d commands are kept, %d are proposed", len(s.pending), len(s.proposals))
+	s.commands.repropose(0)
+	if len(s.commands.pending) != 0 || len(s.commands.proposals) != 0 {
+		t.Errorf("%d commands are kept, %d are proposed", len(s.commands.pending), len(s.commands.proposals))
 	}
 }
 
 func TestCommandsOfADisconnectedDispatcherAreForgotten(t *testing.T) {
 	s := newIdleServer(t)
 	gone, other := &dispatcher{}, &dispatcher{}
-	s.dispatchers[gone], s.dispatchers[other] = true, true
+	s.dispatchers.attached[gone], s.dispatchers.attached[other] = true, true
 	for range 3 {
-		s.submitFor(gone, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, nil, func(statemachine.Result) {})
+		s.commands.submitFor(gone, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, nil, func(statemachine.Result) {})
 	}
-	s.submitFor(other, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "b"}}, nil, func(statemachine.Result) {})
+	s.commands.submitFor(other, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "b"}}, nil, func(statemachine.Result) {})
 	s.removeDispatcher(gone)
-	if len(s.pending) != 1 {
-		t.Errorf("%d commands are kept, want that of the other dispatcher", len(s.pending))
+	if len(s.commands.pending) != 1 {
+		t.Errorf("%d commands are kept, want that of the other dispatcher", len(s.commands.pending))
 	}
 }
 
@@ -64,17 +64,17 @@
 func TestPendingCommandsAreReproposedInOrder(t *testing.T) {
 	s := newIdleServer(t)
 	for i := range 50 {
-		s.submit(&statemachine.Command{CancelJob: &statemachine.CancelJob{Job: fmt.Sprint(i)}}, func(statemachine.Result) {})
+		s.commands.submit(&statemachine.Command{CancelJob: &statemachine.CancelJob{Job: fmt.Sprint(i)}}, func(statemachine.Result) {})
 	}
-	s.proposals = nil
-	s.repropose(0)
-	for i := 1; i < len(s.proposals); i++ {
-		if s.proposals[i-1].Tag >= s.proposals[i].Tag {
-			t.Fatalf("tag %d before %d", s.proposals[i-1].Tag, s.proposals[i].Tag)
+	s.commands.proposals = nil
+	s.commands.repropose(0)
+	for i := 1; i < len(s.commands.proposals); i++ {
+		if s.commands.proposals[i-1].Tag >= s.commands.proposals[i].Tag {
+			t.Fatalf("tag %d before %d", s.commands.proposals[i-1].Tag, s.commands.proposals[i].Tag)
 		}
 	}
-	if len(s.proposals) != 50 {
-		t.Errorf("%d of 50 go out again", len(s.proposals))
+	if len(s.commands.proposals) != 50 {
+		t.Errorf("%d of 50 go out again", len(s.commands.proposals))
 	}
 }
 
@@ -82,10 +82,10 @@
 // state that it had before.
 func TestUnreadableSnapshotKeepsTheMemberOut(t *testing.T) {
 	s := newIdleServer(t)
-	s.cluster.ClockTicks = 7
+	s.state.fsm.ClockTicks = 7
 	s.installSnapshot(snapshotOf(9, []byte("no state")))
-	if s.appliedIndex == 9 || s.cluster.ClockTicks != 7 || !s.isUnhealthy() {
-		t.Errorf("applied %d, stalled %v", s.appliedIndex, s.isUnhealthy())
+	if s.state.appliedIndex == 9 || s.state.fsm.ClockTicks != 7 || !s.isUnhealthy() {
+		t.Errorf("applied %d, stalled %v", s.state.appliedIndex, s.isUnhealthy())
 	}
 }
 
@@ -161,18 +161,18 @@
 	// answered reports whether the present life's read is answered by one of the former life.
 	answered := func(sameTags bool) bool {
 		former := life()
-		first := former.lastTag
-		former.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) {})
+		first := former.commands.lastTag
+		former.commands.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) {})
 		present := life()
-		if present.register.Self().ID != former.register.Self().ID {
+		if present.membership.self().ID != former.membership.self().ID {
 			t.Fatal("the member has another name in its next life")
 		}
 		if sameTags {
-			present.lastTag = first
+			present.commands.lastTag = first
 		}
 		taken := false
-		present.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) { taken = true })
-		present.completeRead(chain.Read{Origin: present.register.Self().ID, Tag: former.lastTag})
+		present.commands.submit(&statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) { taken = true })
+		present.completeRead(chain.Read{Origin: present.membership.self().ID, Tag: former.commands.lastTag})
 		return taken
 	}
 	if answered(false) {
--- a/internal/control/server/head_test.go
+++ b/internal/control/server/snapshots_test.go
@@ -16,8 +16,8 @@
 		"a short log where the ring is full":  {0, 0, minFreeSegments, true},
 		"a short log where the ring has room": {0, 0, minFreeSegments + 1, false},
 	} {
-		s := &Server{logBytes: c.log, snapshotBytes: c.snapshot, freeSegments: c.segments}
-		if got := s.snapshotDue(); got != c.due {
+		s := &snapshots{logBytes: c.log, newestBytes: c.snapshot, freeSegments: c.segments}
+		if got := s.due(); got != c.due {
 			t.Errorf("%s: due %v", name, got)
 		}
 	}
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -19,7 +19,7 @@
 	findFile      = "scheduling/placement/find.go"
 	reserveFile   = "scheduling/placement/reserve.go"
 	workerFile    = "scheduling/placement/worker.go"
-	dispatchers   = "internal/control/server/dispatchers.go"
+	memberFile    = "internal/control/server/membership.go"
 )
 
 // mechanisms lists what is believed in. Each edit's old text stands once in its file, which a test keeps.
@@ -57,7 +57,7 @@
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
 		{"internal/dispatcher/intake.go", "\t\td.expectJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
-		{"internal/control/server/head.go", "s.logBytes > max(minLogBytes, logToSnapshotRatio*s.snapshotBytes) || s.freeSegments", "s.freeSegments"}}},
+		{"internal/control/server/snapshots.go", "s.logBytes > max(minLogBytes, logToSnapshotRatio*s.newestBytes) || s.freeSegments", "s.freeSegments"}}},
 	{"sent-away", "a machine outside the chain lets dispatchers wait for half a second", []edit{
-		{dispatchers, "return !s.register.IsInitialMember() && s.register.View()", "return s.startedAt.IsZero() && s.register.View()"}}},
+		{memberFile, "return !m.consensus.IsInitialMember() && m.view()", "return m.detector == nil && m.view()"}}},
 }
