--- a/internal/control/server/commands.go
+++ b/internal/control/server/commands.go
@@ -49,9 +49,11 @@
 
 // submitFor proposes a dispatcher's command. Once its connection has ended the command is forgotten here: the dispatcher
 // submits it again itself, over another connection.
-func (t *commandTable) submitFor(issuer *dispatcher, command *statemachine.Command, encoded []byte, onResult func(statemachine.Result)) {
+func (t *commandTable) submitFor(issuer *dispatcher, command *statemachine.Command, encoded []byte,
+	onResult func(statemachine.Result)) {
 	t.lastTag++
-	submitted := &pendingCommand{command: command, encoded: encoded, isRead: command.IsRead(), issuer: issuer, onResult: onResult}
+	submitted := &pendingCommand{command: command, encoded: encoded, isRead: command.IsRead(),
+		issuer: issuer, onResult: onResult}
 	t.pending[t.lastTag] = submitted
 	t.propose(t.lastTag, submitted)
 }
--- a/internal/control/server/leave.go
+++ b/internal/control/server/leave.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Intervals of an orderly stop.
+// Intervals of a graceful shutdown.
 const (
 	leavePollInterval = 20 * time.Millisecond
 	// leaveGraceMargin is what is left of the time between SIGTERM and SIGKILL (settings key Bounds.GraceS) for open
@@ -31,7 +31,7 @@
 		select {
 		case <-poll.C:
 			if s.hasLeftChain() {
-				s.logger.Info().Msg("place in the chain handed over")
+				s.logger.Info().Msg("chain position handed over")
 				return
 			}
 		case <-deadline.C:
--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -13,7 +13,7 @@
 	consensus       *view.Consensus
 	detector        *view.Detector
 	epochAtStart    uint64        // epoch of the view that the disk held when this incarnation began
-	leaving         bool          // this machine is to stop in order
+	leaving         bool          // this machine has announced a graceful shutdown
 	viewInstalledAt time.Duration // when the view in force was installed; 0: none was in this incarnation
 }
 
@@ -61,8 +61,8 @@
 }
 
 // exclusionReason returns why a desired view leaves a member out of the chain. Beside members with a fault, which the
-// detector names, it leaves out one whose address a newcomer with an empty disk has taken over, and those that are to
-// stop in order.
+// detector names, it leaves out one whose address a newcomer with an empty disk has taken over, and those that have
+// announced a graceful shutdown.
 func (m *membership) exclusionReason(now time.Duration, desired *view.View, member view.Member) string {
 	if reason := m.detector.ExclusionReason(now, member.ID); reason != "" {
 		return reason
@@ -72,7 +72,7 @@
 			return "replaced by a newcomer at its address"
 		}
 	}
-	return "stops in order"
+	return "graceful shutdown"
 }
 
 // canServe reports whether this replica follows what is committed and is in touch with a quorum, so that what it answers
@@ -103,7 +103,8 @@
 	for i, member := range v.Chain {
 		members[i], names[i] = member.ID, member.Node
 	}
-	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.ReplicationFactor).Msg("view")
+	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.ReplicationFactor).
+		Msg("view installed")
 	s.membership.viewInstalledAt = s.now()
 	s.replica.SetView(chain.View{Epoch: v.Epoch, Members: members, WriterCount: v.ReplicationFactor})
 	s.peers.add(addressesOf(v.Chain))
@@ -136,7 +137,8 @@
 func (s *Server) logExcluded(now time.Duration, desired *view.View) {
 	for _, member := range s.membership.view().Chain {
 		if desired.ChainPosition(member.ID) < 0 {
-			s.logger.Warn().Str("member", member.Node).Str("reason", s.membership.exclusionReason(now, desired, member)).Msg("member left out of the chain")
+			reason := s.membership.exclusionReason(now, desired, member)
+			s.logger.Warn().Str("member", member.Node).Str("reason", reason).Msg("member left out of the chain")
 		}
 	}
 }
--- a/internal/control/server/membership_test.go
+++ b/internal/control/server/membership_test.go
@@ -7,7 +7,8 @@
 	"yardflow/coordination/view"
 )
 
-// serverInView returns a resting server that has learned of a view of three other electors and, if it is one, itself.
+// serverInView returns an idle server that has learned of a view with three other electors and, as wanted, itself in the
+// chain and among the electors.
 func serverInView(t *testing.T, member, elector bool) *Server {
 	t.Helper()
 	s := newIdleServer(t)
@@ -26,37 +27,61 @@
 	return s
 }
 
-// A machine outside the chain tells dispatchers at once where they are served; one that has its place lets them wait,
-// since a view with it may follow in some milliseconds.
+// A machine outside the chain redirects dispatchers at once to where they are served; one that has its position lets them
+// wait, since a view with it may follow within milliseconds.
 func TestMachineOutsideTheChainRedirectsDispatchers(t *testing.T) {
 	for name, c := range map[string]struct {
 		member, elector bool
-		away            bool
+		outside         bool
 	}{
 		"a newcomer with an empty disk":       {false, false, true},
 		"an elector that is not in the chain": {false, true, true},
-		"a member that was started just now":  {true, true, false},
+		"a member that has just restarted":    {true, true, false},
 		"a member of a chain, but no elector": {true, false, false},
 	} {
 		s := serverInView(t, c.member, c.elector)
-		if got := s.membership.isOutsideChain(); got != c.away {
-			t.Errorf("%s: dispatchers are sent away: %v", name, got)
+		if got := s.membership.isOutsideChain(); got != c.outside {
+			t.Errorf("%s: outside the chain: %v", name, got)
 		}
 		want := []string{"core-other:1", "core-other:2", "core-other:3"}
-		if told := s.membership.serviceAddresses(); c.away && !slices.Equal(told, want) {
-			t.Errorf("%s: they are told of %v", name, told)
+		if addresses := s.membership.serviceAddresses(); c.outside && !slices.Equal(addresses, want) {
+			t.Errorf("%s: dispatchers are redirected to %v", name, addresses)
 		}
 	}
 }
 
-// Before the first view everybody waits for it, but for a machine with an empty disk in a system that has views.
+// Before the first view everybody waits for it, except at a machine with an empty disk that joins a running system.
 func TestDispatchersWaitForTheFirstView(t *testing.T) {
 	s := newIdleServer(t)
 	if !s.membership.isOutsideChain() {
-		t.Error("a machine with an empty disk is no outsider")
+		t.Error("a machine with an empty disk does not count as outside the chain")
 	}
 	s.membership.consensus = view.NewConsensus(view.HardState{Self: s.membership.self(), InitialMember: true})
 	if s.membership.isOutsideChain() {
-		t.Error("a machine of the first start counts as an outsider")
+		t.Error("a machine of the first start counts as outside the chain")
+	}
+}
+
+// The log of a view that leaves a member out always names a reason.
+func TestExclusionReason(t *testing.T) {
+	member := view.Member{ID: 1, Address: "core-other:1"}
+	newcomer := view.Member{ID: 9, Address: member.Address}
+	for name, c := range map[string]struct {
+		heard   bool
+		desired view.View
+		want    string
+	}{
+		"a member that was never heard":                   {false, view.View{Electors: []view.Member{member}}, "never heard"},
+		"a member that has announced a graceful shutdown": {true, view.View{Electors: []view.Member{member}}, "graceful shutdown"},
+		"a member whose disk was replaced":                {true, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
+	} {
+		s := serverInView(t, true, true)
+		if c.heard {
+			s.membership.detector.ReceiveHeartbeat(0, view.Heartbeat{From: member, Leaving: true,
+				HeardFrom: []view.MemberID{s.membership.self().ID}})
+		}
+		if got := s.membership.exclusionReason(0, &c.desired, member); got != c.want {
+			t.Errorf("%s: %q, want %q", name, got, c.want)
+		}
 	}
 }
--- a/internal/control/server/outbox_test.go
+++ b/internal/control/server/outbox_test.go
@@ -12,9 +12,10 @@
 	"yardflow/scheduling/job"
 )
 
+// addUpdate adds an update as the server does, with its encoding.
 func addUpdate(o *outbox, update statemachine.Update) { o.addUpdate(&update, protocol.Encode(update)) }
 
-// jobRemoved returns an update of about so many bytes.
+// jobRemoved returns an update whose encoding has about so many bytes.
 func jobRemoved(name string, size int) statemachine.Update {
 	return statemachine.Update{JobRemoved: name + strings.Repeat("x", size)}
 }
@@ -23,7 +24,7 @@
 	return statemachine.Update{Usage: &statemachine.UsageUpdate{Worker: worker, Used: job.Resources{MemoryMB: amount}}}
 }
 
-// drainOutbox hands out all that may go out now, and returns it with the bytes of each message.
+// drainOutbox takes all messages that may go out now, and returns their content and the bytes of each message.
 func drainOutbox(o *outbox) (updates []statemachine.Update, outcomes []protocol.Outcome, sizes []int) {
 	for down, due := o.next(); due; down, due = o.next() {
 		message := protocol.Encode(down)
@@ -54,12 +55,12 @@
 	}
 }
 
-// TestBurstOfUpdatesWaitsForAcknowledgements keeps that a storm of updates fills no slow link: it waits at the control machine,
-// in bounded messages and in order, and a configuration overtakes it.
+// TestBurstOfUpdatesWaitsForAcknowledgements checks that a burst of updates does not fill a slow link: it waits at the
+// control machine, goes out in order and in bounded messages, and a configuration overtakes it.
 func TestBurstOfUpdatesWaitsForAcknowledgements(t *testing.T) {
-	const storm, size = 2000, 500
+	const burst, size = 2000, 500
 	o := outbox{acknowledges: true}
-	for i := range storm {
+	for i := range burst {
 		addUpdate(&o, jobRemoved(fmt.Sprintf("%04d-", i), size))
 	}
 	var all []statemachine.Update
@@ -75,17 +76,17 @@
 			}
 		}
 		if o.inFlightBytes() > sendWindowBytes+maxMessageBytes+maxMessageBytes/8 {
-			t.Fatalf("%d bytes under way", o.inFlightBytes())
+			t.Fatalf("%d bytes in flight", o.inFlightBytes())
 		}
 		all = append(all, updates...)
 		addUpdate(&o, statemachine.Update{Config: &statemachine.ConfigUpdate{Version: int64(len(all))}})
 		if updates, _, _ := drainOutbox(&o); len(updates) != 1 || updates[0].Config == nil {
-			t.Fatalf("behind %d updates a configuration waits", len(all))
+			t.Fatalf("after %d updates a configuration waits", len(all))
 		}
 		o.acknowledge(o.sentBytes)
 	}
-	if len(all) != storm {
-		t.Fatalf("%d updates went out, want %d", len(all), storm)
+	if len(all) != burst {
+		t.Fatalf("%d updates went out, want %d", len(all), burst)
 	}
 	for i, update := range all {
 		if !strings.HasPrefix(update.JobRemoved, fmt.Sprintf("%04d-", i)) {
@@ -93,11 +94,11 @@
 		}
 	}
 	if o.backlogBytes != 0 {
-		t.Errorf("%d bytes are counted as waiting", o.backlogBytes)
+		t.Errorf("the empty backlog counts %d bytes", o.backlogBytes)
 	}
 }
 
-// TestNewerUsageReplacesOlderUsage keeps that what waits does not grow by figures that something newer stands for.
+// TestNewerUsageReplacesOlderUsage checks that the backlog does not grow by updates that a newer one replaces.
 func TestNewerUsageReplacesOlderUsage(t *testing.T) {
 	o := outbox{acknowledges: true}
 	o.sent(sendWindowBytes)
@@ -106,7 +107,7 @@
 		addUpdate(&o, statemachine.Update{Sessions: []statemachine.SessionID{1, statemachine.SessionID(i)}})
 	}
 	if o.backlogBytes > 2000 {
-		t.Errorf("%d bytes wait", o.backlogBytes)
+		t.Errorf("the backlog has %d bytes", o.backlogBytes)
 	}
 	o.acknowledge(o.sentBytes)
 	updates, _, _ := drainOutbox(&o)
@@ -116,18 +117,18 @@
 	for _, update := range updates {
 		switch {
 		case update.Usage != nil && update.Usage.Used.MemoryMB < 990:
-			t.Errorf("%s uses %d, an older figure", update.Usage.Worker, update.Usage.Used.MemoryMB)
+			t.Errorf("%s uses %d, older usage", update.Usage.Worker, update.Usage.Used.MemoryMB)
 		case update.Sessions != nil && update.Sessions[1] != 999:
 			t.Errorf("sessions of step %d", update.Sessions[1])
 		}
 	}
 	addUpdate(&o, usageOf("w1", 5000))
 	if updates, _, _ := drainOutbox(&o); len(updates) != 1 {
-		t.Errorf("%d updates behind it, want one", len(updates))
+		t.Errorf("%d updates afterwards, want one", len(updates))
 	}
 }
 
-// TestOutcomesFollowTheirUpdates keeps that a dispatcher knows what a command has changed before its outcome.
+// TestOutcomesFollowTheirUpdates checks that a dispatcher learns what a command has changed before its outcome.
 func TestOutcomesFollowTheirUpdates(t *testing.T) {
 	o := outbox{acknowledges: true}
 	for i := range 400 {
@@ -152,7 +153,7 @@
 	}
 }
 
-// TestDispatcherWithoutAcknowledgementsIsSentAllAtOnce keeps that a dispatcher of a version that acknowledges nothing is not waited for.
+// A dispatcher of a former version acknowledges nothing, so nothing waits for that.
 func TestDispatcherWithoutAcknowledgementsIsSentAllAtOnce(t *testing.T) {
 	o := outbox{}
 	for i := range 2000 {
@@ -170,6 +171,6 @@
 		addUpdate(&o, jobRemoved("", 1<<20))
 	}
 	if !o.overflows() {
-		t.Errorf("%d bytes wait", o.backlogBytes)
+		t.Errorf("the backlog has %d bytes", o.backlogBytes)
 	}
 }
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -31,8 +31,7 @@
 	return answer.Code, status
 }
 
-// TestFullDiskAtTheStart keeps a fault that hunts have shown: a control process whose disk was full at its start ended
-// with code 1, four times in one day.
+// A regression test: a control process whose disk was full at its start ended with code 1.
 func TestFullDiskAtTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(time.Millisecond, rand.New(rand.NewPCG(1, 1)))
@@ -46,7 +45,7 @@
 			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
 		}
 		if code, _ := ask(t, process, "/-/config"); code != http.StatusServiceUnavailable {
-			t.Errorf("a read is answered %d", code)
+			t.Errorf("a read of the configuration is answered %d", code)
 		}
 		disk.Fill(false)
 		time.Sleep(time.Second)
@@ -60,7 +59,7 @@
 	})
 }
 
-// TestStopWhileTheDiskIsFull keeps that a process that waits for its disk ends when it is told to.
+// TestStopWhileTheDiskIsFull checks that a process that waits for its disk ends when it is stopped.
 func TestStopWhileTheDiskIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(time.Millisecond, rand.New(rand.NewPCG(1, 1)))
--- a/internal/control/server/sessions.go
+++ b/internal/control/server/sessions.go
@@ -86,7 +86,7 @@
 		}
 		delete(m.disconnectedAt, id)
 		m.lastSeen[id] = now // so that it is closed again only after another sessionTimeout
-		s.logger.Info().Uint64("session", id).Str("dispatcher", session.Node).Msg("session over: silent")
+		s.logger.Info().Uint64("session", id).Str("dispatcher", session.Node).Msg("session expired: dispatcher silent")
 		s.commands.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: id}}, func(statemachine.Result) {})
 	}
 }
--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -55,7 +55,8 @@
 	index := snapshot.Index
 	s.snapshots.receivedUnreadable = !s.state.restore(index, snapshot.Data)
 	if s.snapshots.receivedUnreadable {
-		s.logger.Error().Uint64("index", index).Msg("a snapshot of another member can't be read; staying out of the chain: are all machines of one version?")
+		s.logger.Error().Uint64("index", index).
+			Msg("a snapshot of another member can't be read; staying out of the chain: are all machines of one version?")
 		return
 	}
 	s.snapshots.began(len(snapshot.Data))
--- a/internal/control/server/snapshots_test.go
+++ b/internal/control/server/snapshots_test.go
@@ -1,20 +1,24 @@
 package server
 
-import "testing"
+import (
+	"testing"
 
-// The log behind the newest snapshot stays short, whatever room the ring has; small ones are not worth a snapshot.
+	"yardflow/coordination/chain"
+)
+
+// The log behind the newest snapshot stays short, however much space the ring has; a short log is not worth a snapshot.
 func TestSnapshotIsDue(t *testing.T) {
 	const manySegments = 7
 	for name, c := range map[string]struct {
 		log, snapshot, segments int
 		due                     bool
 	}{
-		"a short log":                         {minLogBytes - 1, 0, manySegments, false},
-		"a long log":                          {minLogBytes + 1, 0, manySegments, true},
-		"a log that is short for the state":   {2 * minLogBytes, minLogBytes, manySegments, false},
-		"a log that is long for the state":    {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
-		"a short log where the ring is full":  {0, 0, minFreeSegments, true},
-		"a short log where the ring has room": {0, 0, minFreeSegments + 1, false},
+		"a short log":                          {minLogBytes - 1, 0, manySegments, false},
+		"a long log":                           {minLogBytes + 1, 0, manySegments, true},
+		"a log that is short for the state":    {2 * minLogBytes, minLogBytes, manySegments, false},
+		"a log that is long for the state":     {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
+		"a short log where the ring is full":   {0, 0, minFreeSegments, true},
+		"a short log where the ring has space": {0, 0, minFreeSegments + 1, false},
 	} {
 		s := &snapshots{logBytes: c.log, newestBytes: c.snapshot, freeSegments: c.segments}
 		if got := s.due(); got != c.due {
@@ -22,3 +26,17 @@
 		}
 	}
 }
+
+// A regression test: a member that could not decode a snapshot counted as complete with the state that it had before.
+func TestUnreadableSnapshotKeepsTheMemberOut(t *testing.T) {
+	s := newIdleServer(t)
+	s.state.fsm.ClockTicks = 7
+	s.installSnapshot(snapshotOf(9, []byte("no state")))
+	if s.state.appliedIndex == 9 || s.state.fsm.ClockTicks != 7 || !s.isUnhealthy() {
+		t.Errorf("applied %d, unhealthy %v", s.state.appliedIndex, s.isUnhealthy())
+	}
+}
+
+func snapshotOf(index uint64, data []byte) *chain.Snapshot {
+	return &chain.Snapshot{Epoch: 1, Index: index, IndexEpoch: 1, Data: data}
+}
