--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -117,16 +117,16 @@
 	return zerolog.New(os.Stderr).Level(parsed).With().Timestamp().Str("node", node).Logger()
 }
 
-// Garbage collection: rare while memory is plentiful, and more often as the heap nears a part of the machine's memory.
+// Garbage collection: rare while memory is plentiful, and more often once the process nears its share of the memory.
 const (
-	heapShareOfMemory = 0.6 // of settings key Limits.MemoryMb; the rest is for stacks, buffers of sockets and the system
-	gcPercent         = 200 // heap growth between collections, in per cent
+	memoryShare = 0.6 // of settings key Limits.MemoryMb, for all that the Go runtime manages
+	gcPercent   = 200 // growth of the heap between two collections, in per cent
 )
 
 // limitMemory makes the garbage collector keep the process below the machine's limit.
 func limitMemory(s *settings.Settings) {
 	if s.Limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(heapShareOfMemory * float64(s.Limits.MemoryMb<<20)))
+		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMb<<20)))
 	}
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// reportDisconnected notifies the head, which is any of the peers, that a dispatcher's connection has ended.
+// reportDisconnected notes that a dispatcher's connection has ended, and notifies the peers, one of which may be the head.
 func (s *Server) reportDisconnected(id statemachine.SessionID) {
 	ids := []statemachine.SessionID{id}
 	s.sessions.disconnected(s.now(), ids)
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// Run carries the engine until stop is closed; it must be called once. On its return the goroutines of disk, heartbeats
-// and connections end by themselves, as soon as what they are at is over.
+// Run carries the engine until stop is closed; it must be called once. On its return the goroutine of heartbeats ends,
+// that of the disk as soon as the write in progress is done, and those of connections when their connection does: the owner
+// of the listener and the peers close these.
 func (s *Server) Run(stop <-chan struct{}) {
 	defer s.disk.close()
 	defer close(s.ended)
--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -30,8 +30,8 @@
 	return !m.consensus.IsInitialMember() && m.view().ChainPosition(m.self().ID) < 0
 }
 
-// hasRestartedInView reports whether this incarnation takes no part in the view in force though the former one did: what
-// it had promised its neighbours in the chain is lost, so it waits for another view.
+// hasRestartedInView reports whether this incarnation takes no part in the view in force though the former one did: a
+// replica starts outside every view, and joins by the next one.
 func (m *membership) hasRestartedInView() bool {
 	epoch := m.view().Epoch
 	return epoch > 0 && epoch == m.epochAtStart && m.view().ChainPosition(m.self().ID) >= 0
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -31,12 +31,13 @@
 	"yardflow/internal/platform/settings"
 )
 
-// inboxCapacity is how many functions may wait for the engine, beyond which those who hand them over block. A burst of
-// messages from all dispatchers and peers fits while the engine is busy with a snapshot.
+// inboxCapacity is how many functions may wait for the engine. Beyond it, whoever hands over another one blocks, and the
+// connection that it reads from is not read meanwhile.
 const inboxCapacity = 4096
 
-// Server is one control process: the engine and the parts that it drives. Each part has its own file. All fields but
-// the channels belong to the engine once Run has begun.
+// Server is one control process: the engine and the parts that it drives, each with a file of its own. Settings, logger,
+// network and the clock's zero never change; channels, disk and heartbeats may be used by every goroutine; all else belongs
+// to the engine once Run has begun.
 type Server struct {
 	settings  *settings.Settings
 	logger    zerolog.Logger
--- a/internal/control/server/sessions.go
+++ b/internal/control/server/sessions.go
@@ -9,11 +9,13 @@
 // Time-outs by which the head closes sessions of dispatchers.
 const (
 	// sessionTimeout is how long a dispatcher may be connected to no control machine before its session is closed, and
-	// its jobs and workers get other owners. It is longer than dispatcherTimeout and a reconnect take together.
+	// its jobs and workers get other owners. It is longer than dispatcherTimeout, so that a session outlives the loss
+	// of one connection.
 	sessionTimeout = 1100 * time.Millisecond
 	// disconnectTimeout is how long a dispatcher whose connection was closed, rather than silent, has to come back.
 	disconnectTimeout = 300 * time.Millisecond
-	// viewChangeGrace is how long dispatchers have to come back after a change of view, which closes their connections.
+	// viewChangeGrace is how long dispatchers have to come back after a change of view, which may have taken their control
+	// machine away from them.
 	viewChangeGrace = 3 * time.Second
 )
 
--- a/internal/control/server/state.go
+++ b/internal/control/server/state.go
@@ -12,8 +12,8 @@
 // are forgotten.
 const clockInterval = 5 * time.Second
 
-// jobRetentionMargin is how long jobs are known beyond what clients were promised (settings key Bounds.StatusS): several
-// clockIntervals and a change of the head, during which nobody advances the clock.
+// jobRetentionMargin is how long jobs are known beyond what clients were promised (settings key Bounds.status_s): four
+// clockIntervals, since the clock is that coarse.
 const jobRetentionMargin = 20 * time.Second
 
 // replicatedState is the cluster's state as of the newest log entry that was applied here, and what follows from those
