--- a/cmd/coordinator/config.go
+++ b/cmd/coordinator/config.go
@@ -35,7 +35,7 @@
 		Addr string `toml:"addr"`
 	} `toml:"keeper"`
 
-	fence statemachine.Fence
+	fence statemachine.LeaseLossMode
 }
 
 func (c *keeperConfig) members() map[uint64]string {
@@ -48,9 +48,9 @@
 
 // quorum is what the file says of this keeper's part.
 func (c *keeperConfig) quorum() consensus.Config {
-	return consensus.Config{Fleet: c.Fleet, Member: c.Member, Members: c.members(), Dir: c.Folder,
-		State: statemachine.Config{Lease: c.Lease.Duration, Answer: c.Answer.Duration, Fence: c.fence, Keep: c.Keep},
-		Log:   func(s string) { log.Print(s) }, Tick: c.Tick.Duration, Snapshot: uint64(c.Snapshot)}
+	return consensus.Config{Fleet: c.Fleet, MemberID: c.Member, InitialMembers: c.members(), Dir: c.Folder,
+		State: statemachine.Config{LeaseDuration: c.Lease.Duration, VoteTimeout: c.Answer.Duration, OnLeaseLoss: c.fence, PolicyHistory: c.Keep},
+		Log:   func(s string) { log.Print(s) }, TickInterval: c.Tick.Duration, SnapshotEntries: uint64(c.Snapshot)}
 }
 
 func readConfig(file string) (*keeperConfig, error) {
@@ -101,7 +101,7 @@
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		wrong(line("listen"), "listen: %v; expected host:port", err)
 	}
-	if c.fence, err = statemachine.ParseFence(c.Fence); err != nil {
+	if c.fence, err = statemachine.ParseLeaseLossMode(c.Fence); err != nil {
 		wrong(line("fence"), "fence: %v", err)
 	}
 	for _, d := range []struct {
--- a/cmd/coordinator/flow.go
+++ b/cmd/coordinator/flow.go
@@ -33,14 +33,14 @@
 // flow has one command on workflows carried out.
 func (c *calls) flow(f func(a claims.Answer) error, cmd claims.Command) error {
 	return c.call(func(ctx context.Context, cl *transport.Client) error {
-		r, err := c.do(ctx, cl, statemachine.Command{Flow: &cmd})
+		r, err := c.do(ctx, cl, statemachine.Command{Workflow: &cmd})
 		if err != nil {
 			return err
 		}
-		if r.Flow == nil {
+		if r.Workflow == nil {
 			return notDone("the keepers are of an older program: they know no workflows")
 		}
-		return f(*r.Flow)
+		return f(*r.Workflow)
 	})
 }
 
--- a/cmd/coordinator/limits.go
+++ b/cmd/coordinator/limits.go
@@ -30,7 +30,7 @@
 				return notDone("no limits: the policies in force had none yet")
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d dispatchers hold parts; moments at which more was out than may be: %d\n", len(s.Quota.Parties), s.Quota.Over)
-			return limitsTable(cmd.OutOrStdout(), s.InForce().Limits, s.Quota, int64(len(s.Quota.Parties)), s.Config.Lease)
+			return limitsTable(cmd.OutOrStdout(), s.CurrentPolicy().Limits, s.Quota, int64(len(s.Quota.Parties)), s.Config.LeaseDuration)
 		})
 	}}, &cobra.Command{Use: "plan FILE", Short: "what bounds a policy's limits would have", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
@@ -46,7 +46,7 @@
 			return &coded{exitUsage, fmt.Errorf("%s: %w", args[0], err)}
 		}
 		return c.look(func(s *statemachine.State, _ uint64) error {
-			return limitsTable(cmd.OutOrStdout(), limits, nil, int64(len(s.Living())), s.Config.Lease)
+			return limitsTable(cmd.OutOrStdout(), limits, nil, int64(len(s.ActiveHolders())), s.Config.LeaseDuration)
 		})
 	}})
 	return l
@@ -56,7 +56,7 @@
 	return &cobra.Command{Use: "verdicts", Short: "the workers condemned, and those accused", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		return c.look(func(s *statemachine.State, _ uint64) error {
 			out := cmd.OutOrStdout()
-			l := s.Verdicts
+			l := s.Outliers
 			switch {
 			case c.json:
 				return json.NewEncoder(out).Encode(l)
--- a/cmd/coordinator/main.go
+++ b/cmd/coordinator/main.go
@@ -98,7 +98,7 @@
 
 // state asks for the keepers' state, of as many as it takes.
 func (c *calls) state(ctx context.Context, cl *transport.Client) (s *statemachine.State, leader uint64, err error) {
-	err = transport.Tries(ctx, func(ctx context.Context) error {
+	err = transport.Retry(ctx, func(ctx context.Context) error {
 		s, leader, err = cl.State(ctx)
 		return err
 	})
@@ -109,7 +109,7 @@
 }
 
 func (c *calls) do(ctx context.Context, cl *transport.Client, cmd statemachine.Command) (r statemachine.Result, err error) {
-	err = transport.Tries(ctx, func(ctx context.Context) error {
+	err = transport.Retry(ctx, func(ctx context.Context) error {
 		r, err = cl.Do(ctx, cmd)
 		return err
 	})
@@ -126,18 +126,18 @@
 	return c.look(func(s *statemachine.State, leader uint64) error {
 		out := cmd.OutOrStdout()
 		if c.json {
-			return json.NewEncoder(out).Encode(map[string]any{"leader": leader, "revision": s.Revision, "in_force": s.InForce(), "change": s.Change, "holders": s.Holders, "now": s.Now})
+			return json.NewEncoder(out).Encode(map[string]any{"leader": leader, "revision": s.Revision, "in_force": s.CurrentPolicy(), "change": s.Change, "holders": s.Holders, "now": s.Now})
 		}
 		fmt.Fprintf(out, "keeper %d leads; revision %d\n", leader, s.Revision)
 		describe(out, s)
 		w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(w, "dispatcher\tversion\tlease\tprogram")
-		for _, h := range s.Living() {
+		for _, h := range s.ActiveHolders() {
 			left := "not counted yet"
-			if h.Grant == 0 {
-				left = (h.Until - s.Now).String()
+			if h.PendingGrant == 0 {
+				left = (h.LeaseExpiry - s.Now).String()
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", h.Name, h.Version, left, h.Program)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", h.Name, h.PolicyVersion, left, h.Program)
 		}
 		return w.Flush()
 	})
@@ -145,10 +145,10 @@
 
 // describe words what is in force, and what is under way and held up by whom.
 func describe(out io.Writer, s *statemachine.State) {
-	if p := s.InForce(); p.Version == 0 {
+	if p := s.CurrentPolicy(); p.Version == 0 {
 		fmt.Fprintln(out, "no policy was ever made")
 	} else {
-		fmt.Fprintf(out, "version %d (%.12s) in force from revision %d, by %s: %s\n", p.Version, p.Digest, p.Revision, p.Who, p.Why)
+		fmt.Fprintf(out, "version %d (%.12s) in force from revision %d, by %s: %s\n", p.Version, p.Digest, p.Revision, p.Author, p.Reason)
 	}
 	ch := s.Change
 	if ch == nil {
@@ -158,7 +158,7 @@
 	if ch.Reason != "" {
 		line += ": " + ch.Reason
 	}
-	if up := s.Holdup(); len(up) > 0 {
+	if up := s.WaitingFor(); len(up) > 0 {
 		line += "; waits for " + strings.Join(up, ", ")
 	}
 	fmt.Fprintln(out, line)
--- a/cmd/coordinator/members.go
+++ b/cmd/coordinator/members.go
@@ -31,19 +31,19 @@
 			fmt.Fprintln(w, "keeper\taddress\tis\tanswers\tentries behind")
 			for _, k := range all {
 				is := "member"
-				if k.Leads {
+				if k.Leader {
 					is = "leads"
 				} else if k.Learner {
 					is = "learner"
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%t\t%d\n", k.ID, k.Addr, is, k.Active, k.Behind)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%t\t%d\n", k.ID, k.Addr, is, k.Active, k.EntriesBehind)
 			}
 			return w.Flush()
 		})
 	}}
 	step := func(ctx context.Context, cl *transport.Client, what string, id uint64, addr string) (r statemachine.Result, err error) {
-		err = transport.Tries(ctx, func(ctx context.Context) error {
-			r, err = cl.Member(ctx, what, id, addr)
+		err = transport.Retry(ctx, func(ctx context.Context) error {
+			r, err = cl.ChangeMembers(ctx, what, id, addr)
 			return err
 		})
 		if err != nil {
@@ -112,7 +112,7 @@
 
 // members asks for the keepers' members, until the one that leads is found.
 func (c *calls) members(ctx context.Context, cl *transport.Client) (all []statemachine.Member, err error) {
-	err = transport.Tries(ctx, func(ctx context.Context) error {
+	err = transport.Retry(ctx, func(ctx context.Context) error {
 		all, err = cl.Members(ctx)
 		return err
 	})
--- a/cmd/coordinator/policy.go
+++ b/cmd/coordinator/policy.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return &coded{exitUsage, err}
 		}
-		return c.propose(cmd.OutOrStdout(), args[0], text, statemachine.Propose{ID: id, Who: who, Why: why, WithoutSilent: without}, dry)
+		return c.propose(cmd.OutOrStdout(), args[0], text, statemachine.Proposal{ID: id, Author: who, Reason: why, SkipUnresponsive: without}, dry)
 	}}
 	back := &cobra.Command{Use: "back VERSION", Short: "have an earlier version put in force again, as a change like any other", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		n, err := strconv.ParseUint(args[0], 10, 64)
@@ -37,7 +37,7 @@
 		}
 		var text []byte
 		if err := c.look(func(s *statemachine.State, _ uint64) error {
-			old, ok := s.Find(n)
+			old, ok := s.PolicyByVersion(n)
 			if !ok {
 				return notDone("version %d is not remembered", n)
 			}
@@ -46,7 +46,7 @@
 		}); err != nil {
 			return err
 		}
-		return c.propose(cmd.OutOrStdout(), "version "+args[0], text, statemachine.Propose{ID: id, Who: who, Why: "back to version " + args[0] + ": " + why, WithoutSilent: without}, dry)
+		return c.propose(cmd.OutOrStdout(), "version "+args[0], text, statemachine.Proposal{ID: id, Author: who, Reason: "back to version " + args[0] + ": " + why, SkipUnresponsive: without}, dry)
 	}}
 	for _, f := range []*cobra.Command{propose, back} {
 		f.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
@@ -57,7 +57,7 @@
 	}
 	withdraw := &cobra.Command{Use: "withdraw ID", Short: "end a change that is not closing yet", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		return c.call(func(ctx context.Context, cl *transport.Client) error {
-			_, err := c.do(ctx, cl, statemachine.Command{Withdraw: &statemachine.Withdraw{ID: args[0], Who: who, Why: why}})
+			_, err := c.do(ctx, cl, statemachine.Command{Withdrawal: &statemachine.Withdrawal{ID: args[0], Author: who, Reason: why}})
 			if err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "withdrawn")
 			}
@@ -74,13 +74,13 @@
 	p.AddCommand(propose, back, withdraw,
 		show("status", "the change under way, and what holds it up", func(out io.Writer, s *statemachine.State) error {
 			if c.json {
-				return json.NewEncoder(out).Encode(map[string]any{"in_force": s.InForce(), "change": s.Change, "waits_for": s.Holdup()})
+				return json.NewEncoder(out).Encode(map[string]any{"in_force": s.CurrentPolicy(), "change": s.Change, "waits_for": s.WaitingFor()})
 			}
 			describe(out, s)
 			return nil
 		}),
 		show("show", "the text in force", func(out io.Writer, s *statemachine.State) error {
-			_, err := out.Write(s.InForce().Text)
+			_, err := out.Write(s.CurrentPolicy().Text)
 			return err
 		}),
 		show("history", "the versions remembered", func(out io.Writer, s *statemachine.State) error {
@@ -88,7 +88,7 @@
 				return json.NewEncoder(out).Encode(s.Policies)
 			}
 			for _, p := range s.Policies {
-				fmt.Fprintf(out, "%d  revision %d  %.12s  %s: %s\n", p.Version, p.Revision, p.Digest, p.Who, p.Why)
+				fmt.Fprintf(out, "%d  revision %d  %.12s  %s: %s\n", p.Version, p.Revision, p.Digest, p.Author, p.Reason)
 			}
 			return nil
 		}))
@@ -96,7 +96,7 @@
 }
 
 // propose checks a policy, asks for it, and follows it to its end.
-func (c *calls) propose(out io.Writer, from string, text []byte, p statemachine.Propose, dry bool) error {
+func (c *calls) propose(out io.Writer, from string, text []byte, p statemachine.Proposal, dry bool) error {
 	doc, err := policy.Parse(text)
 	if err != nil {
 		return &coded{exitUsage, fmt.Errorf("%s: %w", from, err)}
@@ -107,12 +107,12 @@
 }
 
 // follow asks for the change, and says how far it is until it has ended.
-func (c *calls) follow(ctx context.Context, cl *transport.Client, out io.Writer, doc policy.Document, text []byte, p statemachine.Propose, dry bool) error {
+func (c *calls) follow(ctx context.Context, cl *transport.Client, out io.Writer, doc policy.Document, text []byte, p statemachine.Proposal, dry bool) error {
 	s, _, err := c.state(ctx, cl)
 	if err != nil {
 		return err
 	}
-	now, err := policy.Parse(s.InForce().Text)
+	now, err := policy.Parse(s.CurrentPolicy().Text)
 	if err != nil {
 		return notDone("the policy in force can't be read by this program: %v", err)
 	}
@@ -125,12 +125,12 @@
 	if p.ID == "" {
 		p.ID = fmt.Sprintf("%.8s-%d", statemachine.Digest(text), s.Revision) // another after each change that ended
 	}
-	p.Text, p.Base = text, s.InForce().Version
+	p.Text, p.BaseVersion = text, s.CurrentPolicy().Version
 	if p.Limits, err = doc.Limits(); err != nil {
 		return &coded{exitUsage, err}
 	}
-	p.Judges, p.Start, p.Flows, p.Pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
-	if _, err := c.do(ctx, cl, statemachine.Command{Propose: &p}); err != nil {
+	p.OutlierSettings, p.ColdStart, p.Workflows, p.Pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
+	if _, err := c.do(ctx, cl, statemachine.Command{Proposal: &p}); err != nil {
 		return err
 	}
 	said := ""
@@ -143,8 +143,8 @@
 		if s.Change == nil || s.Change.ID != p.ID {
 			return notDone("another change has followed: see policy history")
 		}
-		line := fmt.Sprintf("%v; %d of %d dispatchers have said that they could run it", s.Change.Stage, len(s.Change.Said), len(s.Living()))
-		if up := s.Holdup(); len(up) > 0 {
+		line := fmt.Sprintf("%v; %d of %d dispatchers have said that they could run it", s.Change.Stage, len(s.Change.Votes), len(s.ActiveHolders()))
+		if up := s.WaitingFor(); len(up) > 0 {
 			line += "; waits for " + strings.Join(up, ", ")
 		}
 		if line != said {
@@ -158,6 +158,6 @@
 		case statemachine.Withdrawn:
 			return notDone("withdrawn: %s", s.Change.Reason)
 		}
-		cl.Watch(ctx, s.Revision, s.InForce().Version, time.Second)
+		cl.Watch(ctx, s.Revision, s.CurrentPolicy().Version, time.Second)
 	}
 }
--- a/cmd/coordinator/serve.go
+++ b/cmd/coordinator/serve.go
@@ -45,14 +45,14 @@
 		return &coded{exitUsage, fmt.Errorf("%s: keeper: %d of them; expected 1, 3 or 5 to begin with", file, n)}
 	}
 	own := cfg.quorum()
-	own.New, own.Join = fresh, join
+	own.Bootstrap, own.Join = fresh, join
 	q, err := consensus.Open(own)
 	if err != nil {
 		return notDone("%v", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(consensus.Path, q)
-	mux.Handle("/", transport.Handler(cfg.Fleet, q, 20*cfg.Tick.Duration+time.Second))
+	mux.Handle(consensus.PeerPath, q)
+	mux.Handle("/", transport.NewHandler(cfg.Fleet, q, 20*cfg.Tick.Duration+time.Second))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	go server.Serve(l)
 	log.Printf("keeper %d of %s serves on %s", cfg.Member, cfg.Fleet, l.Addr())
@@ -60,7 +60,7 @@
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case <-q.Failed():
+	case <-q.Done():
 		server.Close()
 		return notDone("%v", q.Err())
 	}
@@ -86,12 +86,12 @@
 			return notDone("%v", err)
 		}
 		out := cmd.OutOrStdout()
-		fmt.Fprintf(out, "folder of keeper %d, to entry %d of term %d: %d entries known to be agreed on, %d beyond them taken as if they were\n", got.From, got.Entry, got.Term, got.Acked, got.Uncertain)
-		fmt.Fprintf(out, "version %d was in force by it, and is version %d from here on: versions after it that the lost keepers agreed on are lost, and so is whatever else they acknowledged after that entry\n", got.Version, got.As)
-		if got.Change != "" {
-			fmt.Fprintf(out, "change %s was under way by it, and is withdrawn; it may have come into force\n", got.Change)
+		fmt.Fprintf(out, "folder of keeper %d, to entry %d of term %d: %d entries known to be agreed on, %d beyond them taken as if they were\n", got.SourceMember, got.LastEntry, got.LastTerm, got.CommittedEntries, got.UncertainEntries)
+		fmt.Fprintf(out, "version %d was in force by it, and is version %d from here on: versions after it that the lost keepers agreed on are lost, and so is whatever else they acknowledged after that entry\n", got.Version, got.RestoredVersion)
+		if got.WithdrawnChange != "" {
+			fmt.Fprintf(out, "change %s was under way by it, and is withdrawn; it may have come into force\n", got.WithdrawnChange)
 		}
-		fmt.Fprintf(out, "the %d members of before are none any more, and their folders are of no use: generation %d\n", got.Members, got.Generation)
+		fmt.Fprintf(out, "the %d members of before are none any more, and their folders are of no use: generation %d\n", got.FormerMembers, got.Generation)
 		if !accept {
 			return notDone("nothing was done: see that no majority of these members can come back, then add --accept-loss")
 		}
--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -93,11 +93,11 @@
 		if limits, _ := doc.Limits(); !slices.Equal(limits, p.Limits) {
 			return doc, fmt.Errorf("its limits are not those of its text: %d of %d", len(p.Limits), len(limits))
 		}
-		if starts := doc.Starts(); !reflect.DeepEqual(starts, p.Start) {
-			return doc, fmt.Errorf("its cold start is not that of its text: %+v, %+v", p.Start, starts)
+		if starts := doc.Starts(); !reflect.DeepEqual(starts, p.ColdStart) {
+			return doc, fmt.Errorf("its cold start is not that of its text: %+v, %+v", p.ColdStart, starts)
 		}
-		if judges := doc.Judges(); !reflect.DeepEqual(judges, p.Judges) {
-			return doc, fmt.Errorf("its verdicts are not those of its text: %+v, %+v", p.Judges, judges)
+		if judges := doc.Judges(); !reflect.DeepEqual(judges, p.OutlierSettings) {
+			return doc, fmt.Errorf("its verdicts are not those of its text: %+v, %+v", p.OutlierSettings, judges)
 		}
 		n.policyMu.Lock()
 		defer n.policyMu.Unlock()
@@ -127,9 +127,9 @@
 		return err
 	}
 	n.desk.Set(n.deskNow(), p.Limits)
-	n.starts.Bind(p.Start != nil)
-	if n.judged.Store(p.Judges != nil); p.Judges != nil {
-		n.witness.Set(p.Judges.HalfLife)
+	n.starts.Bind(p.ColdStart != nil)
+	if n.judged.Store(p.OutlierSettings != nil); p.OutlierSettings != nil {
+		n.witness.Set(p.OutlierSettings.HalfLife)
 	} else {
 		n.witness.Set(0)
 		n.broker.Judged(nil, false)
@@ -149,7 +149,7 @@
 	n.broker.Witness(n.witness)
 	// What the keepers have said of workers is not used for longer than a lease.
 	n.stale = time.AfterFunc(time.Hour, func() { n.broker.Judged(nil, false) })
-	fence, _ := statemachine.ParseFence(cfg.Keepers.Fence) // checked with the file
+	fence, _ := statemachine.ParseLeaseLossMode(cfg.Keepers.Fence) // checked with the file
 	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.Form()), fence)
 	var more transport.Hooks
 	n.carry(cfg, half.Life(), &more)
@@ -157,11 +157,11 @@
 	// Where nothing is admitted without a lease no list is needed before one: then the keepers are
 	// waited for as long as a list may be old. Else but a moment.
 	patience := time.Second
-	if fence == statemachine.Refuse {
+	if fence == statemachine.RefuseWork {
 		patience = max(cfg.Module.ListRefreshInterval, patience)
 	}
 	n.starts = coldstart.NewDesk(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
-	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.Last {
+	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.KeepLastPolicy {
 		if p, ok := n.lastPolicy(kept); ok {
 			half.Restore(p)
 			log.Printf("policy: version %d (%.12s) of the process before, until the keepers are asked", p.Version, p.Digest)
@@ -182,19 +182,19 @@
 	}
 	var carrier *relayedlist.Carrier
 	hooks := transport.Hooks{
-		Check: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
-		Apply: apply, Log: func(s string) { log.Print(s) },
-		Wants: func() []quota.Want {
+		CheckPolicy: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
+		ApplyPolicy: apply, Log: func(s string) { log.Print(s) },
+		QuotaRequests: func() []quota.Want {
 			n.desk.AtMost(int64(n.broker.Fullest()))
 			n.broker.Rebound()
 			return n.desk.Wants(n.deskNow())
 		},
-		Parts: func(until time.Duration, parts []quota.Part) {
+		QuotaGranted: func(until time.Duration, parts []quota.Part) {
 			n.desk.Hear(n.deskNow(), until, parts)
 			n.broker.Rebound()
 		},
-		Zone: cfg.Module.Zone, Asks: n.starts.Want, Has: n.starts.Has,
-		Start: func(asked, until time.Duration, w *coldstart.Word) {
+		Zone: cfg.Module.Zone, ColdStartRequest: n.starts.Want, ListMark: n.starts.Has,
+		ColdStartGranted: func(asked, until time.Duration, w *coldstart.Word) {
 			list, speeds := n.starts.Hear(asked, until, w)
 			carrier.Take(list)
 			if speeds != nil {
@@ -202,16 +202,16 @@
 				log.Printf("speeds: told of %d kinds and %d classes by the fleet", len(speeds.Kinds), len(speeds.Classes))
 			}
 		},
-		List:    func(u *relay.Update) { carrier.Take(n.starts.News(u)) },
-		Starved: func() bool { return n.desk.Starved() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
-		Saw: func(hold *statemachine.Hold) {
+		ListReceived:   func(u *relay.Update) { carrier.Take(n.starts.News(u)) },
+		QuotaExhausted: func() bool { return n.desk.Starved() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
+		AddReports: func(hold *statemachine.LeaseRequest) {
 			if n.judged.Load() {
-				hold.Workers, hold.Saw = n.broker.Workers(), n.witness.Reports(n.deskNow())
+				hold.WorkerCount, hold.OutlierReports = n.broker.Workers(), n.witness.Reports(n.deskNow())
 			}
 		},
-		Unsaid:   n.witness.Unsaid,
-		Verdicts: n.heardVerdicts, Stay: more.Stay, Steps: more.Steps}
-	n.holder = transport.NewHolder(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
+		ReportsUndelivered: n.witness.Unsaid,
+		VerdictsReceived:   n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
+	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
 	carrier = relayedlist.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
 	n.table.Share(n.starts, carrier.Told)
 	n.reader.Gate(func() (uint64, time.Time, bool) {
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -57,9 +57,9 @@
 	limitMemory func(bytes int64)
 	bans        *hotrestart.Bans
 	peers       *hotrestart.Peers
-	holder      *transport.Holder // of the policy agreed on with keepers; nil: none is
-	release     func()            // gives its lease back
-	base        *config.Config    // in force, before the policy; reloads' and the policy's, under policyMu
+	holder      *transport.LeaseSession // of the policy agreed on with keepers; nil: none is
+	release     func()                  // gives its lease back
+	base        *config.Config          // in force, before the policy; reloads' and the policy's, under policyMu
 	policyMu    sync.Mutex
 	starts      *coldstart.Desk // of turns at the list service and the relayed list; nil: no keepers
 	desk        *quota.Desk     // of the limits of the fleet
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/steps.go
@@ -22,10 +22,10 @@
 
 // weighFlows tells what keeps a policy's workflows from being run under a configuration; nil: nothing.
 func weighFlows(cfg *config.Config, doc policy.Document, p statemachine.Policy) error {
-	if all := doc.Flows(); len(all)+len(p.Flows) > 0 && !reflect.DeepEqual(all, p.Flows) {
+	if all := doc.Flows(); len(all)+len(p.Workflows) > 0 && !reflect.DeepEqual(all, p.Workflows) {
 		return &template.Error{Step: -1, Key: "flow", What: "the templates agreed on are not those of the text", Expected: "both alike"}
 	}
-	for _, t := range p.Flows {
+	for _, t := range p.Workflows {
 		if len(cfg.Tenants) > 0 && !slices.Contains(cfg.Tenants, t.Tenant) {
 			return &template.Error{Template: t.Name, Step: -1, Key: "tenant", What: t.Tenant, Expected: fmt.Sprintf("one of the settings' %q", cfg.Tenants)}
 		}
@@ -49,5 +49,5 @@
 			held, at := n.holder.Admits()
 			return held.Version, at, held.Admits
 		}})
-	hooks.Stay, hooks.Steps = n.flows.Stay, n.flows.Ready
+	hooks.ClaimLeaseRenewed, hooks.StepsReady = n.flows.Stay, n.flows.Ready
 }
--- a/internal/discovery/relayedlist/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -20,7 +20,7 @@
 // Keepers are where lists are handed on.
 type Keepers interface {
 	Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error)
-	Life() uint64
+	Incarnation() uint64
 }
 
 // Table is the dispatcher's list.
@@ -85,7 +85,7 @@
 		if w == nil {
 			continue
 		}
-		r, err := c.keepers.Do(ctx, statemachine.Command{Relay: &statemachine.Relay{Name: c.name, Life: c.keepers.Life(), Zone: c.zone, Fence: seat, Word: *w}})
+		r, err := c.keepers.Do(ctx, statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: c.name, Incarnation: c.keepers.Incarnation(), Zone: c.zone, FencingToken: seat, Update: *w}})
 		if err == nil && r.Err == "" {
 			c.desk.Said(seat, true)
 			c.refused = false
--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -16,7 +16,7 @@
 )
 
 // handle does what raft asks: durable first, then sent, then applied.
-func (q *Quorum) handle(rd raft.Ready) error {
+func (q *Node) handle(rd raft.Ready) error {
 	if err := q.store.save(rd.HardState, rd.Entries, rd.Snapshot, rd.MustSync); err != nil {
 		return fmt.Errorf("the folder can't be written: %w", err)
 	}
@@ -58,7 +58,7 @@
 	q.answerReads(rd.ReadStates)
 	q.mu.Unlock()
 	first, _ := q.store.mem.FirstIndex()
-	if q.applied >= first+q.cfg.Snapshot+keepEntries {
+	if q.applied >= first+q.cfg.SnapshotEntries+keepEntries {
 		return q.compact()
 	}
 	return nil
@@ -68,7 +68,7 @@
 // alone at once, by what its folder says is agreed on, which it may write later than it has
 // acknowledged: just started, such a keeper would read what is older than its own answers. So
 // nobody is told before an entry of this term is in the state. The caller holds mu.
-func (q *Quorum) answerReads(more []raft.ReadState) {
+func (q *Node) answerReads(more []raft.ReadState) {
 	q.held = append(q.held, more...)
 	if q.told != q.term {
 		return
@@ -84,7 +84,7 @@
 }
 
 // compact puts a snapshot of the state as it is in the place of the log.
-func (q *Quorum) compact() error {
+func (q *Node) compact() error {
 	text, err := q.state.Snapshot()
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 
 // reached notes that the state is as of an entry. The caller holds mu, and has the state so
 // before it lets go.
-func (q *Quorum) reached(index uint64) {
+func (q *Node) reached(index uint64) {
 	q.applied = index
 	if q.moved != nil {
 		close(q.moved)
@@ -106,23 +106,23 @@
 }
 
 // wake tells whoever watches that something has changed. The caller holds mu.
-func (q *Quorum) wake() {
+func (q *Node) wake() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 }
 
-func (q *Quorum) apply(e *raftpb.Entry) error {
+func (q *Node) apply(e *raftpb.Entry) error {
 	switch e.GetType() {
 	case raftpb.EntryType_EntryConfChange:
 		cc := &raftpb.ConfChange{}
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-			return fmt.Errorf("%w: entry %d: %v", ErrDamaged, e.GetIndex(), err)
+			return fmt.Errorf("%w: entry %d: %v", ErrCorrupt, e.GetIndex(), err)
 		}
 		q.conf = q.node.ApplyConfChange(cc)
 		q.mu.Lock()
 		q.reached(e.GetIndex())
 		out := cc.GetType() == raftpb.ConfChangeType_ConfChangeRemoveNode
-		q.state.Member(cc.GetNodeId(), string(cc.GetContext()), out)
+		q.state.ApplyMemberChange(cc.GetNodeId(), string(cc.GetContext()), out)
 		q.wake()
 		q.mu.Unlock()
 		if cc.GetType() == raftpb.ConfChangeType_ConfChangeAddLearnerNode {
@@ -134,7 +134,7 @@
 		switch id := cc.GetNodeId(); {
 		case !out:
 			q.meet(id)
-		case id == q.cfg.Member:
+		case id == q.cfg.MemberID:
 			return errors.New("this keeper was taken out by the others: its folder is of no use any more")
 		default:
 			q.leave(id)
--- a/internal/fleet/consensus/ask.go
+++ b/internal/fleet/consensus/ask.go
@@ -13,7 +13,7 @@
 
 // Do has a command carried out, and returns its answer once a majority has it. Any keeper
 // takes commands; an error tells nothing of whether it was carried out.
-func (q *Quorum) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
+func (q *Node) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
 	got := make(chan statemachine.Result, 1)
 	q.mu.Lock()
 	if q.failed != nil {
@@ -48,7 +48,7 @@
 
 // Read gives f the state as it is at this moment or later: a majority is asked whether this
 // keeper knows the newest. f must not keep it.
-func (q *Quorum) Read(ctx context.Context, f func(s *statemachine.State)) error {
+func (q *Node) Read(ctx context.Context, f func(s *statemachine.State)) error {
 	got := make(chan uint64, 1)
 	q.mu.Lock()
 	q.last++
@@ -60,7 +60,7 @@
 		delete(q.reads, n)
 		q.mu.Unlock()
 	}()
-	again := time.NewTicker(10 * q.cfg.Tick) // lost where nobody led yet
+	again := time.NewTicker(10 * q.cfg.TickInterval) // lost where nobody led yet
 	defer again.Stop()
 	var index uint64
 	for index == 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Watch blocks until this keeper's state is past a revision, or ctx ends.
-func (q *Quorum) Watch(ctx context.Context, past uint64) uint64 {
+// WaitForRevision blocks until this keeper's state is past a revision, or ctx ends.
+func (q *Node) WaitForRevision(ctx context.Context, past uint64) uint64 {
 	for {
 		q.mu.Lock()
 		now, changed := q.state.Revision, q.changed
@@ -118,8 +118,8 @@
 	}
 }
 
-// Look gives f the state as this keeper has it, which may be old. f must not keep it.
-func (q *Quorum) Look(f func(s *statemachine.State)) {
+// ReadStale gives f the state as this keeper has it, which may be old. f must not keep it.
+func (q *Node) ReadStale(f func(s *statemachine.State)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	f(q.state)
--- a/internal/fleet/consensus/between.go
+++ b/internal/fleet/consensus/between.go
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 )
 
-// Path is where keepers call each other.
-const Path = "/v1/raft"
+// PeerPath is where keepers call each other.
+const PeerPath = "/v1/raft"
 
 // mark is how far a member was: the term it was in, and the last entry that it said it has. In
 // one term the log of a keeper only grows, but for what it had not said it has.
@@ -30,7 +30,7 @@
 func (m mark) before(o mark) bool { return m.term < o.term || m.term == o.term && m.index < o.index }
 
 // heard notes how far a member is by its message, which it has sent after it had it in its folder.
-func (q *Quorum) heard(m *raftpb.Message) {
+func (q *Node) heard(m *raftpb.Message) {
 	q.mu.Lock()
 	q.spoke[m.GetFrom()] = time.Now()
 	q.mu.Unlock()
@@ -56,7 +56,7 @@
 // askOthers asks the other keepers how far this one was, as they know it: a folder that is
 // behind that is an older copy, by which it would go back on what it has acknowledged. Who does
 // not answer knows nothing.
-func (q *Quorum) askOthers() error {
+func (q *Node) askOthers() error {
 	hard, _, _ := q.store.mem.InitialState()
 	last, _ := q.store.mem.LastIndex()
 	own := mark{hard.GetTerm(), last}
@@ -67,7 +67,7 @@
 	var worst error
 	for id, addr := range q.addresses() {
 		wg.Go(func() {
-			r, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?of=%d", addr, Path, q.cfg.Member), nil)
+			r, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s?of=%d", addr, PeerPath, q.cfg.MemberID), nil)
 			if err != nil {
 				return
 			}
@@ -81,7 +81,7 @@
 			if n, _ := fmt.Fscan(io.LimitReader(resp.Body, 64), &at.term, &at.index); resp.StatusCode == http.StatusOK && n == 2 && own.before(at) {
 				mu.Lock()
 				defer mu.Unlock()
-				worst = fmt.Errorf("%w: it ends with entry %d in term %d, and keeper %d has had entry %d in term %d of it", ErrOlder, own.index, own.term, id, at.index, at.term)
+				worst = fmt.Errorf("%w: it ends with entry %d in term %d, and keeper %d has had entry %d in term %d of it", ErrOutdatedCopy, own.index, own.term, id, at.index, at.term)
 			}
 		})
 	}
@@ -93,31 +93,31 @@
 const askWithin = 400 * time.Millisecond
 
 // addresses are the other members', as the file has them, and else as they were taken in.
-func (q *Quorum) addresses() map[uint64]string {
+func (q *Node) addresses() map[uint64]string {
 	out := map[uint64]string{}
 	q.mu.Lock()
 	for id, addr := range q.state.Members {
 		out[id] = addr
 	}
-	for id, addr := range q.cfg.Members {
-		if !q.state.Left[id] {
+	for id, addr := range q.cfg.InitialMembers {
+		if !q.state.RemovedMembers[id] {
 			out[id] = addr
 		}
 	}
 	q.mu.Unlock()
-	delete(out, q.cfg.Member)
+	delete(out, q.cfg.MemberID)
 	return out
 }
 
 // meet begins to speak to a member.
-func (q *Quorum) meet(id uint64) {
+func (q *Node) meet(id uint64) {
 	if addr := q.addresses()[id]; addr != "" && q.peers[id] == nil {
 		q.peers[id] = q.newPeer(id, addr)
 	}
 }
 
 // leave ends speaking to one.
-func (q *Quorum) leave(id uint64) {
+func (q *Node) leave(id uint64) {
 	if p := q.peers[id]; p != nil {
 		p.stop()
 		delete(q.peers, id)
@@ -125,7 +125,7 @@
 }
 
 // follow speaks to just those that a snapshot has as members.
-func (q *Quorum) follow() {
+func (q *Node) follow() {
 	all := slices.Concat(q.conf.GetVoters(), q.conf.GetLearners())
 	if len(all) == 0 { // at the start of a first one, or of one that joins
 		return
@@ -141,13 +141,13 @@
 }
 
 // sign marks a message as one of this fleet's keepers, and of which generation of them.
-func (q *Quorum) sign(h http.Header) {
+func (q *Node) sign(h http.Header) {
 	h.Set("X-Fleet", q.cfg.Fleet)
 	h.Set("X-Generation", strconv.FormatUint(q.store.generation.Load(), 10))
 }
 
 // ServeHTTP takes a message of another keeper.
-func (q *Quorum) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if fleet := r.Header.Get("X-Fleet"); fleet != q.cfg.Fleet {
 		http.Error(w, fmt.Sprintf("fleet %q; this keeper's is %q", fleet, q.cfg.Fleet), http.StatusForbidden)
 		return
@@ -178,7 +178,7 @@
 		if err == io.EOF {
 			return
 		}
-		if err == nil && (m.GetTo() != q.cfg.Member || raft.IsLocalMsg(m.GetType())) {
+		if err == nil && (m.GetTo() != q.cfg.MemberID || raft.IsLocalMsg(m.GetType())) {
 			err = fmt.Errorf("a message of kind %v to %d", m.GetType(), m.GetTo())
 		}
 		if err == nil {
@@ -195,7 +195,7 @@
 // peer carries messages to one other keeper, in order, and drops them where they pile up:
 // raft sends again.
 type peer struct {
-	q    *Quorum
+	q    *Node
 	id   uint64
 	addr string
 	out  chan *raftpb.Message
@@ -204,9 +204,9 @@
 	stop func()
 }
 
-func (q *Quorum) newPeer(id uint64, addr string) *peer {
+func (q *Node) newPeer(id uint64, addr string) *peer {
 	p := &peer{q: q, id: id, addr: addr, out: make(chan *raftpb.Message, 256),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: 20 * q.cfg.Tick}}
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: 20 * q.cfg.TickInterval}}
 	p.ctx, p.stop = context.WithCancel(q.ctx)
 	go p.run()
 	return p
@@ -267,7 +267,7 @@
 			return err
 		}
 	}
-	r, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+p.addr+Path, &text)
+	r, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+p.addr+PeerPath, &text)
 	if err != nil {
 		return err
 	}
@@ -284,20 +284,20 @@
 	return nil
 }
 
-// Quiet is raft's logger: what staff should know of, the quorum says itself.
-type Quiet struct{}
+// DiscardLogger is raft's logger: what staff should know of, the quorum says itself.
+type DiscardLogger struct{}
 
-func (Quiet) Debug(...any)            {}
-func (Quiet) Debugf(string, ...any)   {}
-func (Quiet) Error(...any)            {}
-func (Quiet) Errorf(string, ...any)   {}
-func (Quiet) Info(...any)             {}
-func (Quiet) Infof(string, ...any)    {}
-func (Quiet) Warning(...any)          {}
-func (Quiet) Warningf(string, ...any) {}
-func (Quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (Quiet) Fatalf(f string, v ...any) {
+func (DiscardLogger) Debug(...any)            {}
+func (DiscardLogger) Debugf(string, ...any)   {}
+func (DiscardLogger) Error(...any)            {}
+func (DiscardLogger) Errorf(string, ...any)   {}
+func (DiscardLogger) Info(...any)             {}
+func (DiscardLogger) Infof(string, ...any)    {}
+func (DiscardLogger) Warning(...any)          {}
+func (DiscardLogger) Warningf(string, ...any) {}
+func (DiscardLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (DiscardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (Quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (Quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (DiscardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (DiscardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -51,8 +51,8 @@
 	if v := version(t, q); v != writtenVersion {
 		t.Fatalf("version %d is in force, want %d", v, writtenVersion)
 	}
-	q.Look(func(s *statemachine.State) {
-		if text := string(s.InForce().Text); text != "attempts = 45" {
+	q.ReadStale(func(s *statemachine.State) {
+		if text := string(s.CurrentPolicy().Text); text != "attempts = 45" {
 			t.Errorf("the policy in force is %q", text)
 		}
 	})
@@ -65,16 +65,16 @@
 // The same folder serves as the backup from which a lost majority is restored.
 func TestFolderWrittenBeforeTheRenamesIsRestored(t *testing.T) {
 	const skip = 100
-	config := Config{Fleet: "f", Member: 2, Members: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: statemachine.Config{Keep: 100}, Log: func(string) {}}
+	config := Config{Fleet: "f", MemberID: 2, InitialMembers: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: statemachine.Config{PolicyHistory: 100}, Log: func(string) {}}
 	got, err := Restore(config, unpackFolder(t), skip, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Restored{From: 1, Entry: got.Entry, Term: got.Term, Version: writtenVersion, As: got.As, Generation: 2, Members: 1, Acked: got.Acked, Uncertain: got.Uncertain}
+	want := RestoreReport{SourceMember: 1, LastEntry: got.LastEntry, LastTerm: got.LastTerm, Version: writtenVersion, RestoredVersion: got.RestoredVersion, Generation: 2, FormerMembers: 1, CommittedEntries: got.CommittedEntries, UncertainEntries: got.UncertainEntries}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("restored (-want +got):\n%s", diff)
 	}
-	if got.As <= writtenVersion {
-		t.Errorf("the policy is restored as version %d, which is not above %d", got.As, writtenVersion)
+	if got.RestoredVersion <= writtenVersion {
+		t.Errorf("the policy is restored as version %d, which is not above %d", got.RestoredVersion, writtenVersion)
 	}
 }
--- a/internal/fleet/consensus/members.go
+++ b/internal/fleet/consensus/members.go
@@ -21,17 +21,17 @@
 const closeBehind = 100
 
 // Members tells who the keepers are, and how far.
-func (q *Quorum) Members() (out []statemachine.Member, err error) {
+func (q *Node) Members() (out []statemachine.Member, err error) {
 	st := q.node.Status()
 	if st.RaftState != raft.StateLeader {
 		return nil, fmt.Errorf("%w: %d does", statemachine.ErrNotLeader, st.Lead)
 	}
 	at := q.addresses()
-	at[q.cfg.Member] = q.cfg.Members[q.cfg.Member]
-	last := st.Progress[q.cfg.Member].Match
+	at[q.cfg.MemberID] = q.cfg.InitialMembers[q.cfg.MemberID]
+	last := st.Progress[q.cfg.MemberID].Match
 	for id, p := range st.Progress {
-		out = append(out, statemachine.Member{ID: id, Addr: at[id], Learner: p.IsLearner, Leads: id == q.cfg.Member,
-			Active: q.active(id), Behind: last - min(p.Match, last)})
+		out = append(out, statemachine.Member{ID: id, Addr: at[id], Learner: p.IsLearner, Leader: id == q.cfg.MemberID,
+			Active: q.active(id), EntriesBehind: last - min(p.Match, last)})
 	}
 	slices.SortFunc(out, func(a, b statemachine.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return out, nil
@@ -39,20 +39,20 @@
 
 // active tells whether a member has said anything of late. Raft's own mark is cleared each time
 // it looks, and set at the next message.
-func (q *Quorum) active(id uint64) bool {
+func (q *Node) active(id uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return id == q.cfg.Member || time.Since(q.spoke[id]) < 20*q.cfg.Tick+500*time.Millisecond
+	return id == q.cfg.MemberID || time.Since(q.spoke[id]) < 20*q.cfg.TickInterval+500*time.Millisecond
 }
 
-// Learn takes a member in that has no say yet.
-func (q *Quorum) Learn(ctx context.Context, id uint64, addr string) error {
+// AddLearner takes a member in that has no say yet.
+func (q *Node) AddLearner(ctx context.Context, id uint64, addr string) error {
 	all, err := q.Members()
 	if err != nil {
 		return err
 	}
 	q.mu.Lock()
-	left := q.state.Left[id]
+	left := q.state.RemovedMembers[id]
 	q.mu.Unlock()
 	_, _, bad := net.SplitHostPort(addr)
 	switch at := slices.IndexFunc(all, func(m statemachine.Member) bool { return m.ID == id }); {
@@ -68,8 +68,8 @@
 	return q.change(ctx, raftpb.ConfChangeType_ConfChangeAddLearnerNode, id, addr)
 }
 
-// Promote gives a learner its say, once it has nearly all that is agreed on.
-func (q *Quorum) Promote(ctx context.Context, id uint64) error {
+// PromoteLearner gives a learner its say, once it has nearly all that is agreed on.
+func (q *Node) PromoteLearner(ctx context.Context, id uint64) error {
 	all, err := q.Members()
 	if err != nil {
 		return err
@@ -79,8 +79,8 @@
 		case m.ID != id:
 		case !m.Learner:
 			return nil
-		case !m.Active || m.Behind > closeBehind:
-			return fmt.Errorf("member %d is %d entries behind; it is given its say once it has them", id, m.Behind)
+		case !m.Active || m.EntriesBehind > closeBehind:
+			return fmt.Errorf("member %d is %d entries behind; it is given its say once it has them", id, m.EntriesBehind)
 		default:
 			return q.change(ctx, raftpb.ConfChangeType_ConfChangeAddNode, id, m.Addr)
 		}
@@ -88,9 +88,9 @@
 	return fmt.Errorf("member %d is not there", id)
 }
 
-// Remove takes a member out for good. It is refused where those left would have no majority that
+// RemoveMember takes a member out for good. It is refused where those left would have no majority that
 // answers; one that leads hands that over first, and is to be asked for again.
-func (q *Quorum) Remove(ctx context.Context, id uint64) error {
+func (q *Node) RemoveMember(ctx context.Context, id uint64) error {
 	all, err := q.Members()
 	if err != nil {
 		return err
@@ -113,13 +113,13 @@
 	case !there:
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		if q.state.Left[id] {
+		if q.state.RemovedMembers[id] {
 			return nil // asked twice
 		}
 		return fmt.Errorf("member %d is not there", id)
 	case active <= voters/2:
 		return fmt.Errorf("without member %d, %d of %d would answer, no majority", id, active, voters)
-	case id == q.cfg.Member:
+	case id == q.cfg.MemberID:
 		q.node.TransferLeadership(ctx, id, next)
 		return fmt.Errorf("%w any more: %d is to", statemachine.ErrNotLeader, next)
 	}
@@ -128,7 +128,7 @@
 
 // change proposes a change of members, and waits until it has come. One at a time: raft passes
 // over one that is proposed while another is under way.
-func (q *Quorum) change(ctx context.Context, kind raftpb.ConfChangeType, id uint64, addr string) error {
+func (q *Node) change(ctx context.Context, kind raftpb.ConfChangeType, id uint64, addr string) error {
 	if err := q.node.ProposeConfChange(ctx, &raftpb.ConfChange{Type: kind.Enum(), NodeId: &id, Context: []byte(addr)}); err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(q.cfg.Tick):
+		case <-time.After(q.cfg.TickInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("not done by now: another change of members may be under way: %w", ctx.Err())
 		case <-q.ended:
--- a/internal/fleet/consensus/quorum.go
+++ b/internal/fleet/consensus/quorum.go
@@ -26,17 +26,17 @@
 
 // Config is one keeper's.
 type Config struct {
-	Fleet   string            // whose keepers these are; another's are not spoken to
-	Member  uint64            // this one's number, 1 and up
-	Members map[uint64]string // of the first keepers, with their addresses
-	Dir     string
-	New     bool // this member never was one, and begins with the others that never were
-	Join    bool // this member never was one, and is taken in by those that are
-	State   statemachine.Config
-	Log     func(string)
-
-	Tick     time.Duration // of raft; a leader is missed after ten
-	Snapshot uint64        // entries after which the log gives way to a snapshot; 0: 2000
+	Fleet          string            // whose keepers these are; another's are not spoken to
+	MemberID       uint64            // this one's number, 1 and up
+	InitialMembers map[uint64]string // of the first keepers, with their addresses
+	Dir            string
+	Bootstrap      bool // this member never was one, and begins with the others that never were
+	Join           bool // this member never was one, and is taken in by those that are
+	State          statemachine.Config
+	Log            func(string)
+
+	TickInterval    time.Duration // of raft; a leader is missed after ten
+	SnapshotEntries uint64        // entries after which the log gives way to a snapshot; 0: 2000
 }
 
 // keepEntries are left behind a snapshot for followers a little behind.
@@ -48,8 +48,8 @@
 // ErrClosed is returned once the keeper has stopped.
 var ErrClosed = errors.New("quorum: closed")
 
-// Quorum is one keeper's part.
-type Quorum struct {
+// Node is one keeper's part.
+type Node struct {
 	cfg   Config
 	store *store
 	node  raft.Node
@@ -80,18 +80,18 @@
 }
 
 // Open opens the folder, and begins to take part.
-func Open(cfg Config) (*Quorum, error) {
-	if cfg.Snapshot == 0 {
-		cfg.Snapshot = 2000
+func Open(cfg Config) (*Node, error) {
+	if cfg.SnapshotEntries == 0 {
+		cfg.SnapshotEntries = 2000
 	}
-	if cfg.Members[cfg.Member] == "" {
-		return nil, fmt.Errorf("quorum: member %d is not among the members", cfg.Member)
+	if cfg.InitialMembers[cfg.MemberID] == "" {
+		return nil, fmt.Errorf("quorum: member %d is not among the members", cfg.MemberID)
 	}
-	s, err := open(cfg.Dir, cfg.Fleet, cfg.Member, cfg.New || cfg.Join, cfg.New)
+	s, err := open(cfg.Dir, cfg.Fleet, cfg.MemberID, cfg.Bootstrap || cfg.Join, cfg.Bootstrap)
 	if err != nil {
 		return nil, err
 	}
-	q := &Quorum{cfg: cfg, store: s, life: rand.Uint64(), state: statemachine.New(cfg.State), waiting: map[uint64]chan statemachine.Result{},
+	q := &Node{cfg: cfg, store: s, life: rand.Uint64(), state: statemachine.New(cfg.State), waiting: map[uint64]chan statemachine.Result{},
 		reads: map[uint64]chan uint64{}, seen: map[uint64]mark{}, spoke: map[uint64]time.Time{}, changed: make(chan struct{}), peers: map[uint64]*peer{}, done: make(chan struct{}), ended: make(chan struct{})}
 	q.ctx, q.cancel = context.WithCancel(context.Background())
 	snap, err := s.mem.Snapshot()
@@ -102,27 +102,27 @@
 	if !raft.IsEmptySnap(snap) {
 		if q.state, err = statemachine.Restore(snap.GetData()); err != nil {
 			s.close()
-			return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+			return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 		q.applied = snap.GetMetadata().GetIndex()
 	}
 	hard, conf, _ := s.mem.InitialState()
 	q.conf, q.term = conf, hard.GetTerm()
-	if !cfg.New && !cfg.Join {
+	if !cfg.Bootstrap && !cfg.Join {
 		if err := q.askOthers(); err != nil {
 			s.close()
 			return nil, fmt.Errorf("%s: %w", cfg.Dir, err)
 		}
 	}
-	rc := &raft.Config{ID: cfg.Member, ElectionTick: 10, HeartbeatTick: 1, Storage: s.mem, Applied: q.applied,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: Quiet{}}
-	for id := range cfg.Members {
+	rc := &raft.Config{ID: cfg.MemberID, ElectionTick: 10, HeartbeatTick: 1, Storage: s.mem, Applied: q.applied,
+		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: DiscardLogger{}}
+	for id := range cfg.InitialMembers {
 		q.meet(id)
 	}
 	q.follow()
-	if cfg.New {
+	if cfg.Bootstrap {
 		var first []raft.Peer
-		for id := range cfg.Members { // without addresses: each may reach the others by its own
+		for id := range cfg.InitialMembers { // without addresses: each may reach the others by its own
 			first = append(first, raft.Peer{ID: id})
 		}
 		// Each writes the same first entries, so in the same order.
@@ -136,9 +136,9 @@
 }
 
 // run is the one loop that raft and the state are driven from.
-func (q *Quorum) run() {
+func (q *Node) run() {
 	defer close(q.ended)
-	tick := time.NewTicker(q.cfg.Tick)
+	tick := time.NewTicker(q.cfg.TickInterval)
 	defer tick.Stop()
 	var since reign
 	for {
@@ -168,24 +168,24 @@
 // tellTime proposes what has passed since this one began to lead in this term, or told last:
 // what passed between two terms another may have told. It reads its clock after it has looked
 // which leases were given, as the state wants it.
-func (q *Quorum) tellTime(since reign) reign {
+func (q *Node) tellTime(since reign) reign {
 	st := q.node.Status()
 	if st.RaftState != raft.StateLeader {
 		return reign{}
 	}
 	q.mu.Lock()
-	seen := q.state.Grants
+	seen := q.state.GrantCount
 	idle := q.state.Idle()
 	q.mu.Unlock()
 	now := time.Now()
 	if since.term != st.GetTerm() || idle { // or nobody waits for time
 		return reign{st.GetTerm(), now, since.no + 1} // one that is missing says that time was not told
 	}
-	text, err := q.word(0, statemachine.Command{Tick: &statemachine.Tick{Passed: now.Sub(since.told), Seen: seen, Lead: st.GetTerm(), No: since.no + 1}})
+	text, err := q.word(0, statemachine.Command{Tick: &statemachine.Tick{Elapsed: now.Sub(since.told), GrantsSeen: seen, LeaderTerm: st.GetTerm(), Number: since.no + 1}})
 	if err != nil {
 		return since
 	}
-	ctx, stop := context.WithTimeout(q.ctx, q.cfg.Tick)
+	ctx, stop := context.WithTimeout(q.ctx, q.cfg.TickInterval)
 	defer stop()
 	// Whatever comes of it, this stretch is not told again: told twice, leases would be over
 	// here before they are over at their holders.
@@ -194,7 +194,7 @@
 }
 
 // word is an entry: the process's mark, the number of its proposal, and the command.
-func (q *Quorum) word(n uint64, cmd statemachine.Command) ([]byte, error) {
+func (q *Node) word(n uint64, cmd statemachine.Command) ([]byte, error) {
 	text, err := statemachine.Encode(cmd)
 	out := binary.LittleEndian.AppendUint64(nil, q.life)
 	out = binary.LittleEndian.AppendUint64(out, n)
@@ -202,13 +202,13 @@
 }
 
 // Leader is who leads as far as this keeper knows; 0: nobody.
-func (q *Quorum) Leader() uint64 {
+func (q *Node) Leader() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.leader
 }
 
-func (q *Quorum) err() error {
+func (q *Node) err() error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.failed != nil {
@@ -217,21 +217,21 @@
 	return ErrClosed
 }
 
-func (q *Quorum) fail(err error) {
+func (q *Node) fail(err error) {
 	q.mu.Lock()
 	q.failed = err
 	q.mu.Unlock()
 	q.cfg.Log("stopped: " + err.Error())
 }
 
-// Failed is closed once the keeper takes part no more; the error says why.
-func (q *Quorum) Failed() <-chan struct{} { return q.ended }
+// Done is closed once the keeper takes part no more; the error says why.
+func (q *Node) Done() <-chan struct{} { return q.ended }
 
 // Err is why it stopped.
-func (q *Quorum) Err() error { return q.err() }
+func (q *Node) Err() error { return q.err() }
 
 // Close leaves the others; what was answered stands.
-func (q *Quorum) Close() error {
+func (q *Node) Close() error {
 	select {
 	case <-q.done:
 		return nil
--- a/internal/fleet/consensus/quorum_test.go
+++ b/internal/fleet/consensus/quorum_test.go
@@ -17,23 +17,23 @@
 	"yardflow/internal/fleet/statemachine"
 )
 
-func alone(t *testing.T, dir string, fresh bool, change func(*Config)) (*Quorum, error) {
+func alone(t *testing.T, dir string, fresh bool, change func(*Config)) (*Node, error) {
 	t.Helper()
-	c := Config{Fleet: "f", Member: 1, Members: map[uint64]string{1: "127.0.0.1:1"}, Dir: dir, New: fresh, Tick: 5 * time.Millisecond, Snapshot: 20,
-		State: statemachine.Config{Lease: time.Second, Answer: time.Second, Keep: 100}, Log: func(string) {}}
+	c := Config{Fleet: "f", MemberID: 1, InitialMembers: map[uint64]string{1: "127.0.0.1:1"}, Dir: dir, Bootstrap: fresh, TickInterval: 5 * time.Millisecond, SnapshotEntries: 20,
+		State: statemachine.Config{LeaseDuration: time.Second, VoteTimeout: time.Second, PolicyHistory: 100}, Log: func(string) {}}
 	if change != nil {
 		change(&c)
 	}
 	return Open(c)
 }
 
-func propose(t *testing.T, q *Quorum, n int) {
+func propose(t *testing.T, q *Node, n int) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
 	for {
 		one, end := context.WithTimeout(ctx, time.Second)
-		r, err := q.Do(one, statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), Base: uint64(n - 1)}})
+		r, err := q.Do(one, statemachine.Command{Proposal: &statemachine.Proposal{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), BaseVersion: uint64(n - 1)}})
 		end()
 		if err == nil && r.Err == "" {
 			return
@@ -44,11 +44,11 @@
 	}
 }
 
-func version(t *testing.T, q *Quorum) (v uint64) {
+func version(t *testing.T, q *Node) (v uint64) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := q.Read(ctx, func(s *statemachine.State) { v = s.InForce().Version }); err != nil {
+	if err := q.Read(ctx, func(s *statemachine.State) { v = s.CurrentPolicy().Version }); err != nil {
 		t.Fatal(err)
 	}
 	return v
@@ -94,7 +94,7 @@
 // A folder that is not this keeper's, or not whole, is refused, and stays as it was.
 func TestFolderIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := alone(t, dir, false, nil); !errors.Is(err, ErrEmpty) {
+	if _, err := alone(t, dir, false, nil); !errors.Is(err, ErrNoData) {
 		t.Errorf("empty: %v", err)
 	}
 	q, err := alone(t, dir, true, nil)
@@ -114,8 +114,8 @@
 	for name, c := range map[string]struct {
 		change func(*Config)
 		want   error
-	}{"new": {func(c *Config) { c.New = true }, ErrTaken}, "another fleet's": {func(c *Config) { c.Fleet = "g" }, ErrForeign},
-		"another member's": {func(c *Config) { c.Member, c.Members = 2, map[uint64]string{2: "h:1"} }, ErrForeign}} {
+	}{"new": {func(c *Config) { c.Bootstrap = true }, ErrAlreadyInitialized}, "another fleet's": {func(c *Config) { c.Fleet = "g" }, ErrOtherOwner},
+		"another member's": {func(c *Config) { c.MemberID, c.InitialMembers = 2, map[uint64]string{2: "h:1"} }, ErrOtherOwner}} {
 		if _, err := alone(t, dir, false, c.change); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -127,7 +127,7 @@
 		if q, err := alone(t, dir, false, nil); err == nil {
 			q.Close()
 			t.Errorf("%s: it is opened", name)
-		} else if !errors.Is(err, ErrDamaged) {
+		} else if !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if after, _ := os.ReadFile(file); len(after) != len(text) {
@@ -180,7 +180,7 @@
 				for read := false; !read && !t.Failed(); {
 					ctx, stop := context.WithTimeout(t.Context(), 5*time.Millisecond)
 					err := q.Read(ctx, func(s *statemachine.State) {
-						if v := s.InForce().Version; v != n {
+						if v := s.CurrentPolicy().Version; v != n {
 							t.Errorf("version %d is read after a restart, %d was acknowledged", v, n)
 						}
 					})
--- a/internal/fleet/consensus/record.go
+++ b/internal/fleet/consensus/record.go
@@ -24,7 +24,7 @@
 
 func unsealed(key, text []byte) ([]byte, error) {
 	if len(text) < 8 || !bytes.Equal(sealed(key, text[8:])[:8], text[:8]) {
-		return nil, fmt.Errorf("%w: record %q", ErrDamaged, key)
+		return nil, fmt.Errorf("%w: record %q", ErrCorrupt, key)
 	}
 	return text[8:], nil
 }
@@ -38,11 +38,11 @@
 		return nil, 0, 0, nil // a leader's first
 	}
 	if len(text) < 16 {
-		return nil, 0, 0, fmt.Errorf("%w: entry %d is cut off", ErrDamaged, e.GetIndex())
+		return nil, 0, 0, fmt.Errorf("%w: entry %d is cut off", ErrCorrupt, e.GetIndex())
 	}
 	cmd = &statemachine.Command{}
 	if err := statemachine.Decode(text[16:], cmd); err != nil {
-		return nil, 0, 0, fmt.Errorf("%w: entry %d: %v", ErrDamaged, e.GetIndex(), err)
+		return nil, 0, 0, fmt.Errorf("%w: entry %d: %v", ErrCorrupt, e.GetIndex(), err)
 	}
 	return cmd, binary.LittleEndian.Uint64(text), binary.LittleEndian.Uint64(text[8:]), nil
 }
--- a/internal/fleet/consensus/restore.go
+++ b/internal/fleet/consensus/restore.go
@@ -17,28 +17,28 @@
 	"yardflow/internal/fleet/statemachine"
 )
 
-// Restored is what came of a restore, for staff.
-type Restored struct {
-	From             uint64 // the member whose folder it was
-	Entry, Term      uint64 // the last one in it
-	Version          uint64 // of the policy that was in force by it, and
-	As               uint64 // under which it is now
-	Change           string // that was under way, and is withdrawn
-	Generation       uint64
-	Members          int    // there were before; they are none any more
-	Acked, Uncertain uint64 // entries known to be agreed on, and beyond them
+// RestoreReport is what came of a restore, for staff.
+type RestoreReport struct {
+	SourceMember                       uint64 // the member whose folder it was
+	LastEntry, LastTerm                uint64 // the last one in it
+	Version                            uint64 // of the policy that was in force by it, and
+	RestoredVersion                    uint64 // under which it is now
+	WithdrawnChange                    string // that was under way, and is withdrawn
+	Generation                         uint64
+	FormerMembers                      int    // there were before; they are none any more
+	CommittedEntries, UncertainEntries uint64 // entries known to be agreed on, and beyond them
 }
 
 // Restore makes a folder of one keeper anew from a folder of another whose majority is lost
 // for good. Nothing is written but with commit. What the lost ones acknowledged after the last
 // entry of that folder is lost; versions go on skip further, so that none is used for two
 // policies.
-func Restore(cfg Config, from string, skip uint64, commit bool) (out Restored, err error) {
+func Restore(cfg Config, from string, skip uint64, commit bool) (out RestoreReport, err error) {
 	path := filepath.Join(from, fileName)
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	old := &store{mem: raft.NewMemoryStorage()}
 	if old.db, err = openFile(path, true); err != nil {
-		return out, fmt.Errorf("%s: %w: %v", path, ErrDamaged, err)
+		return out, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
 	}
 	defer old.close()
 	if err := old.load(cfg.Fleet, 0); err != nil {
@@ -51,7 +51,7 @@
 		state, err = statemachine.Restore(snap.GetData())
 	}
 	if err != nil {
-		return out, fmt.Errorf("%s: %w: %v", path, ErrDamaged, err)
+		return out, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
 	}
 	first, _ := old.mem.FirstIndex()
 	last, _ := old.mem.LastIndex()
@@ -69,9 +69,9 @@
 		if e.GetType() == raftpb.EntryType_EntryConfChange {
 			cc := &raftpb.ConfChange{}
 			if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-				return out, fmt.Errorf("%s: %w: entry %d: %v", path, ErrDamaged, e.GetIndex(), err)
+				return out, fmt.Errorf("%s: %w: entry %d: %v", path, ErrCorrupt, e.GetIndex(), err)
 			}
-			state.Member(cc.GetNodeId(), string(cc.GetContext()), cc.GetType() == raftpb.ConfChangeType_ConfChangeRemoveNode)
+			state.ApplyMemberChange(cc.GetNodeId(), string(cc.GetContext()), cc.GetType() == raftpb.ConfChangeType_ConfChangeRemoveNode)
 			was[cc.GetNodeId()] = true
 		} else if cmd, _, _, err := reword(e); err != nil {
 			return out, fmt.Errorf("%s: %w", path, err)
@@ -86,22 +86,22 @@
 	meta := func(tx *bbolt.Tx) error {
 		got, err := unsealed(keyMember, tx.Bucket(bucketMeta).Get(keyMember))
 		if err == nil {
-			out.From = binary.BigEndian.Uint64(got)
+			out.SourceMember = binary.BigEndian.Uint64(got)
 		}
 		return err
 	}
 	if err := old.db.View(meta); err != nil {
 		return out, err
 	}
-	out.Entry, out.Term, out.Version, out.Members = last, term, state.InForce().Version, len(was)
-	out.Acked, out.Uncertain = min(hard.GetCommit(), last), last-min(hard.GetCommit(), last)
+	out.LastEntry, out.LastTerm, out.Version, out.FormerMembers = last, term, state.CurrentPolicy().Version, len(was)
+	out.CommittedEntries, out.UncertainEntries = min(hard.GetCommit(), last), last-min(hard.GetCommit(), last)
 	if ch := state.Change; ch != nil && ch.Stage < statemachine.InForce {
-		out.Change = ch.ID
+		out.WithdrawnChange = ch.ID
 	}
 	out.Generation = max(old.generation.Load(), 1) + 1
-	delete(was, cfg.Member)
-	state.Restored(fmt.Sprintf("restored from the folder of keeper %d, entry %d", out.From, last), skip, was)
-	out.As = state.InForce().Version
+	delete(was, cfg.MemberID)
+	state.ResetAfterRestore(fmt.Sprintf("restored from the folder of keeper %d, entry %d", out.SourceMember, last), skip, was)
+	out.RestoredVersion = state.CurrentPolicy().Version
 	if !commit {
 		return out, nil
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return out, err
 	}
-	s, err := open(cfg.Dir, cfg.Fleet, cfg.Member, true, false)
+	s, err := open(cfg.Dir, cfg.Fleet, cfg.MemberID, true, false)
 	if err != nil {
 		return out, err
 	}
@@ -119,5 +119,5 @@
 	}
 	newTerm := max(hard.GetTerm(), term)
 	return out, s.save(&raftpb.HardState{Term: &newTerm, Commit: &last}, nil,
-		&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{Index: &last, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{cfg.Member}}}}, true)
+		&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{Index: &last, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{cfg.MemberID}}}}, true)
 }
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -44,11 +44,11 @@
 
 // The errors of a folder.
 var (
-	ErrEmpty   = errors.New("the folder holds no keeper: start it with --new if it never was one; a keeper that lost its folder is taken out and comes in again as another member")
-	ErrTaken   = errors.New("the folder holds a keeper already: start it without --new")
-	ErrForeign = errors.New("the folder is another's")
-	ErrOlder   = errors.New("the folder is an older copy: take this keeper out and let another member come in")
-	ErrDamaged = errors.New("the folder is damaged: take this keeper out and let another member come in, or restore a majority from a snapshot")
+	ErrNoData             = errors.New("the folder holds no keeper: start it with --new if it never was one; a keeper that lost its folder is taken out and comes in again as another member")
+	ErrAlreadyInitialized = errors.New("the folder holds a keeper already: start it without --new")
+	ErrOtherOwner         = errors.New("the folder is another's")
+	ErrOutdatedCopy       = errors.New("the folder is an older copy: take this keeper out and let another member come in")
+	ErrCorrupt            = errors.New("the folder is damaged: take this keeper out and let another member come in, or restore a majority from a snapshot")
 )
 
 type store struct {
@@ -70,9 +70,9 @@
 	_, err := os.Stat(path)
 	switch {
 	case err == nil && fresh:
-		return nil, fmt.Errorf("%s: %w", dir, ErrTaken)
+		return nil, fmt.Errorf("%s: %w", dir, ErrAlreadyInitialized)
 	case errors.Is(err, os.ErrNotExist) && !fresh:
-		return nil, fmt.Errorf("%s: %w", dir, ErrEmpty)
+		return nil, fmt.Errorf("%s: %w", dir, ErrNoData)
 	case err != nil && !errors.Is(err, os.ErrNotExist):
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, err)
+		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
 	}
 	s := &store{db: db, mem: raft.NewMemoryStorage()}
 	if fresh {
@@ -167,7 +167,7 @@
 func (s *store) load(fleet string, member uint64) (err error) {
 	defer func() { // a torn page can be anything to its reader
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", ErrDamaged, r)
+			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
 	own := logKey(member)
@@ -176,11 +176,11 @@
 	}
 	return s.db.View(func(tx *bbolt.Tx) error {
 		if file, err := os.Stat(s.db.Path()); err != nil || file.Size() < tx.Size() {
-			return fmt.Errorf("%w: it ends before byte %d", ErrDamaged, tx.Size())
+			return fmt.Errorf("%w: it ends before byte %d", ErrCorrupt, tx.Size())
 		}
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if meta == nil || log == nil {
-			return fmt.Errorf("%w: no such parts in it", ErrDamaged)
+			return fmt.Errorf("%w: no such parts in it", ErrCorrupt)
 		}
 		for _, want := range []struct {
 			key  []byte
@@ -192,14 +192,14 @@
 				return err
 			}
 			if !bytes.Equal(got, want.is) && want.is != nil {
-				return fmt.Errorf("%w: its %s is %q, this keeper's %q", ErrForeign, want.word, got, want.is)
+				return fmt.Errorf("%w: its %s is %q, this keeper's %q", ErrOtherOwner, want.word, got, want.is)
 			}
 		}
 		s.generation.Store(1) // of folders from before there were others
 		if text := meta.Get(keyGen); text != nil {
 			got, err := unsealed(keyGen, text)
 			if err != nil || len(got) != 8 {
-				return fmt.Errorf("%w: its generation: %v", ErrDamaged, err)
+				return fmt.Errorf("%w: its generation: %v", ErrCorrupt, err)
 			}
 			s.generation.Store(binary.BigEndian.Uint64(got))
 		}
@@ -234,7 +234,7 @@
 				return err
 			}
 			if index != next || e.GetIndex() != index {
-				return fmt.Errorf("%w: entry %d where %d is due", ErrDamaged, index, next)
+				return fmt.Errorf("%w: entry %d where %d is due", ErrCorrupt, index, next)
 			}
 			next++
 			return s.mem.Append([]*raftpb.Entry{e})
--- a/internal/fleet/policylease/accord.go
+++ b/internal/fleet/policylease/accord.go
@@ -29,7 +29,7 @@
 
 // Accord is one life of a dispatcher.
 type Accord struct {
-	fence   statemachine.Fence
+	fence   statemachine.LeaseLossMode
 	name    string
 	program string
 	life    uint64
@@ -50,7 +50,7 @@
 
 // New makes the half of a dispatcher that knows nothing yet. life must differ between all
 // processes that ever bear the name.
-func New(name string, life uint64, program string, fence statemachine.Fence) *Accord {
+func New(name string, life uint64, program string, fence statemachine.LeaseLossMode) *Accord {
 	return &Accord{name: name, life: life, program: program, fence: fence}
 }
 
@@ -67,7 +67,7 @@
 // Admits is what holds at this moment, asked before each request is admitted.
 func (a *Accord) Admits(now time.Duration) Held {
 	held := a.Holds(now)
-	return Held{Version: a.policy.Version, Admits: held || a.fence == statemachine.Last && a.ever && !a.stop && !a.fresh, Marked: !held}
+	return Held{Version: a.policy.Version, Admits: held || a.fence == statemachine.KeepLastPolicy && a.ever && !a.stop && !a.fresh, Marked: !held}
 }
 
 // Until is when the lease ends; 0: there is none.
@@ -94,13 +94,13 @@
 func (a *Accord) Every() time.Duration { return max(a.lease.Length()/3, 50*time.Millisecond) }
 
 // Ask words the next call for a lease. The caller remembers when it asked.
-func (a *Accord) Ask(now time.Duration) statemachine.Hold {
+func (a *Accord) Ask(now time.Duration) statemachine.LeaseRequest {
 	a.seq++
-	h := statemachine.Hold{Name: a.name, Life: a.life, Seq: a.seq, Knows: a.policy.Version, Program: a.program, Heard: a.grant}
+	h := statemachine.LeaseRequest{Name: a.name, Incarnation: a.life, Seq: a.seq, KnownVersion: a.policy.Version, Program: a.program, CurrentGrant: a.grant}
 	if a.Admits(now).Admits {
-		h.Serves = a.policy.Version
-		if h.Serves == 0 {
-			h.Serves = none
+		h.ServingVersion = a.policy.Version
+		if h.ServingVersion == 0 {
+			h.ServingVersion = none
 		}
 	}
 	return h
@@ -110,39 +110,39 @@
 const none = 1<<64 - 1
 
 // Leave words the last message of this life, after which it admits nothing.
-func (a *Accord) Leave() statemachine.Leave {
+func (a *Accord) Leave() statemachine.LeaseRelease {
 	a.seq++
 	a.stop = true
 	a.lease.Leave()
-	return statemachine.Leave{Name: a.name, Life: a.life, Seq: a.seq}
+	return statemachine.LeaseRelease{Name: a.name, Incarnation: a.life, Seq: a.seq}
 }
 
 // Todo is what is left to the caller after an answer.
 type Todo struct {
-	Take  *statemachine.Policy // take it in, say Took, and ask again at once
-	Weigh *statemachine.Change // see whether it could be run, and tell the keepers by Say
-	Again bool                 // ask again at once
+	Take  *statemachine.Policy       // take it in, say Took, and ask again at once
+	Weigh *statemachine.PolicyChange // see whether it could be run, and tell the keepers by Say
+	Again bool                       // ask again at once
 }
 
 // Before tells whether an answer is of keepers from before they were restored, whose word is void.
-func (a *Accord) Before(r statemachine.Result) bool { return r.Era < a.era }
+func (a *Accord) Before(r statemachine.Result) bool { return r.Generation < a.era }
 
 // Heard takes in the answer to what was asked at a moment of its own clock.
 func (a *Accord) Heard(asked time.Duration, r statemachine.Result) (t Todo) {
 	if a.Before(r) {
 		return Todo{}
 	}
-	a.Why, a.era, a.fresh = r.Why, r.Era, false
+	a.Why, a.era, a.fresh = r.NoLeaseReason, r.Generation, false
 	if r.Err != "" {
 		a.Why = r.Err
-		return Todo{Again: r.Err == statemachine.ErrStale.Error()}
+		return Todo{Again: r.Err == statemachine.ErrStaleMessage.Error()}
 	}
 	if r.Change != nil && r.Change.ID != a.said {
 		t.Weigh = r.Change
 	}
-	if r.Stop {
+	if r.StopAdmitting {
 		// Under Last it is told so only while nobody may take up the next one: it goes on.
-		if a.fence == statemachine.Refuse {
+		if a.fence == statemachine.RefuseWork {
 			t.Again = a.lease.Until() != 0 || r.Policy != nil // they wait to hear that it has stopped
 			a.stop = true
 			a.lease.Leave()
@@ -152,26 +152,26 @@
 		t.Take = r.Policy
 		return t
 	}
-	if r.InForce != a.policy.Version {
+	if r.CurrentVersion != a.policy.Version {
 		t.Again = true // this very word has put it in force: no news of it will come by the watch
 	}
-	if r.Lease > 0 {
+	if r.LeaseDuration > 0 {
 		a.ever, a.stop, a.grant = true, false, r.Grant
-		a.lease.Take(asked, r.Lease)
+		a.lease.Take(asked, r.LeaseDuration)
 	}
 	return t
 }
 
 // Told takes in what a watch has told, which may be old: it may make the holder stop, weigh or
 // take up something, but never gives a lease.
-func (a *Accord) Told(n statemachine.News) (t Todo) {
-	if n.Era < a.era {
+func (a *Accord) Told(n statemachine.WatchUpdate) (t Todo) {
+	if n.Generation < a.era {
 		return Todo{}
 	}
 	if n.Change != nil && n.Change.ID != a.said {
 		t.Weigh = n.Change
 	}
-	if n.Closing && a.fence == statemachine.Refuse && a.lease.Until() != 0 {
+	if n.Closing && a.fence == statemachine.RefuseWork && a.lease.Until() != 0 {
 		a.stop, t.Again = true, true
 		a.lease.Leave()
 	}
@@ -188,9 +188,9 @@
 }
 
 // Say words what the keepers are told of a change; why is empty where it could be run.
-func (a *Accord) Say(c *statemachine.Change, why string) statemachine.Say {
+func (a *Accord) Say(c *statemachine.PolicyChange, why string) statemachine.Vote {
 	a.said = c.ID
-	return statemachine.Say{Name: a.name, Life: a.life, Change: c.ID, Why: why}
+	return statemachine.Vote{Name: a.name, Incarnation: a.life, ChangeID: c.ID, Objection: why}
 }
 
 // Unsaid notes that the word did not get through, so that it is said again.
--- a/internal/fleet/policylease/explore.go
+++ b/internal/fleet/policylease/explore.go
@@ -47,7 +47,7 @@
 	seq    uint64
 	asked  time.Duration
 	answer *statemachine.Result
-	news   *statemachine.News // of a watch, in the place of both
+	news   *statemachine.WatchUpdate // of a watch, in the place of both
 }
 
 type side struct {
@@ -106,15 +106,15 @@
 }
 
 func newWorld(holders int) *world {
-	first := &world{k: statemachine.New(statemachine.Config{Lease: 2 * step, Answer: 4 * step, Fence: statemachine.Refuse, Keep: 4})}
+	first := &world{k: statemachine.New(statemachine.Config{LeaseDuration: 2 * step, VoteTimeout: 4 * step, OnLeaseLoss: statemachine.RefuseWork, PolicyHistory: 4})}
 	for i := range holders {
-		first.sides = append(first.sides, side{a: *New(fmt.Sprint("n", i), uint64(i+1), "", statemachine.Refuse)})
+		first.sides = append(first.sides, side{a: *New(fmt.Sprint("n", i), uint64(i+1), "", statemachine.RefuseWork)})
 	}
 	// All hold a lease under version 0 to begin with: the ways there are the same as later ones.
 	for i := range first.sides {
 		s := &first.sides[i]
 		h := s.a.Ask(0)
-		s.a.Heard(0, first.k.Apply(statemachine.Command{Hold: &h}))
+		s.a.Heard(0, first.k.Apply(statemachine.Command{LeaseRequest: &h}))
 		s.sees = s.a.Admits(0)
 	}
 	return first
@@ -236,16 +236,16 @@
 	}
 	if w.owed > 0 && w.tick == nil {
 		out = append(out, event{"the leader reads its clock", 4, func(w *world) {
-			w.tick = &statemachine.Tick{Passed: w.owed, Seen: w.k.Grants}
+			w.tick = &statemachine.Tick{Elapsed: w.owed, GrantsSeen: w.k.GrantCount}
 			if fault == FastKeepers {
-				w.tick.Passed *= 2
+				w.tick.Elapsed *= 2
 			}
 			w.owed = 0
 		}}, event{"a new leader counts anew", 1, func(w *world) {
 			w.owed, w.tick = 0, nil
 			if fault == ForgetsLeases {
 				for _, h := range w.k.Holders {
-					h.Until, h.Grant = 0, 0
+					h.LeaseExpiry, h.PendingGrant = 0, 0
 				}
 				w.k.Apply(statemachine.Command{Tick: &statemachine.Tick{}})
 			}
@@ -255,7 +255,7 @@
 		out = append(out, event{"its time is told", 4, func(w *world) {
 			t := *w.tick
 			if fault == CountsAhead {
-				t.Seen = w.k.Grants
+				t.GrantsSeen = w.k.GrantCount
 			}
 			w.k.Apply(statemachine.Command{Tick: &t})
 			w.tick = nil
@@ -264,7 +264,7 @@
 	if w.made < 2 {
 		out = append(out, event{"a change is proposed", 2, func(w *world) {
 			w.made++
-			w.k.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("c", w.made), Text: []byte{byte(w.made)}, Base: w.k.InForce().Version, Who: "me"}})
+			w.k.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: fmt.Sprint("c", w.made), Text: []byte{byte(w.made)}, BaseVersion: w.k.CurrentPolicy().Version, Author: "me"}})
 		}})
 	}
 	for i := range w.sides {
@@ -273,12 +273,12 @@
 				s := &w.sides[i]
 				h := s.a.Ask(w.now)
 				if fault == SaysNothing {
-					h.Serves = 0
+					h.ServingVersion = 0
 				}
 				s.sees = s.a.Admits(w.now)
 				s.moved++
 				s.out = h.Seq
-				w.wire = append(w.wire, call{to: i, cmd: statemachine.Command{Hold: &h}, seq: h.Seq, asked: w.now})
+				w.wire = append(w.wire, call{to: i, cmd: statemachine.Command{LeaseRequest: &h}, seq: h.Seq, asked: w.now})
 			}})
 			if i == 0 {
 				out = append(out, event{"n0 leaves", 1, func(w *world) {
@@ -286,7 +286,7 @@
 					l := s.a.Leave()
 					s.left = true
 					s.sees = s.a.Admits(w.now)
-					w.k.Apply(statemachine.Command{Leave: &l})
+					w.k.Apply(statemachine.Command{LeaseRelease: &l})
 				}})
 			}
 		} else if s.out != 0 {
@@ -296,8 +296,8 @@
 	if w.told < 4 && w.k.Change != nil {
 		for i := range w.sides {
 			out = append(out, event{fmt.Sprintf("n%d's watch sees revision %d", i, w.k.Revision), 2, func(w *world) {
-				text, _ := statemachine.Encode(w.k.News(w.sides[i].a.policy.Version, 0, relay.Mark{})) // as it is now, however late it comes
-				n := &statemachine.News{}
+				text, _ := statemachine.Encode(w.k.UpdateFor(w.sides[i].a.policy.Version, 0, relay.Mark{})) // as it is now, however late it comes
+				n := &statemachine.WatchUpdate{}
 				if err := statemachine.Decode(text, n); err != nil {
 					panic(err)
 				}
@@ -312,7 +312,7 @@
 			continue
 		}
 		name := fmt.Sprintf("n%d's message %d arrives", c.to, c.seq)
-		if c.cmd.Say != nil {
+		if c.cmd.Vote != nil {
 			name = fmt.Sprintf("n%d's word on the change arrives", c.to)
 		}
 		if c.answer != nil {
@@ -320,7 +320,7 @@
 			continue
 		}
 		out = append(out, event{name, 4, func(w *world) { w.deliver(j, false, fault) }})
-		if c.cmd.Hold != nil {
+		if c.cmd.LeaseRequest != nil {
 			out = append(out, event{name + ", and stays to arrive again", 1, func(w *world) { w.deliver(j, true, fault) }})
 		}
 	}
@@ -333,21 +333,21 @@
 		w.wire = append(append([]call(nil), w.wire[:j]...), w.wire[j+1:]...)
 	}
 	cmd := c.cmd
-	if cmd.Hold != nil && fault == StaleTaken {
-		h := *cmd.Hold
-		if known := w.k.Holders[fmt.Sprintf("%s/%d", h.Name, h.Life)]; known != nil {
+	if cmd.LeaseRequest != nil && fault == StaleTaken {
+		h := *cmd.LeaseRequest
+		if known := w.k.Holders[fmt.Sprintf("%s/%d", h.Name, h.Incarnation)]; known != nil {
 			h.Seq = max(h.Seq, known.Seq+1)
 		}
-		cmd.Hold = &h
+		cmd.LeaseRequest = &h
 	}
 	r := w.k.Apply(cmd)
 	if fault == NoClosing && w.k.Change != nil && w.k.Change.Stage == statemachine.Closing {
 		for _, h := range w.k.Holders {
-			h.Until, h.Grant = 0, 0
+			h.LeaseExpiry, h.PendingGrant = 0, 0
 		}
 		w.k.Apply(statemachine.Command{Tick: &statemachine.Tick{}})
 	}
-	if cmd.Hold != nil && w.sides[c.to].out == c.seq { // else nobody waits for this answer
+	if cmd.LeaseRequest != nil && w.sides[c.to].out == c.seq { // else nobody waits for this answer
 		// What is told stays as it was told.
 		text, _ := statemachine.Encode(r)
 		r = statemachine.Result{}
@@ -392,7 +392,7 @@
 	}
 	if t.Weigh != nil {
 		say := s.a.Say(t.Weigh, "")
-		w.wire = append(w.wire, call{to: to, cmd: statemachine.Command{Say: &say}, asked: w.now})
+		w.wire = append(w.wire, call{to: to, cmd: statemachine.Command{Vote: &say}, asked: w.now})
 		if fault == TakesEarly {
 			s.a.policy = t.Weigh.Policy
 		}
--- a/internal/fleet/statemachine/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -11,53 +11,53 @@
 	"yardflow/internal/platform/fault"
 )
 
-func (s *State) say(c *Say) (r Result) {
+func (s *State) say(c *Vote) (r Result) {
 	ch := s.Change
-	if ch == nil || ch.ID != c.Change || ch.Stage != Proposed {
-		r.Err = ErrGone.Error()
+	if ch == nil || ch.ID != c.ChangeID || ch.Stage != Proposed {
+		r.Err = ErrNoSuchChange.Error()
 		return r
 	}
-	if _, said := ch.Said[key(c.Name, c.Life)]; !said {
-		ch.Said[key(c.Name, c.Life)] = c.Why // no new revision: all that watch would ask for each word
+	if _, said := ch.Votes[key(c.Name, c.Incarnation)]; !said {
+		ch.Votes[key(c.Name, c.Incarnation)] = c.Objection // no new revision: all that watch would ask for each word
 	}
 	return r
 }
 
-func (s *State) propose(c *Propose) (r Result) {
+func (s *State) propose(c *Proposal) (r Result) {
 	if s.Change != nil && s.Change.ID == c.ID {
 		return r // asked twice
 	}
-	now := s.InForce()
+	now := s.CurrentPolicy()
 	switch {
 	case c.ID == "" || len(c.Text) == 0:
-		r.Err = ErrEmpty.Error()
+		r.Err = ErrEmptyProposal.Error()
 	case s.Change != nil && s.Change.Stage < InForce:
-		r.Err = fmt.Sprintf("%v: %s by %s", ErrOpen, s.Change.ID, s.Change.Policy.Who)
-	case c.Base != now.Version:
-		r.Err = fmt.Sprintf("%v: from %d, and %d is", ErrBase, c.Base, now.Version)
+		r.Err = fmt.Sprintf("%v: %s by %s", ErrChangePending, s.Change.ID, s.Change.Policy.Author)
+	case c.BaseVersion != now.Version:
+		r.Err = fmt.Sprintf("%v: from %d, and %d is", ErrStaleBase, c.BaseVersion, now.Version)
 	case Digest(c.Text) == now.Digest:
-		r.Err = ErrSame.Error()
+		r.Err = ErrUnchanged.Error()
 	}
 	for _, l := range c.Limits {
 		if err := l.Check(); err != nil && r.Err == "" {
 			r.Err = fmt.Sprintf("limit %q: %v", l.Name, err)
 		}
 	}
-	if c.Start != nil && r.Err == "" {
-		if err := c.Start.Check(); err != nil {
+	if c.ColdStart != nil && r.Err == "" {
+		if err := c.ColdStart.Check(); err != nil {
 			r.Err = fmt.Sprintf("start: %v", err)
 		}
 	}
-	for _, t := range c.Flows {
+	for _, t := range c.Workflows {
 		if _, err := graph.Compile(t); err != nil && r.Err == "" {
 			r.Err = fault.Text(err)
 		}
 	}
-	if s.Flows != nil && r.Err == "" {
-		r.fault(s.Flows.Without(c.Pools))
+	if s.Workflows != nil && r.Err == "" {
+		r.fault(s.Workflows.Without(c.Pools))
 	}
-	if c.Judges != nil && r.Err == "" {
-		if err := c.Judges.Check(); err != nil {
+	if c.OutlierSettings != nil && r.Err == "" {
+		if err := c.OutlierSettings.Check(); err != nil {
 			r.Err = fmt.Sprintf("verdicts: %v", err)
 		}
 	}
@@ -65,25 +65,25 @@
 		return r
 	}
 	s.Revision++
-	s.Change = &Change{ID: c.ID, Since: s.Now, Said: map[string]string{}, WithoutSilent: c.WithoutSilent,
-		Policy: Policy{Version: now.Version + 1, Digest: Digest(c.Text), Text: c.Text, Limits: c.Limits, Judges: c.Judges, Start: c.Start, Flows: c.Flows, Who: c.Who, Why: c.Why}}
+	s.Change = &PolicyChange{ID: c.ID, StageSince: s.Now, Votes: map[string]string{}, SkipUnresponsive: c.SkipUnresponsive,
+		Policy: Policy{Version: now.Version + 1, Digest: Digest(c.Text), Text: c.Text, Limits: c.Limits, OutlierSettings: c.OutlierSettings, ColdStart: c.ColdStart, Workflows: c.Workflows, Author: c.Author, Reason: c.Reason}}
 	return r
 }
 
-func (s *State) withdraw(c *Withdraw) (r Result) {
+func (s *State) withdraw(c *Withdrawal) (r Result) {
 	switch ch := s.Change; {
 	case ch == nil || ch.ID != c.ID || ch.Stage == Withdrawn:
-		r.Err = ErrGone.Error()
+		r.Err = ErrNoSuchChange.Error()
 	case ch.Stage != Proposed:
-		r.Err = ErrLate.Error()
+		r.Err = ErrTooLateToWithdraw.Error()
 	default:
-		s.end(fmt.Sprintf("by %s: %s", c.Who, c.Why))
+		s.end(fmt.Sprintf("by %s: %s", c.Author, c.Reason))
 	}
 	return r
 }
 
 func (s *State) end(why string) {
-	s.Change.Stage, s.Change.Reason, s.Change.Since = Withdrawn, why, s.Now
+	s.Change.Stage, s.Change.Reason, s.Change.StageSince = Withdrawn, why, s.Now
 	s.Revision++
 }
 
@@ -95,15 +95,15 @@
 	}
 	if ch.Stage == Proposed {
 		waiting := false
-		for _, h := range s.Living() {
-			why, said := ch.Said[key(h.Name, h.Life)]
+		for _, h := range s.ActiveHolders() {
+			why, said := ch.Votes[key(h.Name, h.Incarnation)]
 			switch {
 			case said && why != "":
 				s.end(fmt.Sprintf("%s can't run it: %s", h.Name, why))
 				return
 			case said:
-			case !ch.WithoutSilent && s.Now-ch.Since >= s.Config.Answer:
-				s.end(fmt.Sprintf("%s has said nothing for %v", h.Name, s.Config.Answer))
+			case !ch.SkipUnresponsive && s.Now-ch.StageSince >= s.Config.VoteTimeout:
+				s.end(fmt.Sprintf("%s has said nothing for %v", h.Name, s.Config.VoteTimeout))
 				return
 			default:
 				waiting = true
@@ -112,32 +112,32 @@
 		if waiting {
 			return
 		}
-		ch.Stage, ch.Since = Closing, s.Now
+		ch.Stage, ch.StageSince = Closing, s.Now
 		s.Revision++
 	}
 	if ch.Stage == Closing {
-		if s.Config.Fence == Refuse && len(s.Living()) > 0 {
+		if s.Config.OnLeaseLoss == RefuseWork && len(s.ActiveHolders()) > 0 {
 			return
 		}
-		ch.Stage, ch.Since = InForce, s.Now
+		ch.Stage, ch.StageSince = InForce, s.Now
 		s.Revision++
 		ch.Policy.Revision = s.Revision
 		s.Policies = append(s.Policies, ch.Policy)
 		each(func(p part) { p.rule(s, ch.Policy) })
-		if over := len(s.Policies) - max(s.Config.Keep, 1); over > 0 {
+		if over := len(s.Policies) - max(s.Config.PolicyHistory, 1); over > 0 {
 			s.Policies = slices.Delete(s.Policies, 0, over)
 		}
 	}
 }
 
-// Holdup names the living holders that a change waits for.
-func (s *State) Holdup() (names []string) {
+// WaitingFor names the living holders that a change waits for.
+func (s *State) WaitingFor() (names []string) {
 	ch := s.Change
 	if ch == nil || ch.Stage >= InForce {
 		return nil
 	}
-	for _, h := range s.Living() {
-		if _, said := ch.Said[key(h.Name, h.Life)]; ch.Stage == Closing || !said {
+	for _, h := range s.ActiveHolders() {
+		if _, said := ch.Votes[key(h.Name, h.Incarnation)]; ch.Stage == Closing || !said {
 			names = append(names, h.Name)
 		}
 	}
--- a/internal/fleet/statemachine/flows.go
+++ b/internal/fleet/statemachine/flows.go
@@ -15,40 +15,40 @@
 
 type flows struct{ quiet }
 
-// Stay is how long a life's claims are its own.
-type Stay struct {
-	No    uint64        `cbor:"1,keyasint,omitempty"` // of the latest, which does not count yet; 0: it counts
-	Until time.Duration `cbor:"2,keyasint,omitempty"`
+// ClaimLease is how long a life's claims are its own.
+type ClaimLease struct {
+	PendingGrant uint64        `cbor:"1,keyasint,omitempty" json:"No"` // of the latest, which does not count yet; 0: it counts
+	Expiry       time.Duration `cbor:"2,keyasint,omitempty" json:"Until"`
 }
 
 // stays tells whether a life, by its key, may hold claims now.
 func (s *State) stays(who string) bool {
 	h := s.Holders[who]
-	return h != nil && (h.Stay.No > 0 || h.Stay.Until > s.Now)
+	return h != nil && (h.ClaimLease.PendingGrant > 0 || h.ClaimLease.Expiry > s.Now)
 }
 
 func (flows) rule(s *State, p Policy) {
-	if s.Flows == nil && len(p.Flows) > 0 {
-		s.Flows = claims.New()
+	if s.Workflows == nil && len(p.Workflows) > 0 {
+		s.Workflows = claims.New()
 	}
-	if s.Flows != nil {
-		s.Flows.Set(p.Version, p.Flows)
+	if s.Workflows != nil {
+		s.Workflows.Set(p.Version, p.Workflows)
 	}
 }
 
 func (flows) pass(s *State, c *Tick) {
-	if s.Flows == nil {
+	if s.Workflows == nil {
 		return
 	}
 	for _, h := range s.Holders { // each by itself
-		if h.Stay.No > 0 && h.Stay.No <= c.Seen {
-			h.Stay = Stay{Until: s.Now + s.Config.Lease}
+		if h.ClaimLease.PendingGrant > 0 && h.ClaimLease.PendingGrant <= c.GrantsSeen {
+			h.ClaimLease = ClaimLease{Expiry: s.Now + s.Config.LeaseDuration}
 		}
 	}
-	news := s.Flows.Pass(s.Now, c.Lead, c.No, c.Seen)
-	for _, who := range s.Flows.Holders() {
+	news := s.Workflows.Pass(s.Now, c.LeaderTerm, c.Number, c.GrantsSeen)
+	for _, who := range s.Workflows.Holders() {
 		if !s.stays(who) {
-			news = s.Flows.Gone(s.Now, who) || news
+			news = s.Workflows.Gone(s.Now, who) || news
 		}
 	}
 	if news {
@@ -57,67 +57,67 @@
 }
 
 // hear gives a stay to whoever is heard of, under whatever policy: it says nothing of new work.
-func (flows) hear(s *State, c *Hold, r *Result) {
-	if s.Flows == nil {
+func (flows) hear(s *State, c *LeaseRequest, r *Result) {
+	if s.Workflows == nil {
 		return
 	}
-	s.Grants++
-	s.Holders[key(c.Name, c.Life)].Stay.No = s.Grants
-	r.Stay, r.Steps = s.Config.Lease, s.Flows.Waiting()
+	s.GrantCount++
+	s.Holders[key(c.Name, c.Incarnation)].ClaimLease.PendingGrant = s.GrantCount
+	r.ClaimLease, r.StepsReady = s.Config.LeaseDuration, s.Workflows.Waiting()
 }
 
-func (flows) leave(s *State, h *Holder) {
-	h.Stay = Stay{}
-	if s.Flows != nil && s.Flows.Gone(s.Now, key(h.Name, h.Life)) {
+func (flows) leave(s *State, h *LeaseHolder) {
+	h.ClaimLease = ClaimLease{}
+	if s.Workflows != nil && s.Workflows.Gone(s.Now, key(h.Name, h.Incarnation)) {
 		s.Revision++
 	}
 }
 
-func (flows) news(s *State, n *News, _ int, _ relay.Mark) {
-	n.Steps = s.Flows != nil && s.Flows.Waiting()
+func (flows) news(s *State, n *WatchUpdate, _ int, _ relay.Mark) {
+	n.StepsReady = s.Workflows != nil && s.Workflows.Waiting()
 }
 
 func (flows) mend(s *State) {
-	if s.Flows != nil {
-		s.Flows.Mend()
+	if s.Workflows != nil {
+		s.Workflows.Mend()
 	}
 }
 
-func (flows) idle(s *State) bool { return s.Flows == nil || s.Flows.Idle() }
+func (flows) idle(s *State) bool { return s.Workflows == nil || s.Workflows.Idle() }
 
 func (flows) restored(s *State, skip uint64) {
-	if s.Flows != nil {
-		s.Flows.Restored(s.Now, skip)
+	if s.Workflows != nil {
+		s.Workflows.Restored(s.Now, skip)
 	}
 }
 
 // flow carries out a command on workflows. Those who watch are told only where the first step has
 // become ready: a revision for each word would have all of them ask again.
 func (s *State) flow(c *claims.Command) (r Result) {
-	if s.Flows == nil {
+	if s.Workflows == nil {
 		r.fault(&claims.NoneError{})
 		return r
 	}
-	s.Grants++ // a telling of time that has seen it is of after it
-	a, news, err := s.Flows.Apply(s.Now, s.Grants, *c, claims.Lives{Claim: s.live, Hold: s.stays})
+	s.GrantCount++ // a telling of time that has seen it is of after it
+	a, news, err := s.Workflows.Apply(s.Now, s.GrantCount, *c, claims.Lives{Claim: s.live, Hold: s.stays})
 	if news {
 		s.Revision++
 	}
 	if !r.fault(err) {
-		r.Flow = &a
+		r.Workflow = &a
 	}
 	return r
 }
 
-// ShowFlows answers a command that changes nothing.
-func (s *State) ShowFlows(c *claims.Command) (r Result) {
-	if s.Flows == nil {
+// QueryWorkflows answers a command that changes nothing.
+func (s *State) QueryWorkflows(c *claims.Command) (r Result) {
+	if s.Workflows == nil {
 		r.fault(&claims.NoneError{})
 		return r
 	}
-	a, err := s.Flows.Show(s.Now, c.Show)
+	a, err := s.Workflows.Show(s.Now, c.Show)
 	if !r.fault(err) {
-		r.Flow = &a
+		r.Workflow = &a
 	}
 	return r
 }
--- a/internal/fleet/statemachine/golden_test.go
+++ b/internal/fleet/statemachine/golden_test.go
@@ -11,7 +11,7 @@
 func TestEncodingsOfCommandsAndStateDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "command", encode[Command], decode[Command])
 	wiretest.AssertEncoding(t, "result", encode[Result], decode[Result])
-	wiretest.AssertEncoding(t, "news", encode[News], decode[News])
+	wiretest.AssertEncoding(t, "news", encode[WatchUpdate], decode[WatchUpdate])
 	wiretest.AssertEncoding(t, "state", encode[State], decode[State])
 	wiretest.AssertEncoding(t, "members", encode[[]Member], decode[[]Member])
 	wiretest.AssertEncoding(t, "policy", encode[Policy], decode[Policy])
--- a/internal/fleet/statemachine/judges.go
+++ b/internal/fleet/statemachine/judges.go
@@ -10,57 +10,57 @@
 type judges struct{ quiet }
 
 func (judges) rule(s *State, p Policy) {
-	if s.Verdicts == nil && p.Judges != nil {
-		s.Verdicts = outlier.NewLedger()
+	if s.Outliers == nil && p.OutlierSettings != nil {
+		s.Outliers = outlier.NewLedger()
 	}
-	if s.Verdicts != nil {
-		s.Verdicts.Set(p.Judges)
+	if s.Outliers != nil {
+		s.Outliers.Set(p.OutlierSettings)
 	}
 }
 
 func (judges) pass(s *State, _ *Tick) { s.judge() }
 
-func (judges) hear(s *State, c *Hold, _ *Result) {
-	if s.Verdicts != nil {
-		if s.Verdicts.Hear(s.Now, c.Name, c.Zone, c.Workers, c.Saw); len(c.Saw) > 0 { // else time alone changes anything: tick
+func (judges) hear(s *State, c *LeaseRequest, _ *Result) {
+	if s.Outliers != nil {
+		if s.Outliers.Hear(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports); len(c.OutlierReports) > 0 { // else time alone changes anything: tick
 			s.judge()
 		}
 	}
 }
 
-func (judges) ask(s *State, c *Hold, r *Result) {
-	if s.Verdicts != nil {
-		r.Verdicts, r.Accused = s.Verdicts.Tell(s.Now, c.Name, c.Zone)
+func (judges) ask(s *State, c *LeaseRequest, r *Result) {
+	if s.Outliers != nil {
+		r.Verdicts, r.ReportsWanted = s.Outliers.Tell(s.Now, c.Name, c.Zone)
 	}
 }
 
-func (judges) forget(s *State, _ string, h *Holder) {
-	if s.Verdicts != nil {
-		s.Verdicts.Forget(h.Name)
+func (judges) forget(s *State, _ string, h *LeaseHolder) {
+	if s.Outliers != nil {
+		s.Outliers.Forget(h.Name)
 	}
 }
 
-func (judges) news(s *State, n *News, _ int, _ relay.Mark) {
-	if s.Verdicts != nil {
-		n.Verdicts = s.Verdicts.All()
+func (judges) news(s *State, n *WatchUpdate, _ int, _ relay.Mark) {
+	if s.Outliers != nil {
+		n.Verdicts = s.Outliers.All()
 	}
 }
 
 func (judges) mend(s *State) {
-	if s.Verdicts != nil {
-		s.Verdicts.Mend()
+	if s.Outliers != nil {
+		s.Outliers.Mend()
 	}
 }
 
-func (judges) restored(s *State, _ uint64) { s.Verdicts = nil }
+func (judges) restored(s *State, _ uint64) { s.Outliers = nil }
 
 // judge weighs what is said of workers. What comes of it is news.
 func (s *State) judge() {
-	if s.Verdicts == nil {
+	if s.Outliers == nil {
 		return
 	}
-	no := s.Verdicts.No
-	if s.Verdicts.Judge(s.Now); s.Verdicts.No != no {
+	no := s.Outliers.No
+	if s.Outliers.Judge(s.Now); s.Outliers.No != no {
 		s.Revision++
 	}
 }
--- a/internal/fleet/statemachine/keeper.go
+++ b/internal/fleet/statemachine/keeper.go
@@ -35,28 +35,28 @@
 	"yardflow/internal/fleet/workflow/template"
 )
 
-// Fence is what becomes of a dispatcher that holds no lease.
-type Fence uint8
+// OnLeaseLoss is what becomes of a dispatcher that holds no lease.
+type LeaseLossMode uint8
 
 // The fences.
 const (
-	Refuse Fence = iota // it answers 503 and is not ready; two versions never serve at one moment
-	Last                // it goes on under the last policy it held, and marks itself
+	RefuseWork     LeaseLossMode = iota // it answers 503 and is not ready; two versions never serve at one moment
+	KeepLastPolicy                      // it goes on under the last policy it held, and marks itself
 )
 
-// ParseFence reads a fence by its name in the operators' files.
-func ParseFence(s string) (Fence, error) {
+// ParseLeaseLossMode reads a fence by its name in the operators' files.
+func ParseLeaseLossMode(s string) (LeaseLossMode, error) {
 	switch s {
 	case "refuse":
-		return Refuse, nil
+		return RefuseWork, nil
 	case "last":
-		return Last, nil
+		return KeepLastPolicy, nil
 	}
 	return 0, fmt.Errorf("%q; expected \"refuse\" or \"last\"", s)
 }
 
-func (f Fence) String() string {
-	if f == Last {
+func (f LeaseLossMode) String() string {
+	if f == KeepLastPolicy {
 		return "last"
 	}
 	return "refuse"
@@ -79,23 +79,24 @@
 
 // Config is what all keepers of a fleet start on alike.
 type Config struct {
-	Lease  time.Duration // of each lease, in the state's time
-	Answer time.Duration // how long a holder may take to say whether it could run a change
-	Fence  Fence
-	Keep   int // policies remembered, the one in force among them
+	LeaseDuration time.Duration `cbor:"Lease" json:"Lease"`   // of each lease, in the state's time
+	VoteTimeout   time.Duration `cbor:"Answer" json:"Answer"` // how long a holder may take to say whether it could run a change
+	OnLeaseLoss   LeaseLossMode `cbor:"Fence" json:"Fence"`
+	PolicyHistory int           `cbor:"Keep" json:"Keep"` // policies remembered, the one in force among them
 }
 
 // Policy is one version.
 type Policy struct {
-	Version  uint64 // 1, 2, ...; 0: none was ever made
-	Revision uint64 // from which it is in force
-	Digest   string // SHA-256 of Text, in hex
-	Text     []byte
-	Limits   []quota.Limit // of the fleet, as the text has them
-	Judges   *outlier.Settings
-	Start    *coldstart.Settings // how a fleet starts cold
-	Flows    []template.Template
-	Who, Why string
+	Version         uint64 // 1, 2, ...; 0: none was ever made
+	Revision        uint64 // from which it is in force
+	Digest          string // SHA-256 of Text, in hex
+	Text            []byte
+	Limits          []quota.Limit       // of the fleet, as the text has them
+	OutlierSettings *outlier.Settings   `cbor:"Judges" json:"Judges"`
+	ColdStart       *coldstart.Settings `cbor:"Start" json:"Start"` // how a fleet starts cold
+	Workflows       []template.Template `cbor:"Flows" json:"Flows"`
+	Author          string              `cbor:"Who" json:"Who"`
+	Reason          string              `cbor:"Why" json:"Why"`
 }
 
 // Digest is how a policy's text is named.
@@ -104,143 +105,143 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Holder is one life of a dispatcher. A restart is another life, and so is the second process
+// LeaseHolder is one life of a dispatcher. A restart is another life, and so is the second process
 // of an upgrade: both may hold leases beside each other.
-type Holder struct {
-	Name    string
-	Life    uint64
-	Seq     uint64        // of the latest message taken from it
-	Until   time.Duration // its lease ends, in the state's time; 0: it holds none
-	Grant   uint64        // number of its latest lease, which does not count yet; 0: it counts
-	Version uint64        // under which
-	Knows   uint64        // the newest version that it has whole
-	Program string        // of its build, for staff
-	Stay    Stay          // how long its claims on workflows are its own
+type LeaseHolder struct {
+	Name          string
+	Incarnation   uint64        `cbor:"Life" json:"Life"`
+	Seq           uint64        // of the latest message taken from it
+	LeaseExpiry   time.Duration `cbor:"Until" json:"Until"`     // its lease ends, in the state's time; 0: it holds none
+	PendingGrant  uint64        `cbor:"Grant" json:"Grant"`     // number of its latest lease, which does not count yet; 0: it counts
+	PolicyVersion uint64        `cbor:"Version" json:"Version"` // under which
+	KnownVersion  uint64        `cbor:"Knows" json:"Knows"`     // the newest version that it has whole
+	Program       string        // of its build, for staff
+	ClaimLease    ClaimLease    `cbor:"Stay" json:"Stay"` // how long its claims on workflows are its own
 }
 
-// Change is a change of policy under way, or the last one.
-type Change struct {
-	ID            string // chosen by who proposed it, so that asking twice is asking once
-	Stage         Stage
-	Policy        Policy
-	Since         time.Duration     // of this stage, in the state's time
-	Said          map[string]string // by holder: "" where it could run it, else why not
-	WithoutSilent bool
-	Reason        string // why it was withdrawn
+// PolicyChange is a change of policy under way, or the last one.
+type PolicyChange struct {
+	ID               string // chosen by who proposed it, so that asking twice is asking once
+	Stage            Stage
+	Policy           Policy
+	StageSince       time.Duration     `cbor:"Since" json:"Since"` // of this stage, in the state's time
+	Votes            map[string]string `cbor:"Said" json:"Said"`   // by holder: "" where it could run it, else why not
+	SkipUnresponsive bool              `cbor:"WithoutSilent" json:"WithoutSilent"`
+	Reason           string            // why it was withdrawn
 }
 
 // State is all that the keepers have agreed on.
 type State struct {
-	Config   Config
-	Revision uint64        // grows with each command that changed anything but time and leases
-	Now      time.Duration // the state's time
-	Grants   uint64        // leases given so far
-	Policies []Policy      // the newest last, which is the one in force
-	Change   *Change
-	Holders  map[string]*Holder
-	Members  map[uint64]string // the keepers that were taken in, with their addresses where told
-	Left     map[uint64]bool   // and those taken out: a number is used once
-	Shut     time.Duration     // no lease is given before then
-	Era      uint64            // grows with each restore
-	Quota    *quota.Book       // the limits in force, and who has what of them; nil: there never were any
-	Verdicts *outlier.Ledger   // on workers; nil: none were ever judged
-	Start    *coldstart.Book   // turns and relayed lists; nil: there never were any
-	Flows    *claims.Ledger    // workflows; nil: there never were any
+	Config             Config
+	Revision           uint64        // grows with each command that changed anything but time and leases
+	Now                time.Duration // the state's time
+	GrantCount         uint64        `cbor:"Grants"` // leases given so far
+	Policies           []Policy      // the newest last, which is the one in force
+	Change             *PolicyChange
+	Holders            map[string]*LeaseHolder
+	Members            map[uint64]string // the keepers that were taken in, with their addresses where told
+	RemovedMembers     map[uint64]bool   `cbor:"Left"` // and those taken out: a number is used once
+	GrantsBlockedUntil time.Duration     `cbor:"Shut"` // no lease is given before then
+	Generation         uint64            `cbor:"Era"`  // grows with each restore
+	Quota              *quota.Book       // the limits in force, and who has what of them; nil: there never were any
+	Outliers           *outlier.Ledger   `cbor:"Verdicts"` // on workers; nil: none were ever judged
+	ColdStart          *coldstart.Book   `cbor:"Start"`    // turns and relayed lists; nil: there never were any
+	Workflows          *claims.Ledger    `cbor:"Flows"`    // workflows; nil: there never were any
 }
 
 // New makes the state of keepers that have agreed on nothing yet.
 func New(c Config) *State {
-	return &State{Config: c, Holders: map[string]*Holder{}}
+	return &State{Config: c, Holders: map[string]*LeaseHolder{}}
 }
 
 // Member is one keeper as the one that leads sees it.
 type Member struct {
-	ID      uint64
-	Addr    string
-	Learner bool   // it takes in what is agreed on, and has no say in it
-	Leads   bool   // it tells time, and says who is given what
-	Active  bool   // it has answered of late
-	Behind  uint64 // entries that it is not known to have
+	ID            uint64
+	Addr          string
+	Learner       bool   // it takes in what is agreed on, and has no say in it
+	Leader        bool   `cbor:"Leads" json:"Leads"` // it tells time, and says who is given what
+	Active        bool   // it has answered of late
+	EntriesBehind uint64 `cbor:"Behind" json:"Behind"` // entries that it is not known to have
 }
 
 // ErrNotLeader is returned by a keeper that does not lead where only the one that does knows.
 var ErrNotLeader = errors.New("this keeper does not lead")
 
-// Member notes that a keeper was taken in, or out.
-func (s *State) Member(id uint64, addr string, out bool) {
+// ApplyMemberChange notes that a keeper was taken in, or out.
+func (s *State) ApplyMemberChange(id uint64, addr string, out bool) {
 	if s.Members == nil {
-		s.Members, s.Left = map[uint64]string{}, map[uint64]bool{}
+		s.Members, s.RemovedMembers = map[uint64]string{}, map[uint64]bool{}
 	}
 	if out {
 		delete(s.Members, id)
-		s.Left[id] = true
+		s.RemovedMembers[id] = true
 	} else {
 		s.Members[id] = addr
 	}
 	s.Revision++
 }
 
-// Restored makes of this state, which may be an old one, one that is safe to go on from: what was
+// ResetAfterRestore makes of this state, which may be an old one, one that is safe to go on from: what was
 // agreed on after it is not known. Versions and revisions go on skip further, no lease is given
 // until whatever was given is surely over, a change under way is withdrawn, and those that were
 // members are none.
-func (s *State) Restored(why string, skip uint64, were map[uint64]bool) {
+func (s *State) ResetAfterRestore(why string, skip uint64, were map[uint64]bool) {
 	for id := range were {
-		s.Member(id, "", true)
+		s.ApplyMemberChange(id, "", true)
 	}
 	if s.Change != nil && s.Change.Stage < InForce {
 		s.end(why)
 	}
 	s.Revision += skip
-	s.Grants += skip
-	s.Era++
-	p := s.InForce()
-	p.Version, p.Revision, p.Why = p.Version+skip, s.Revision, why
+	s.GrantCount += skip
+	s.Generation++
+	p := s.CurrentPolicy()
+	p.Version, p.Revision, p.Reason = p.Version+skip, s.Revision, why
 	s.Policies = append(s.Policies, p) // the empty one, where none was ever made that is known of
-	s.Holders = map[string]*Holder{}
+	s.Holders = map[string]*LeaseHolder{}
 	each(func(one part) { one.restored(s, skip) })
-	s.Shut = s.Now + s.Config.Lease
+	s.GrantsBlockedUntil = s.Now + s.Config.LeaseDuration
 	each(func(one part) { one.rule(s, p) })
 	for _, l := range p.Limits { // what was open at their loss must have ended, too
-		s.Shut = max(s.Shut, s.Now+s.Config.Lease+l.Settle)
+		s.GrantsBlockedUntil = max(s.GrantsBlockedUntil, s.Now+s.Config.LeaseDuration+l.Settle)
 	}
 }
 
 // Idle tells that nobody waits for time to pass.
 func (s *State) Idle() bool {
-	waits := s.Shut > s.Now || len(s.Living()) > 0 || s.Change != nil && s.Change.Stage < InForce
+	waits := s.GrantsBlockedUntil > s.Now || len(s.ActiveHolders()) > 0 || s.Change != nil && s.Change.Stage < InForce
 	each(func(p part) { waits = waits || !p.idle(s) })
 	return !waits
 }
 
 // The errors of a proposal.
 var (
-	ErrOpen  = errors.New("another change is under way")
-	ErrBase  = errors.New("made from a version that is not the one in force")
-	ErrSame  = errors.New("the same as the policy in force")
-	ErrGone  = errors.New("no such change is under way")
-	ErrLate  = errors.New("it is closing or in force already: propose the way back")
-	ErrEmpty = errors.New("empty")
-	ErrStale = errors.New("overtaken by a later message of the same life")
+	ErrChangePending     = errors.New("another change is under way")
+	ErrStaleBase         = errors.New("made from a version that is not the one in force")
+	ErrUnchanged         = errors.New("the same as the policy in force")
+	ErrNoSuchChange      = errors.New("no such change is under way")
+	ErrTooLateToWithdraw = errors.New("it is closing or in force already: propose the way back")
+	ErrEmptyProposal     = errors.New("empty")
+	ErrStaleMessage      = errors.New("overtaken by a later message of the same life")
 )
 
 func key(name string, life uint64) string { return fmt.Sprintf("%s/%d", name, life) }
 
-// InForce is the policy in force; version 0 where none was made yet.
-func (s *State) InForce() Policy {
+// CurrentPolicy is the policy in force; version 0 where none was made yet.
+func (s *State) CurrentPolicy() Policy {
 	if len(s.Policies) == 0 {
 		return Policy{}
 	}
 	return s.Policies[len(s.Policies)-1]
 }
 
-// Live tells whether a holder may hold a lease now.
-func (s *State) Live(h *Holder) bool { return h.Grant > 0 || h.Until > s.Now }
+// IsActive tells whether a holder may hold a lease now.
+func (s *State) IsActive(h *LeaseHolder) bool { return h.PendingGrant > 0 || h.LeaseExpiry > s.Now }
 
-// Living are those that may hold a lease now, by name.
-func (s *State) Living() (out []*Holder) {
+// ActiveHolders are those that may hold a lease now, by name.
+func (s *State) ActiveHolders() (out []*LeaseHolder) {
 	for _, k := range slices.Sorted(maps.Keys(s.Holders)) {
-		if h := s.Holders[k]; s.Live(h) {
+		if h := s.Holders[k]; s.IsActive(h) {
 			out = append(out, h)
 		}
 	}
@@ -253,108 +254,108 @@
 	switch {
 	case c.Tick != nil:
 		s.tick(c.Tick)
-	case c.Hold != nil:
-		r = s.hold(c.Hold)
-	case c.Say != nil:
-		r = s.say(c.Say)
-	case c.Leave != nil:
-		if h := s.Holders[key(c.Leave.Name, c.Leave.Life)]; h != nil && c.Leave.Seq > h.Seq {
-			h.Seq = c.Leave.Seq
+	case c.LeaseRequest != nil:
+		r = s.hold(c.LeaseRequest)
+	case c.Vote != nil:
+		r = s.say(c.Vote)
+	case c.LeaseRelease != nil:
+		if h := s.Holders[key(c.LeaseRelease.Name, c.LeaseRelease.Incarnation)]; h != nil && c.LeaseRelease.Seq > h.Seq {
+			h.Seq = c.LeaseRelease.Seq
 			s.stop(h)
 			each(func(p part) { p.leave(s, h) })
 		}
-	case c.Propose != nil:
-		r = s.propose(c.Propose)
-	case c.Withdraw != nil:
-		r = s.withdraw(c.Withdraw)
-	case c.Relay != nil:
-		r = s.relay(c.Relay)
-	case c.Flow != nil:
-		r = s.flow(c.Flow)
+	case c.Proposal != nil:
+		r = s.propose(c.Proposal)
+	case c.Withdrawal != nil:
+		r = s.withdraw(c.Withdrawal)
+	case c.ListUpdate != nil:
+		r = s.relay(c.ListUpdate)
+	case c.Workflow != nil:
+		r = s.flow(c.Workflow)
 	default:
 		r.Err = "a command of a newer program"
 	}
 	s.advance()
-	r.Revision, r.Era, r.InForce = s.Revision, s.Era, s.InForce().Version
+	r.Revision, r.Generation, r.CurrentVersion = s.Revision, s.Generation, s.CurrentPolicy().Version
 	return r
 }
 
 // stop ends a holder's lease, by its own word.
-func (s *State) stop(h *Holder) {
-	h.Until, h.Grant = 0, 0
+func (s *State) stop(h *LeaseHolder) {
+	h.LeaseExpiry, h.PendingGrant = 0, 0
 	each(func(p part) { p.end(s, h) })
 }
 
 func (s *State) tick(c *Tick) {
-	s.Now += max(c.Passed, 0)
+	s.Now += max(c.Elapsed, 0)
 	for _, h := range s.Holders {
-		if h.Grant > 0 && h.Grant <= c.Seen {
-			h.Grant, h.Until = 0, s.Now+s.Config.Lease
+		if h.PendingGrant > 0 && h.PendingGrant <= c.GrantsSeen {
+			h.PendingGrant, h.LeaseExpiry = 0, s.Now+s.Config.LeaseDuration
 		}
 	}
 	each(func(p part) { p.pass(s, c) })
 	for k, h := range s.Holders { // what is forgotten does not hang on the order
 		// A life that is over is remembered for a while, for staff, but never for its lease.
-		if !s.Live(h) && s.Now-h.Until > 100*s.Config.Lease {
+		if !s.IsActive(h) && s.Now-h.LeaseExpiry > 100*s.Config.LeaseDuration {
 			delete(s.Holders, k)
 			each(func(p part) { p.forget(s, k, h) })
 		}
 	}
 }
 
-func (s *State) hold(c *Hold) (r Result) {
-	h := s.Holders[key(c.Name, c.Life)]
+func (s *State) hold(c *LeaseRequest) (r Result) {
+	h := s.Holders[key(c.Name, c.Incarnation)]
 	if h == nil {
-		h = &Holder{Name: c.Name, Life: c.Life}
-		s.Holders[key(c.Name, c.Life)] = h
+		h = &LeaseHolder{Name: c.Name, Incarnation: c.Incarnation}
+		s.Holders[key(c.Name, c.Incarnation)] = h
 	}
 	if c.Seq <= h.Seq {
 		// Said long ago: that it serves under nothing may have ceased to be true.
-		r.Err = ErrStale.Error()
+		r.Err = ErrStaleMessage.Error()
 		return r
 	}
-	h.Seq, h.Knows, h.Program = c.Seq, c.Knows, c.Program
+	h.Seq, h.KnownVersion, h.Program = c.Seq, c.KnownVersion, c.Program
 	each(func(p part) { p.hear(s, c, &r) })
-	now := s.InForce()
-	if c.Knows != now.Version {
+	now := s.CurrentPolicy()
+	if c.KnownVersion != now.Version {
 		r.Policy = &now
 	}
 	ch := s.Change
 	if ch != nil && ch.Stage == Proposed {
-		if _, said := ch.Said[key(c.Name, c.Life)]; !said {
+		if _, said := ch.Votes[key(c.Name, c.Incarnation)]; !said {
 			r.Change = ch
 		}
 	}
 	switch {
-	case s.Shut > s.Now:
-		r.Why = "the keepers were restored: leases of before are waited out"
-		r.Stop = s.Config.Fence == Refuse
+	case s.GrantsBlockedUntil > s.Now:
+		r.NoLeaseReason = "the keepers were restored: leases of before are waited out"
+		r.StopAdmitting = s.Config.OnLeaseLoss == RefuseWork
 		return r
 	case ch != nil && ch.Stage == Closing:
 		// It stops now, or has stopped, where it serves under nothing: then its lease is over.
-		r.Stop, r.Why = true, "a change is closing"
-		if c.Serves == 0 {
+		r.StopAdmitting, r.NoLeaseReason = true, "a change is closing"
+		if c.ServingVersion == 0 {
 			s.stop(h)
 		}
 		return r
-	case c.Knows != now.Version:
-		r.Why = fmt.Sprintf("version %d is in force, and it has %d", now.Version, c.Knows)
-		if s.Config.Fence == Refuse {
-			r.Stop = true
+	case c.KnownVersion != now.Version:
+		r.NoLeaseReason = fmt.Sprintf("version %d is in force, and it has %d", now.Version, c.KnownVersion)
+		if s.Config.OnLeaseLoss == RefuseWork {
+			r.StopAdmitting = true
 		}
 		return r
-	case ch != nil && ch.Stage == Proposed && r.Change != nil && ch.WithoutSilent && s.Now-ch.Since >= s.Config.Answer:
-		r.Why = "it has not said whether it could run the change, which goes on without it"
+	case ch != nil && ch.Stage == Proposed && r.Change != nil && ch.SkipUnresponsive && s.Now-ch.StageSince >= s.Config.VoteTimeout:
+		r.NoLeaseReason = "it has not said whether it could run the change, which goes on without it"
 		return r
-	case ch != nil && ch.Stage == Proposed && r.Change != nil && !s.Live(h):
+	case ch != nil && ch.Stage == Proposed && r.Change != nil && !s.IsActive(h):
 		// It comes in while all are asked: it is asked like the others, and gets its lease
 		// once it has said that it could.
-		r.Why = "a change is proposed, and it has yet to say whether it could run it"
+		r.NoLeaseReason = "a change is proposed, and it has yet to say whether it could run it"
 		return r
 	}
-	s.Grants++
-	h.Grant, h.Version = s.Grants, now.Version
-	r.Lease, r.Grant = s.Config.Lease, s.Grants
+	s.GrantCount++
+	h.PendingGrant, h.PolicyVersion = s.GrantCount, now.Version
+	r.LeaseDuration, r.Grant = s.Config.LeaseDuration, s.GrantCount
 	each(func(p part) { p.ask(s, c, &r) })
 	return r
 }
--- a/internal/fleet/statemachine/limits.go
+++ b/internal/fleet/statemachine/limits.go
@@ -18,21 +18,21 @@
 func (limits) pass(s *State, c *Tick) {
 	if s.Quota != nil {
 		for k := range s.Holders { // each by itself
-			s.Quota.Counted(k, c.Seen, s.Now+s.Config.Lease)
+			s.Quota.Counted(k, c.GrantsSeen, s.Now+s.Config.LeaseDuration)
 		}
 		s.Quota.Pass(s.Now)
 	}
 }
 
-func (limits) ask(s *State, c *Hold, r *Result) {
+func (limits) ask(s *State, c *LeaseRequest, r *Result) {
 	if s.Quota != nil {
-		r.Parts = s.Quota.Ask(key(c.Name, c.Life), s.Grants, c.Heard, c.Wants)
+		r.QuotaGrants = s.Quota.Ask(key(c.Name, c.Incarnation), s.GrantCount, c.CurrentGrant, c.QuotaRequests)
 	}
 }
 
-func (limits) end(s *State, h *Holder) {
+func (limits) end(s *State, h *LeaseHolder) {
 	if s.Quota != nil {
-		s.Quota.End(key(h.Name, h.Life), s.Now)
+		s.Quota.End(key(h.Name, h.Incarnation), s.Now)
 	}
 }
 
--- a/internal/fleet/statemachine/starts.go
+++ b/internal/fleet/statemachine/starts.go
@@ -13,58 +13,58 @@
 
 func (starts) rule(s *State, p Policy) {
 	switch {
-	case p.Start == nil:
-		s.Start = nil
-	case s.Start == nil:
+	case p.ColdStart == nil:
+		s.ColdStart = nil
+	case s.ColdStart == nil:
 		from := s.Now
-		if s.Era > 0 || slices.ContainsFunc(s.Policies, func(q Policy) bool { return q.Version < p.Version && q.Start != nil }) {
-			from += s.Config.Lease // turns of a policy before, or of keepers before a restore, are over by then
+		if s.Generation > 0 || slices.ContainsFunc(s.Policies, func(q Policy) bool { return q.Version < p.Version && q.ColdStart != nil }) {
+			from += s.Config.LeaseDuration // turns of a policy before, or of keepers before a restore, are over by then
 		}
-		s.Start = coldstart.NewBook(*p.Start, from, s.Revision)
+		s.ColdStart = coldstart.NewBook(*p.ColdStart, from, s.Revision)
 	default:
-		s.Start.Set(*p.Start)
+		s.ColdStart.Set(*p.ColdStart)
 	}
 }
 
-func (starts) ask(s *State, c *Hold, r *Result) {
-	if s.Start != nil && c.Start != nil {
-		r.Start = s.Start.Ask(s.Now, key(c.Name, c.Life), c.Zone, c.Start, s.live)
+func (starts) ask(s *State, c *LeaseRequest, r *Result) {
+	if s.ColdStart != nil && c.ColdStart != nil {
+		r.ColdStart = s.ColdStart.Ask(s.Now, key(c.Name, c.Incarnation), c.Zone, c.ColdStart, s.live)
 	}
 }
 
-func (starts) end(s *State, h *Holder) {
-	if s.Start != nil {
-		s.Start.Gone(key(h.Name, h.Life))
+func (starts) end(s *State, h *LeaseHolder) {
+	if s.ColdStart != nil {
+		s.ColdStart.Gone(key(h.Name, h.Incarnation))
 	}
 }
 
-func (starts) forget(s *State, who string, _ *Holder) {
-	if s.Start != nil {
-		s.Start.Gone(who)
+func (starts) forget(s *State, who string, _ *LeaseHolder) {
+	if s.ColdStart != nil {
+		s.ColdStart.Gone(who)
 	}
 }
 
-func (starts) news(s *State, n *News, zone int, has relay.Mark) {
-	if s.Start != nil {
-		n.List = s.Start.Since(zone, has)
+func (starts) news(s *State, n *WatchUpdate, zone int, has relay.Mark) {
+	if s.ColdStart != nil {
+		n.RelayedList = s.ColdStart.Since(zone, has)
 	}
 }
 
 func (starts) mend(s *State) {
-	if s.Start != nil {
-		s.Start.Mend()
+	if s.ColdStart != nil {
+		s.ColdStart.Mend()
 	}
 }
 
-func (starts) restored(s *State, _ uint64) { s.Start = nil }
+func (starts) restored(s *State, _ uint64) { s.ColdStart = nil }
 
 // relay takes in what the reader of a zone was told. One without a lease does not know whether it
 // still reads.
-func (s *State) relay(c *Relay) (r Result) {
-	who := key(c.Name, c.Life)
-	var err error = &relay.FenceError{Fence: c.Fence}
-	if s.Start != nil && s.live(who) {
-		err = s.Start.Publish(who, c.Zone, c.Fence, c.Word)
+func (s *State) relay(c *ListUpdate) (r Result) {
+	who := key(c.Name, c.Incarnation)
+	var err error = &relay.FenceError{Fence: c.FencingToken}
+	if s.ColdStart != nil && s.live(who) {
+		err = s.ColdStart.Publish(who, c.Zone, c.FencingToken, c.Update)
 	}
 	if r.fault(err) {
 		return r
--- a/internal/fleet/statemachine/wire.go
+++ b/internal/fleet/statemachine/wire.go
@@ -12,35 +12,36 @@
 	"yardflow/internal/fleet/outlier"
 )
 
-// News is what a watch tells of: a hint, from a state that may be a little old, by which a holder
+// WatchUpdate is what a watch tells of: a hint, from a state that may be a little old, by which a holder
 // does at once what it would be told to at its next call.
-type News struct {
-	Revision, Era uint64
-	Change        *Change // proposed, and to be weighed
-	Closing       bool
-	Policy        *Policy // in force, where the one who watches does not have it
-	Verdicts      []outlier.Verdict
-	List          *relay.Update
-	Steps         bool // of workflows are ready
+type WatchUpdate struct {
+	Revision    uint64
+	Generation  uint64        `cbor:"Era"`
+	Change      *PolicyChange // proposed, and to be weighed
+	Closing     bool
+	Policy      *Policy // in force, where the one who watches does not have it
+	Verdicts    []outlier.Verdict
+	RelayedList *relay.Update `cbor:"List"`
+	StepsReady  bool          `cbor:"Steps"` // of workflows are ready
 }
 
-// News is what there is for a holder that has a version whole, and its zone's list up to a mark.
-func (s *State) News(knows uint64, zone int, has relay.Mark) News {
-	n := News{Revision: s.Revision, Era: s.Era}
+// WatchUpdate is what there is for a holder that has a version whole, and its zone's list up to a mark.
+func (s *State) UpdateFor(knows uint64, zone int, has relay.Mark) WatchUpdate {
+	n := WatchUpdate{Revision: s.Revision, Generation: s.Generation}
 	each(func(p part) { p.news(s, &n, zone, has) })
 	if ch := s.Change; ch != nil && ch.Stage == Proposed {
-		n.Change = &Change{ID: ch.ID, Policy: ch.Policy}
+		n.Change = &PolicyChange{ID: ch.ID, Policy: ch.Policy}
 	} else if ch != nil && ch.Stage == Closing {
 		n.Closing = true
 	}
-	if p := s.InForce(); p.Version != knows {
+	if p := s.CurrentPolicy(); p.Version != knows {
 		n.Policy = &p
 	}
 	return n
 }
 
-// Find is a version that is remembered.
-func (s *State) Find(version uint64) (Policy, bool) {
+// PolicyByVersion is a version that is remembered.
+func (s *State) PolicyByVersion(version uint64) (Policy, bool) {
 	for _, p := range s.Policies {
 		if p.Version == version {
 			return p, true
@@ -67,7 +68,7 @@
 		return nil, fmt.Errorf("keeper: snapshot: %w", err)
 	}
 	if s.Holders == nil {
-		s.Holders = map[string]*Holder{}
+		s.Holders = map[string]*LeaseHolder{}
 	}
 	each(func(p part) { p.mend(s) })
 	return s, nil
--- a/internal/fleet/transport/client.go
+++ b/internal/fleet/transport/client.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Pass goes over to another keeper.
-func (c *Client) Pass() {
+// SwitchCoordinator goes over to another keeper.
+func (c *Client) SwitchCoordinator() {
 	n, _ := c.addr()
 	c.next(n)
 }
@@ -104,12 +104,12 @@
 
 // Watch waits until one keeper's state is past a revision, or for so long, and tells what there
 // is for a holder that has a version whole.
-func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n statemachine.News, err error) {
+func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n statemachine.WatchUpdate, err error) {
 	return c.WatchList(ctx, past, knows, 0, relay.Mark{}, wait)
 }
 
 // WatchList is Watch for one that has its zone's relayed list up to a mark.
-func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n statemachine.News, err error) {
+func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n statemachine.WatchUpdate, err error) {
 	text, _, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, knows, zone, has.Seq, wait.Milliseconds()), nil)
 	if err != nil {
 		return n, err
@@ -137,8 +137,8 @@
 	return all, statemachine.Decode(text, &all)
 }
 
-// Member asks for one step of a change of members: learn, promote or remove.
-func (c *Client) Member(ctx context.Context, what string, id uint64, addr string) (r statemachine.Result, err error) {
+// ChangeMembers asks for one step of a change of members: learn, promote or remove.
+func (c *Client) ChangeMembers(ctx context.Context, what string, id uint64, addr string) (r statemachine.Result, err error) {
 	form := url.Values{"what": {what}, "id": {strconv.FormatUint(id, 10)}, "addr": {addr}}
 	text, _, err := c.call(ctx, http.MethodPost, membsPath+"?"+form.Encode(), nil)
 	if err != nil {
@@ -147,8 +147,8 @@
 	return r, statemachine.Decode(text, &r)
 }
 
-// Tries calls f until it succeeds or ctx ends, at another keeper each time.
-func Tries(ctx context.Context, f func(ctx context.Context) error) error {
+// Retry calls f until it succeeds or ctx ends, at another keeper each time.
+func Retry(ctx context.Context, f func(ctx context.Context) error) error {
 	for {
 		one, stop := context.WithTimeout(ctx, 2*time.Second)
 		err := f(one)
--- a/internal/fleet/transport/holder.go
+++ b/internal/fleet/transport/holder.go
@@ -22,30 +22,30 @@
 
 // Hooks are what a holder does with policies.
 type Hooks struct {
-	Check func(p statemachine.Policy) error // whether it could run one
-	Apply func(p statemachine.Policy) error // runs it from here on; checked before
-	Log   func(line string)
+	CheckPolicy func(p statemachine.Policy) error // whether it could run one
+	ApplyPolicy func(p statemachine.Policy) error // runs it from here on; checked before
+	Log         func(line string)
 
-	Wants   func() []quota.Want                           // of the limits of the fleet; nil: nothing
-	Parts   func(until time.Duration, parts []quota.Part) // takes in what may be used until then
-	Starved func() bool                                   // whether to ask for more soon
+	QuotaRequests  func() []quota.Want                           // of the limits of the fleet; nil: nothing
+	QuotaGranted   func(until time.Duration, parts []quota.Part) // takes in what may be used until then
+	QuotaExhausted func() bool                                   // whether to ask for more soon
 
-	Saw      func(hold *statemachine.Hold)  // words what was seen of workers; nil: nothing
-	Unsaid   func(reports []outlier.Report) // they may not have arrived
-	Verdicts func(until time.Duration, verdicts []outlier.Verdict, accused []outlier.Life, news bool)
+	AddReports         func(hold *statemachine.LeaseRequest) // words what was seen of workers; nil: nothing
+	ReportsUndelivered func(reports []outlier.Report)        // they may not have arrived
+	VerdictsReceived   func(until time.Duration, verdicts []outlier.Verdict, accused []outlier.Life, news bool)
 
-	Zone  int                                                 // that the dispatcher is in
-	Asks  func() *coldstart.Want                              // of turns and the relayed list; nil: nothing
-	Start func(asked, until time.Duration, w *coldstart.Word) // takes in what came of it
-	Has   func() relay.Mark                                   // of the relayed list
-	List  func(u *relay.Update)                               // what a watch has told of it
+	Zone             int                                                 // that the dispatcher is in
+	ColdStartRequest func() *coldstart.Want                              // of turns and the relayed list; nil: nothing
+	ColdStartGranted func(asked, until time.Duration, w *coldstart.Word) // takes in what came of it
+	ListMark         func() relay.Mark                                   // of the relayed list
+	ListReceived     func(u *relay.Update)                               // what a watch has told of it
 
-	Stay  func(asked, length time.Duration, era uint64, ready bool) // of claims on workflows, and whether steps are ready
-	Steps func()                                                    // some are, by what a watch has told
+	ClaimLeaseRenewed func(asked, length time.Duration, era uint64, ready bool) // of claims on workflows, and whether steps are ready
+	StepsReady        func()                                                    // some are, by what a watch has told
 }
 
-// Holder is a dispatcher's side: it keeps the lease, and tells at any moment what holds.
-type Holder struct {
+// LeaseSession is a dispatcher's side: it keeps the lease, and tells at any moment what holds.
+type LeaseSession struct {
 	client *Client
 	hooks  Hooks
 	base   time.Time
@@ -62,14 +62,14 @@
 // callWithin bounds a call for a lease. One that takes longer is of little use.
 const callWithin = time.Second
 
-// NewHolder makes the side of the accord a, which knows nothing yet. Its clock counts from base.
-func NewHolder(c *Client, a *policylease.Accord, base time.Time, h Hooks) *Holder {
-	return &Holder{client: c, hooks: h, base: base, a: a}
+// NewLeaseSession makes the side of the accord a, which knows nothing yet. Its clock counts from base.
+func NewLeaseSession(c *Client, a *policylease.Accord, base time.Time, h Hooks) *LeaseSession {
+	return &LeaseSession{client: c, hooks: h, base: base, a: a}
 }
 
 // Admits is what holds now, and the moment of this process's clock that it was asked for. It
 // waits for nobody.
-func (h *Holder) Admits() (policylease.Held, time.Time) {
+func (h *LeaseSession) Admits() (policylease.Held, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -77,7 +77,7 @@
 }
 
 // Describe is a line for staff.
-func (h *Holder) Describe() string {
+func (h *LeaseSession) Describe() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Since(h.base)
@@ -92,14 +92,14 @@
 }
 
 // Run keeps the lease until ctx ends, and gives it back then.
-func (h *Holder) Run(ctx context.Context) {
-	news := make(chan statemachine.News)
+func (h *LeaseSession) Run(ctx context.Context) {
+	news := make(chan statemachine.WatchUpdate)
 	go h.watch(ctx, news)
 	fails, warned := 0, false
 	due := time.Now()
 	for ctx.Err() == nil {
 		next := due
-		if h.hooks.Starved != nil && fails == 0 { // looked at now and then: a call each time would be a rush
+		if h.hooks.QuotaExhausted != nil && fails == 0 { // looked at now and then: a call each time would be a rush
 			if look := time.Now().Add(h.soon()); look.Before(next) {
 				next = look
 			}
@@ -107,7 +107,7 @@
 		wait := time.NewTimer(timers.Ahead(time.Until(next)))
 		select {
 		case <-wait.C:
-			if next != due && !h.hooks.Starved() {
+			if next != due && !h.hooks.QuotaExhausted() {
 				continue
 			}
 		case n := <-news:
@@ -117,14 +117,14 @@
 			todo := h.a.Told(n)
 			until := h.a.Until()
 			h.mu.Unlock()
-			if h.hooks.List != nil && n.List != nil && n.Era >= h.era() {
-				h.hooks.List(n.List)
+			if h.hooks.ListReceived != nil && n.RelayedList != nil && n.Generation >= h.era() {
+				h.hooks.ListReceived(n.RelayedList)
 			}
-			if h.hooks.Verdicts != nil && until > 0 {
-				h.hooks.Verdicts(until, n.Verdicts, nil, true)
+			if h.hooks.VerdictsReceived != nil && until > 0 {
+				h.hooks.VerdictsReceived(until, n.Verdicts, nil, true)
 			}
-			if h.hooks.Steps != nil && n.Steps {
-				h.hooks.Steps()
+			if h.hooks.StepsReady != nil && n.StepsReady {
+				h.hooks.StepsReady()
 			}
 			if again, err := h.do(ctx, todo); !again && err == nil {
 				continue
@@ -172,84 +172,84 @@
 	h.mu.Unlock()
 	last, stop := context.WithTimeout(context.Background(), callWithin)
 	defer stop()
-	h.client.Do(last, statemachine.Command{Leave: &leave})
+	h.client.Do(last, statemachine.Command{LeaseRelease: &leave})
 	h.client.Close()
 }
 
 // Do carries a command of this dispatcher's to one keeper. After an error it may have been done.
-func (h *Holder) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
+func (h *LeaseSession) Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error) {
 	one, stop := context.WithTimeout(ctx, callWithin)
 	defer stop()
 	return h.client.Do(one, cmd)
 }
 
-// Life is what tells this process from all others that ever bore its name.
-func (h *Holder) Life() uint64 { return h.a.Life() }
+// Incarnation is what tells this process from all others that ever bore its name.
+func (h *LeaseSession) Incarnation() uint64 { return h.a.Life() }
 
-func (h *Holder) era() uint64 {
+func (h *LeaseSession) era() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.a.Era()
 }
 
-func (h *Holder) until() time.Duration {
+func (h *LeaseSession) until() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.a.Until()
 }
 
 // soon is how often it is looked whether more of a limit is wanted.
-func (h *Holder) soon() time.Duration {
+func (h *LeaseSession) soon() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.a.Every()/4, 20*time.Millisecond)
 }
 
 // once asks for a lease, and does what the answer asks.
-func (h *Holder) once(ctx context.Context) (r statemachine.Result, again bool, err error) {
+func (h *LeaseSession) once(ctx context.Context) (r statemachine.Result, again bool, err error) {
 	h.mu.Lock()
 	asked := time.Since(h.base) // before anything is sent
 	hold := h.a.Ask(asked)
 	h.mu.Unlock()
-	if h.hooks.Wants != nil {
-		hold.Wants = h.hooks.Wants()
+	if h.hooks.QuotaRequests != nil {
+		hold.QuotaRequests = h.hooks.QuotaRequests()
 	}
 	hold.Zone = h.hooks.Zone
-	if h.hooks.Saw != nil {
-		h.hooks.Saw(&hold)
+	if h.hooks.AddReports != nil {
+		h.hooks.AddReports(&hold)
 	}
-	if h.hooks.Asks != nil {
-		hold.Start = h.hooks.Asks()
+	if h.hooks.ColdStartRequest != nil {
+		hold.ColdStart = h.hooks.ColdStartRequest()
 	}
 	one, stop := context.WithTimeout(ctx, callWithin)
 	defer stop()
-	if r, err = h.client.Do(one, statemachine.Command{Hold: &hold}); err != nil {
+	if r, err = h.client.Do(one, statemachine.Command{LeaseRequest: &hold}); err != nil {
 		h.mu.Lock()
 		h.a.Silent()
 		h.mu.Unlock()
-		if len(hold.Saw) > 0 {
-			h.hooks.Unsaid(hold.Saw)
+		if len(hold.OutlierReports) > 0 {
+			h.hooks.ReportsUndelivered(hold.OutlierReports)
 		}
 		return r, false, err
 	}
 	h.mu.Lock()
 	void := h.a.Before(r)
 	todo := h.a.Heard(asked, r)
-	if r.Lease > 0 && h.hooks.Parts != nil && !void && todo.Take == nil {
-		h.hooks.Parts(h.a.Until(), r.Parts) // before anything is admitted by the new lease
+	if r.LeaseDuration > 0 && h.hooks.QuotaGranted != nil && !void && todo.Take == nil {
+		h.hooks.QuotaGranted(h.a.Until(), r.QuotaGrants) // before anything is admitted by the new lease
 	}
 	h.mu.Unlock()
-	if r.Lease > 0 && h.hooks.Start != nil && !void && todo.Take == nil {
-		h.hooks.Start(asked, h.until(), r.Start)
+	if r.LeaseDuration > 0 && h.hooks.ColdStartGranted != nil && !void && todo.Take == nil {
+		h.hooks.ColdStartGranted(asked, h.until(), r.ColdStart)
 	}
-	if r.Lease > 0 && h.hooks.Verdicts != nil && !void {
-		h.hooks.Verdicts(h.until(), r.Verdicts, r.Accused, false)
+	if r.LeaseDuration > 0 && h.hooks.VerdictsReceived != nil && !void {
+		h.hooks.VerdictsReceived(h.until(), r.Verdicts, r.ReportsWanted, false)
 	}
-	if r.Stay > 0 && h.hooks.Stay != nil && !void {
-		h.hooks.Stay(asked, r.Stay, r.Era, r.Steps)
+	if r.ClaimLease > 0 && h.hooks.ClaimLeaseRenewed != nil && !void {
+		h.hooks.ClaimLeaseRenewed(asked, r.ClaimLease, r.Generation, r.StepsReady)
 	}
 	if void {
-		h.client.Pass()
+		h.client.SwitchCoordinator()
 		return r, false, errVoid
 	}
 	again, err = h.do(ctx, todo)
@@ -257,11 +257,11 @@
 }
 
 // do does what the accord leaves to it, and tells whether to ask for a lease at once.
-func (h *Holder) do(ctx context.Context, todo policylease.Todo) (again bool, err error) {
+func (h *LeaseSession) do(ctx context.Context, todo policylease.Todo) (again bool, err error) {
 	again = todo.Again
 	if todo.Weigh != nil {
 		why := ""
-		if err := h.hooks.Check(todo.Weigh.Policy); err != nil {
+		if err := h.hooks.CheckPolicy(todo.Weigh.Policy); err != nil {
 			why = err.Error()
 		} else if statemachine.Digest(todo.Weigh.Policy.Text) != todo.Weigh.Policy.Digest {
 			why = "its text is not that of its digest"
@@ -271,7 +271,7 @@
 		h.mu.Unlock()
 		one, stop := context.WithTimeout(ctx, callWithin)
 		defer stop()
-		if _, err := h.client.Do(one, statemachine.Command{Say: &say}); err != nil {
+		if _, err := h.client.Do(one, statemachine.Command{Vote: &say}); err != nil {
 			h.mu.Lock()
 			h.a.Unsaid()
 			h.mu.Unlock()
@@ -282,7 +282,7 @@
 		h.mu.Unlock()
 	}
 	if todo.Take != nil {
-		if err := h.hooks.Apply(*todo.Take); err != nil {
+		if err := h.hooks.ApplyPolicy(*todo.Take); err != nil {
 			return false, fmt.Errorf("version %d can't be run: %w", todo.Take.Version, err)
 		}
 		h.mu.Lock()
@@ -295,7 +295,7 @@
 }
 
 // watch hands on what there is that is new.
-func (h *Holder) watch(ctx context.Context, news chan<- statemachine.News) {
+func (h *LeaseSession) watch(ctx context.Context, news chan<- statemachine.WatchUpdate) {
 	var last uint64
 	for ctx.Err() == nil {
 		one, stop := context.WithTimeout(ctx, 12*time.Second)
@@ -305,8 +305,8 @@
 		knows := h.a.Policy().Version
 		h.mu.Unlock()
 		var has relay.Mark
-		if h.hooks.Has != nil {
-			has = h.hooks.Has()
+		if h.hooks.ListMark != nil {
+			has = h.hooks.ListMark()
 		}
 		n, err := h.client.WatchList(one, last, knows, h.hooks.Zone, has, 10*time.Second)
 		stop()
--- a/internal/fleet/transport/link_test.go
+++ b/internal/fleet/transport/link_test.go
@@ -17,16 +17,16 @@
 
 const patience = 10 * time.Second
 
-// one is a keeper alone, in this process; its time is told by the test.
-type one struct {
-	Keepers // what is not asked here
-	mu      sync.Mutex
-	s       *statemachine.State
-	changed chan struct{}
-	down    bool
+// coordinatorStub is a keeper alone, in this process; its time is told by the test.
+type coordinatorStub struct {
+	Coordinator // what is not asked here
+	mu          sync.Mutex
+	s           *statemachine.State
+	changed     chan struct{}
+	down        bool
 }
 
-func (o *one) Do(_ context.Context, cmd statemachine.Command) (statemachine.Result, error) {
+func (o *coordinatorStub) Do(_ context.Context, cmd statemachine.Command) (statemachine.Result, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -41,16 +41,16 @@
 	return r, nil
 }
 
-func (o *one) Read(_ context.Context, f func(*statemachine.State)) error {
+func (o *coordinatorStub) Read(_ context.Context, f func(*statemachine.State)) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(o.s)
 	return nil
 }
 
-func (o *one) Look(f func(*statemachine.State)) { o.Read(context.Background(), f) }
+func (o *coordinatorStub) ReadStale(f func(*statemachine.State)) { o.Read(context.Background(), f) }
 
-func (o *one) Watch(ctx context.Context, past uint64) uint64 {
+func (o *coordinatorStub) WaitForRevision(ctx context.Context, past uint64) uint64 {
 	for {
 		o.mu.Lock()
 		now, changed := o.s.Revision, o.changed
@@ -66,11 +66,11 @@
 	}
 }
 
-func (o *one) Leader() uint64 { return 1 }
+func (o *coordinatorStub) Leader() uint64 { return 1 }
 
-func serve(t *testing.T) (*one, string) {
-	o := &one{s: statemachine.New(statemachine.Config{Lease: time.Minute, Answer: time.Minute, Keep: 5}), changed: make(chan struct{})}
-	server := httptest.NewServer(Handler("f", o, time.Second))
+func serve(t *testing.T) (*coordinatorStub, string) {
+	o := &coordinatorStub{s: statemachine.New(statemachine.Config{LeaseDuration: time.Minute, VoteTimeout: time.Minute, PolicyHistory: 5}), changed: make(chan struct{})}
+	server := httptest.NewServer(NewHandler("f", o, time.Second))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	return o, server.Listener.Addr().String()
 }
@@ -78,7 +78,7 @@
 // What is not a call of this fleet's, or not one that callers may make, changes nothing.
 func TestHandlerRefuses(t *testing.T) {
 	o, addr := serve(t)
-	tick, err := statemachine.Encode(statemachine.Command{Tick: &statemachine.Tick{Passed: time.Hour}})
+	tick, err := statemachine.Encode(statemachine.Command{Tick: &statemachine.Tick{Elapsed: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,14 +123,14 @@
 	client.at = 0
 	var mu sync.Mutex
 	var ran []string
-	h := NewHolder(client, policylease.New("n", 1, "", statemachine.Refuse), time.Now(), Hooks{
-		Check: func(p statemachine.Policy) error {
+	h := NewLeaseSession(client, policylease.New("n", 1, "", statemachine.RefuseWork), time.Now(), Hooks{
+		CheckPolicy: func(p statemachine.Policy) error {
 			if strings.HasPrefix(string(p.Text), "bad") {
 				return errors.New("unknown")
 			}
 			return nil
 		},
-		Apply: func(p statemachine.Policy) error {
+		ApplyPolicy: func(p statemachine.Policy) error {
 			mu.Lock()
 			defer mu.Unlock()
 			ran = append(ran, string(p.Text))
@@ -160,9 +160,9 @@
 			return o.s.Change != nil && o.s.Change.Stage == want
 		}
 	}
-	o.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: "a", Text: []byte("bad"), Base: 0}})
+	o.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: "a", Text: []byte("bad"), BaseVersion: 0}})
 	until("the first is withdrawn", stage(statemachine.Withdrawn))
-	o.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: "b", Text: []byte("good"), Base: 0}})
+	o.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: "b", Text: []byte("good"), BaseVersion: 0}})
 	until("the second is in force", stage(statemachine.InForce))
 	until("it serves under it", under(1))
 	mu.Lock()
@@ -177,7 +177,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n := len(o.s.Living()); n != 0 {
+	if n := len(o.s.ActiveHolders()); n != 0 {
 		t.Errorf("%d leases are held after its end", n)
 	}
 }
--- a/internal/fleet/transport/server.go
+++ b/internal/fleet/transport/server.go
@@ -17,21 +17,21 @@
 	"yardflow/internal/platform/timers"
 )
 
-// Keepers is what a server offers: package quorum's part of it.
-type Keepers interface {
+// Coordinator is what a server offers: package quorum's part of it.
+type Coordinator interface {
 	Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error)
 	Read(ctx context.Context, f func(s *statemachine.State)) error
-	Watch(ctx context.Context, past uint64) uint64
-	Look(f func(s *statemachine.State))
+	WaitForRevision(ctx context.Context, past uint64) uint64
+	ReadStale(f func(s *statemachine.State))
 	Leader() uint64
 	Members() ([]statemachine.Member, error)
-	Learn(ctx context.Context, id uint64, addr string) error
-	Promote(ctx context.Context, id uint64) error
-	Remove(ctx context.Context, id uint64) error
+	AddLearner(ctx context.Context, id uint64, addr string) error
+	PromoteLearner(ctx context.Context, id uint64) error
+	RemoveMember(ctx context.Context, id uint64) error
 }
 
-// Handler serves callers. within bounds how long a command may take.
-func Handler(fleet string, k Keepers, within time.Duration) http.Handler {
+// NewHandler serves callers. within bounds how long a command may take.
+func NewHandler(fleet string, k Coordinator, within time.Duration) http.Handler {
 	mux := http.NewServeMux()
 	guard := func(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -56,19 +56,19 @@
 		if cmd.Tick != nil {
 			return errors.New("time is told by who leads alone")
 		}
-		if nothing := false; cmd.Flow != nil && cmd.Flow.Claim != nil {
+		if nothing := false; cmd.Workflow != nil && cmd.Workflow.Claim != nil {
 			// Many ask after the same news: those for whom nothing is left cost no entry of the log.
-			k.Look(func(s *statemachine.State) { nothing = s.Flows != nil && s.Flows.Nothing(cmd.Flow.Claim) })
+			k.ReadStale(func(s *statemachine.State) { nothing = s.Workflows != nil && s.Workflows.Nothing(cmd.Workflow.Claim) })
 			if nothing {
-				return answer(w, statemachine.Result{Flow: &claims.Answer{}})
+				return answer(w, statemachine.Result{Workflow: &claims.Answer{}})
 			}
 		}
 		ctx, stop := context.WithTimeout(r.Context(), within)
 		defer stop()
-		if cmd.Flow != nil && cmd.Flow.Show != nil { // changes nothing: read, and never in the log
+		if cmd.Workflow != nil && cmd.Workflow.Show != nil { // changes nothing: read, and never in the log
 			var text []byte
 			var wording error
-			if err := k.Read(ctx, func(s *statemachine.State) { text, wording = statemachine.Encode(s.ShowFlows(cmd.Flow)) }); err != nil {
+			if err := k.Read(ctx, func(s *statemachine.State) { text, wording = statemachine.Encode(s.QueryWorkflows(cmd.Workflow)) }); err != nil {
 				return err
 			}
 			if wording == nil {
@@ -93,10 +93,10 @@
 		}
 		ctx, stop := context.WithTimeout(r.Context(), min(timers.Ahead(time.Duration(wait)*time.Millisecond), maxWait))
 		defer stop()
-		k.Watch(ctx, past)
+		k.WaitForRevision(ctx, past)
 		var text []byte
-		k.Look(func(s *statemachine.State) {
-			text, err = statemachine.Encode(s.News(knows, zone, relay.Mark{Seq: has}))
+		k.ReadStale(func(s *statemachine.State) {
+			text, err = statemachine.Encode(s.UpdateFor(knows, zone, relay.Mark{Seq: has}))
 		}) // worded before it can change
 		if err == nil {
 			_, err = w.Write(text)
@@ -134,11 +134,11 @@
 		}
 		switch what := r.FormValue("what"); what {
 		case "learn":
-			err = k.Learn(ctx, id, r.FormValue("addr"))
+			err = k.AddLearner(ctx, id, r.FormValue("addr"))
 		case "promote":
-			err = k.Promote(ctx, id)
+			err = k.PromoteLearner(ctx, id)
 		case "remove":
-			err = k.Remove(ctx, id)
+			err = k.RemoveMember(ctx, id)
 		default:
 			err = fmt.Errorf("%q; expected learn, promote or remove", what)
 		}
--- a/internal/fleet/workflow/simulation/dispatchers.go
+++ b/internal/fleet/workflow/simulation/dispatchers.go
@@ -36,13 +36,13 @@
 	p.at(d, life, func() {
 		asked := p.clock(d)
 		d.seq++
-		v := p.s.InForce().Version
-		p.send(d, statemachine.Command{Hold: &statemachine.Hold{Name: d.name, Life: d.life, Seq: d.seq, Knows: v, Serves: v, Heard: d.grant}}, func(r statemachine.Result) {
-			if r.Stay > 0 {
+		v := p.s.CurrentPolicy().Version
+		p.send(d, statemachine.Command{LeaseRequest: &statemachine.LeaseRequest{Name: d.name, Incarnation: d.life, Seq: d.seq, KnownVersion: v, ServingVersion: v, CurrentGrant: d.grant}}, func(r statemachine.Result) {
+			if r.ClaimLease > 0 {
 				if p.plant == Uncounted {
 					asked = p.clock(d)
 				}
-				if d.hand.Renew(asked, p.clock(d), r.Stay, r.Era) {
+				if d.hand.Renew(asked, p.clock(d), r.ClaimLease, r.Generation) {
 					p.lapse(d)
 				}
 			}
@@ -97,10 +97,10 @@
 	}
 	d.saying = true
 	life := d.life
-	p.send(d, statemachine.Command{Flow: c}, func(r statemachine.Result) {
+	p.send(d, statemachine.Command{Workflow: c}, func(r statemachine.Result) {
 		d.saying = false
-		if r.Flow != nil {
-			d.hand.Said(c, *r.Flow)
+		if r.Workflow != nil {
+			d.hand.Said(c, *r.Workflow)
 			if c.Mark != nil && p.stormy() && p.rnd.IntN(60) == 0 {
 				d.thaw = max(d.thaw, p.now+p.pause(3*lease)) // between the keepers' word and the first byte
 			}
@@ -125,15 +125,15 @@
 	d.claiming = true
 	life, told := d.life, p.clock(d)
 	c, asked := d.hand.Claim(told, want, []string{""})
-	p.send(d, statemachine.Command{Flow: &claims.Command{Claim: c}}, func(r statemachine.Result) {
+	p.send(d, statemachine.Command{Workflow: &claims.Command{Claim: c}}, func(r statemachine.Result) {
 		d.claiming = false
-		if r.Flow == nil {
+		if r.Workflow == nil {
 			return
 		}
 		if p.plant == Unfenced {
 			_, asked = d.hand.Claim(told, want, nil)
 		}
-		for _, t := range d.hand.Took(asked, r.Flow.Tasks) {
+		for _, t := range d.hand.Took(asked, r.Workflow.Tasks) {
 			d.out[t.No] = &try{task: t, told: told, cell: p.rnd.IntN(cells)}
 		}
 	})
@@ -212,7 +212,7 @@
 func (p *play) check(t *try, r *run) {
 	before := p.runs[name(&t.task)]
 	p.res.Runs++
-	if p.s.Flows.Claims[t.task.No] == nil {
+	if p.s.Workflows.Claims[t.task.No] == nil {
 		p.wrong("%s is sent by %s under a claim that was taken back", name(&t.task), r.by.name)
 	}
 	if len(before) == 0 {
--- a/internal/fleet/workflow/simulation/end.go
+++ b/internal/fleet/workflow/simulation/end.go
@@ -10,7 +10,7 @@
 		return false
 	}
 	for key := range keys {
-		f := p.s.Flows.Flows[key]
+		f := p.s.Workflows.Flows[key]
 		if f == nil || f.State < claims.Finished && f.State != claims.Held {
 			return false
 		}
@@ -19,9 +19,9 @@
 }
 
 func (p *play) judge(keys map[string]int) {
-	p.res.Flows, p.res.Expired = len(keys), p.s.Flows.Expired
+	p.res.Flows, p.res.Expired = len(keys), p.s.Workflows.Expired
 	for key := range keys {
-		f := p.s.Flows.Flows[key]
+		f := p.s.Workflows.Flows[key]
 		switch {
 		case f == nil:
 			p.wrong("flow %s is lost", key)
--- a/internal/fleet/workflow/simulation/faults.go
+++ b/internal/fleet/workflow/simulation/faults.go
@@ -49,7 +49,7 @@
 		p.stalled = p.now + p.pause(lease)
 	case 8:
 		if p.plant == Early {
-			p.s.Flows.Gone(p.s.Now, claims.Who(d.name, d.life))
+			p.s.Workflows.Gone(p.s.Now, claims.Who(d.name, d.life))
 		}
 	case 9:
 		if p.plant == Ready {
@@ -63,7 +63,7 @@
 	for _, d := range p.all {
 		for _, no := range d.held() {
 			t := d.out[no]
-			if d.up && p.now >= d.thaw && t.at != nil && !t.over && t.task.Class != "once" && p.now < t.at.to && p.s.Flows.Claims[no] == nil {
+			if d.up && p.now >= d.thaw && t.at != nil && !t.over && t.task.Class != "once" && p.now < t.at.to && p.s.Workflows.Claims[no] == nil {
 				p.wrong("%s is still out from %s, which has not called it off", name(&t.task), d.name)
 			}
 		}
@@ -85,8 +85,8 @@
 
 // operate is what an operator does now and then: one settles a step that is stuck, or cancels a flow.
 func (p *play) operate() {
-	for _, key := range slices.Sorted(maps.Keys(p.s.Flows.Flows)) {
-		f := p.s.Flows.Flows[key]
+	for _, key := range slices.Sorted(maps.Keys(p.s.Workflows.Flows)) {
+		f := p.s.Workflows.Flows[key]
 		var stuck *expansion.Ref
 		if f.Tree != nil && f.State == claims.Held {
 			f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
@@ -96,11 +96,11 @@
 			})
 		}
 		if stuck != nil {
-			p.apply(statemachine.Command{Flow: &claims.Command{Settle: &claims.Settle{Flow: key, Who: "o", Ref: *stuck, As: claims.Failed}}})
+			p.apply(statemachine.Command{Workflow: &claims.Command{Settle: &claims.Settle{Flow: key, Who: "o", Ref: *stuck, As: claims.Failed}}})
 			return
 		}
 		if f.Tree != nil && p.rnd.IntN(60) == 0 {
-			p.apply(statemachine.Command{Flow: &claims.Command{Cancel: &claims.Cancel{Flow: key, Who: "o"}}})
+			p.apply(statemachine.Command{Workflow: &claims.Command{Cancel: &claims.Cancel{Flow: key, Who: "o"}}})
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 
 // forget is what a ledger would do that did not know that a step may have run.
 func (p *play) forget() {
-	for _, f := range p.s.Flows.Flows {
+	for _, f := range p.s.Workflows.Flows {
 		if f.Tree != nil {
 			f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) {
 				if r.State == expansion.Claimed {
@@ -117,8 +117,8 @@
 			})
 		}
 	}
-	for _, who := range p.s.Flows.Holders() {
-		p.s.Flows.Gone(p.s.Now, who)
+	for _, who := range p.s.Workflows.Holders() {
+		p.s.Workflows.Gone(p.s.Now, who)
 	}
 }
 
--- a/internal/fleet/workflow/simulation/keepers.go
+++ b/internal/fleet/workflow/simulation/keepers.go
@@ -18,18 +18,18 @@
 		return
 	}
 	p.no++
-	t := statemachine.Tick{Passed: p.now - p.told, Seen: p.s.Grants, Lead: p.lead, No: p.no}
+	t := statemachine.Tick{Elapsed: p.now - p.told, GrantsSeen: p.s.GrantCount, LeaderTerm: p.lead, Number: p.no}
 	p.told = p.now
 	if p.stormy() && p.rnd.IntN(100) == 0 {
 		return // its word is lost
 	}
 	apply := func() {
-		if p.now >= p.still && p.lead == t.Lead && t.No > p.last {
-			p.last = t.No
+		if p.now >= p.still && p.lead == t.LeaderTerm && t.Number > p.last {
+			p.last = t.Number
 			p.apply(statemachine.Command{Tick: &t})
 		}
 	}
-	if t.No == 1 {
+	if t.Number == 1 {
 		p.last = 0
 	}
 	if p.now < p.stalled { // it reads its clock, and is not heard for a while
@@ -73,7 +73,7 @@
 		p.wrong("%v", err)
 	}
 	if p.plant == Unremembered {
-		for _, f := range p.s.Flows.Flows {
+		for _, f := range p.s.Workflows.Flows {
 			if f.Tree != nil {
 				f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) { r.Marked, r.Turn = 0, 0 })
 			}
@@ -136,8 +136,8 @@
 	if form == "course" {
 		in["titles"] = expansion.Input{Count: titles}
 	}
-	r := p.apply(statemachine.Command{Flow: &claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}}})
-	if r.Flow == nil {
+	r := p.apply(statemachine.Command{Workflow: &claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}}})
+	if r.Workflow == nil {
 		p.after(100*time.Millisecond, func() { p.submit(key, titles) })
 	}
 }
--- a/internal/fleet/workflow/simulation/storm.go
+++ b/internal/fleet/workflow/simulation/storm.go
@@ -148,8 +148,8 @@
 // Play plays a storm.
 func Play(seed uint64, plant Planted) Result {
 	p := &play{rnd: rand.New(rand.NewPCG(seed, 11)), plant: plant, runs: map[string][]*run{}, class: map[string]string{}}
-	p.s = statemachine.New(statemachine.Config{Lease: lease, Answer: time.Second, Fence: statemachine.Last, Keep: 3})
-	p.s.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: "one", Text: []byte("x"), Flows: Templates()}})
+	p.s = statemachine.New(statemachine.Config{LeaseDuration: lease, VoteTimeout: time.Second, OnLeaseLoss: statemachine.KeepLastPolicy, PolicyHistory: 3})
+	p.s.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "one", Text: []byte("x"), Workflows: Templates()}})
 	for i := range 3 {
 		d := &dispatcher{name: fmt.Sprint("d", i), drift: (p.rnd.Float64() - 0.5) * 0.018}
 		p.all = append(p.all, d)
--- a/internal/gateway/workflowsteps/flows.go
+++ b/internal/gateway/workflowsteps/flows.go
@@ -209,11 +209,11 @@
 
 // call has one command carried out; false: it is not known to be.
 func (r *Runner) call(ctx context.Context, c *claims.Command) (a claims.Answer, ok bool) {
-	res, err := r.h.Call(ctx, statemachine.Command{Flow: c})
+	res, err := r.h.Call(ctx, statemachine.Command{Workflow: c})
 	switch {
 	case err != nil:
 		return a, false // its lease's own calls say so
-	case res.Flow == nil:
+	case res.Workflow == nil:
 		if res.Code == (&claims.LeaseError{}).Code() {
 			r.mu.Lock()
 			r.hand.Doubt()
@@ -224,7 +224,7 @@
 		}
 		return a, false
 	}
-	return *res.Flow, true
+	return *res.Workflow, true
 }
 
 // say tells the keepers what there is to tell, one call after the other, each with all there is.
--- a/lab/prove-flows/keepers.go
+++ b/lab/prove-flows/keepers.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	ended := s.Flows.Flows["w"].Tree.Ends
+	ended := s.Workflows.Flows["w"].Tree.Ends
 	t.Row("steps that clients ended, and that the keepers have ended", fmt.Sprintf("%d, %d", done.Load(), ended[0]), "alike but for words without an answer", int64(ended[0]) >= done.Load() && int64(ended[0]) < done.Load()+12*256)
 	return histories(t, r)
 }
@@ -134,7 +134,7 @@
 	defer cl.Close()
 	name, seq, life := fmt.Sprint("w", i), uint64(0), uint64(1)
 	do := func(c statemachine.Command) *claims.Answer {
-		if text, err := statemachine.Encode(c); err == nil && c.Flow != nil {
+		if text, err := statemachine.Encode(c); err == nil && c.Workflow != nil {
 			bytes.Add(int64(len(text)))
 		}
 		one, stop := context.WithTimeout(ctx, 2*time.Second)
@@ -143,11 +143,11 @@
 		if err != nil {
 			return nil
 		}
-		return res.Flow
+		return res.Workflow
 	}
 	hold := func() {
 		seq++
-		do(statemachine.Command{Hold: &statemachine.Hold{Name: name, Life: life, Seq: seq, Knows: 1, Serves: 1}})
+		do(statemachine.Command{LeaseRequest: &statemachine.LeaseRequest{Name: name, Incarnation: life, Seq: seq, KnownVersion: 1, ServingVersion: 1}})
 	}
 	hold()
 	last, heard := time.Now(), uint64(0)
@@ -156,7 +156,7 @@
 			hold()
 			last = time.Now()
 		}
-		a := do(statemachine.Command{Flow: &claims.Command{Claim: &claims.Claim{Name: name, Life: life, Want: 256, Heard: heard, Pools: []string{""}}}})
+		a := do(statemachine.Command{Workflow: &claims.Command{Claim: &claims.Claim{Name: name, Life: life, Want: 256, Heard: heard, Pools: []string{""}}}})
 		if a == nil || len(a.Tasks) == 0 {
 			time.Sleep(5 * time.Millisecond)
 			continue
@@ -168,10 +168,10 @@
 			marks, ends = append(marks, claims.Marked{No: k.No, Once: k.Class == "issue-loan", Turn: 1}), append(ends, claims.Ended{No: k.No})
 		}
 		for a = nil; a == nil && ctx.Err() == nil; {
-			a = do(statemachine.Command{Flow: &claims.Command{Mark: &claims.Mark{Name: name, Life: life, All: marks}}})
+			a = do(statemachine.Command{Workflow: &claims.Command{Mark: &claims.Mark{Name: name, Life: life, All: marks}}})
 		}
 		for a = nil; a == nil && ctx.Err() == nil; {
-			a = do(statemachine.Command{Flow: &claims.Command{End: &claims.End{Name: name, Life: life, All: ends}}})
+			a = do(statemachine.Command{Workflow: &claims.Command{End: &claims.End{Name: name, Life: life, All: ends}}})
 		}
 		if a != nil {
 			done.Add(int64(len(ends) - len(a.Refused)))
@@ -231,7 +231,7 @@
 				}
 				at := time.Since(base)
 				one, end := context.WithTimeout(ctx, time.Second)
-				res, err := cl.Do(one, statemachine.Command{Flow: &cmd})
+				res, err := cl.Do(one, statemachine.Command{Workflow: &cmd})
 				end()
 				o := porcupine.Operation{ClientId: c, Input: in, Call: int64(at), Return: int64(time.Since(base))}
 				switch {
@@ -240,9 +240,9 @@
 				case err != nil:
 					o.Return = math.MaxInt64
 				case in.look:
-					o.Output = res.Flow != nil
-				case res.Flow != nil:
-					o.Output = res.Flow.Known
+					o.Output = res.Workflow != nil
+				case res.Workflow != nil:
+					o.Output = res.Workflow.Known
 				default:
 					continue
 				}
--- a/lab/prove-limits/main.go
+++ b/lab/prove-limits/main.go
@@ -106,12 +106,12 @@
 // dispatcher wanting something of 200 of them, with leases of 3 s renewed each second.
 func scale(t *prove.Table) {
 	const dispatchers, limits, each = 300, 10000, 200
-	s := statemachine.New(statemachine.Config{Lease: 3 * time.Second, Answer: 10 * time.Second, Keep: 2, Fence: statemachine.Last})
+	s := statemachine.New(statemachine.Config{LeaseDuration: 3 * time.Second, VoteTimeout: 10 * time.Second, PolicyHistory: 2, OnLeaseLoss: statemachine.KeepLastPolicy})
 	var all []quota.Limit
 	for i := range limits {
 		all = append(all, quota.Limit{Name: fmt.Sprint("l", i), Kind: quota.Rate, Amount: 100 * quota.One, Burst: 400 * quota.One, Static: quota.One / 5, Holders: 320})
 	}
-	s.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: "c", Text: []byte("x"), Limits: all}})
+	s.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "c", Text: []byte("x"), Limits: all}})
 	rnd := rand.New(rand.NewPCG(*seed, 9))
 	seq, calls, bytes, back := uint64(0), 0, 0, 0
 	heard := make([]uint64, dispatchers)
@@ -124,8 +124,8 @@
 	round := func() {
 		seq++
 		for i := range dispatchers {
-			hold := statemachine.Hold{Name: fmt.Sprint("d", i), Life: 1, Seq: seq, Knows: s.InForce().Version, Serves: 1, Heard: heard[i], Wants: wants[i]}
-			text, _ := statemachine.Encode(statemachine.Command{Hold: &hold})
+			hold := statemachine.LeaseRequest{Name: fmt.Sprint("d", i), Incarnation: 1, Seq: seq, KnownVersion: s.CurrentPolicy().Version, ServingVersion: 1, CurrentGrant: heard[i], QuotaRequests: wants[i]}
+			text, _ := statemachine.Encode(statemachine.Command{LeaseRequest: &hold})
 			var c statemachine.Command
 			_ = statemachine.Decode(text, &c)
 			r := s.Apply(c)
@@ -134,7 +134,7 @@
 			calls, bytes, back = calls+1, bytes+len(text), back+len(answer)
 		}
 		for range 10 {
-			s.Apply(statemachine.Command{Tick: &statemachine.Tick{Passed: 100 * time.Millisecond, Seen: s.Grants}})
+			s.Apply(statemachine.Command{Tick: &statemachine.Tick{Elapsed: 100 * time.Millisecond, GrantsSeen: s.GrantCount}})
 		}
 	}
 	round()
--- a/lab/prove-policy/main.go
+++ b/lab/prove-policy/main.go
@@ -106,7 +106,7 @@
 			for i := range next {
 				c := harness.Sim{Seed: uint64(i), Keepers: 5, Dispatchers: 6, Length: 10 * time.Second, Lost: 0.05, Doubled: 0.05, Slowest: 30 * time.Millisecond}
 				if i%4 == 3 {
-					c.Fence = statemachine.Last
+					c.Fence = statemachine.KeepLastPolicy
 				}
 				got := c.Run()
 				mu.Lock()
@@ -135,7 +135,7 @@
 func proveMany() func() {
 	c := harness.Sim{Seed: 3, Keepers: 5, Dispatchers: 300, Length: 10 * time.Second, Slowest: 4 * time.Millisecond, Calm: true}
 	got := c.Run()
-	away := harness.Sim{Seed: 4, Keepers: 5, Dispatchers: 300, Length: 30 * time.Second, Slowest: 4 * time.Millisecond, Calm: true, Away: 20 * time.Second, Fence: statemachine.Last}.Run()
+	away := harness.Sim{Seed: 4, Keepers: 5, Dispatchers: 300, Length: 30 * time.Second, Slowest: 4 * time.Millisecond, Calm: true, Away: 20 * time.Second, Fence: statemachine.KeepLastPolicy}.Run()
 	return func() { rowsMany(c, got, away) }
 }
 
@@ -208,8 +208,8 @@
 				return err
 			}
 			under := 0
-			for _, h := range s.Living() {
-				if h.Version == version {
+			for _, h := range s.ActiveHolders() {
+				if h.PolicyVersion == version {
 					under++
 				}
 			}
@@ -287,7 +287,7 @@
 	callers.Go(func() { // changes, one after the other, some of them two at once
 		for n := 0; ctx.Err() == nil; n++ {
 			if s, _, err := r.Client.State(ctx); err == nil {
-				_, _ = r.Client.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: fmt.Sprint("storm", n), Text: fmt.Appendf(nil, "attempts = %d\n", 1+n%9), Base: s.InForce().Version, Who: "storm", WithoutSilent: true}})
+				_, _ = r.Client.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: fmt.Sprint("storm", n), Text: fmt.Appendf(nil, "attempts = %d\n", 1+n%9), BaseVersion: s.CurrentPolicy().Version, Author: "storm", SkipUnresponsive: true}})
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
@@ -343,7 +343,7 @@
 	if err != nil {
 		return err
 	}
-	row("storm: versions in force", fmt.Sprint(s.InForce().Version-version), "", true)
+	row("storm: versions in force", fmt.Sprint(s.CurrentPolicy().Version-version), "", true)
 	back := 0
 	for _, d := range r.Dispatcher {
 		if harness.Until("serves", func() bool { return r.Ask(d) == 200 }) == nil {
@@ -391,7 +391,7 @@
 // entries is how long it takes to have a command agreed on that changes nothing, the median of 30.
 func entries(r *harness.Rig) (time.Duration, error) {
 	return median(func() error {
-		_, err := r.Client.Do(context.Background(), statemachine.Command{Withdraw: &statemachine.Withdraw{ID: "none"}})
+		_, err := r.Client.Do(context.Background(), statemachine.Command{Withdrawal: &statemachine.Withdrawal{ID: "none"}})
 		return err
 	})
 }
--- a/lab/rig/harness/coldstart.go
+++ b/lab/rig/harness/coldstart.go
@@ -126,10 +126,10 @@
 	t.Helper()
 	s, _, err := r.State()
 	check(t, err)
-	if s.Start == nil || s.Start.Lists[0] == nil {
+	if s.ColdStart == nil || s.ColdStart.Lists[0] == nil {
 		return nil, list
 	}
-	list = *s.Start.Lists[0]
+	list = *s.ColdStart.Lists[0]
 	name, _, _ := strings.Cut(list.Reader, "/")
 	for _, d := range r.Dispatcher {
 		if d.Name == name {
@@ -432,15 +432,15 @@
 		desk := coldstart.NewDesk(now, Patience)
 		name := fmt.Sprint("h", i)
 		var carrier *relayedlist.Carrier
-		h := transport.NewHolder(transport.NewClient(fleet, addrs), policylease.New(name, uint64(i+1), "", statemachine.Refuse), began, transport.Hooks{
-			Check: func(statemachine.Policy) error { return nil }, Log: func(string) {},
-			Apply: func(p statemachine.Policy) error { desk.Bind(p.Start != nil); return nil },
-			Zone:  i % zones, Asks: desk.Want, Has: desk.Has, Starved: desk.Urgent,
-			Start: func(asked, until time.Duration, w *coldstart.Word) {
+		h := transport.NewLeaseSession(transport.NewClient(fleet, addrs), policylease.New(name, uint64(i+1), "", statemachine.RefuseWork), began, transport.Hooks{
+			CheckPolicy: func(statemachine.Policy) error { return nil }, Log: func(string) {},
+			ApplyPolicy: func(p statemachine.Policy) error { desk.Bind(p.ColdStart != nil); return nil },
+			Zone:        i % zones, ColdStartRequest: desk.Want, ListMark: desk.Has, QuotaExhausted: desk.Urgent,
+			ColdStartGranted: func(asked, until time.Duration, w *coldstart.Word) {
 				u, _ := desk.Hear(asked, until, w)
 				carrier.Take(u)
 			},
-			List: func(u *relay.Update) { carrier.Take(desk.News(u)) }})
+			ListReceived: func(u *relay.Update) { carrier.Take(desk.News(u)) }})
 		carrier = relayedlist.New(name, i%zones, desk, p, h, func(string) {})
 		wg.Go(func() { h.Run(ctx) })
 		wg.Go(func() { carrier.Run(ctx) })
--- a/lab/rig/harness/flows.go
+++ b/lab/rig/harness/flows.go
@@ -46,15 +46,15 @@
 func (r *Rig) Flow(c claims.Command) (a claims.Answer, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), Patience)
 	defer stop()
-	err = transport.Tries(ctx, func(ctx context.Context) error {
-		res, err := r.Client.Do(ctx, statemachine.Command{Flow: &c})
+	err = transport.Retry(ctx, func(ctx context.Context) error {
+		res, err := r.Client.Do(ctx, statemachine.Command{Workflow: &c})
 		switch {
 		case err != nil:
 			return err
-		case res.Flow == nil:
+		case res.Workflow == nil:
 			return errors.New(res.Err)
 		}
-		a = *res.Flow
+		a = *res.Workflow
 		return nil
 	})
 	return a, err
--- a/lab/rig/harness/folders.go
+++ b/lab/rig/harness/folders.go
@@ -89,7 +89,7 @@
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
 		s, _, err := only.State(ctx)
-		return err == nil && s.InForce().Version == 1
+		return err == nil && s.CurrentPolicy().Version == 1
 	}))
 }
 
@@ -113,7 +113,7 @@
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
 		s, _, err := only.State(ctx)
-		return err == nil && s.InForce().Version == 2
+		return err == nil && s.CurrentPolicy().Version == 2
 	}))
 	k.Kill()
 	whole, err := os.ReadFile(file)
@@ -194,7 +194,7 @@
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
 		s, _, err := only.State(ctx)
-		return err == nil && s.InForce().Version == 1
+		return err == nil && s.CurrentPolicy().Version == 1
 	}))
 	for i, d := range r.Dispatcher {
 		r.Link(d.Name, "k1").Cut(true)
--- a/lab/rig/harness/keepers.go
+++ b/lab/rig/harness/keepers.go
@@ -46,7 +46,7 @@
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
 			defer end()
 			s, _, err := only.State(ctx)
-			return err == nil && s.InForce().Version == 2
+			return err == nil && s.CurrentPolicy().Version == 2
 		}))
 		only.Close()
 	}
@@ -296,7 +296,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer func() { stop(); wg.Wait() }()
-	var all []*transport.Holder
+	var all []*transport.LeaseSession
 	for i := range 300 {
 		var addrs []string
 		for _, k := range r.Keeper {
@@ -304,8 +304,8 @@
 			check(t, err)
 			addrs = append(addrs, l.Addr())
 		}
-		h := transport.NewHolder(transport.NewClient(fleet, addrs), policylease.New(fmt.Sprint("h", i), 1, "", statemachine.Refuse), time.Now(),
-			transport.Hooks{Check: func(statemachine.Policy) error { return nil }, Apply: func(statemachine.Policy) error { return nil }, Log: func(string) {}})
+		h := transport.NewLeaseSession(transport.NewClient(fleet, addrs), policylease.New(fmt.Sprint("h", i), 1, "", statemachine.RefuseWork), time.Now(),
+			transport.Hooks{CheckPolicy: func(statemachine.Policy) error { return nil }, ApplyPolicy: func(statemachine.Policy) error { return nil }, Log: func(string) {}})
 		all = append(all, h)
 		wg.Go(func() { h.Run(ctx) })
 	}
--- a/lab/rig/harness/limits.go
+++ b/lab/rig/harness/limits.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	s, _, err := r.State()
 	check(t, err)
-	version = s.InForce().Version + 1
+	version = s.CurrentPolicy().Version + 1
 	id := fmt.Sprint("v", version)
 	check(t, r.Propose(id, text, version-1, true))
 	changed(t, r, id, statemachine.InForce)
--- a/lab/rig/harness/scenarios.go
+++ b/lab/rig/harness/scenarios.go
@@ -146,7 +146,7 @@
 	}))
 }
 
-func changed(t T, r *Rig, id string, stage statemachine.Stage) *statemachine.Change {
+func changed(t T, r *Rig, id string, stage statemachine.Stage) *statemachine.PolicyChange {
 	t.Helper()
 	c, err := r.Change(id, stage)
 	check(t, err)
--- a/lab/rig/harness/sim.go
+++ b/lab/rig/harness/sim.go
@@ -31,7 +31,7 @@
 	Seed        uint64
 	Keepers     int
 	Dispatchers int
-	Fence       statemachine.Fence
+	Fence       statemachine.LeaseLossMode
 	Length      time.Duration // with faults; half as much again without, to come to rest in
 	Lost        float64       // share of messages
 	Doubled     float64
@@ -193,10 +193,10 @@
 	if ch := best.state.Change; ch != nil && ch.Stage < statemachine.InForce {
 		s.out.Hanging = true
 	}
-	s.out.InForce = best.state.InForce().Version
+	s.out.InForce = best.state.CurrentPolicy().Version
 	for _, k := range s.keepers {
-		if k.state.InForce().Version != s.out.InForce || k.state.InForce().Digest != best.state.InForce().Digest {
-			s.broken("keepers %d and %d are left with versions %d and %d", k.id, best.id, k.state.InForce().Version, s.out.InForce)
+		if k.state.CurrentPolicy().Version != s.out.InForce || k.state.CurrentPolicy().Digest != best.state.CurrentPolicy().Digest {
+			s.broken("keepers %d and %d are left with versions %d and %d", k.id, best.id, k.state.CurrentPolicy().Version, s.out.InForce)
 		}
 	}
 	share := func(n [2]int) float64 { return float64(n[0]) / float64(max(n[1], 1)) }
@@ -244,9 +244,9 @@
 	k.epoch++
 	k.up, k.waiting = true, map[uint64]func(statemachine.Result){}
 	k.term, k.heard, k.patient = 0, s.now, s.span(10*simTick, 20*simTick)
-	k.state = statemachine.New(statemachine.Config{Lease: simLease, Answer: 3 * time.Second, Fence: s.Fence, Keep: 8})
+	k.state = statemachine.New(statemachine.Config{LeaseDuration: simLease, VoteTimeout: 3 * time.Second, OnLeaseLoss: s.Fence, PolicyHistory: 8})
 	node, err := raft.NewRawNode(&raft.Config{ID: k.id, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: k.store,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, PreVote: true, Logger: consensus.Quiet{}})
+		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, PreVote: true, Logger: consensus.DiscardLogger{}})
 	if err != nil {
 		panic(err)
 	}
@@ -281,7 +281,7 @@
 // tell is quorum's tellTime.
 func (s *sim) tell(k *simKeeper, term uint64) {
 	if k.term == term {
-		s.entry(k, statemachine.Command{Tick: &statemachine.Tick{Passed: s.now - k.told, Seen: k.state.Grants}}, nil)
+		s.entry(k, statemachine.Command{Tick: &statemachine.Tick{Elapsed: s.now - k.told, GrantsSeen: k.state.GrantCount}}, nil)
 	}
 	k.term, k.told = term, s.now
 }
@@ -357,7 +357,7 @@
 		panic(err)
 	}
 	r := k.state.Apply(cmd)
-	fmt.Fprint(s.record, s.now, k.id, e.GetIndex(), r.Err, r.Revision, r.InForce)
+	fmt.Fprint(s.record, s.now, k.id, e.GetIndex(), r.Err, r.Revision, r.CurrentVersion)
 	if n := binary.LittleEndian.Uint64(e.GetData()); k.waiting[n] != nil {
 		done := k.waiting[n]
 		delete(k.waiting, n)
@@ -399,7 +399,7 @@
 	}
 	asked := s.clock(h)
 	hold := h.a.Ask(asked)
-	s.call(h, statemachine.Command{Hold: &hold}, func(r statemachine.Result, ok bool) {
+	s.call(h, statemachine.Command{LeaseRequest: &hold}, func(r statemachine.Result, ok bool) {
 		if h.life != life {
 			return
 		}
@@ -414,7 +414,7 @@
 		}
 		if t.Weigh != nil {
 			say := h.a.Say(t.Weigh, "")
-			s.call(h, statemachine.Command{Say: &say}, func(_ statemachine.Result, ok bool) {
+			s.call(h, statemachine.Command{Vote: &say}, func(_ statemachine.Result, ok bool) {
 				if !ok && h.life == life {
 					h.a.Unsaid()
 				}
@@ -423,7 +423,7 @@
 		switch {
 		case t.Again || t.Take != nil || t.Weigh != nil:
 			again(5 * time.Millisecond)
-		case r.Lease == 0: // a watch would tell of what it waits for
+		case r.LeaseDuration == 0: // a watch would tell of what it waits for
 			again(20 * time.Millisecond)
 		default:
 			// The watch wakes it at a change; here it looks a little more often instead.
@@ -504,7 +504,7 @@
 	for later, at := range s.first { // the greatest, whatever the order
 		if later > v && at < s.now {
 			s.out.Overlap = max(s.out.Overlap, s.now-at)
-			if s.Fence == statemachine.Refuse {
+			if s.Fence == statemachine.RefuseWork {
 				s.broken("%s admits under %d, %v after another did under %d", h.name, v, s.now-at, later)
 			}
 		}
@@ -528,10 +528,10 @@
 	if !k.up || s.now > s.Length*9/8 {
 		return
 	}
-	base := k.state.InForce().Version
+	base := k.state.CurrentPolicy().Version
 	s.serial++
-	p := &statemachine.Propose{ID: fmt.Sprint("c", s.serial), Text: fmt.Appendf(nil, "attempts = %d\n", s.serial), Base: base, Who: "sim", WithoutSilent: s.rnd.IntN(2) == 0}
-	s.entry(k, statemachine.Command{Propose: p}, func(r statemachine.Result) {
+	p := &statemachine.Proposal{ID: fmt.Sprint("c", s.serial), Text: fmt.Appendf(nil, "attempts = %d\n", s.serial), BaseVersion: base, Author: "sim", SkipUnresponsive: s.rnd.IntN(2) == 0}
+	s.entry(k, statemachine.Command{Proposal: p}, func(r statemachine.Result) {
 		if r.Err == "" {
 			s.proposed[base+1] = s.now
 		}
--- a/lab/rig/harness/sim_test.go
+++ b/lab/rig/harness/sim_test.go
@@ -22,7 +22,7 @@
 	t.Parallel()
 	versions := uint64(0)
 	for seed := range uint64(60) {
-		for _, fence := range []statemachine.Fence{statemachine.Refuse, statemachine.Last} {
+		for _, fence := range []statemachine.LeaseLossMode{statemachine.RefuseWork, statemachine.KeepLastPolicy} {
 			c := schedule(seed)
 			c.Fence = fence
 			got := c.Run()
@@ -35,7 +35,7 @@
 			if got.Hanging {
 				t.Errorf("seed %d, %v: a change is left under way", seed, fence)
 			}
-			if fence == statemachine.Refuse {
+			if fence == statemachine.RefuseWork {
 				versions += got.InForce
 			}
 		}
@@ -59,14 +59,14 @@
 // soon, without a rush.
 func TestKeepersAway(t *testing.T) {
 	t.Parallel()
-	for _, fence := range []statemachine.Fence{statemachine.Refuse, statemachine.Last} {
+	for _, fence := range []statemachine.LeaseLossMode{statemachine.RefuseWork, statemachine.KeepLastPolicy} {
 		c := Sim{Seed: 5, Keepers: 3, Dispatchers: 60, Length: 40 * time.Second, Slowest: 4 * time.Millisecond, Calm: true, Away: 20 * time.Second, Fence: fence}
 		got := c.Run()
 		t.Logf("%v: %.3f before, %.3f without keepers; all back after %v, at most %d calls in 100 ms", fence, got.Before, got.Without, got.Back, got.Rush)
 		if len(got.Broken) > 0 || got.Back == 0 || got.Back > 5*time.Second || got.Rush > 3*c.Dispatchers {
 			t.Errorf("%v: %v; back after %v, %d calls in 100 ms", fence, got.Broken, got.Back, got.Rush)
 		}
-		if fence == statemachine.Last && got.Without < got.Before || fence == statemachine.Refuse && got.Without > 0.2 {
+		if fence == statemachine.KeepLastPolicy && got.Without < got.Before || fence == statemachine.RefuseWork && got.Without > 0.2 {
 			t.Errorf("%v: %.3f before, %.3f without keepers", fence, got.Before, got.Without)
 		}
 	}
--- a/lab/rig/harness/stage.go
+++ b/lab/rig/harness/stage.go
@@ -290,7 +290,7 @@
 func (r *Rig) State() (s *statemachine.State, leader uint64, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), Patience)
 	defer stop()
-	err = transport.Tries(ctx, func(ctx context.Context) error {
+	err = transport.Retry(ctx, func(ctx context.Context) error {
 		s, leader, err = r.Client.State(ctx)
 		return err
 	})
@@ -310,8 +310,8 @@
 		limits, _ = doc.Limits()
 		judges, starts, flows, pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
 	}
-	return transport.Tries(ctx, func(ctx context.Context) error {
-		res, err := r.Client.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: id, Text: []byte(text), Limits: limits, Judges: judges, Start: starts, Flows: flows, Pools: pools, Base: base, Who: "rig", WithoutSilent: without}})
+	return transport.Retry(ctx, func(ctx context.Context) error {
+		res, err := r.Client.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: id, Text: []byte(text), Limits: limits, OutlierSettings: judges, ColdStart: starts, Workflows: flows, Pools: pools, BaseVersion: base, Author: "rig", SkipUnresponsive: without}})
 		if err == nil && res.Err != "" {
 			return errors.New(res.Err)
 		}
@@ -320,8 +320,8 @@
 }
 
 // Change waits until a change has come to a stage, or to an end.
-func (r *Rig) Change(id string, stage statemachine.Stage) (*statemachine.Change, error) {
-	var last *statemachine.Change
+func (r *Rig) Change(id string, stage statemachine.Stage) (*statemachine.PolicyChange, error) {
+	var last *statemachine.PolicyChange
 	err := Until(fmt.Sprintf("change %s %v", id, stage), func() bool {
 		s, _, err := r.State()
 		if err != nil || s.Change == nil || s.Change.ID != id {
--- a/lab/rig/harness/startsim.go
+++ b/lab/rig/harness/startsim.go
@@ -85,9 +85,9 @@
 		heap.Push(&events, coldEvent{max(t, now), no, do})
 	}
 	draw := func(most time.Duration) time.Duration { return time.Duration(rnd.Float64() * float64(most)) }
-	state := statemachine.New(statemachine.Config{Lease: 3 * time.Second, Answer: 5 * time.Second, Fence: statemachine.Refuse, Keep: 4})
+	state := statemachine.New(statemachine.Config{LeaseDuration: 3 * time.Second, VoteTimeout: 5 * time.Second, OnLeaseLoss: statemachine.RefuseWork, PolicyHistory: 4})
 	settings := &coldstart.Settings{Settings: admission.Settings{Calls: c.Calls, Use: 100 * time.Millisecond}, Relay: c.Relay}
-	state.Apply(statemachine.Command{Propose: &statemachine.Propose{ID: "one", Text: []byte("x"), Start: settings}})
+	state.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "one", Text: []byte("x"), ColdStart: settings}})
 	entries := make([]relay.Entry, c.Workers)
 	for i := range entries {
 		entries[i] = relay.Entry{ID: fmt.Sprintf("s-%08x", i*7919), Addr: "10.1.0.1:7070", Zone: "praha-holesovice", Kind: "dual-fast", Weight: 1}
@@ -110,7 +110,7 @@
 			life := all[i].life
 			at(now+5*time.Millisecond+draw(25*time.Millisecond), func() {
 				if d := all[i]; d.life == life && d.desk != nil {
-					u := state.News(1, d.zone, d.desk.Has()).List
+					u := state.UpdateFor(1, d.zone, d.desk.Has()).RelayedList
 					if u != nil {
 						d.bytes += 40 * len(u.Entries)
 					}
@@ -146,8 +146,8 @@
 		d.asking = true
 		life, asked := d.life, now
 		h := d.half.Ask(now)
-		h.Zone, h.Start = d.zone, d.desk.Want()
-		command(statemachine.Command{Hold: &h}, func(r statemachine.Result, ok bool) {
+		h.Zone, h.ColdStart = d.zone, d.desk.Want()
+		command(statemachine.Command{LeaseRequest: &h}, func(r statemachine.Result, ok bool) {
 			if d.life != life {
 				return
 			}
@@ -168,8 +168,8 @@
 				hold(i)
 				return
 			}
-			if r.Lease > 0 && r.Start != nil {
-				u, _ := d.desk.Hear(asked, d.half.Until(), r.Start)
+			if r.LeaseDuration > 0 && r.ColdStart != nil {
+				u, _ := d.desk.Hear(asked, d.half.Until(), r.ColdStart)
 				if u != nil {
 					d.bytes += 40 * len(u.Entries)
 					if d.has == 0 {
@@ -240,8 +240,8 @@
 			if seat == 0 {
 				return // it watches from here on
 			}
-			command(statemachine.Command{Relay: &statemachine.Relay{Name: fmt.Sprint("d", i), Life: uint64(life), Zone: d.zone, Fence: seat,
-				Word: relay.Word{Generation: 1, Whole: true, Entries: entries}}}, func(r statemachine.Result, ok bool) {
+			command(statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: fmt.Sprint("d", i), Incarnation: uint64(life), Zone: d.zone, FencingToken: seat,
+				Update: relay.Word{Generation: 1, Whole: true, Entries: entries}}}, func(r statemachine.Result, ok bool) {
 				if d.life == life {
 					d.desk.Said(seat, ok && r.Err == "")
 				}
@@ -252,7 +252,7 @@
 	power = func(i int) {
 		lives++
 		d := &coldOne{life: lives, zone: i % c.Zones}
-		d.half = policylease.New(fmt.Sprint("d", i), uint64(d.life), "", statemachine.Refuse)
+		d.half = policylease.New(fmt.Sprint("d", i), uint64(d.life), "", statemachine.RefuseWork)
 		own := func() time.Duration { return now }
 		patience := now
 		if c.Keepers {
@@ -281,7 +281,7 @@
 	}
 	var tick func()
 	tick = func() {
-		state.Apply(statemachine.Command{Tick: &statemachine.Tick{Passed: 100 * time.Millisecond, Seen: state.Grants}})
+		state.Apply(statemachine.Command{Tick: &statemachine.Tick{Elapsed: 100 * time.Millisecond, GrantsSeen: state.GrantCount}})
 		at(now+100*time.Millisecond, tick)
 	}
 	at(c.Late, tick)
--- a/lab/rig/harness/verdicts.go
+++ b/lab/rig/harness/verdicts.go
@@ -23,8 +23,8 @@
 	t.Helper()
 	check(t, Until(fmt.Sprintf("%d workers are condemned", n), func() bool {
 		s, _, err := r.State()
-		if err == nil && s.Verdicts != nil {
-			all = s.Verdicts.Sentences
+		if err == nil && s.Outliers != nil {
+			all = s.Outliers.Sentences
 		}
 		return err == nil && len(all) == n
 	}))
@@ -123,8 +123,8 @@
 	}
 	sentences(t, r, 3)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if s, _, err := r.State(); err == nil && len(s.Verdicts.Sentences) > 3 {
-			t.Fatalf("%d of 6 workers are condemned", len(s.Verdicts.Sentences))
+		if s, _, err := r.State(); err == nil && len(s.Outliers.Sentences) > 3 {
+			t.Fatalf("%d of 6 workers are condemned", len(s.Outliers.Sentences))
 		}
 	}
 	// Nobody hears anything. Those condemned are good again, and all others fail: once what was
@@ -135,7 +135,7 @@
 		r.Cut(d.Name, true)
 	}
 	for _, w := range r.Workers {
-		w.Fail(!slices.ContainsFunc(all.Verdicts.Sentences, func(s *outlier.Sentence) bool { return s.Of.Worker == w.ID }))
+		w.Fail(!slices.ContainsFunc(all.Outliers.Sentences, func(s *outlier.Sentence) bool { return s.Of.Worker == w.ID }))
 	}
 	for _, d := range r.Dispatcher {
 		check(t, Until(d.Name+" serves by those condemned, while the keepers are out of reach", func() bool { return r.AskOf(d, "package-file") == 200 }))
@@ -159,15 +159,15 @@
 	l, err := r.Front(r.Keeper[0].Name)
 	check(t, err)
 	told := 0
-	liar := transport.NewHolder(transport.NewClient(fleet, []string{l.Addr()}), policylease.New("liar", 1, "", statemachine.Last), time.Now(),
-		transport.Hooks{Check: func(statemachine.Policy) error { return nil }, Apply: func(statemachine.Policy) error { return nil }, Log: func(string) {},
-			Starved: func() bool { return true }, Unsaid: func([]outlier.Report) {},
-			Saw: func(hold *statemachine.Hold) {
+	liar := transport.NewLeaseSession(transport.NewClient(fleet, []string{l.Addr()}), policylease.New("liar", 1, "", statemachine.KeepLastPolicy), time.Now(),
+		transport.Hooks{CheckPolicy: func(statemachine.Policy) error { return nil }, ApplyPolicy: func(statemachine.Policy) error { return nil }, Log: func(string) {},
+			QuotaExhausted: func() bool { return true }, ReportsUndelivered: func([]outlier.Report) {},
+			AddReports: func(hold *statemachine.LeaseRequest) {
 				told++
-				hold.Workers = 1 << 40
+				hold.WorkerCount = 1 << 40
 				for _, w := range r.Workers {
 					for _, started := range []int64{0, 1 << 60, -1} {
-						hold.Saw = append(hold.Saw, outlier.Report{Of: outlier.Life{Worker: w.ID, Started: started}, Stamp: 1<<60 + uint64(told), Bad: 1 << 60, Good: -1 << 60, Age: -time.Hour})
+						hold.OutlierReports = append(hold.OutlierReports, outlier.Report{Of: outlier.Life{Worker: w.ID, Started: started}, Stamp: 1<<60 + uint64(told), Bad: 1 << 60, Good: -1 << 60, Age: -time.Hour})
 					}
 				}
 			}})
@@ -175,14 +175,14 @@
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		s, _, err := r.State()
 		check(t, err)
-		if len(s.Verdicts.Sentences) > 0 {
-			t.Fatalf("by one liar's word: %+v", s.Verdicts.Sentences[0])
+		if len(s.Outliers.Sentences) > 0 {
+			t.Fatalf("by one liar's word: %+v", s.Outliers.Sentences[0])
 		}
 	}
 	s, _, err := r.State()
 	check(t, err)
 	accused := 0
-	for _, e := range s.Verdicts.Cases {
+	for _, e := range s.Outliers.Cases {
 		if e.Case.Since > 0 {
 			accused++
 		}
--- a/lab/rig/main.go
+++ b/lab/rig/main.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		fmt.Println("no keeper answers:", err)
 	} else {
-		fmt.Printf("keeper %d leads; revision %d, version %d in force\n", leader, s.Revision, s.InForce().Version)
+		fmt.Printf("keeper %d leads; revision %d, version %d in force\n", leader, s.Revision, s.CurrentPolicy().Version)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "dispatcher\tversion\tlease left\tserved\trefused\tover a limit\tno answer")
@@ -115,9 +115,9 @@
 		seen[d.Name] = true
 		version, left := "-", "none"
 		if s != nil {
-			for _, l := range s.Living() {
+			for _, l := range s.ActiveHolders() {
 				if l.Name == d.Name {
-					version, left = fmt.Sprint(l.Version), (l.Until - s.Now).String()
+					version, left = fmt.Sprint(l.PolicyVersion), (l.LeaseExpiry - s.Now).String()
 				}
 			}
 		}
@@ -127,7 +127,7 @@
 	if d, what := r.Overlap(); d > 0 {
 		fmt.Println(what)
 	}
-	if out, code := r.Staff("limits", "show"); code == 0 && s != nil && len(s.InForce().Limits) > 0 {
+	if out, code := r.Staff("limits", "show"); code == 0 && s != nil && len(s.CurrentPolicy().Limits) > 0 {
 		fmt.Print(out)
 	}
 	for _, f := range r.Figures() {
