--- a/coordination/chain/diverged_test.go
+++ b/coordination/chain/divergence_test.go
@@ -18,19 +18,19 @@
 	for busy := true; busy && sent < most; {
 		busy = false
 		for _, from := range replicas {
-			out := from.Ready()
-			for _, write := range out.Writes {
+			ready := from.Ready()
+			for _, write := range ready.Writes {
 				from.EntriesPersisted(write.Entries[len(write.Entries)-1].Index, write.Generation)
 			}
-			if out.PersistCompleteness {
+			if ready.PersistCompleteness {
 				from.CompletenessPersisted(from.Epoch())
 			}
-			busy = busy || len(out.Writes) > 0 || out.PersistCompleteness || len(out.Messages) > 0
-			for _, send := range out.Messages {
+			busy = busy || len(ready.Writes) > 0 || ready.PersistCompleteness || len(ready.Messages) > 0
+			for _, envelope := range ready.Messages {
 				sent++
 				for _, to := range replicas {
-					if to.me == send.To {
-						to.Receive(from.me, &send.Message)
+					if to.id == envelope.To {
+						to.Receive(from.id, &envelope.Message)
 					}
 				}
 			}
@@ -41,7 +41,7 @@
 
 // Where a disk has lost what it had called synced, a member may be headed by one whose log contradicts what it knows to
 // be committed. It says so once and takes no part; before, both exchanged their logs without end.
-func TestContradictionsEndTheExchange(t *testing.T) {
+func TestDivergenceEndsTheExchange(t *testing.T) {
 	const most = 200
 	for name, c := range map[string]struct {
 		head     []Entry
@@ -83,7 +83,7 @@
 	}
 }
 
-// A member that contradicts the chain does not become its head's voice: as head it orders nothing and tells nothing.
+// A member that contradicts the chain orders nothing and sends nothing, also as head.
 func TestDivergedMemberOrdersNothing(t *testing.T) {
 	head := New(1, 2, Snapshot{}, logOf(2, 30, 10), 0)
 	member := New(2, 2, Snapshot{}, logOf(1, 30, 10), 30)
@@ -103,30 +103,30 @@
 }
 
 // A replica outside the chain that contradicts what it is taught asks no more.
-func TestOutsiderThatContradictsAsksNoMore(t *testing.T) {
-	for name, teacher := range map[string]*Replica{
+func TestDivergedNonMemberStopsAsking(t *testing.T) {
+	for name, member := range map[string]*Replica{
 		"entries":    New(1, 1, Snapshot{}, logOf(2, 30, 10), 30),
 		"a snapshot": New(1, 1, Snapshot{Index: 20, IndexEpoch: 2}, nil, 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			outsider := New(2, 1, Snapshot{}, logOf(1, 30, 10), 30)
+			nonMember := New(2, 1, Snapshot{}, logOf(1, 30, 10), 30)
 			view := View{Epoch: 3, Members: []MemberID{1}}
-			teacher.SetView(view)
-			outsider.SetView(view)
-			exchange(100, teacher)
+			member.SetView(view)
+			nonMember.SetView(view)
+			exchange(100, member)
 			for range 10 {
-				fetch, outside := outsider.NextCatchUpRequest()
+				request, outside := nonMember.NextCatchUpRequest()
 				if !outside {
 					break
 				}
-				if lesson := teacher.AnswerCatchUp(fetch); lesson != nil {
-					outsider.ApplyCatchUp(lesson)
+				if response := member.AnswerCatchUp(request); response != nil {
+					nonMember.ApplyCatchUp(response)
 				}
 			}
-			if _, outside := outsider.NextCatchUpRequest(); outside {
+			if _, outside := nonMember.NextCatchUpRequest(); outside {
 				t.Error("it still asks")
 			}
-			if outsider.Divergence() == nil {
+			if nonMember.Divergence() == nil {
 				t.Error("the contradiction is not noticed")
 			}
 		})
--- a/coordination/chain/followers_test.go
+++ b/coordination/chain/followers_test.go
@@ -2,61 +2,61 @@
 
 import "testing"
 
-// newFollowed returns five members of which the first three write, with their first view in force.
-func newFollowed() *network {
-	n := newNetwork(5, 3)
-	n.writers = 3
-	n.setView(1, n.order...)
-	n.settle()
-	return n
+// newClusterWithFollowers returns five members of which the first three write, with their first view in force.
+func newClusterWithFollowers() *cluster {
+	c := newCluster(5, 3)
+	c.writers = 3
+	c.setView(1, c.ids...)
+	c.runUntilQuiet()
+	return c
 }
 
 // Followers learn of entries and commits, and no commit waits for their disks or connections.
 func TestNothingWaitsForFollowers(t *testing.T) {
-	n := newFollowed()
-	n.cut[[2]MemberID{4, 5}] = true
-	n.propose(1, "a")
-	for _, pair := range [][2]MemberID{{1, 2}, {2, 3}, {3, 4}, {4, 5}} {
-		n.deliver(pair[0], pair[1])
+	c := newClusterWithFollowers()
+	c.cut[link{4, 5}] = true
+	c.propose(1, "a")
+	for _, pair := range []link{{1, 2}, {2, 3}, {3, 4}, {4, 5}} {
+		c.deliver(pair.from, pair.to)
 	}
 	for _, id := range []MemberID{1, 2, 3} { // the followers' disks hang
-		n.sync(id)
+		c.sync(id)
 	}
-	n.settleMessages()
-	if len(n.acked) != 1 {
+	c.deliverAll()
+	if len(c.history) != 1 {
 		t.Fatal("a commit waits for followers")
 	}
-	if got := texts(n.hosts[4].applied); got != "a" {
+	if got := texts(c.hosts[4].applied); got != "a" {
 		t.Errorf("the first follower has applied %q", got)
 	}
-	n.cut[[2]MemberID{4, 5}] = false
-	n.hosts[4].replica.Reconnected(5)
-	n.carryOut(n.hosts[4])
-	n.settle()
-	if got := texts(n.hosts[5].applied); got != "a" {
+	c.cut[link{4, 5}] = false
+	c.hosts[4].replica.Reconnected(5)
+	c.handleReady(c.hosts[4])
+	c.runUntilQuiet()
+	if got := texts(c.hosts[5].applied); got != "a" {
 		t.Errorf("the second follower has applied %q once it is reached again", got)
 	}
-	golden(t, n)
+	golden(t, c)
 }
 
 // A writer's sync is waited for all the same.
 func TestCommitNeedsEveryWritersSync(t *testing.T) {
 	for slow := MemberID(1); slow <= 3; slow++ {
-		n := newFollowed()
-		n.propose(1, "a")
-		for range n.order {
-			n.settleMessages()
-			for _, id := range n.order {
+		c := newClusterWithFollowers()
+		c.propose(1, "a")
+		for range c.ids {
+			c.deliverAll()
+			for _, id := range c.ids {
 				if id != slow {
-					n.sync(id)
+					c.sync(id)
 				}
 			}
 		}
-		if len(n.acked) != 0 {
+		if len(c.history) != 0 {
 			t.Errorf("committed without the sync of writer %d", slow)
 		}
-		n.settle()
-		if len(n.acked) != 1 {
+		c.runUntilQuiet()
+		if len(c.history) != 1 {
 			t.Errorf("not committed once writer %d has it", slow)
 		}
 	}
@@ -64,61 +64,61 @@
 
 // A read that came in at a follower passes all writers, and is answered once the follower has what was committed.
 func TestReadsOfFollowers(t *testing.T) {
-	n := newFollowed()
-	head := n.hosts[1]
-	n.cut[[2]MemberID{2, 3}] = true
-	n.propose(1, "a")
+	c := newClusterWithFollowers()
+	head := c.hosts[1]
+	c.cut[link{2, 3}] = true
+	c.propose(1, "a")
 	head.replica.Propose([]Proposal{{Origin: 5, Tag: 7, Read: true}})
-	n.carryOut(head)
-	n.settle()
-	if len(n.hosts[5].reads) != 0 {
+	c.handleReady(head)
+	c.runUntilQuiet()
+	if len(c.hosts[5].reads) != 0 {
 		t.Error("a read was answered that one of the writers has not confirmed")
 	}
-	n.cut[[2]MemberID{2, 3}] = false
-	n.hosts[2].replica.Reconnected(3)
-	n.carryOut(n.hosts[2])
-	n.settle()
+	c.cut[link{2, 3}] = false
+	c.hosts[2].replica.Reconnected(3)
+	c.handleReady(c.hosts[2])
+	c.runUntilQuiet()
 	head.replica.Propose([]Proposal{{Origin: 5, Tag: 8, Read: true}})
-	n.carryOut(head)
-	n.settle()
-	reads := n.hosts[5].reads
-	if len(reads) != 1 || reads[0].Tag != 8 || n.hosts[5].replica.CommitIndex() < reads[0].Index {
+	c.handleReady(head)
+	c.runUntilQuiet()
+	reads := c.hosts[5].reads
+	if len(reads) != 1 || reads[0].Tag != 8 || c.hosts[5].replica.CommitIndex() < reads[0].Index {
 		t.Errorf("reads answered: %v", reads)
 	}
 }
 
 // The entries that a snapshot covers stay until the successor has them: a follower may lack some that are committed.
 func TestCompactionWaitsForTheFollower(t *testing.T) {
-	n := newFollowed()
-	n.cut[[2]MemberID{3, 4}] = true
-	n.propose(1, "a", "b")
-	n.settle()
-	tail := n.hosts[3].replica
+	c := newClusterWithFollowers()
+	c.cut[link{3, 4}] = true
+	c.propose(1, "a", "b")
+	c.runUntilQuiet()
+	tail := c.hosts[3].replica
 	tail.Compact(2, []byte("state of 2"))
-	if tail.base != 0 {
+	if tail.log.snapshotIndex != 0 {
 		t.Fatal("entries were dropped that the follower lacks")
 	}
-	n.cut[[2]MemberID{3, 4}] = false
+	c.cut[link{3, 4}] = false
 	tail.Reconnected(4)
-	n.carryOut(n.hosts[3])
-	n.settle()
-	if tail.base != 2 || texts(n.hosts[4].applied) != "a b" {
-		t.Errorf("snapshot of %d in force, and the follower has %q", tail.base, texts(n.hosts[4].applied))
+	c.handleReady(c.hosts[3])
+	c.runUntilQuiet()
+	if tail.log.snapshotIndex != 2 || texts(c.hosts[4].applied) != "a b" {
+		t.Errorf("snapshot of %d in force, and the follower has %q", tail.log.snapshotIndex, texts(c.hosts[4].applied))
 	}
 }
 
 // An Append that comes twice means the same the second time, also where a snapshot covers part of it.
-func TestMessagesStayAsTheyAre(t *testing.T) {
-	n := newNetwork(2, 2)
-	n.setView(1, 1, 2)
-	n.propose(1, "a", "b", "c")
-	n.settle()
-	n.hosts[2].replica.Compact(2, []byte("state of 2"))
-	message := Message{Append: &Append{Epoch: 1, Entries: n.acked}}
+func TestDuplicateAppendIsHarmless(t *testing.T) {
+	c := newCluster(2, 2)
+	c.setView(1, 1, 2)
+	c.propose(1, "a", "b", "c")
+	c.runUntilQuiet()
+	c.hosts[2].replica.Compact(2, []byte("state of 2"))
+	message := Message{Append: &Append{Epoch: 1, Entries: c.history}}
 	for range 2 {
-		n.hosts[2].replica.Receive(1, &message)
+		c.hosts[2].replica.Receive(1, &message)
 	}
-	if d := n.hosts[2].replica.Divergence(); d != nil {
+	if d := c.hosts[2].replica.Divergence(); d != nil {
 		t.Errorf("the second copy contradicts the log at %d", d.Index)
 	}
 }
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -1,141 +1,111 @@
 package chain
 
-// Receive takes in a message of another member.
+// Receive takes in a message of another member. Messages of other epochs, and of members that are not neighbours in
+// the view in force, are dropped: a member of a former view must not change the log of this one.
 func (r *Replica) Receive(from MemberID, message *Message) {
-	if r.diverged != nil {
+	if r.divergence != nil {
 		return
 	}
 	switch {
 	case message.Append != nil:
-		if from == r.predecessor() && message.Append.Epoch == r.view.Epoch {
-			r.append(message.Append)
+		if from == r.predecessorID() && message.Append.Epoch == r.view.Epoch {
+			r.receiveAppend(message.Append)
 		}
 	case message.Ack != nil:
-		if from == r.successor() && message.Ack.Epoch == r.view.Epoch {
-			r.ack(message.Ack)
+		if from == r.successorID() && message.Ack.Epoch == r.view.Epoch {
+			r.receiveAck(message.Ack)
 		}
 	case message.Snapshot != nil:
-		if from == r.predecessor() && message.Snapshot.Epoch == r.view.Epoch {
+		if from == r.predecessorID() && message.Snapshot.Epoch == r.view.Epoch {
 			r.restore(message.Snapshot)
 		}
 	}
 }
 
-func (r *Replica) append(m *Append) {
+func (r *Replica) receiveAppend(m *Append) {
 	if r.anyContradicts(m.PrevIndex, m.PrevEpoch, m.Entries) {
-		r.refuseChain()
+		r.refuseView()
 		return
 	}
 	r.ackDue = true
-	known := m.PrevIndex >= r.base && m.PrevIndex <= r.LastIndex() && r.epochOf(m.PrevIndex) == m.PrevEpoch
-	if m.PrevIndex < r.base && m.PrevIndex+uint64(len(m.Entries)) >= r.base {
-		// What the snapshot covers is committed, so it can't differ. The message stays as it is: it may come twice.
-		rest := *m
-		rest.Entries = m.Entries[r.base-m.PrevIndex:]
-		rest.PrevIndex, rest.PrevEpoch = r.base, r.baseEpoch
-		m, known = &rest, true
-	}
-	if !known {
-		r.out.Messages = append(r.out.Messages, Envelope{r.predecessor(), Message{Ack: &Ack{
-			Epoch: r.view.Epoch, Received: r.goOnFrom(m.PrevIndex), Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.committed}}})
+	m = r.withoutCovered(m)
+	if !r.log.has(m.PrevIndex, m.PrevEpoch) {
+		r.rejectAppend(m)
 		return
 	}
-	if fresh := r.enter(m.Entries); len(fresh) > 0 {
-		r.out.Writes = append(r.out.Writes, Write{fresh, r.generation})
-	}
-	r.received = max(r.received, m.PrevIndex+uint64(len(m.Entries)))
-	r.before = max(r.before, m.Synced)
-	r.start, r.started = m.ViewStart, true
-	r.pending = append(r.pending, m.PendingReads...)
+	r.takeEntries(m.Entries)
+	r.viewLog.received = max(r.viewLog.received, m.PrevIndex+uint64(len(m.Entries)))
+	r.viewLog.durableBefore = max(r.viewLog.durableBefore, m.Synced)
+	r.viewLog.start, r.viewLog.startKnown = m.ViewStart, true
+	r.reads.passing = append(r.reads.passing, m.PendingReads...)
 	if len(m.Entries) > 0 || len(m.PendingReads) > 0 {
-		r.wantsSend = true
+		r.sendDue = true
 	}
 	if r.isFollower() {
-		r.commit(min(m.CommitIndex, r.received))
-		r.held = append(r.held, m.ConfirmedReads...)
+		r.commit(min(m.CommitIndex, r.viewLog.received))
+		r.reads.confirmed = append(r.reads.confirmed, m.ConfirmedReads...)
 	}
 	r.advance()
 }
 
-// goOnFrom returns up to where the log here may be the predecessor's too, if it is not at the index.
-func (r *Replica) goOnFrom(index uint64) uint64 {
-	if index > r.LastIndex() {
-		return r.LastIndex()
-	}
-	epoch := r.epochOf(index)
-	for index > r.committed && r.epochOf(index) == epoch {
-		index--
-	}
-	return max(index, r.committed)
+// withoutCovered returns an Append without the entries that the snapshot here covers. These are committed, so they
+// can't differ. The message itself stays as it is: it may come twice.
+func (r *Replica) withoutCovered(m *Append) *Append {
+	if m.PrevIndex >= r.log.snapshotIndex || m.PrevIndex+uint64(len(m.Entries)) < r.log.snapshotIndex {
+		return m
+	}
+	rest := *m
+	rest.Entries = m.Entries[r.log.snapshotIndex-m.PrevIndex:]
+	rest.PrevIndex, rest.PrevEpoch = r.log.snapshotIndex, r.log.snapshotEpoch
+	return &rest
 }
 
-// truncate drops the entries from an index on: another history took their place.
-func (r *Replica) truncate(from uint64) {
-	r.log = r.log[:from-r.base-1]
-	r.synced = min(r.synced, from-1)
-	r.next = min(r.next, from)
-	r.flight = flight{}
-	r.generation++
+// rejectAppend tells the predecessor that the entry before those of an Append is not here.
+func (r *Replica) rejectAppend(m *Append) {
+	r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, Received: r.lastCommonIndex(m.PrevIndex),
+		Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.log.commitIndex}})
 }
 
-func (r *Replica) ack(m *Ack) {
+// lastCommonIndex returns up to where the log here may be the predecessor's too, where it is not at the index. A
+// whole epoch is passed over at once, so that a long suffix costs one message an epoch.
+func (r *Replica) lastCommonIndex(index uint64) uint64 {
+	if index > r.log.lastIndex() {
+		return r.log.lastIndex()
+	}
+	epoch := r.log.epochAt(index)
+	for index > r.log.commitIndex && r.log.epochAt(index) == epoch {
+		index--
+	}
+	return max(index, r.log.commitIndex)
+}
+
+func (r *Replica) receiveAck(m *Ack) {
 	if m.Diverged {
-		r.refused = true
+		r.successor.refused = true
 		return
 	}
 	if m.Rejected {
-		r.rewind(m)
-	} else if m.Received > r.acked {
-		r.acked, r.ackedAt = m.Received, 0
-		r.rewound = r.rewound && m.Received < r.rewoundTo
-		r.next = max(r.next, r.acked+1)
-		r.wantsSend = true
-		r.compact()
-	}
-	if m.CommitIndex > r.committed {
-		r.commit(min(m.CommitIndex, r.received))
+		if r.successor.rewind(m) {
+			r.sendDue = true
+		}
+	} else if r.successor.acknowledge(m.Received) {
+		r.sendDue = true
+		r.maybeCompact()
 	}
-	r.finishReads(m.ConfirmedReads)
+	r.commit(min(m.CommitIndex, r.viewLog.received))
+	r.routeReads(m.ConfirmedReads)
 	r.advance()
 }
 
-// rewind goes back to where both logs are the same. Rejections of what was sent
-// before an earlier rewind are passed over.
-func (r *Replica) rewind(m *Ack) {
-	if r.rewound && m.RejectedIndex > r.rewoundTo {
+// restore replaces log and state by a snapshot that is ahead of what is committed here. Its entry is committed, so
+// nothing that is committed here is lost by it.
+func (r *Replica) restore(snapshot *Snapshot) {
+	if snapshot.Index <= r.log.commitIndex {
 		return
 	}
-	r.rewound, r.rewoundTo = true, m.Received
-	r.next, r.acked, r.ackedAt = m.Received+1, 0, 0
-	r.wantsSend = true
-}
-
-func (r *Replica) restore(m *Snapshot) {
-	if m.Index <= r.committed {
-		return
-	}
-	r.generation++
-	r.base, r.baseEpoch, r.baseData, r.log = m.Index, m.IndexEpoch, m.Data, nil
-	r.synced, r.committed, r.received = 0, m.Index, m.Index
-	r.next = m.Index + 1
-	r.flight = flight{}
-	r.out.Snapshot = m
+	r.log.restore(snapshot)
+	r.successor.restore(snapshot.Index)
+	r.viewLog.received = snapshot.Index
+	r.ready.Snapshot = snapshot
 	r.ackDue = true
 }
-
-// SnapshotPersisted tells that a snapshot from the predecessor is durable and in force.
-func (r *Replica) SnapshotPersisted(index uint64) {
-	if index == r.base {
-		r.synced = max(r.synced, index)
-		r.advance()
-	}
-}
-
-// CompletenessPersisted tells that completeness in the epoch is durable.
-func (r *Replica) CompletenessPersisted(epoch uint64) {
-	if epoch == r.view.Epoch && r.completing {
-		r.complete = true
-		r.wantsSend = true
-		r.advance()
-	}
-}
--- a/coordination/chain/send.go
+++ b/coordination/chain/send.go
@@ -1,104 +1,90 @@
 package chain
 
-// Tick is called at a steady pace; retry says after how many of them without
-// progress the successor gets everything anew.
-func (r *Replica) Tick(retry int) {
-	if r.successor() == 0 {
+// Bounds of what is sent to the successor.
+const (
+	// maxBatch is how many bytes of entries one Append, or one catch-up message, holds at most; the entry that
+	// crosses the bound is still in it. Heartbeats wait behind a message on its connection, so it is kept short.
+	maxBatch = 256 << 10
+	// maxInFlight is how many bytes of entries may be sent without an acknowledgement. What is beyond it waits, so
+	// that a successor that has to rewind does not get megabytes for nothing.
+	maxInFlight = 1 << 20
+)
+
+// Tick is called at a steady pace. After retransmitTicks of them without progress of the successor, all that it has
+// not acknowledged is sent again.
+func (r *Replica) Tick(retransmitTicks int) {
+	if r.successorID() == 0 {
 		return
 	}
-	r.ackedAt++
-	if r.ackedAt >= retry && r.acked < r.LastIndex() {
-		r.next, r.ackedAt, r.rewound = max(r.acked, r.committed)+1, 0, false
+	r.successor.idleTicks++
+	if r.successor.idleTicks >= retransmitTicks && r.successor.acked < r.log.lastIndex() {
+		r.successor.resend(r.log.commitIndex)
+		r.successor.idleTicks, r.successor.rewound = 0, false
 	}
-	r.wantsSend = true
+	r.sendDue = true
 }
 
-// Reconnected tells that messages to a member may have been lost.
+// Reconnected notes that messages to a member may have been lost.
 func (r *Replica) Reconnected(member MemberID) {
-	if member == r.successor() {
-		r.next = max(r.acked, r.committed) + 1
-		r.wantsSend = true
+	if member == r.successorID() {
+		r.successor.resend(r.log.commitIndex)
+		r.sendDue = true
 	}
-	if member == r.predecessor() {
+	if member == r.predecessorID() {
 		r.ackDue = true
 	}
 }
 
-// Ready returns what is to be carried out since the last call.
-func (r *Replica) Ready() Ready {
-	r.sendAhead()
-	if r.ackDue && r.predecessor() != 0 && r.diverged == nil {
-		r.out.Messages = append(r.out.Messages, Envelope{r.predecessor(), Message{Ack: &Ack{
-			Epoch: r.view.Epoch, Received: r.received, CommitIndex: r.committed, ConfirmedReads: r.ackReads}}})
-		r.ackReads = nil
+// sendAck tells the predecessor what is received and committed here, if that is due.
+func (r *Replica) sendAck() {
+	if r.ackDue && r.predecessorID() != 0 && r.divergence == nil {
+		r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, Received: r.viewLog.received,
+			CommitIndex: r.log.commitIndex, ConfirmedReads: r.reads.toPredecessor}})
+		r.reads.toPredecessor = nil
 	}
 	r.ackDue = false
-	out := r.out
-	r.out = Ready{}
-	return out
 }
 
-// sendAhead passes on to the successor what it lacks.
-func (r *Replica) sendAhead() {
-	if !r.wantsSend || r.successor() == 0 || !r.started || r.refused || r.diverged != nil {
+// sendToSuccessor passes on to the successor what it lacks, as far as maxInFlight allows, if that is due. At least
+// one Append leaves, which also carries indexes and reads.
+func (r *Replica) sendToSuccessor() {
+	if !r.sendDue || r.successorID() == 0 || !r.viewLog.startKnown || r.successor.refused || r.divergence != nil {
 		return
 	}
-	r.wantsSend = false
+	r.sendDue = false
 	// What the predecessor has not confirmed in this view may yet be replaced by its log.
-	r.next = min(r.next, r.received+1)
-	if r.next <= r.base {
-		r.out.Messages = append(r.out.Messages, Envelope{r.successor(), Message{Snapshot: &Snapshot{
-			r.view.Epoch, r.base, r.baseEpoch, r.baseData}}})
-		r.next = r.base + 1
+	r.successor.next = min(r.successor.next, r.viewLog.received+1)
+	if r.successor.next <= r.log.snapshotIndex {
+		r.send(r.successorID(), Message{Snapshot: r.log.snapshot(r.view.Epoch)})
+		r.successor.next = r.log.snapshotIndex + 1
 	}
 	for {
 		message := r.nextAppend()
-		r.out.Messages = append(r.out.Messages, Envelope{r.successor(), Message{Append: message}})
-		if len(message.Entries) == 0 || r.next > r.received || r.inFlight() > maxFlight {
+		r.send(r.successorID(), Message{Append: message})
+		if len(message.Entries) == 0 || r.successor.next > r.viewLog.received ||
+			r.successor.bytesInFlight(&r.log) > maxInFlight {
 			return
 		}
 	}
 }
 
+// nextAppend makes the next Append: its entries, and all reads and indexes that the successor has to know.
 func (r *Replica) nextAppend() *Append {
-	message := &Append{Epoch: r.view.Epoch, PrevIndex: r.next - 1, PrevEpoch: r.epochOf(r.next - 1),
-		Synced: r.durable(), ViewStart: r.start, PendingReads: r.pending, ConfirmedReads: r.confirmed}
+	next := r.successor.next
+	message := &Append{Epoch: r.view.Epoch, PrevIndex: next - 1, PrevEpoch: r.log.epochAt(next - 1),
+		Synced: r.durableInChain(), ViewStart: r.viewLog.start, PendingReads: r.reads.passing,
+		ConfirmedReads: r.reads.toFollowers}
 	if r.isTail() || r.isFollower() {
-		message.CommitIndex = r.committed
+		message.CommitIndex = r.log.commitIndex
 	}
-	r.pending, r.confirmed, r.toldSync = nil, nil, message.Synced
+	r.reads.passing, r.reads.toFollowers = nil, nil
+	r.successor.notifiedDurable = message.Synced
 	size := 0
-	for r.next <= r.received && size < maxBatch && r.inFlight() <= maxFlight {
-		entry := r.log[r.next-r.base-1]
-		message.Entries = append(message.Entries, entry)
+	for r.successor.next <= r.viewLog.received && size < maxBatch && r.successor.bytesInFlight(&r.log) <= maxInFlight {
+		entry := r.log.entry(r.successor.next)
+		message.Entries = append(message.Entries, *entry)
 		size += len(entry.Data)
-		r.next++
+		r.successor.next++
 	}
 	return message
 }
-
-// flight counts the bytes of the entries behind one index and before another.
-type flight struct {
-	behind uint64
-	before uint64
-	bytes  int
-}
-
-// inFlight returns the bytes sent without an acknowledgement. It counts on from the last call, since it is
-// asked for each entry that is sent.
-func (r *Replica) inFlight() int {
-	first := max(r.acked, r.base)
-	f := &r.flight
-	if f.behind < r.base || f.behind > first || f.before > r.next || f.before <= first {
-		*f = flight{behind: first, before: first + 1}
-	}
-	for ; f.behind < first; f.behind++ {
-		f.bytes -= r.dataBytes(f.behind + 1)
-	}
-	for ; f.before < r.next; f.before++ {
-		f.bytes += r.dataBytes(f.before)
-	}
-	return f.bytes
-}
-
-func (r *Replica) dataBytes(index uint64) int { return len(r.log[index-r.base-1].Data) }
