--- /dev/null
+++ b/coordination/view/acceptor.go
@@ -0,0 +1,44 @@
+package view
+
+// receivePrepare promises to accept nothing under a lower ballot, or says which ballot is promised already.
+func (c *Consensus) receivePrepare(from MemberID, m *Prepare) {
+	if !c.adopt(from, &m.BaseView) || !c.View().IsElector(c.hardState.Self.ID) {
+		return
+	}
+	answer := &Promise{BaseEpoch: m.BaseView.Epoch, Ballot: m.Ballot}
+	if m.Ballot.less(c.hardState.PromisedBallot) {
+		answer.Rejected, answer.Ballot = true, c.hardState.PromisedBallot
+	} else {
+		c.hardState.PromisedBallot, c.changed = m.Ballot, true
+		answer.AcceptedBallot, answer.AcceptedView = c.hardState.AcceptedBallot, c.hardState.AcceptedView
+		answer.EligibleAsHead = c.EligibleAsHead()
+	}
+	c.send(from, Message{Promise: answer})
+}
+
+// adopt takes over a newer view that a message brings, sends the view in force to a sender that has an older one, and
+// reports whether the sender's view is the one in force here.
+func (c *Consensus) adopt(from MemberID, base *View) bool {
+	if base.Epoch > c.hardState.View.Epoch {
+		c.decide(base)
+	}
+	if base.Epoch == 0 && c.hardState.View.Epoch == 0 {
+		c.Bootstrap(base.Electors)
+	}
+	if base.Epoch < c.hardState.View.Epoch {
+		c.send(from, c.DecidedMessage())
+	}
+	return base.Epoch == c.hardState.View.Epoch
+}
+
+// receiveAccept accepts a view unless a higher ballot is promised.
+func (c *Consensus) receiveAccept(from MemberID, m *Accept) {
+	if m.BaseEpoch != c.hardState.View.Epoch || m.Ballot.less(c.hardState.PromisedBallot) ||
+		!c.View().IsElector(c.hardState.Self.ID) {
+		return
+	}
+	view := m.View
+	c.hardState.PromisedBallot, c.hardState.AcceptedBallot, c.hardState.AcceptedView = m.Ballot, m.Ballot, &view
+	c.changed = true
+	c.send(from, Message{Accepted: &Accepted{m.BaseEpoch, m.Ballot}})
+}
--- /dev/null
+++ b/coordination/view/detector_test.go
@@ -0,0 +1,131 @@
+package view
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func heartbeatOf(member Member, epoch uint64, hears ...MemberID) Heartbeat {
+	return Heartbeat{From: member, Epoch: epoch, HeardFrom: hears}
+}
+
+func TestSilentMemberLeavesTheChain(t *testing.T) {
+	members, view := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	at := time.Duration(0)
+	for ; at < 2*time.Second; at += 100 * time.Millisecond {
+		d.ReceiveHeartbeat(at, heartbeatOf(members[1], 4, 1, 3))
+		if at < time.Second {
+			d.ReceiveHeartbeat(at, heartbeatOf(members[2], 4, 1, 2))
+		}
+		desired, _ := d.DesiredView(at, view, false, false, 0)
+		silent := at - 900*time.Millisecond
+		if (desired != nil) != (silent > heartbeatTimeout) && at > 200*time.Millisecond {
+			t.Fatalf("at %v the view %v is asked for", at, desired)
+		}
+		if desired != nil && len(desired.Chain) != 2 {
+			t.Fatalf("chain %v", desired.Chain)
+		}
+	}
+}
+
+func TestRefusedConnectionCountsAtOnce(t *testing.T) {
+	members, view := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 1, 3))
+	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[2], 4, 1, 2))
+	d.ConnectionRefused(time.Second, 3)
+	if desired, _ := d.DesiredView(time.Second, view, false, false, 0); desired == nil || len(desired.Chain) != 2 {
+		t.Errorf("desired %v", desired)
+	}
+}
+
+func TestOneWayDeafMemberIsNotAlive(t *testing.T) {
+	members, _ := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 3))
+	if d.IsAlive(time.Second, 2) {
+		t.Error("a member that does not hear this one counts as alive")
+	}
+}
+
+// newcomer lets a stranger and both other electors be heard, but for the silent one.
+func newcomer(stranger Heartbeat, silent MemberID) *View {
+	members, view := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	var desired *View
+	for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
+		for _, member := range members[1:] {
+			if member.ID != silent || at < 500*time.Millisecond {
+				d.ReceiveHeartbeat(at, heartbeatOf(member, 4, 1, 2, 3))
+			}
+		}
+		d.ReceiveHeartbeat(at, stranger)
+		desired, _ = d.DesiredView(at, view, false, false, 0)
+	}
+	return desired
+}
+
+func electorIDs(view *View) string {
+	text := ""
+	for _, elector := range view.Electors {
+		text += fmt.Sprint(elector.ID, " ")
+	}
+	return text
+}
+
+func TestNewcomersBecomeElectors(t *testing.T) {
+	cases := []struct {
+		name     string
+		stranger Heartbeat
+		silent   MemberID
+		want     string // electors asked for; "" where no view is
+	}{
+		{"a wiped machine takes its own place", heartbeatOf(Member{ID: 9, Address: "a3", Zone: "z3"}, 0, 1, 2), 3, "1 2 9 "},
+		{"one at another address takes the silent one's place", heartbeatOf(Member{ID: 9, Address: "a9", Zone: "z9"}, 0, 1, 2), 2, "1 9 3 "},
+		{"one at another address waits while all are heard", heartbeatOf(Member{ID: 9, Address: "a9", Zone: "z9"}, 0, 1, 2), 0, ""},
+		{"one of the first start extends the electors",
+			Heartbeat{From: Member{ID: 9, Address: "a9", Zone: "z9"}, InitialMember: true, HeardFrom: []MemberID{1, 2}}, 0, "1 2 3 9 "},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			desired := newcomer(c.stranger, c.silent)
+			switch {
+			case c.want == "" && desired != nil:
+				t.Errorf("desired %v", desired)
+			case c.want != "" && (desired == nil || electorIDs(desired) != c.want):
+				t.Errorf("desired %v, want electors %s", desired, c.want)
+			}
+		})
+	}
+}
+
+func TestExclusionReasonIsNamed(t *testing.T) {
+	members, _ := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 1, 2))
+	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[2], 4, 2, 3))
+	for _, c := range []struct {
+		now  time.Duration
+		id   MemberID
+		want string
+	}{{time.Second, 1, ""}, {time.Second, 2, ""}, {time.Second, 3, "does not hear this member"},
+		{time.Second + heartbeatTimeout + 1, 2, "silent"}, {time.Second, 9, "never heard"}} {
+		if got := d.ExclusionReason(c.now, c.id); got != c.want {
+			t.Errorf("member %d at %v: %q, want %q", c.id, c.now, got, c.want)
+		}
+	}
+}
+
+// A member that shuts down gracefully is alive, and the log still says why the chain goes on without it.
+func TestLeavingIsAnExclusionReason(t *testing.T) {
+	members, _ := threeMembers()
+	d := NewDetector(members[0], 0, 2)
+	leaving := heartbeatOf(members[1], 4, 1)
+	leaving.Leaving = true
+	d.ReceiveHeartbeat(time.Second, leaving)
+	if got := d.ExclusionReason(time.Second, 2); got != "is shutting down" || !d.IsAlive(time.Second, 2) {
+		t.Errorf("reason %q, alive %v", got, d.IsAlive(time.Second, 2))
+	}
+}
--- a/coordination/view/writers_test.go
+++ b/coordination/view/replication_test.go
@@ -13,9 +13,9 @@
 }
 
 // Every majority of the electors has a copy of each entry, and there are as many as losses ask for.
-func TestCopies(t *testing.T) {
+func TestReplicationFactor(t *testing.T) {
 	for _, c := range []struct{ least, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5}, {1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
-		got := copies(c.least, c.electors)
+		got := replicationFactor(c.least, c.electors)
 		if got != c.want {
 			t.Errorf("%d electors, %d copies at least: %d, want %d", c.electors, c.least, got, c.want)
 		}
@@ -27,14 +27,14 @@
 
 // nextOf returns the view that follows where all but some members answer. Followers promise, too, and so do members
 // that say they have everything though they don't write.
-func nextOf(t *testing.T, base *View, wish View, silent ...MemberID) *View {
+func nextOf(t *testing.T, base *View, desired View, silent ...MemberID) *View {
 	t.Helper()
 	r := NewConsensus(HardState{Self: base.Chain[len(base.Chain)-1], View: *base, CompleteEpoch: base.Epoch})
 	var expected []MemberID
 	for _, member := range base.Electors {
 		expected = append(expected, member.ID)
 	}
-	r.Propose(wish, expected, 3)
+	r.Propose(desired, expected, 3)
 	for _, member := range base.Electors {
 		answers := true
 		for _, id := range silent {
@@ -45,7 +45,7 @@
 			r.Receive(member.ID, &Message{Promise: &Promise{BaseEpoch: base.Epoch, Ballot: r.proposal.ballot, EligibleAsHead: valid}})
 		}
 	}
-	for range patience {
+	for range urgentPatience {
 		r.Tick()
 	}
 	if r.proposal == nil {
@@ -54,7 +54,7 @@
 	return r.proposal.view
 }
 
-func TestFollowersHaveNotEverything(t *testing.T) {
+func TestFollowersAreNotEligibleAsHead(t *testing.T) {
 	base := viewOf(5, 3)
 	for i, member := range base.Chain {
 		if got := NewConsensus(HardState{Self: member, View: *base, CompleteEpoch: 7}).EligibleAsHead(); got != (i < 3) {
@@ -88,8 +88,8 @@
 // Where all writers are gone, nobody heads another view, though a majority of the electors is there.
 func TestNoViewWithoutAWriter(t *testing.T) {
 	base := viewOf(9, 4) // too few copies for a majority to have one for certain
-	wish := View{Chain: base.Chain[4:], Electors: base.Electors}
-	if next := nextOf(t, base, wish, 1, 2, 3, 4); next != nil {
+	desired := View{Chain: base.Chain[4:], Electors: base.Electors}
+	if next := nextOf(t, base, desired, 1, 2, 3, 4); next != nil {
 		t.Errorf("a view without any writer: %v", next)
 	}
 	if next := nextOf(t, base, View{Chain: base.Chain[3:], Electors: base.Electors}, 1, 2, 3); next == nil || next.Chain[0].ID != 4 {
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -53,7 +53,7 @@
 	{"thinning", "every figure of a worker's use is told", []edit{
 		{"internal/control/server/outbox.go", "if former, waits := o.uses[added.worker]; waits {", "if former, waits := o.uses[added.worker]; waits && former == 0 && o.first > former {"}}},
 	{"writers", "every member of the chain has to sync before a commit", []edit{
-		{"coordination/view/view.go", "func copies(least, electors int) int { return max(least, electors-electors/2) }", "func copies(int, int) int { return 0 }"}}},
+		{"coordination/view/view.go", "func replicationFactor(minimum, electors int) int { return max(minimum, electors-electors/2) }", "func replicationFactor(int, int) int { return 0 }"}}},
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
 		{"internal/dispatcher/intake.go", "\t\td.expectJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
