--- a/coordination/segment/os.go
+++ b/coordination/segment/dir.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// Dir is a folder of the operating system.
+// Dir is the path of a folder of the operating system.
 type Dir string
 
 // Open opens a file in the folder, or makes it.
@@ -30,17 +30,19 @@
 	return errors.Trace(folder.Sync())
 }
 
+// osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
 // ReadAt reads as os.File does, but a short file is no error: the rest stays as it is.
 func (f osFile) ReadAt(p []byte, offset int64) (int, error) {
 	n, err := f.File.ReadAt(p, offset)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		err = nil
 	}
 	return n, errors.Trace(err)
 }
 
+// Size returns the file's length in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
--- a/coordination/segment/slots.go
+++ b/coordination/segment/slots.go
@@ -7,19 +7,23 @@
 	"github.com/juju/errors"
 )
 
-// slots keeps the newest of two copies of one text: the older one is overwritten,
-// so that a torn write never costs both.
-type slots struct {
+// slotHeaderBytes are those of a slot: magic, length of the data, checksum of all behind it, 4 bytes of zeros, then
+// sequence, index and epoch of 8 bytes each. All numbers are little-endian.
+const slotHeaderBytes = 40
+
+// slotPair keeps the newest version of some data in one of two files: the older one is written over, so that a torn
+// write never costs both.
+type slotPair struct {
 	files    [2]File
 	newest   int
-	sequence uint64
-	index    uint64
-	epoch    uint64
+	sequence uint64 // of the newest version; 0: none was ever saved
+	index    uint64 // the snapshot's, 0 for metadata
+	epoch    uint64 // likewise
 	data     []byte
 }
 
-func openSlots(folder Folder, name string) (*slots, error) {
-	s := &slots{}
+func openSlotPair(folder Folder, name string) (*slotPair, error) {
+	s := &slotPair{}
 	for i := range s.files {
 		file, err := folder.Open(name + "-" + string(rune('a'+i)))
 		if err != nil {
@@ -33,34 +37,36 @@
 	return s, nil
 }
 
-func (s *slots) read(i int) error {
-	size, err := s.files[i].Size()
+// read takes over the content of one slot where it is whole and newer.
+func (s *slotPair) read(slot int) error {
+	size, err := s.files[slot].Size()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if size < slotHeader {
+	if size < slotHeaderBytes {
 		return nil
 	}
 	content := make([]byte, size)
-	if _, err := s.files[i].ReadAt(content, 0); err != nil {
+	if _, err := s.files[slot].ReadAt(content, 0); err != nil {
 		return errors.Trace(err)
 	}
-	length := int64(binary.LittleEndian.Uint32(content[4:]))
-	if binary.LittleEndian.Uint32(content) != magic || slotHeader+length > size ||
-		crc32.Checksum(content[12:slotHeader+length], castagnoli) != binary.LittleEndian.Uint32(content[8:]) {
-		return nil
+	end := slotHeaderBytes + int64(binary.LittleEndian.Uint32(content[4:]))
+	if binary.LittleEndian.Uint32(content) != magic || end > size ||
+		crc32.Checksum(content[12:end], castagnoli) != binary.LittleEndian.Uint32(content[8:]) {
+		return nil // never written, or torn
 	}
 	if sequence := binary.LittleEndian.Uint64(content[16:]); sequence > s.sequence {
-		s.newest, s.sequence = i, sequence
+		s.newest, s.sequence = slot, sequence
 		s.index = binary.LittleEndian.Uint64(content[24:])
 		s.epoch = binary.LittleEndian.Uint64(content[32:])
-		s.data = content[slotHeader : slotHeader+length]
+		s.data = content[slotHeaderBytes:end]
 	}
 	return nil
 }
 
-func (s *slots) save(index, epoch uint64, data []byte) error {
-	content := make([]byte, slotHeader, slotHeader+len(data))
+// save writes the next version over the older slot and syncs it. After an error the newest version is still there.
+func (s *slotPair) save(index, epoch uint64, data []byte) error {
+	content := make([]byte, slotHeaderBytes, slotHeaderBytes+len(data))
 	content = append(content, data...)
 	binary.LittleEndian.PutUint32(content, magic)
 	binary.LittleEndian.PutUint32(content[4:], uint32(len(data)))
@@ -68,14 +74,14 @@
 	binary.LittleEndian.PutUint64(content[24:], index)
 	binary.LittleEndian.PutUint64(content[32:], epoch)
 	binary.LittleEndian.PutUint32(content[8:], crc32.Checksum(content[12:], castagnoli))
-	target := 1 - s.newest
-	if _, err := s.files[target].WriteAt(content, 0); err != nil {
+	older := 1 - s.newest
+	if _, err := s.files[older].WriteAt(content, 0); err != nil {
 		return errors.Trace(err)
 	}
-	if err := s.files[target].Sync(); err != nil {
+	if err := s.files[older].Sync(); err != nil {
 		return errors.Trace(err)
 	}
-	s.newest, s.index, s.epoch, s.data = target, index, epoch, data
+	s.newest, s.index, s.epoch, s.data = older, index, epoch, data
 	s.sequence++
 	return nil
 }
--- a/coordination/segment/segment_test.go
+++ b/coordination/segment/store_test.go
@@ -8,92 +8,6 @@
 	"github.com/juju/errors"
 )
 
-// memoryFile is a file whose unsynced writes may be lost, kept or torn by a loss of power.
-type memoryFile struct {
-	folder  *memoryFolder
-	durable []byte
-	content []byte
-	writes  []pendingWrite
-}
-
-type pendingWrite struct {
-	offset int64
-	data   []byte
-}
-
-type memoryFolder struct {
-	files map[string]*memoryFile
-	full  bool
-}
-
-func newMemoryFolder() *memoryFolder { return &memoryFolder{files: map[string]*memoryFile{}} }
-
-func (f *memoryFolder) Open(name string) (File, error) {
-	if f.files[name] == nil {
-		f.files[name] = &memoryFile{folder: f}
-	}
-	return f.files[name], nil
-}
-
-func (f *memoryFolder) Sync() error { return nil }
-
-func (f *memoryFile) ReadAt(p []byte, offset int64) (int, error) {
-	if offset >= int64(len(f.content)) {
-		return 0, nil
-	}
-	return copy(p, f.content[offset:]), nil
-}
-
-func write(content []byte, p []byte, offset int64) []byte {
-	if need := int(offset) + len(p); need > len(content) {
-		content = append(content, make([]byte, need-len(content))...)
-	}
-	copy(content[offset:], p)
-	return content
-}
-
-var errDisk = errors.New("no space left")
-
-func (f *memoryFile) WriteAt(p []byte, offset int64) (int, error) {
-	if f.folder.full {
-		return 0, errDisk
-	}
-	f.content = write(f.content, p, offset)
-	f.writes = append(f.writes, pendingWrite{offset, append([]byte(nil), p...)})
-	return len(p), nil
-}
-
-func (f *memoryFile) Sync() error {
-	if f.folder.full {
-		return errDisk
-	}
-	f.durable, f.writes = append([]byte(nil), f.content...), nil
-	return nil
-}
-
-func (f *memoryFile) Size() (int64, error) { return int64(len(f.content)), nil }
-
-func (f *memoryFile) Truncate(size int64) error {
-	f.content = append(f.content, make([]byte, max(0, size-int64(len(f.content))))...)
-	return nil
-}
-
-// losePower leaves of each unsynced write all, nothing or a part.
-func (f *memoryFolder) losePower(random *rand.Rand) {
-	for _, file := range f.files {
-		content := append([]byte(nil), file.durable...)
-		for _, pending := range file.writes {
-			switch random.IntN(3) {
-			case 0:
-				content = write(content, pending.data, pending.offset)
-			case 1:
-				content = write(content, pending.data[:random.IntN(len(pending.data)+1)], pending.offset)
-			}
-		}
-		file.durable, file.content, file.writes = content, append([]byte(nil), content...), nil
-	}
-}
-
 var layout = Layout{SegmentCount: 4, SegmentBytes: 4096}
 
 func open(t *testing.T, folder Folder) (*Store, *Recovered) {
@@ -132,7 +46,7 @@
 	}
 }
 
-func TestLaterRecordReplacesItsIndexAndAllBehind(t *testing.T) {
+func TestLaterRecordReplacesItsIndexAndAllAfter(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	if err := store.Append([]Record{record(1, "a"), record(2, "b"), record(3, "c")}); err != nil {
@@ -150,7 +64,7 @@
 	}
 }
 
-func TestFullRingWantsASnapshot(t *testing.T) {
+func TestFullRingNeedsASnapshot(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	index := uint64(0)
@@ -159,7 +73,7 @@
 		index++
 		err = store.Append([]Record{record(index, fmt.Sprintf("%0500d", index))})
 	}
-	if errors.Cause(err) != ErrFull {
+	if !errors.Is(err, ErrFull) {
 		t.Fatal(err)
 	}
 	if err := store.SaveSnapshot(Snapshot{Index: index - 1, Epoch: 1, Data: []byte("state")}); err != nil {
@@ -177,11 +91,11 @@
 	}
 }
 
-func TestRefusedWriteIsRepeated(t *testing.T) {
+func TestRefusedWriteCanBeRetried(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	folder.full = true
-	if err := store.Append([]Record{record(1, "a")}); errors.Cause(err) != errDisk {
+	if err := store.Append([]Record{record(1, "a")}); !errors.Is(err, errDisk) {
 		t.Fatal(err)
 	}
 	folder.full = false
@@ -196,7 +110,7 @@
 	}
 }
 
-func TestDamageInTheMiddleIsNamed(t *testing.T) {
+func TestCorruptionInTheMiddleIsNamed(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	for index := uint64(1); index <= 20; index++ {
@@ -207,19 +121,19 @@
 	if err := store.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	folder.files["segment-a"].content[segmentHeader+recordHeader+5] ^= 1
+	folder.files["segment-a"].content[segmentHeaderBytes+recordHeaderBytes+5] ^= 1
 	_, _, err := Open(folder, layout)
-	var damage *CorruptionError
-	if !errors.As(err, &damage) {
-		t.Fatalf("damage was not found: %v", err)
+	var corruption *CorruptionError
+	if !errors.As(err, &corruption) {
+		t.Fatalf("the corruption was not found: %v", err)
 	}
-	if damage.File == "" || damage.Reason == "" {
-		t.Errorf("damage %+v", damage)
+	if corruption.File == "" || corruption.Reason == "" {
+		t.Errorf("corruption %+v", corruption)
 	}
 }
 
-// TestLossesOfPower appends, syncs, replaces and loses power at random: what was synced is always there.
-func TestLossesOfPower(t *testing.T) {
+// TestPowerLosses appends, syncs, replaces and loses power at random: what was synced is always there.
+func TestPowerLosses(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		folder := newMemoryFolder()
