--- a/coordination/frame/frame.go
+++ b/coordination/frame/frame.go
@@ -1,144 +1,76 @@
-// Package frame carries messages over long-lived connections that begin as
-// HTTP/1.1 requests and are upgraded: each message is its length and its bytes.
-// Messages that wait are written together, and a side that does not read is given up.
+// Package frame carries messages over long-lived connections that begin as HTTP/1.1 requests and are upgraded (RFC
+// 9110, 7.8): each message is its length, 4 bytes big-endian, and its bytes. Messages that wait are written together.
+//
+// A side that takes or sends nothing for a while is given up: its connection is closed. Messages keep their order, and
+// each comes once or not at all. The package never reconnects and knows nothing of what a message says.
 package frame
 
 import (
 	"bufio"
 	"encoding/binary"
-	"io"
+	"fmt"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
 	"github.com/juju/errors"
 )
 
+// Bounds of a connection.
 const (
-	protocol    = "yardflow-frames"
-	maxFrame    = 64 << 20
-	maxQueued   = 96 << 20 // bytes that may wait for a side that does not read
-	writeWithin = 2 * time.Second
-	chunk       = 16 << 10 // bytes that a slow link carries within the time that a side may make no progress
-	header      = 4
+	// headerBytes are those of a message's length.
+	headerBytes = 4
+	// maxMessageBytes bounds what one message makes the receiver allocate; a longer one ends the connection. The
+	// longest is the snapshot of a state.
+	maxMessageBytes = 64 << 20
+	// maxQueuedBytes is how many bytes may wait for a side that does not read; beyond it the connection is closed.
+	// The longest message fits in with some to spare.
+	maxQueuedBytes = 96 << 20
+	// writeTimeout is how long a side may take nothing before it is given up.
+	writeTimeout = 2 * time.Second
+	// chunkBytes is what is written under one writeTimeout: so much that a slow link carries it in a fraction of it.
+	chunkBytes = 16 << 10
+	// maxSpareBytes is the largest buffer that is kept for the next batch: one grown by a snapshot is given back.
+	maxSpareBytes = 1 << 20
 )
 
-// What Upgrade fails with before it has taken a connection over.
-const (
-	ErrUpgradeNotRequested = errors.ConstError("no upgrade to " + protocol + " was asked for")
-	ErrUpgradeUnsupported  = errors.ConstError("the HTTP server can't give its connection up")
-)
+// MessageTooLongError says that the other side announced a message beyond maxMessageBytes: it is not one of ours, or
+// the connection's bytes are garbled.
+type MessageTooLongError struct {
+	Bytes uint32
+}
+
+// Error names the length.
+func (e *MessageTooLongError) Error() string { return fmt.Sprintf("a message of %d bytes", e.Bytes) }
 
-// Conn is one connection. Send may be called by any goroutine, Receive by one.
+// Conn is one connection. Send and Close may be called by any goroutine, Receive by one. It has one goroutine of its
+// own, which writes and ends with Close; whoever got the Conn has to close it.
 type Conn struct {
 	raw    net.Conn
 	reader *bufio.Reader
 
 	mu      sync.Mutex
-	wake    chan struct{}
-	queue   []byte
-	spare   []byte
+	wake    chan struct{} // holds a token while something may be queued
+	queue   []byte        // encoded messages that wait
+	spare   []byte        // a buffer for the next queue
 	closed  bool
 	onClose chan struct{}
 }
 
 func newConn(raw net.Conn, reader *bufio.Reader) *Conn {
 	c := &Conn{raw: raw, reader: reader, wake: make(chan struct{}, 1), onClose: make(chan struct{})}
-	go c.write()
+	go c.writeQueued()
 	return c
 }
 
-// Network opens connections and listens for them.
-type Network interface {
-	Dial(address string, within time.Duration) (net.Conn, error)
-	Listen(address string) (net.Listener, error)
-}
-
-// TCP is the machine's own network.
-type TCP struct{}
-
-// Dial opens a TCP connection.
-func (TCP) Dial(address string, within time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", address, within)
-	return conn, errors.Trace(err)
-}
-
-// Listen listens for TCP connections.
-func (TCP) Listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp", address)
-	return listener, errors.Trace(err)
-}
-
-// Dial opens a connection to the path at the address.
-func Dial(network Network, address, path string, within time.Duration) (*Conn, error) {
-	raw, err := network.Dial(address, within)
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, nil)
-	if err != nil {
-		raw.Close()
-		return nil, errors.Trace(err)
-	}
-	request.Header.Set("Connection", "Upgrade")
-	request.Header.Set("Upgrade", protocol)
-	reader := bufio.NewReader(raw)
-	raw.SetDeadline(time.Now().Add(within))
-	if err := request.Write(raw); err != nil {
-		raw.Close()
-		return nil, errors.Trace(err)
-	}
-	response, err := http.ReadResponse(reader, request)
-	if err != nil {
-		raw.Close()
-		return nil, errors.Trace(err)
-	}
-	if response.StatusCode != http.StatusSwitchingProtocols {
-		raw.Close()
-		return nil, errors.Errorf("%s answers %s", address, response.Status)
-	}
-	raw.SetDeadline(time.Time{})
-	return newConn(raw, reader), nil
-}
-
-// Upgrade takes a connection over from an HTTP server.
-func Upgrade(w http.ResponseWriter, r *http.Request) (*Conn, error) {
-	if r.Header.Get("Upgrade") != protocol {
-		http.Error(w, "upgrade to "+protocol+" expected", http.StatusUpgradeRequired)
-		return nil, errors.Trace(ErrUpgradeNotRequested)
-	}
-	hijacker, able := w.(http.Hijacker)
-	if !able {
-		http.Error(w, "no upgrade here", http.StatusInternalServerError)
-		return nil, errors.Trace(ErrUpgradeUnsupported)
-	}
-	raw, buffered, err := hijacker.Hijack()
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	raw.SetDeadline(time.Now().Add(writeWithin))
-	_, err = io.WriteString(raw, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: "+protocol+"\r\n\r\n")
-	if err != nil {
-		raw.Close()
-		return nil, errors.Trace(err)
-	}
-	raw.SetDeadline(time.Time{})
-	return newConn(raw, buffered.Reader), nil
-}
-
-// Send queues a message and reports whether the connection still stands.
+// Send queues a message and reports whether the connection still stands. It never waits for the other side; a queue
+// beyond maxQueuedBytes closes the connection.
 func (c *Conn) Send(message []byte) bool {
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
+	queued, closed := c.enqueue(message)
+	if closed {
 		return false
 	}
-	c.queue = binary.BigEndian.AppendUint32(c.queue, uint32(len(message)))
-	c.queue = append(c.queue, message...)
-	full := len(c.queue) > maxQueued
-	c.mu.Unlock()
-	if full {
+	if queued > maxQueuedBytes {
 		c.Close()
 		return false
 	}
@@ -149,35 +81,58 @@
 	return true
 }
 
-func (c *Conn) write() {
+// enqueue appends a message to the queue, and returns how many bytes are queued then.
+func (c *Conn) enqueue(message []byte) (queued int, closed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return 0, true
+	}
+	c.queue = binary.BigEndian.AppendUint32(c.queue, uint32(len(message)))
+	c.queue = append(c.queue, message...)
+	return len(c.queue), false
+}
+
+// writeQueued writes what is queued until the connection is closed. It closes it where the other side takes nothing.
+func (c *Conn) writeQueued() {
 	for {
 		select {
 		case <-c.wake:
 		case <-c.onClose:
 			return
 		}
-		c.mu.Lock()
-		batch := c.queue
-		c.queue, c.spare = c.spare[:0], nil
-		c.mu.Unlock()
+		batch := c.takeQueue()
 		if !c.writeBatch(batch) {
 			c.Close()
 			return
 		}
-		if cap(batch) < 1<<20 {
-			c.mu.Lock()
-			c.spare = batch
-			c.mu.Unlock()
-		}
+		c.keepSpare(batch)
 	}
 }
 
-// writeBatch writes what was queued, and reports whether the other side has taken all of it. A large batch may
-// take long on a slow link: what counts is that each chunk of it goes out in time.
+func (c *Conn) takeQueue() []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	batch := c.queue
+	c.queue, c.spare = c.spare[:0], nil
+	return batch
+}
+
+func (c *Conn) keepSpare(batch []byte) {
+	if cap(batch) >= maxSpareBytes {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.spare = batch
+}
+
+// writeBatch writes what was queued, and reports whether the other side has taken all of it. A large batch may take
+// long on a slow link: what counts is that each chunk of it goes out in time.
 func (c *Conn) writeBatch(batch []byte) bool {
 	for len(batch) > 0 {
-		size := min(len(batch), chunk)
-		c.raw.SetWriteDeadline(time.Now().Add(writeWithin))
+		size := min(len(batch), chunkBytes)
+		c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.raw.Write(batch[:size]); err != nil {
 			return false
 		}
@@ -186,16 +141,16 @@
 	return true
 }
 
-// Receive returns the next message. It fails once no byte has come for the given time: a large message on a
-// slow link is no silence.
+// Receive returns the next message. It fails once no byte has come for the given time: a large message on a slow link
+// is no silence. It fails with a MessageTooLongError where the message would be one.
 func (c *Conn) Receive(within time.Duration) ([]byte, error) {
-	size := [header]byte{}
-	if err := c.readFull(size[:], within); err != nil {
+	header := [headerBytes]byte{}
+	if err := c.readFull(header[:], within); err != nil {
 		return nil, errors.Trace(err)
 	}
-	length := binary.BigEndian.Uint32(size[:])
-	if length > maxFrame {
-		return nil, errors.Errorf("a message of %d bytes", length)
+	length := binary.BigEndian.Uint32(header[:])
+	if length > maxMessageBytes {
+		return nil, errors.Trace(&MessageTooLongError{length})
 	}
 	message := make([]byte, length)
 	if err := c.readFull(message, within); err != nil {
@@ -217,7 +172,7 @@
 	return nil
 }
 
-// Close ends the connection; what is queued is lost.
+// Close ends the connection; what is queued is lost. It may be called more than once.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	if c.closed {
@@ -230,5 +185,5 @@
 	c.raw.Close()
 }
 
-// Closed is closed once the connection is.
+// Closed returns a channel that is closed once the connection is.
 func (c *Conn) Closed() <-chan struct{} { return c.onClose }
--- a/coordination/frame/frame_test.go
+++ b/coordination/frame/frame_test.go
@@ -1,6 +1,7 @@
 package frame
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"strings"
@@ -22,11 +23,25 @@
 			accepted <- conn
 		}
 	})}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
+	serveUntilCleanup(t, server, listener)
 	return listener.Addr().String(), accepted
 }
 
+// serveUntilCleanup serves until the test ends, which must be what ends it.
+func serveUntilCleanup(t *testing.T, server *http.Server, listener net.Listener) {
+	t.Helper()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	})
+}
+
 func dial(t *testing.T, address string) *Conn {
 	t.Helper()
 	conn, err := Dial(TCP{}, address, "/x", time.Second)
@@ -79,7 +94,7 @@
 	}
 }
 
-func TestSilenceEndsReceive(t *testing.T) {
+func TestReceiveFailsOnSilence(t *testing.T) {
 	address, conns := serve(t)
 	client := dial(t, address)
 	t.Cleanup((<-conns).Close)
@@ -88,7 +103,7 @@
 	}
 }
 
-func TestNoUpgradeNoConnection(t *testing.T) {
+func TestDialFailsWithoutUpgrade(t *testing.T) {
 	address, _ := serve(t)
 	response, err := http.Post("http://"+address+"/x", "", nil)
 	if err != nil {
@@ -103,14 +118,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go plain.Serve(listener)
-	t.Cleanup(func() { plain.Close() })
-	if _, err := Dial(TCP{}, listener.Addr().String(), "/x", time.Second); err == nil {
-		t.Error("a server that does not upgrade was taken for one that does")
+	serveUntilCleanup(t, plain, listener)
+	var refused *UpgradeRefusedError
+	if _, err := Dial(TCP{}, listener.Addr().String(), "/x", time.Second); !errors.As(err, &refused) {
+		t.Errorf("a server that does not upgrade was taken for one that does: %v", err)
 	}
 }
 
-func TestHugeLengthIsRefused(t *testing.T) {
+func TestTooLongMessageIsRefused(t *testing.T) {
 	address, conns := serve(t)
 	client := dial(t, address)
 	server := <-conns
@@ -118,7 +133,8 @@
 	if _, err := client.raw.Write([]byte{0xff, 0xff, 0xff, 0xff}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := server.Receive(5 * time.Second); err == nil {
-		t.Error("a message of 4 GB was begun")
+	var tooLong *MessageTooLongError
+	if _, err := server.Receive(5 * time.Second); !errors.As(err, &tooLong) {
+		t.Errorf("a message of 4 GB was begun: %v", err)
 	}
 }
--- a/coordination/frame/slow_test.go
+++ b/coordination/frame/slowlink_test.go
@@ -18,14 +18,21 @@
 		defer conn.Close()
 		const parts, part = 20, 1000
 		go func() {
-			far.Write(binary.BigEndian.AppendUint32(nil, parts*part))
+			write := func(data []byte) {
+				if _, err := far.Write(data); err != nil {
+					t.Error(err)
+				}
+			}
+			write(binary.BigEndian.AppendUint32(nil, parts*part))
 			for range parts {
 				time.Sleep(100 * time.Millisecond)
-				far.Write(make([]byte, part))
+				write(make([]byte, part))
 			}
 			time.Sleep(time.Second)
 			far.SetDeadline(time.Now().Add(time.Millisecond))
-			far.Write([]byte{0}) // a part of a header, too late
+			if _, err := far.Write([]byte{0}); err == nil { // a part of a header, too late
+				t.Error("a byte was taken behind the silence")
+			}
 		}()
 		message, err := conn.Receive(150 * time.Millisecond)
 		if err != nil || len(message) != parts*part {
@@ -45,10 +52,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		conn := newConn(near, bufio.NewReader(near))
-		conn.Send(make([]byte, 40*chunk))
-		buffer := make([]byte, chunk)
+		conn.Send(make([]byte, 40*chunkBytes))
+		buffer := make([]byte, chunkBytes)
 		read := 0
-		for read < 20*chunk {
+		for read < 20*chunkBytes {
 			time.Sleep(100 * time.Millisecond)
 			n, err := far.Read(buffer)
 			if err != nil {
@@ -56,7 +63,7 @@
 			}
 			read += n
 		}
-		time.Sleep(2 * writeWithin)
+		time.Sleep(2 * writeTimeout)
 		select {
 		case <-conn.Closed():
 		default:
