--- a/internal/control/protocol/pack_test.go
+++ b/internal/control/protocol/compression_test.go
@@ -9,7 +9,7 @@
 	"yardflow/internal/control/statemachine"
 )
 
-func TestPackedUpdatesComeInOrder(t *testing.T) {
+func TestCompressedUpdatesComeInOrder(t *testing.T) {
 	var many []cbor.RawMessage
 	for i := range 500 {
 		many = append(many, Encode(statemachine.Update{WorkerRemoved: fmt.Sprint("worker-", i)}))
--- a/internal/control/protocol/changes_test.go
+++ b/internal/control/protocol/configbytes_test.go
@@ -31,7 +31,7 @@
 	return append(text, `],"Services":[{"Name":"huvo11a","HealthPath":"/health","Guards":true}]}`...)
 }
 
-func packedSize(update *statemachine.ConfigUpdate) int {
+func compressedBytes(update *statemachine.ConfigUpdate) int {
 	return len(CompressUpdates([]cbor.RawMessage{Encode(statemachine.Update{Config: update})}))
 }
 
@@ -54,7 +54,7 @@
 				}
 				if version > 1 {
 					logged += len(Encode(command))
-					sent += packedSize(c.DequeueUpdates()[0].Update.Config)
+					sent += compressedBytes(c.DequeueUpdates()[0].Update.Config)
 				} else {
 					c.DequeueUpdates()
 				}
@@ -62,7 +62,7 @@
 			state := len(Encode(&c.State)) - len(c.ConfigBody)
 			change, entry := sent/(changes-1), logged/(changes-1)
 			lines = append(lines, fmt.Sprintf("%7d %8d %10d %12d %11d %11d %13d", routes, changes, len(c.ConfigBody),
-				packedSize(c.FullConfig()), change, entry, state))
+				compressedBytes(c.FullConfig()), change, entry, state))
 			if change > 700 || entry > 700 || state > 50_000 {
 				t.Errorf("%d routes, %d changes: %d bytes a change, %d in the log, %d in the state", routes, changes, change, entry, state)
 			}
