--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -50,7 +50,7 @@
 	return response
 }
 
-// catchUpFrom returns the index behind which a replica lacks entries: the end of its log where that is committed and
+// catchUpFrom returns the index after which a replica lacks entries: the end of its log where that is committed and
 // the same here, else the last index at which both logs must be the same.
 func (r *Replica) catchUpFrom(request CatchUpRequest) uint64 {
 	last := request.LastIndex
--- a/coordination/chain/catchup_test.go
+++ b/coordination/chain/catchup_test.go
@@ -38,8 +38,8 @@
 	c.reportViolations(t)
 }
 
-// TestNonMemberWithAnUncommittedSuffixCatchesUp keeps a fault that a planted one has shown: a replica whose log reached beyond its
-// member's snapshot with entries that were never committed took nothing in, and asked again without end.
+// TestNonMemberWithAnUncommittedSuffixCatchesUp keeps a fault that a planted one has shown: a replica whose log reached
+// beyond its member's snapshot with entries that were never committed took nothing in, and asked again without end.
 func TestNonMemberWithAnUncommittedSuffixCatchesUp(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 1, 2, 3)
--- a/coordination/chain/cluster_test.go
+++ b/coordination/chain/cluster_test.go
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// host is one replica with a disk that syncs when it is told to, and connections that keep order.
+// host is one replica with a disk that syncs on demand, and connections that keep order.
 type host struct {
 	id      MemberID
 	replica *Replica
@@ -140,7 +140,7 @@
 		return
 	}
 	if entry.Index != uint64(len(c.history))+1 {
-		c.violated("member %d commits %d behind %d", h.id, entry.Index, len(c.history))
+		c.violated("member %d commits %d after %d", h.id, entry.Index, len(c.history))
 		return
 	}
 	c.history = append(c.history, entry)
--- a/coordination/chain/commit.go
+++ b/coordination/chain/commit.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// maybeComplete asks the host to persist that the whole log with which the view began is durable here.
+// maybeComplete asks the host to persist that the complete log with which the view began is durable here.
 func (r *Replica) maybeComplete() {
 	if r.viewLog.startKnown && !r.viewLog.completing && min(r.log.durableIndex, r.viewLog.received) >= r.viewLog.start {
 		r.viewLog.completing, r.ready.PersistCompleteness = true, true
--- a/coordination/chain/divergence.go
+++ b/coordination/chain/divergence.go
@@ -1,7 +1,8 @@
 package chain
 
 // Divergence says that another member's log has another entry where this replica's log is known to be committed. As
-// long as disks keep what they call synced that can't be: every view is headed by a log that has all that was committed.
+// long as disks keep what they report as synced this can't happen: every view is headed by a log that has all that was
+// committed.
 type Divergence struct {
 	Index      uint64 // of the entry
 	OwnEpoch   uint64 // of the entry here
@@ -9,7 +10,7 @@
 }
 
 // Divergence returns what this replica's log was contradicted by, or nil. Such a replica takes no part any more: which
-// of both logs is right can't be told here, and an exchange of them would have no end.
+// of both logs is right can't be known here, and an exchange of them would have no end.
 func (r *Replica) Divergence() *Divergence { return r.divergence }
 
 // contradicts reports whether an entry of another member contradicts what is committed here, and records that.
--- a/coordination/chain/divergence_test.go
+++ b/coordination/chain/divergence_test.go
@@ -73,7 +73,7 @@
 			for range 20 {
 				head.Tick(1)
 				if sent := exchange(most, head, member); sent > 1 {
-					t.Errorf("%d messages in one tick behind the contradiction", sent)
+					t.Errorf("%d messages in one tick after the contradiction", sent)
 				}
 			}
 			if member.IsServing() {
--- a/coordination/chain/incarnations_test.go
+++ b/coordination/chain/incarnations_test.go
@@ -18,15 +18,15 @@
 	answersTooEarly              // a member answers reads itself, before they have passed the chain
 )
 
-// incarnationSimulation is a network in which a new view reaches its members one by one, messages stay in flight over views
-// and incarnations of their senders, come twice and out of order, and members are frozen with what they know.
+// incarnationSimulation is a network in which a new view reaches its members one by one, messages stay in flight over
+// views and incarnations of their senders, come twice and out of order, and members are frozen with what they know.
 type incarnationSimulation struct {
 	*cluster
 	random             *rand.Rand
 	fault              plantedFault
 	frozen             map[MemberID]bool
 	knownEpoch         map[MemberID]uint64 // epoch of the newest view that the member knows
-	eligible           map[MemberID]bool   // members of the newest view that have its whole log
+	eligible           map[MemberID]bool   // members of the newest view that have its complete log
 	committedWhenAsked map[uint64]int      // by the tag of a read: entries that were committed when it was asked
 	answeredReads      int
 }
@@ -47,7 +47,7 @@
 	return s
 }
 
-// inspect checks what a member is about to do, and lets the planted fault in.
+// inspect checks what a member is about to do, and plants the fault.
 func (s *incarnationSimulation) inspect(h *host, ready *Ready) {
 	if s.fault == answersTooEarly {
 		for i := range ready.Messages {
@@ -63,7 +63,7 @@
 		}
 	}
 	if ready.Snapshot != nil {
-		s.snapshotsAreWhole(h, ready.Snapshot)
+		s.snapshotsAreComplete(h, ready.Snapshot)
 	}
 }
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// snapshotsAreWhole is an invariant: a snapshot has every committed entry up to its index.
-func (s *incarnationSimulation) snapshotsAreWhole(h *host, snapshot *Snapshot) {
+// snapshotsAreComplete is an invariant: a snapshot has every committed entry up to its index.
+func (s *incarnationSimulation) snapshotsAreComplete(h *host, snapshot *Snapshot) {
 	if snapshot.Index > uint64(len(s.history)) {
 		s.violated("member %d is given a snapshot of %d, where %d are committed", h.id, snapshot.Index, len(s.history))
 		return
@@ -97,7 +97,7 @@
 }
 
 // nextView makes another view as package view does: headed by a member of the present one that knows it and has its
-// whole log, with whoever is up behind it.
+// complete log, with whoever is up behind it.
 func (s *incarnationSimulation) nextView() {
 	for _, id := range s.view.Members {
 		if h := s.hosts[id]; s.knownEpoch[id] == s.view.Epoch && h.replica.Epoch() == s.view.Epoch && h.replica.IsComplete() {
@@ -128,7 +128,7 @@
 	}
 }
 
-// deliverAny hands a message over: the oldest, or now and then any, or one that stays under way as well.
+// deliverAny hands a message over: the oldest, or now and then any, or one that stays in flight as well.
 func (s *incarnationSimulation) deliverAny(from, to MemberID) bool {
 	pair := link{from, to}
 	queue := s.queues[pair]
@@ -169,7 +169,7 @@
 	return message
 }
 
-// ask lets a member bring a read to whom it takes for the head.
+// ask sends a member's read to the member that it takes for the head.
 func (s *incarnationSimulation) ask(id MemberID) {
 	h := s.hosts[id]
 	head := s.hosts[h.replica.Head()]
@@ -222,7 +222,7 @@
 		}
 	}
 	s.frozen[id] = false
-	s.knownEpoch[id] = s.view.Epoch // its next life takes part in a later view only
+	s.knownEpoch[id] = s.view.Epoch // its next incarnation takes part in a later view only
 }
 
 func (s *incarnationSimulation) step(count int) {
@@ -288,7 +288,8 @@
 	return s
 }
 
-// TestIncarnationsAndViews plays 3, 5 and 9 members over many views, with late messages of earlier views and incarnations.
+// TestIncarnationsAndViews plays 3, 5 and 9 members over many views, with late messages of earlier views and
+// incarnations.
 func TestIncarnationsAndViews(t *testing.T) {
 	const seeds = 150
 	committed, answered, views := 0, 0, uint64(0)
@@ -305,7 +306,8 @@
 	}
 }
 
-// TestPlantedFaultsInIncarnationsAndViews shows that the simulations find each planted fault, by the promise that it breaks.
+// TestPlantedFaultsInIncarnationsAndViews shows that the simulations find each planted fault, by the promise that it
+// breaks.
 func TestPlantedFaultsInIncarnationsAndViews(t *testing.T) {
 	const most = 600
 	for name, c := range map[string]struct {
--- a/coordination/chain/log.go
+++ b/coordination/chain/log.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// replicaLog is one replica's copy of the log: the state after one committed entry, and the entries behind that one
+// replicaLog is one replica's copy of the log: the state after one committed entry, and the entries after that one
 // without a gap.
 //
 // Invariants: snapshotIndex <= commitIndex <= lastIndex, and durableIndex <= lastIndex. The durable index may be below
@@ -22,7 +22,7 @@
 
 func (l *replicaLog) lastIndex() uint64 { return l.snapshotIndex + uint64(len(l.entries)) }
 
-// entry returns the entry at an index, which must be behind the snapshot.
+// entry returns the entry at an index, which must be after the snapshot.
 func (l *replicaLog) entry(index uint64) *Entry { return &l.entries[index-l.snapshotIndex-1] }
 
 // epochAt returns the epoch of an entry that is here, or 0.
@@ -37,16 +37,16 @@
 }
 
 // has reports whether the entry with this index and epoch is here. Two logs that share it are the same up to there,
-// since an epoch has one head and each entry is taken in behind the one before it only.
+// since an epoch has one head and each entry is taken in only after the one before it.
 func (l *replicaLog) has(index, epoch uint64) bool {
 	return index >= l.snapshotIndex && index <= l.lastIndex() && l.epochAt(index) == epoch
 }
 
 func (l *replicaLog) append(entry Entry) { l.entries = append(l.entries, entry) }
 
-// between returns the entries behind one index and up to another.
-func (l *replicaLog) between(behind, last uint64) []Entry {
-	return l.entries[behind-l.snapshotIndex : last-l.snapshotIndex]
+// between returns the entries after one index and up to another.
+func (l *replicaLog) between(after, last uint64) []Entry {
+	return l.entries[after-l.snapshotIndex : last-l.snapshotIndex]
 }
 
 // truncate drops the entries from an index on.
@@ -56,7 +56,7 @@
 	l.generation++
 }
 
-// restore replaces the whole log by a snapshot, which is not durable yet.
+// restore replaces the entire log with a snapshot, which is not durable yet.
 func (l *replicaLog) restore(snapshot *Snapshot) {
 	*l = replicaLog{snapshotIndex: snapshot.Index, snapshotEpoch: snapshot.IndexEpoch, snapshotData: snapshot.Data,
 		commitIndex: snapshot.Index, generation: l.generation + 1}
--- a/coordination/chain/messages.go
+++ b/coordination/chain/messages.go
@@ -26,12 +26,12 @@
 
 // Append goes from a member to its successor.
 type Append struct {
-	Epoch     uint64  `cbor:"1,keyasint"`
-	PrevIndex uint64  `cbor:"2,keyasint"` // of the entry before Entries; the receiver must have it
-	PrevEpoch uint64  `cbor:"3,keyasint"`
-	Entries   []Entry `cbor:"4,keyasint,omitempty"`
-	Synced    uint64  `cbor:"5,keyasint"` // all members before the receiver have the log durable up to here
-	ViewStart uint64  `cbor:"6,keyasint"` // the head's last index when the view began
+	Epoch        uint64  `cbor:"1,keyasint"`
+	PrevIndex    uint64  `cbor:"2,keyasint"` // of the entry before Entries; the receiver must have it
+	PrevEpoch    uint64  `cbor:"3,keyasint"`
+	Entries      []Entry `cbor:"4,keyasint,omitempty"`
+	DurableIndex uint64  `cbor:"5,keyasint"` // all members before the receiver have the log durable up to here
+	ViewStart    uint64  `cbor:"6,keyasint"` // the head's last index when the view began
 	// PendingReads have not passed all writers yet.
 	PendingReads []Read `cbor:"7,keyasint,omitempty"`
 	CommitIndex  uint64 `cbor:"8,keyasint,omitempty"` // from the tail and followers only
@@ -41,8 +41,8 @@
 
 // Ack goes from a member to its predecessor.
 type Ack struct {
-	Epoch    uint64 `cbor:"1,keyasint"`
-	Received uint64 `cbor:"2,keyasint"` // the sender's log is the receiver's up to here; if Rejected, it may be
+	Epoch         uint64 `cbor:"1,keyasint"`
+	ReceivedIndex uint64 `cbor:"2,keyasint"` // the sender's log is the receiver's up to here; if Rejected, it may be
 	// Rejected says that the sender's log lacks the entry before those of an Append.
 	Rejected      bool   `cbor:"3,keyasint,omitempty"`
 	RejectedIndex uint64 `cbor:"6,keyasint,omitempty"` // PrevIndex of the rejected Append
--- a/coordination/chain/ready.go
+++ b/coordination/chain/ready.go
@@ -7,14 +7,14 @@
 }
 
 // Ready is what the host has to carry out, in the order of the fields. Messages may leave before the writes are
-// durable: members write in parallel, and each tells its successor separately up to where it is durable.
+// durable: members write in parallel, and each notifies its successor separately up to where it is durable.
 type Ready struct {
 	Snapshot         *Snapshot // replace state and log by this, and call SnapshotPersisted once it is durable
 	Writes           []Write
 	Messages         []Envelope
 	CommittedEntries []Entry // to be applied
 	ConfirmedReads   []Read  // of this replica's own, to be answered after CommittedEntries are applied
-	// PersistCompleteness says that the whole log with which the view began is durable here: make that fact durable,
+	// PersistCompleteness says that the complete log with which the view began is durable here: make that fact durable,
 	// and call CompletenessPersisted.
 	PersistCompleteness bool
 }
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -35,7 +35,7 @@
 	}
 	r.takeEntries(m.Entries)
 	r.viewLog.received = max(r.viewLog.received, m.PrevIndex+uint64(len(m.Entries)))
-	r.viewLog.durableBefore = max(r.viewLog.durableBefore, m.Synced)
+	r.viewLog.durableBefore = max(r.viewLog.durableBefore, m.DurableIndex)
 	r.viewLog.start, r.viewLog.startKnown = m.ViewStart, true
 	r.reads.passing = append(r.reads.passing, m.PendingReads...)
 	if len(m.Entries) > 0 || len(m.PendingReads) > 0 {
@@ -62,12 +62,12 @@
 
 // rejectAppend tells the predecessor that the entry before those of an Append is not here.
 func (r *Replica) rejectAppend(m *Append) {
-	r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, Received: r.lastCommonIndex(m.PrevIndex),
+	r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, ReceivedIndex: r.lastCommonIndex(m.PrevIndex),
 		Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.log.commitIndex}})
 }
 
 // lastCommonIndex returns up to where the log here may be the predecessor's too, where it is not at the index. A
-// whole epoch is passed over at once, so that a long suffix costs one message an epoch.
+// whole epoch is skipped at once, so that a long differing suffix costs one message an epoch.
 func (r *Replica) lastCommonIndex(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
@@ -88,7 +88,7 @@
 		if r.successor.rewind(m) {
 			r.sendDue = true
 		}
-	} else if r.successor.acknowledge(m.Received) {
+	} else if r.successor.acknowledge(m.ReceivedIndex) {
 		r.sendDue = true
 		r.maybeCompact()
 	}
--- a/coordination/chain/replica.go
+++ b/coordination/chain/replica.go
@@ -10,7 +10,7 @@
 // Invariants, which the tests check in simulations of losses, late messages and planted faults:
 //
 //   - An entry is committed only when every writer of the view has it durable, and never in a chain that has fewer
-//     members than the minimum. So each later view, headed by a former writer with its whole log, has it too.
+//     members than the minimum. So each later view, headed by a former writer with its complete log, has it too.
 //   - Two replicas never commit different entries at one index. A replica whose log is contradicted where it is known
 //     to be committed stops taking part (Divergence) instead of dropping either history.
 //   - A read is answered from a state that holds all that was committed when the read was asked.
@@ -84,7 +84,7 @@
 // IsMember reports whether this replica is part of the chain.
 func (r *Replica) IsMember() bool { return r.position >= 0 }
 
-// IsComplete reports whether the whole log with which the view began is durable here.
+// IsComplete reports whether the complete log with which the view began is durable here.
 func (r *Replica) IsComplete() bool { return r.viewLog.complete }
 
 // IsServing reports whether the replica's state follows what is committed: it is a complete member of a chain that is
--- a/coordination/chain/send.go
+++ b/coordination/chain/send.go
@@ -3,7 +3,7 @@
 // Bounds of what is sent to the successor.
 const (
 	// maxBatch is how many bytes of entries one Append, or one catch-up message, holds at most; the entry that
-	// crosses the bound is still in it. Heartbeats wait behind a message on its connection, so it is kept short.
+	// crosses the bound is still in it. Heartbeats wait for a message on its connection, so a message is kept short.
 	maxBatch = 256 << 10
 	// maxInFlight is how many bytes of entries may be sent without an acknowledgement. What is beyond it waits, so
 	// that a successor that has to rewind does not get megabytes for nothing.
@@ -18,7 +18,7 @@
 	}
 	r.successor.idleTicks++
 	if r.successor.idleTicks >= retransmitTicks && r.successor.acked < r.log.lastIndex() {
-		r.successor.resend(r.log.commitIndex)
+		r.successor.retransmit(r.log.commitIndex)
 		r.successor.idleTicks, r.successor.rewound = 0, false
 	}
 	r.sendDue = true
@@ -27,7 +27,7 @@
 // Reconnected notes that messages to a member may have been lost.
 func (r *Replica) Reconnected(member MemberID) {
 	if member == r.successorID() {
-		r.successor.resend(r.log.commitIndex)
+		r.successor.retransmit(r.log.commitIndex)
 		r.sendDue = true
 	}
 	if member == r.predecessorID() {
@@ -35,10 +35,10 @@
 	}
 }
 
-// sendAck tells the predecessor what is received and committed here, if that is due.
+// sendAck notifies the predecessor of what is received and committed here, if that is due.
 func (r *Replica) sendAck() {
 	if r.ackDue && r.predecessorID() != 0 && r.divergence == nil {
-		r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, Received: r.viewLog.received,
+		r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, ReceivedIndex: r.viewLog.received,
 			CommitIndex: r.log.commitIndex, ConfirmedReads: r.reads.toPredecessor}})
 		r.reads.toPredecessor = nil
 	}
@@ -72,13 +72,13 @@
 func (r *Replica) nextAppend() *Append {
 	next := r.successor.next
 	message := &Append{Epoch: r.view.Epoch, PrevIndex: next - 1, PrevEpoch: r.log.epochAt(next - 1),
-		Synced: r.durableInChain(), ViewStart: r.viewLog.start, PendingReads: r.reads.passing,
+		DurableIndex: r.durableInChain(), ViewStart: r.viewLog.start, PendingReads: r.reads.passing,
 		ConfirmedReads: r.reads.toFollowers}
 	if r.isTail() || r.isFollower() {
 		message.CommitIndex = r.log.commitIndex
 	}
 	r.reads.passing, r.reads.toFollowers = nil, nil
-	r.successor.notifiedDurable = message.Synced
+	r.successor.notifiedDurable = message.DurableIndex
 	size := 0
 	for r.successor.next <= r.viewLog.received && size < maxBatch && r.successor.bytesInFlight(&r.log) <= maxInFlight {
 		entry := r.log.entry(r.successor.next)
--- a/coordination/chain/successor.go
+++ b/coordination/chain/successor.go
@@ -6,10 +6,10 @@
 	acked uint64 // the successor's log is known to be this one up to here; 0: not known
 	// idleTicks counts ticks since acked last rose.
 	idleTicks int
-	// rewound: the successor has rejected an Append, and next went back to the entry behind rewoundTo.
+	// rewound: the successor has rejected an Append, and next went back to the entry after rewoundTo.
 	rewound   bool
 	rewoundTo uint64
-	// notifiedDurable is the index up to which the successor was told that all members before it are durable.
+	// notifiedDurable is the index up to which the successor was notified that all members before it are durable.
 	notifiedDurable uint64
 	refused         bool // the successor takes no part in the view, see Divergence
 	inflight        inflight
@@ -32,13 +32,13 @@
 	if p.rewound && ack.RejectedIndex > p.rewoundTo {
 		return false
 	}
-	p.rewound, p.rewoundTo = true, ack.Received
-	p.next, p.acked, p.idleTicks = ack.Received+1, 0, 0
+	p.rewound, p.rewoundTo = true, ack.ReceivedIndex
+	p.next, p.acked, p.idleTicks = ack.ReceivedIndex+1, 0, 0
 	return true
 }
 
-// resend lets everything go out again behind what the successor has acknowledged, or is committed and so must be there.
-func (p *successorProgress) resend(commitIndex uint64) { p.next = max(p.acked, commitIndex) + 1 }
+// retransmit goes back to what the successor has acknowledged, or what is committed and so must be there.
+func (p *successorProgress) retransmit(commitIndex uint64) { p.next = max(p.acked, commitIndex) + 1 }
 
 // truncate follows the log, from which the entries from an index on were dropped.
 func (p *successorProgress) truncate(from uint64) {
@@ -52,9 +52,9 @@
 	p.inflight = inflight{}
 }
 
-// inflight is the sum of the bytes of the entries behind one index and before another.
+// inflight is the sum of the bytes of the entries after one index and before another.
 type inflight struct {
-	behind uint64
+	after  uint64
 	before uint64
 	bytes  int
 }
@@ -64,11 +64,11 @@
 func (p *successorProgress) bytesInFlight(log *replicaLog) int {
 	first := max(p.acked, log.snapshotIndex)
 	f := &p.inflight
-	if f.behind < log.snapshotIndex || f.behind > first || f.before > p.next || f.before <= first {
-		*f = inflight{behind: first, before: first + 1}
+	if f.after < log.snapshotIndex || f.after > first || f.before > p.next || f.before <= first {
+		*f = inflight{after: first, before: first + 1}
 	}
-	for ; f.behind < first; f.behind++ {
-		f.bytes -= len(log.entry(f.behind + 1).Data)
+	for ; f.after < first; f.after++ {
+		f.bytes -= len(log.entry(f.after + 1).Data)
 	}
 	for ; f.before < p.next; f.before++ {
 		f.bytes += len(log.entry(f.before).Data)
--- a/coordination/frame/slowlink_test.go
+++ b/coordination/frame/slowlink_test.go
@@ -31,7 +31,7 @@
 			time.Sleep(time.Second)
 			far.SetDeadline(time.Now().Add(time.Millisecond))
 			if _, err := far.Write([]byte{0}); err == nil { // a part of a header, too late
-				t.Error("a byte was taken behind the silence")
+				t.Error("a byte was taken after the silence")
 			}
 		}()
 		message, err := conn.Receive(150 * time.Millisecond)
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -1,12 +1,12 @@
-// Package gossip is what dispatchers tell each other in datagrams: how much each has in use at every worker. A message
-// costs its bytes at every receiver, so it is as short as can be, 10 bytes and 5 a worker, and a dispatcher that has
-// nothing in use and nothing new sends nothing. Messages hold 256 bytes at most and may be lost, late, duplicated, out
-// of order or garbled, so each says all that its sender knows (or a part, in turn, where that is too long), and a later
-// one takes an earlier one's place whatever comes first. They are hints: no promise may rest on them, and a dispatcher
-// that hears none goes by what it sees itself.
+// Package gossip is how dispatchers inform each other in datagrams of how much each has in use at every worker. A
+// message costs its bytes at every receiver, so it is as short as can be, 10 bytes and 5 a worker, and a dispatcher
+// that has nothing in use and nothing new sends nothing. Messages hold 256 bytes at most and may be lost, late,
+// duplicated, out of order or garbled, so each says all that its sender knows (or a part, in turn, where that is too
+// long), and a later one takes an earlier one's place whatever comes first. They are hints: no promise may rest on
+// them, and a dispatcher that hears none goes by what it sees itself.
 //
 // A dispatcher's process is its number and an incarnation, by which a restart and a second process of the same
-// dispatcher are told apart. What a process has said counts until it has been silent for four heartbeats.
+// dispatcher are distinguished. What a process has reported counts until it has been silent for four heartbeats.
 //
 // The package owns the form of a message, the merge, and the age of each report. It has no I/O, clock or randomness:
 // time is handed in. It must never decide where a job goes.
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// reportedSlots returns the slots that a participant has been told of at a worker.
+// reportedSlots returns the slots that others have reported to a participant for a worker.
 func reportedSlots(p *Participant, now time.Duration, subject uint32) float64 {
 	return p.PeerUsage(now, subject).Slots
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// More workers than one message holds are told of in turn.
+// More workers than one message holds are reported in turn.
 func TestUsagesBeyondOneMessageGoInTurn(t *testing.T) {
 	var usages []Usage
 	for i := range 3*maxUsages - 5 {
@@ -116,7 +116,7 @@
 	}
 	for _, w := range usages {
 		if reportedSlots(p, 3*minGap, w.WorkerHash) != 1 {
-			t.Fatalf("worker %d was not told of", w.WorkerHash)
+			t.Fatalf("worker %d was not reported", w.WorkerHash)
 		}
 	}
 	if p.Receive(4*minGap, one.NextMessage(4*minGap, nil)); reportedSlots(p, 4*minGap, 1) != 0 {
@@ -153,7 +153,7 @@
 }
 
 // What is garbled, cut, of another version or longer than allowed is dropped; a newer
-// sender's bytes behind the usages are skipped. Forged messages can't fill the memory.
+// sender's bytes after the usages are skipped. Forged messages can't fill the memory.
 func TestGarbledMessagesAreDropped(t *testing.T) {
 	sealed := func(m []byte) []byte { return binary.LittleEndian.AppendUint16(m, checksum(m)) }
 	good := New(1, 3, 1).NextMessage(0, []Usage{{WorkerHash: 7, Slots: 1}})
--- a/coordination/gossip/message.go
+++ b/coordination/gossip/message.go
@@ -93,5 +93,5 @@
 	return uint16(sum ^ sum>>16)
 }
 
-// scaled rounds up, so that a little is never told as nothing.
+// scaled rounds up, so that a little is never reported as nothing.
 func scaled(value, unit float64) byte { return byte(min(math.Ceil(max(value, 0)*unit), 255)) }
--- a/coordination/segment/record.go
+++ b/coordination/segment/record.go
@@ -7,7 +7,7 @@
 
 // Form of a record.
 const (
-	// recordHeaderBytes are those before a record's data: length (with the header), checksum of all behind it,
+	// recordHeaderBytes are those before a record's data: length (with the header), checksum of all after it,
 	// sequence of the segment and incarnation of the writer, 4 bytes each; index, epoch and commit index, 8 each.
 	recordHeaderBytes = 40
 	// maxRecordBytes is more than any record has; a longer one is a length that was never written.
--- a/coordination/segment/recovery.go
+++ b/coordination/segment/recovery.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// load reads what the slots and the ring hold, and lets the ring go on behind its last record.
+// load reads what the slots and the ring hold, and lets the ring continue after its last record.
 func (s *Store) load() (*Recovered, error) {
 	recovered := &Recovered{
 		Fresh:    s.metadata.sequence == 0,
@@ -23,7 +23,7 @@
 		return nil, errors.Trace(err)
 	}
 	s.incarnation = max(s.incarnation, scan.incarnation)
-	records, err := scan.behindSnapshot(s.ring, s.snapshot.epoch)
+	records, err := scan.afterSnapshot(s.ring, s.snapshot.epoch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// readSegment reads the records of one segment, and returns the offset behind the last one.
+// readSegment reads the records of one segment, and returns the offset after the last one.
 func (s *scan) readSegment(from *segment, size int64) (int64, error) {
 	content := make([]byte, size)
 	if _, err := from.file.ReadAt(content, 0); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// add takes a record in, in the place of one with its index and of all behind that: the log was truncated there. It
+// add takes a record in, in the place of one with its index and of all after that: the log was truncated there. It
 // reports false where a record is missing before it.
 func (s *scan) add(record Record) bool {
 	for len(s.records) > 0 && s.records[len(s.records)-1].Index >= record.Index {
@@ -92,8 +92,8 @@
 	return true
 }
 
-// behindSnapshot returns the records that the snapshot does not cover.
-func (s *scan) behindSnapshot(r *ring, snapshotEpoch uint64) ([]Record, error) {
+// afterSnapshot returns the records that the snapshot does not cover.
+func (s *scan) afterSnapshot(r *ring, snapshotEpoch uint64) ([]Record, error) {
 	first := 0
 	for first < len(s.records) && s.records[first].Index <= s.covered {
 		first++
@@ -103,7 +103,7 @@
 		return nil, nil // left over from before the snapshot of another replica was installed
 	}
 	if len(records) > 0 && records[0].Index != s.covered+1 {
-		return nil, &CorruptionError{r.active.name, 0, "entries behind the snapshot are missing"}
+		return nil, &CorruptionError{r.active.name, 0, "entries after the snapshot are missing"}
 	}
 	return records, nil
 }
--- a/coordination/segment/segment.go
+++ b/coordination/segment/segment.go
@@ -7,7 +7,7 @@
 //
 //   - What Sync, SaveSnapshot, InstallSnapshot or SaveMetadata has returned for without an error is recovered by Open.
 //   - A segment is written over only once the newest durable snapshot covers all records in it.
-//   - Records are recovered without a gap behind the snapshot, or Open fails with a CorruptionError.
+//   - Records are recovered without a gap after the snapshot, or Open fails with a CorruptionError.
 //
 // The package never decides what is committed or when to take a snapshot, and it does not retry: RetryingFolder does,
 // while a store is opened.
@@ -49,7 +49,7 @@
 	Fresh    bool // nothing was there: the disk is new, or was lost
 	Metadata []byte
 	Snapshot Snapshot
-	Records  []Record // those behind the snapshot, without a gap
+	Records  []Record // those after the snapshot, without a gap
 	// CommitIndex is the newest index that is known to be committed.
 	CommitIndex uint64
 }
--- a/coordination/segment/slots.go
+++ b/coordination/segment/slots.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// slotHeaderBytes are those of a slot: magic, length of the data, checksum of all behind it, 4 bytes of zeros, then
+// slotHeaderBytes are those of a slot: magic, length of the data, checksum of all after it, 4 bytes of zeros, then
 // sequence, index and epoch of 8 bytes each. All numbers are little-endian.
 const slotHeaderBytes = 40
 
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// read takes over the content of one slot where it is whole and newer.
+// read takes over the content of one slot if it is intact and newer.
 func (s *slotPair) read(slot int) error {
 	size, err := s.files[slot].Size()
 	if err != nil {
--- a/coordination/segment/store.go
+++ b/coordination/segment/store.go
@@ -12,7 +12,7 @@
 	ring     *ring
 	snapshot *slotPair
 	metadata *slotPair
-	// incarnation numbers the processes that have opened this store. A record of an earlier one behind one of a later
+	// incarnation numbers the processes that have opened this store. A record of an earlier one after one of a later
 	// one is left over from before the later process went on at this place.
 	incarnation uint32
 
@@ -54,7 +54,7 @@
 	return s, recovered, nil
 }
 
-// Append writes records behind what is there, without syncing them. After an error the same records may be written
+// Append writes records after what is there, without syncing them. After an error the same records may be written
 // again. It fails with ErrFull where no segment is free.
 func (s *Store) Append(records []Record) error {
 	s.buffer, s.bufferedLast = s.buffer[:0], 0
--- a/coordination/view/consensus.go
+++ b/coordination/view/consensus.go
@@ -8,10 +8,10 @@
 	// elector yet.
 	InitialMember  bool   `cbor:"2,keyasint,omitempty"`
 	View           View   `cbor:"3,keyasint"` // in force
-	PromisedBallot Ballot `cbor:"4,keyasint"` // for the epoch behind View
+	PromisedBallot Ballot `cbor:"4,keyasint"` // for the epoch after View
 	AcceptedBallot Ballot `cbor:"5,keyasint"`
 	AcceptedView   *View  `cbor:"6,keyasint,omitempty"`
-	CompleteEpoch  uint64 `cbor:"7,keyasint,omitempty"` // last epoch in which this member had the chain's whole log
+	CompleteEpoch  uint64 `cbor:"7,keyasint,omitempty"` // last epoch in which this member had the chain's complete log
 	// LastRound is the newest round of an own ballot. It is durable before the ballot leaves, so that no later
 	// incarnation of the member uses the ballot for another view.
 	LastRound uint64 `cbor:"8,keyasint,omitempty"`
@@ -60,7 +60,7 @@
 	return position >= 0 && position < view.WriterCount() && c.hardState.CompleteEpoch >= view.Chain[position].WriterSince
 }
 
-// MarkComplete enters that this member has the whole log of the view in force.
+// MarkComplete enters that this member has the complete log of the view in force.
 func (c *Consensus) MarkComplete(epoch uint64) {
 	if epoch == c.hardState.View.Epoch && epoch > c.hardState.CompleteEpoch {
 		c.hardState.CompleteEpoch = epoch
--- a/coordination/view/consensus_test.go
+++ b/coordination/view/consensus_test.go
@@ -72,7 +72,7 @@
 	if ready.Decided {
 		view := ready.HardState.View
 		text := fmt.Sprint(view)
-		if known, stands := c.decided[view.Epoch]; stands && known != text {
+		if known, exists := c.decided[view.Epoch]; exists && known != text {
 			c.violations = append(c.violations, fmt.Sprintf("epoch %d: %s and %s", view.Epoch, known, text))
 		}
 		c.decided[view.Epoch] = text
--- a/coordination/view/desired.go
+++ b/coordination/view/desired.go
@@ -26,17 +26,17 @@
 func (d *Detector) DesiredView(now time.Duration, view *View, restarted, unhealthy bool, commitIndex uint64) (*View, []MemberID) {
 	expected := d.aliveElectors(now, view)
 	if !view.IsElector(d.self.ID) || unhealthy || !view.isMajority(len(expected)) {
-		d.wantedSince = -1
+		d.wantedSince = notWanted
 		return nil, nil
 	}
 	desired := newViewPlan(d, now, view, commitIndex).build()
 	unchanged := sameMembers(desired.Chain, view.Chain) && sameMembers(desired.Electors, view.Electors)
 	// A member that has restarted takes no part in the view it was in, so even the same members need another one.
 	if unchanged && !restarted && !d.anyRestarted(now, view) {
-		d.wantedSince = -1
+		d.wantedSince = notWanted
 		return nil, nil
 	}
-	if d.wantedSince < 0 {
+	if d.wantedSince == notWanted {
 		d.wantedSince = now
 	}
 	if now-d.wantedSince < proposerStagger*time.Duration(d.proposerRank(now, view)) {
--- a/coordination/view/detector.go
+++ b/coordination/view/detector.go
@@ -28,6 +28,9 @@
 	steadyAfter = 300 * time.Millisecond
 )
 
+// notWanted stands for a time: the present view is as it should be. Times of the clock are never negative.
+const notWanted = time.Duration(-1)
+
 // peerState is what is known of another member.
 type peerState struct {
 	heartbeat  Heartbeat     // the latest
@@ -43,13 +46,13 @@
 	peers     map[MemberID]*peerState
 	minimum   int // members that a chain needs to commit anything
 	startedAt time.Duration
-	// wantedSince is since when another view has been wanted without a break; -1: none is.
+	// wantedSince is since when another view has been wanted without a break, or notWanted.
 	wantedSince time.Duration
 }
 
 // NewDetector returns a detector that has heard from nobody, for chains of at least minimum members.
 func NewDetector(self Member, now time.Duration, minimum int) *Detector {
-	return &Detector{self: self, minimum: minimum, peers: map[MemberID]*peerState{}, wantedSince: -1, startedAt: now}
+	return &Detector{self: self, minimum: minimum, peers: map[MemberID]*peerState{}, wantedSince: notWanted, startedAt: now}
 }
 
 // Leave notes that this member is shutting down gracefully: the others go on without it as soon as they can.
--- a/coordination/view/detector_test.go
+++ b/coordination/view/detector_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// newcomer lets a stranger and both other electors be heard, but for the silent one.
+// newcomer returns the view asked for while a stranger and both other electors are heard, but for the silent one.
 func newcomer(stranger Heartbeat, silent MemberID) *View {
 	members, view := threeMembers()
 	d := NewDetector(members[0], 0, 2)
--- a/coordination/view/explore_test.go
+++ b/coordination/view/explore_test.go
@@ -22,7 +22,7 @@
 	ballotReused  bool
 }
 
-// namedDelivery is a message in flight, with the text that tells it from others.
+// namedDelivery is a message in flight, with the text that identifies it.
 type namedDelivery struct {
 	delivery
 	text string
@@ -62,7 +62,7 @@
 	return copied
 }
 
-// key tells states apart. The order of messages in flight doesn't matter.
+// key identifies a state. The order of messages in flight doesn't matter.
 func (s *state) key() uint64 {
 	sum := fnv.New64a()
 	for id := MemberID(1); id <= 3; id++ {
@@ -216,7 +216,7 @@
 
 // explore tries all orders, depth first, and returns how many states there are, whether these are all, and whether
 // the invariants hold in each.
-func explore(b *bounds) (states int, all, sound bool) {
+func explore(b *bounds) (states int, all, holds bool) {
 	seen := map[uint64]bool{}
 	stack := []*state{newState(b)}
 	for len(stack) > 0 {
@@ -261,14 +261,15 @@
 // TestEveryOrderOfOneProposal tries every order of one proposal's messages, each of which may be lost, with a
 // restart of the proposer or of another member at any moment.
 func TestEveryOrderOfOneProposal(t *testing.T) {
-	states, all, sound := explore(&bounds{proposals: 1, restarts: 1, maxStates: 50_000})
-	if !sound || !all {
-		t.Errorf("%d states, all of them: %v, sound: %v", states, all, sound)
+	states, all, holds := explore(&bounds{proposals: 1, restarts: 1, maxStates: 50_000})
+	if !holds || !all {
+		t.Errorf("%d states, all of them: %v, invariants hold: %v", states, all, holds)
 	}
 	t.Logf("%d states", states)
 }
 
-// threeIncarnations are proposals of two incarnations of one member and of another member, with late messages of all of them.
+// threeIncarnations are proposals of two incarnations of one member and of another member, with late messages of all of
+// them.
 var threeIncarnations = bounds{proposals: 4, restarts: 2, maxStates: 4_000}
 
 // randomWalks is how many orders are tried at random.
@@ -276,7 +277,7 @@
 
 func TestRandomOrdersOfThreeIncarnations(t *testing.T) {
 	b := threeIncarnations
-	if _, _, sound := explore(&b); !sound {
+	if _, _, holds := explore(&b); !holds {
 		t.Error("broken, depth first")
 	}
 	for seed := range uint64(randomWalks) {
@@ -286,7 +287,8 @@
 	}
 }
 
-// TestPlantedBallotFaults shows that the walks find a ballot that two incarnations use, and promises that are forgotten.
+// TestPlantedBallotFaults shows that the walks find a ballot that two incarnations use, and promises that are
+// forgotten.
 func TestPlantedBallotFaults(t *testing.T) {
 	reused, forgotten := threeIncarnations, threeIncarnations
 	reused.reuseBallots, forgotten.forgetPromises, forgotten.restarts = true, true, 6
--- a/coordination/view/leaving_test.go
+++ b/coordination/view/leaving_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestLeavingMemberHandsItsCopyOver lets one of the two last copies stop in order while an empty machine has just come:
-// it stays until the newcomer is in the chain. Planted: it stops at once, and the other one is lost right after; then
-// nobody has the log any more.
-func TestLeavingMemberHandsItsCopyOver(t *testing.T) {
+// TestLeavingMemberHandsItsReplicaOver lets one of the two last replicas shut down gracefully while an empty machine has
+// just come: it stays until the newcomer is in the chain. Planted: it stops at once, and the other one is lost right
+// after; then nobody has the log any more.
+func TestLeavingMemberHandsItsReplicaOver(t *testing.T) {
 	const graceful, planted = 4 * time.Second, 0
 	play := func(within time.Duration) bool {
 		c := newTimedCluster(3, 1)
@@ -22,7 +22,7 @@
 		return keeps && c.canAcknowledge()
 	}
 	if !play(graceful) {
-		t.Error("a member that stops in order takes its copy with it")
+		t.Error("a member that shuts down gracefully takes its replica with it")
 	}
 	if play(planted) {
 		t.Error("a member that stops at once was not found")
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -161,8 +161,8 @@
 	return true
 }
 
-// receiveAccepted decides the proposed view once a majority has accepted it, and tells all members of the old and the
-// new view.
+// receiveAccepted decides the proposed view once a majority has accepted it, and notifies all members of the old and
+// the new view.
 func (c *Consensus) receiveAccepted(from MemberID, m *Accepted) {
 	p := c.proposal
 	if p == nil || p.view == nil || m.BaseEpoch != c.hardState.View.Epoch || m.Ballot != p.ballot ||
--- a/coordination/view/replication_test.go
+++ b/coordination/view/replication_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// viewOf returns a view of some members in which the first copies of them are writers since epoch 2.
-func viewOf(count, copies int) *View {
-	v := &View{Epoch: 7, ReplicationFactor: copies}
+// viewOf returns a view of some members in which so many at the front are writers since epoch 2.
+func viewOf(count, writers int) *View {
+	v := &View{Epoch: 7, ReplicationFactor: writers}
 	for id := MemberID(1); id <= MemberID(count); id++ {
 		v.Chain = append(v.Chain, Member{ID: id, WriterSince: 2})
 	}
@@ -12,15 +12,15 @@
 	return v
 }
 
-// Every majority of the electors has a copy of each entry, and there are as many as losses ask for.
+// Every majority of the electors has a replica of each entry, and there are as many as losses ask for.
 func TestReplicationFactor(t *testing.T) {
 	for _, c := range []struct{ least, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5}, {1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
 		got := replicationFactor(c.least, c.electors)
 		if got != c.want {
-			t.Errorf("%d electors, %d copies at least: %d, want %d", c.electors, c.least, got, c.want)
+			t.Errorf("%d electors, %d replicas at least: %d, want %d", c.electors, c.least, got, c.want)
 		}
 		if majority := c.electors/2 + 1; got+majority <= c.electors {
-			t.Errorf("%d electors: a majority may have none of %d copies", c.electors, got)
+			t.Errorf("%d electors: a majority may have none of %d replicas", c.electors, got)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 
 // Where all writers are gone, nobody heads another view, though a majority of the electors is there.
 func TestNoViewWithoutAWriter(t *testing.T) {
-	base := viewOf(9, 4) // too few copies for a majority to have one for certain
+	base := viewOf(9, 4) // too few replicas for a majority to have one for certain
 	desired := View{Chain: base.Chain[4:], Electors: base.Electors}
 	if next := nextOf(t, base, desired, 1, 2, 3, 4); next != nil {
 		t.Errorf("a view without any writer: %v", next)
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -9,7 +9,7 @@
 //
 //   - No two members put different views in force under one epoch.
 //   - No two views are ever asked to be accepted under one ballot of an epoch, also by two incarnations of a member.
-//   - Each view after the first is headed by a writer of the view before that had its whole log. So the head has all
+//   - Each view after the first is headed by a writer of the view before that had its complete log. So the head has all
 //     that was ever acknowledged.
 //
 // Safety rests on Paxos and on what HardState makes durable, never on the detector: a wrong suspicion costs a view.
--- a/internal/control/protocol/compression.go
+++ b/internal/control/protocol/compression.go
@@ -74,5 +74,5 @@
 	return updates
 }
 
-// isByteString tells a CBOR byte string from other items by its major type.
+// isByteString distinguishes a CBOR byte string from other items by its major type.
 func isByteString(item cbor.RawMessage) bool { return len(item) > 0 && item[0]>>5 == 2 }
--- a/internal/control/protocol/messages.go
+++ b/internal/control/protocol/messages.go
@@ -29,14 +29,14 @@
 	Incarnation uint64 `cbor:"3,keyasint"` // of the dispatcher's process
 	// ConfigVersion is the version of the configuration that the dispatcher has, so that it need not be sent again.
 	ConfigVersion int64 `cbor:"4,keyasint,omitempty"`
-	// AcknowledgesBytes says that the dispatcher tells how much it has received, so that what is not urgent may wait
+	// AcknowledgesBytes says that the dispatcher reports how much it has received, so that what is not urgent may wait
 	// for that.
 	AcknowledgesBytes bool `cbor:"5,keyasint,omitempty"`
 }
 
 // TaggedCommand is a command with the dispatcher's name for it, which its Outcome repeats.
 type TaggedCommand struct {
-	Tag     uint64          `cbor:"1,keyasint"` // rises over the life of the dispatcher's process
+	Tag     uint64          `cbor:"1,keyasint"` // rises for as long as the dispatcher's process runs
 	Command cbor.RawMessage `cbor:"3,keyasint"` // a statemachine.Command
 }
 
