--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -60,9 +60,8 @@
 	return addresses
 }
 
-// exclusionReason returns why a desired view leaves a member out of the chain. Beside members with a fault, which the
-// detector names, it leaves out one whose address a newcomer with an empty disk has taken over, and those that have
-// announced a graceful shutdown.
+// exclusionReason returns why a desired view leaves a member out of the chain: a fault or a graceful shutdown, which the
+// detector knows, or a newcomer with an empty disk that has taken over the member's address. It is never empty.
 func (m *membership) exclusionReason(now time.Duration, desired *view.View, member view.Member) string {
 	if reason := m.detector.ExclusionReason(now, member.ID); reason != "" {
 		return reason
@@ -72,7 +71,7 @@
 			return "replaced by a newcomer at its address"
 		}
 	}
-	return "graceful shutdown"
+	return "not in the desired view"
 }
 
 // canServe reports whether this replica follows what is committed and is in touch with a quorum, so that what it answers
--- a/internal/control/server/membership_test.go
+++ b/internal/control/server/membership_test.go
@@ -68,16 +68,18 @@
 	newcomer := view.Member{ID: 9, Address: member.Address}
 	for name, c := range map[string]struct {
 		heard   bool
+		leaving bool
 		desired view.View
 		want    string
 	}{
-		"a member that was never heard":                   {false, view.View{Electors: []view.Member{member}}, "never heard"},
-		"a member that has announced a graceful shutdown": {true, view.View{Electors: []view.Member{member}}, "graceful shutdown"},
-		"a member whose disk was replaced":                {true, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
+		"a member that was never heard":                   {false, false, view.View{Electors: []view.Member{member}}, "never heard"},
+		"a member that has announced a graceful shutdown": {true, true, view.View{Electors: []view.Member{member}}, "is shutting down"},
+		"a member whose disk was replaced":                {true, false, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
+		"a member left out for no reason of its own":      {true, false, view.View{Electors: []view.Member{member}}, "not in the desired view"},
 	} {
 		s := serverInView(t, true, true)
 		if c.heard {
-			s.membership.detector.ReceiveHeartbeat(0, view.Heartbeat{From: member, Leaving: true,
+			s.membership.detector.ReceiveHeartbeat(0, view.Heartbeat{From: member, Leaving: c.leaving,
 				HeardFrom: []view.MemberID{s.membership.self().ID}})
 		}
 		if got := s.membership.exclusionReason(0, &c.desired, member); got != c.want {
