--- a/internal/control/statemachine/commands.go
+++ b/internal/control/statemachine/commands.go
@@ -6,10 +6,12 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// SessionID names a dispatcher's session: one life of its process, as long as it keeps in touch.
-type SessionID = uint64
-
-// Command is one change or read of the replicated state; exactly one field is set.
+// Command is one change or read of the replicated state; exactly one of its pointers is set. Dispatchers and the
+// control machine at the head of the chain make commands; the log keeps them until a snapshot includes them.
+//
+// Commands that ask for something are named by the verb (SubmitJob, PlaceTasks), those that report a fact by the fact
+// (RunEnded, WorkerEnded). Senders send a command again until they know its outcome, so each must be one that may be
+// applied twice.
 type Command struct {
 	OpenSession      *OpenSession        `cbor:"1,keyasint,omitempty"`
 	CloseSession     *CloseSession       `cbor:"2,keyasint,omitempty"`
@@ -28,69 +30,57 @@
 	JobsStarted      *JobsStarted        `cbor:"12,keyasint,omitempty"`
 	WorkerEnded      *WorkerEnded        `cbor:"13,keyasint,omitempty"`
 
-	// Session, Number and Settled fence a dispatcher's command against copies of it that come late: the session
-	// that sent it, its number among those of the session, and up to which number the session waits for no
-	// outcome any more. A command of a control machine has none of them.
+	// Session, Sequence and AcknowledgedThrough fence a dispatcher's command against duplicates that are delivered
+	// late, as in Ongaro's thesis on Raft, section 6.3: the session that sent it, its number among the commands of
+	// that session, and the number up to which the session waits for no outcome any more. A command of a control
+	// machine has none of them.
 	Session             SessionID `cbor:"30,keyasint,omitempty"`
 	Sequence            uint64    `cbor:"31,keyasint,omitempty"`
 	AcknowledgedThrough uint64    `cbor:"32,keyasint,omitempty"`
 }
 
-// IsRead reports whether the command changes nothing.
-func (c *Command) IsRead() bool {
-	return c.ReadJob != nil || c.ReadQueue != nil || c.ReadConfig != nil
-}
-
-// OpenSession begins a session. A session of the same node that is still open is over by that.
+// OpenSession opens a session for an incarnation of a dispatcher, and closes an open session of the same node. The
+// control machine to which the dispatcher connects sends it.
 type OpenSession struct {
-	Node        string `cbor:"1,keyasint"`
-	Zone        string `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"` // drawn by the process at its start: the same life finds its own session
-	// ExpectedLatest is the node's newest session when the command was sent, 0 where there was none. A command behind
-	// another one is late: it must not end the session of a later life.
+	Node string `cbor:"1,keyasint"`
+	Zone string `cbor:"2,keyasint"`
+	// Incarnation is drawn at random by the process at its start. The same incarnation finds the session it has.
+	Incarnation uint64 `cbor:"3,keyasint"`
+	// ExpectedLatest is the node's latest session when the command was sent, 0 where there was none. A command that
+	// expects another one is delayed: it must not close the session of a later incarnation.
 	ExpectedLatest SessionID `cbor:"4,keyasint,omitempty"`
 }
 
-// CloseSession ends a session; its jobs and workers get other owners.
+// CloseSession closes a session and gives its jobs and workers other owners. The dispatcher sends it when it shuts
+// down, and the head of the chain once a session's heartbeats have stopped.
 type CloseSession struct {
 	Session SessionID `cbor:"1,keyasint"`
 }
 
-// Instance is a worker as the platform's list names it.
-type Instance struct {
-	ID          string        `cbor:"1,keyasint"`
-	Service     string        `cbor:"2,keyasint"`
-	Address     string        `cbor:"3,keyasint"`
-	Zone        string        `cbor:"4,keyasint"`
-	Labels      []string      `cbor:"5,keyasint,omitempty"`
-	Capacity    job.Resources `cbor:"6,keyasint"`
-	Draining    bool          `cbor:"7,keyasint,omitempty"`
-	RemainingMs int64         `cbor:"8,keyasint,omitempty"` // least time that remains to one that drains, ms
-}
-
-// InstancesChanged carries changes of the platform's list, read by the session that is the reader. The list tells which
-// workers may be given work. It proves no worker to be over: it lags, and names the dead beside the living.
+// InstancesChanged reports how the platform's instance list differs from the state. The session that is the
+// InstanceReader sends it. The list says which workers may be given tasks. It does not prove that a worker has ended:
+// it lags, and for some seconds names a crashed worker beside its successor.
 type InstancesChanged struct {
 	Reader  SessionID  `cbor:"1,keyasint"`
-	Changed []Instance `cbor:"2,keyasint,omitempty"`
-	Removed []string   `cbor:"3,keyasint,omitempty"` // that are not listed any more
-	// Sequence numbers what one reader has read, rising: an earlier reading that comes late changes nothing.
+	Changed []Instance `cbor:"2,keyasint,omitempty"` // new, or listed with other values
+	Removed []string   `cbor:"3,keyasint,omitempty"` // IDs of workers that are no longer listed
+	// Sequence numbers the reports of one reader, rising: an earlier one that is delivered late changes nothing.
 	Sequence uint64 `cbor:"4,keyasint"`
 }
 
-// WorkerEnded tells that a worker's life is over: its owner was answered by another life at the address. Its runs
-// are lost.
+// WorkerEnded reports proof that a worker's incarnation has ended: its owner was answered by another incarnation at
+// the same address. The worker's runs are lost.
 type WorkerEnded struct {
 	Worker string `cbor:"1,keyasint"`
-	Token  uint64 `cbor:"2,keyasint"` // of the owner that found it out
+	Token  uint64 `cbor:"2,keyasint"` // fencing token of the owner that has the proof
 }
 
-// SubmitJob hands in a job.
+// SubmitJob accepts a job for scheduling. The dispatcher that received the client's request sends it.
 type SubmitJob struct {
 	Job job.Job `cbor:"1,keyasint"`
 }
 
-// CancelJob cancels a job.
+// CancelJob cancels a job that is not terminal yet. The dispatcher that received the client's request sends it.
 type CancelJob struct {
 	Job string `cbor:"1,keyasint"`
 }
@@ -99,24 +89,26 @@
 type Target struct {
 	Task   job.TaskKey `cbor:"1,keyasint"`
 	Worker string      `cbor:"2,keyasint"`
-	// Alternatives are workers that are as good, tried in order where the first one has no room any more. They
-	// count for a single target alone.
+	// Alternatives are workers that suit the task as well, tried in order where Worker can't take it. They count for
+	// a command with a single target alone.
 	Alternatives []string `cbor:"3,keyasint,omitempty"`
 }
 
-// PlaceTasks reserves room for tasks of one job, for all of them or for none.
+// PlaceTasks reserves capacity for tasks of one step of a job, for all targets or for none. The session that owns the
+// job sends it.
 type PlaceTasks struct {
 	Session SessionID `cbor:"1,keyasint"`
 	Job     string    `cbor:"2,keyasint"`
 	Targets []Target  `cbor:"3,keyasint"`
 }
 
-// JobsStarted tells of which jobs a task has begun.
+// JobsStarted reports jobs of which a task has started at a worker. The owners of the workers send it.
 type JobsStarted struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// StopRun asks for the end of a run, by the job's owner; the task is placed again afterwards.
+// StopRun asks for the end of a run, and of the runs of its whole gang. It is for the job's owner, which
+// places the task again once the run has ended; dispatchers of this version stop nothing by themselves.
 type StopRun struct {
 	Session SessionID   `cbor:"1,keyasint"`
 	Job     string      `cbor:"2,keyasint"`
@@ -124,18 +116,18 @@
 	Run     uint64      `cbor:"4,keyasint"`
 }
 
-// Configure puts a configuration in force. It brings the whole body, or a patch of the body of version Match
-// with the digest of what it makes.
+// Configure puts a configuration in force that an operator has sent. It brings the whole body, or a patch of the body
+// of BaseVersion with the digest of what the patch makes.
 type Configure struct {
 	Version     int64        `cbor:"1,keyasint"`
-	BaseVersion int64        `cbor:"2,keyasint"`
+	BaseVersion int64        `cbor:"2,keyasint"` // the operator's If-Match: the version on which this one builds
 	Body        []byte       `cbor:"3,keyasint,omitempty"`
 	Patch       *patch.Patch `cbor:"4,keyasint,omitempty"`
-	Digest      []byte       `cbor:"5,keyasint,omitempty"` // SHA-256, beside a patch
+	Digest      []byte       `cbor:"5,keyasint,omitempty"` // SHA-256 of the body, set where Patch is
 }
 
-// AdvanceClock tells that a span of time has passed; jobs that were over long ago are forgotten. Count numbers the
-// spans, so that one that is told twice or late counts once.
+// AdvanceClock reports that one tick of the clock has passed; the head of the chain sends it, and says how long a tick
+// is. Tick numbers the ticks, so that one that is delivered twice or late counts once.
 type AdvanceClock struct {
 	Tick uint64 `cbor:"1,keyasint"`
 }
@@ -145,33 +137,10 @@
 	Job string `cbor:"1,keyasint"`
 }
 
-// ReadQueue asks of how many jobs of a queue no task has begun.
+// ReadQueue asks how many jobs of a route have no task that has started.
 type ReadQueue struct {
-	Route string `cbor:"1,keyasint"`
+	Route string `cbor:"1,keyasint"` // host and path prefix
 }
 
-// ReadConfig asks for the newest configuration.
+// ReadConfig asks for the configuration in force.
 type ReadConfig struct{}
-
-// Code is the outcome of a command.
-type Code uint8
-
-// Outcomes of commands.
-const (
-	OK       Code = iota
-	Conflict      // another version, another placement, another owner
-	NoCapacity
-	NotFound
-	Invalid
-	Stale   // the session that sent it is over, or does not wait for its outcome any more
-	Unknown // whether it was carried out is not known any more
-)
-
-// Result answers a command.
-type Result struct {
-	Code     Code      `cbor:"1,keyasint,omitempty"`
-	Session  SessionID `cbor:"2,keyasint,omitempty"`
-	JobState job.State `cbor:"3,keyasint,omitempty"`
-	Count    int       `cbor:"4,keyasint,omitempty"`
-	Body     []byte    `cbor:"5,keyasint,omitempty"`
-}
--- a/internal/control/statemachine/configurations.go
+++ b/internal/control/statemachine/configurations.go
@@ -7,26 +7,29 @@
 	"yardflow/internal/control/patch"
 )
 
-// maxConfigDigests is how many configurations are remembered as acknowledged: some minutes of changes in quick
-// succession, in 50 KB of state. A change that was acknowledged before and is sent again gets no clear answer.
+// maxConfigDigests is for how many configurations the state remembers that they were acknowledged: minutes of changes in
+// quick succession, in 50 KB of state. An older one that is sent again gets Unknown, since it can't be told whether it
+// was ever in force.
 const maxConfigDigests = 1024
 
+// digest returns the SHA-256 of a configuration's body, by which one that is sent again is recognised.
 func digest(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return sum[:]
 }
 
-// NewConfigure returns the command that puts a body in force on top of a version: as a patch where that version
-// is the present one here.
-func (f *FSM) NewConfigure(version, match int64, body []byte) *Configure {
-	if match != f.ConfigVersion || match == 0 {
-		return &Configure{Version: version, BaseVersion: match, Body: body}
+// NewConfigure returns the command that puts a body in force on top of baseVersion: as a patch where that is the
+// version in force here, else as a whole.
+func (f *FSM) NewConfigure(version, baseVersion int64, body []byte) *Configure {
+	if baseVersion != f.ConfigVersion || baseVersion == 0 {
+		return &Configure{Version: version, BaseVersion: baseVersion, Body: body}
 	}
-	made := patch.Diff(f.ConfigBody, body)
-	return &Configure{Version: version, BaseVersion: match, Patch: &made, Digest: digest(body)}
+	change := patch.Diff(f.ConfigBody, body)
+	return &Configure{Version: version, BaseVersion: baseVersion, Patch: &change, Digest: digest(body)}
 }
 
-// configure puts a configuration in force. One that was acknowledged is acknowledged again.
+// configure puts a configuration in force that builds on the present one. One that was in force before is acknowledged
+// again, also where another one is in force by now: its operator never got the answer.
 func (f *FSM) configure(command *Configure) Result {
 	sum := command.Digest
 	if command.Patch == nil {
@@ -44,14 +47,8 @@
 	if command.Version <= f.ConfigVersion {
 		return Result{Code: Invalid}
 	}
-	body := command.Body
-	change := command.Patch
-	if change == nil {
-		made := patch.Diff(f.ConfigBody, body)
-		change = &made
-	} else if made, fits := change.Apply(f.ConfigBody); fits {
-		body = made
-	} else {
+	body, change, ok := f.bodyAndPatch(command)
+	if !ok {
 		return Result{Code: Unknown}
 	}
 	f.notifyAll(Update{Config: &ConfigUpdate{Version: command.Version, BaseVersion: f.ConfigVersion, Patch: change}})
@@ -60,31 +57,35 @@
 	return Result{}
 }
 
-// rememberDigest remembers a configuration in force, and forgets the oldest one where there are too many.
+// bodyAndPatch returns the body that a command puts in force and the patch that leads there from the present one. It is
+// not ok where the command's patch was made from another body, which the same version can't have.
+func (f *FSM) bodyAndPatch(command *Configure) (body []byte, change *patch.Patch, ok bool) {
+	if command.Patch != nil {
+		body, ok = command.Patch.Apply(f.ConfigBody)
+		return body, command.Patch, ok
+	}
+	made := patch.Diff(f.ConfigBody, command.Body)
+	return command.Body, &made, true
+}
+
+// rememberDigest remembers that a configuration was in force, and forgets the lowest version where there are too many.
 func (f *FSM) rememberDigest(version int64, sum []byte) {
 	f.ConfigDigests[version] = sum
 	if len(f.ConfigDigests) <= maxConfigDigests {
 		return
 	}
-	oldest := version
+	lowest := version
 	for known := range f.ConfigDigests {
-		oldest = min(oldest, known)
+		lowest = min(lowest, known)
 	}
-	delete(f.ConfigDigests, oldest)
-	f.ForgottenThrough = max(f.ForgottenThrough, oldest)
+	delete(f.ConfigDigests, lowest)
+	f.ForgottenThrough = max(f.ForgottenThrough, lowest)
 }
 
-// FullConfig returns the update that brings the configuration in force as a whole; it is nil before there is one.
+// FullConfig returns the update that brings the whole configuration in force, or nil before there is one.
 func (f *FSM) FullConfig() *ConfigUpdate {
 	if f.ConfigVersion == 0 {
 		return nil
 	}
 	return &ConfigUpdate{Version: f.ConfigVersion, Body: f.ConfigBody}
 }
-
-func (f *FSM) readConfig() Result {
-	if f.ConfigVersion == 0 {
-		return Result{Code: NotFound}
-	}
-	return Result{Body: f.ConfigBody}
-}
--- a/internal/control/statemachine/owners.go
+++ b/internal/control/statemachine/owners.go
@@ -7,19 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Every worker and every job that is not over has an owner: the session chosen by rendezvous hashing among those that
-// are open. So a session that opens takes its share from the others, and one that is over leaves its own to them; what
-// neither concerns keeps its owner and is not looked at closely, since all of that is done on every control machine for
-// each of hundreds of dispatchers that attach at once.
+// Every worker and every job that is not terminal has an owner: the open session that rendezvous hashing chooses
+// (Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996). A session that opens takes its share of
+// the workers from all others, and one that closes leaves its own to all others; nothing else changes hands. A worker's
+// owner is in its zone where a session is, so that polls cross no zone.
+//
+// A job keeps its owner as long as that session is open: the job's queue and what its dispatcher has learned of it are
+// in that process.
+//
+// Both changes compare claims only where they can differ, since every control machine does this for each of hundreds
+// of dispatchers that attach at once after a change of view.
 
-// claim is a session's claim to be an owner. The highest claim wins.
+// claim is how strongly a session claims to own something. The highest claim wins.
 type claim struct {
-	session  SessionID
-	sameZone bool // the session is in the same zone
+	session  SessionID // 0: no claim, lower than any other
+	sameZone bool
 	weight   uint64
 }
 
-// outranks reports whether a claim goes before another one. Of two that are the same the older session's does.
+// outranks reports whether claim a wins over b: by zone, then by weight, then by the older session.
 func (a claim) outranks(b claim) bool {
 	switch {
 	case b.session == 0:
@@ -32,16 +38,17 @@
 	return a.session < b.session
 }
 
-// claimOf returns a session's claim to what bears the name; one in the zone goes before others.
+// claimOf returns a session's claim to the worker or job of that name; a closed session has none. Zone "" has no
+// preference.
 func (f *FSM) claimOf(id SessionID, name, zone string) claim {
 	session := f.Sessions[id]
 	if session == nil {
 		return claim{}
 	}
-	return claim{id, zone != "" && session.Zone == zone, rendezvous(name, id)}
+	return claim{id, zone != "" && session.Zone == zone, rendezvousWeight(name, id)}
 }
 
-func rendezvous(name string, id SessionID) uint64 {
+func rendezvousWeight(name string, id SessionID) uint64 {
 	buffer := binary.LittleEndian.AppendUint64([]byte(name), id)
 	return xxhash.Sum64(buffer)
 }
@@ -57,7 +64,8 @@
 	return best.session
 }
 
-// claimOwnership gives a session that has just opened the workers and jobs to which it has the highest claim.
+// claimOwnership gives a session that has just opened the workers to which it has the highest claim, and the jobs that
+// have no owner.
 func (f *FSM) claimOwnership(session *Session) {
 	var won []string
 	for id, worker := range f.Workers {
@@ -73,11 +81,11 @@
 	f.assignOrphanedJobs()
 }
 
-// reassignWorkersAndJobs gives what a session that is over has owned to those that have the highest claims now.
-func (f *FSM) reassignWorkersAndJobs(over SessionID) {
+// reassignWorkersAndJobs gives what a closed session has owned to the sessions with the highest claims now.
+func (f *FSM) reassignWorkersAndJobs(closed SessionID) {
 	var left []string
 	for id, worker := range f.Workers {
-		if worker.Owner == over {
+		if worker.Owner == closed {
 			left = append(left, id)
 		}
 	}
@@ -88,19 +96,19 @@
 	f.assignOrphanedJobs()
 }
 
-// assignOrphanedJobs gives every job whose owner is gone a new one.
+// assignOrphanedJobs gives each job whose owner's session is closed a new owner.
 func (f *FSM) assignOrphanedJobs() {
 	var orphans []string
-	for id, owned := range f.Jobs {
-		if !owned.State.Terminal() && f.Sessions[owned.Owner] == nil {
+	for id, j := range f.Jobs {
+		if !j.State.Terminal() && f.Sessions[j.Owner] == nil {
 			orphans = append(orphans, id)
 		}
 	}
 	slices.Sort(orphans)
 	for _, id := range orphans {
-		owned := f.Jobs[id]
-		if owned.Owner = f.chooseOwner(id, ""); owned.Owner != 0 {
-			f.notify(owned.Owner, Update{Job: owned})
+		j := f.Jobs[id]
+		if j.Owner = f.chooseOwner(id, ""); j.Owner != 0 {
+			f.notify(j.Owner, Update{Job: j})
 		}
 	}
 }
@@ -112,14 +120,15 @@
 	}
 }
 
-// setOwner gives a worker to a session. Each change of owner brings a higher fence token. The others need not know
-// whose it is, so that only the former owner and the new one are told.
+// setOwner makes a session, or none with 0, the owner of a worker, under the next fencing token. Only the former and
+// the new owner are notified: the others do not dispatch to the worker, and hundreds of workers change owners with each
+// session.
 func (f *FSM) setOwner(worker *Worker, owner SessionID) {
 	former := worker.Owner
 	f.LastToken++
 	worker.Owner, worker.Token = owner, f.LastToken
 	public := worker.withoutRuns()
-	if former != 0 { // also where its session is over: it may be connected still
+	if former != 0 { // also where its session is closed: its dispatcher may be connected still
 		f.updates = append(f.updates, AddressedUpdate{former, Update{Worker: public}})
 	}
 	if owner == 0 {
--- a/internal/control/statemachine/sessions.go
+++ b/internal/control/statemachine/sessions.go
@@ -1,25 +1,55 @@
 package statemachine
 
-import "slices"
+// SessionID names a session; numbers rise, and none is used twice. 0 names none.
+type SessionID = uint64
 
-// openSession opens a session for a life of a node's process, or finds the one that it has. One that is sent
-// behind another session than the node's newest is late, and refused with the newest.
+// Session is the right of one incarnation of a dispatcher to own jobs and workers and to send commands. OpenSession
+// creates it, the dispatcher's commands move its AcknowledgedThrough, and CloseSession, or the OpenSession of another
+// incarnation of the same node, removes it.
+type Session struct {
+	ID          SessionID `cbor:"1,keyasint"`
+	Node        string    `cbor:"2,keyasint"`
+	Zone        string    `cbor:"3,keyasint"`
+	Incarnation uint64    `cbor:"4,keyasint"`
+	// AcknowledgedThrough is the number of the command up to which the dispatcher waits for no outcome any more: it
+	// knows the outcome, or has given the command up. Duplicates of these commands are rejected.
+	AcknowledgedThrough uint64 `cbor:"5,keyasint,omitempty"`
+}
+
+// LatestSession is the last session that was opened for a node, open or not. It outlives the session by the retention,
+// so that a delayed OpenSession of a former incarnation is known for what it is.
+type LatestSession struct {
+	ID   SessionID `cbor:"1,keyasint"`
+	Tick uint64    `cbor:"2,keyasint"` // ClockTicks when the session was opened or, later, closed
+}
+
+// admit records what the command's session has acknowledged, and reports whether the session still waits for the
+// command's outcome. It does not for a duplicate that is delivered late: the session is closed, has the outcome already
+// or has given the command up.
+func (f *FSM) admit(command *Command) bool {
+	session := f.Sessions[command.Session]
+	if session == nil {
+		return false
+	}
+	session.AcknowledgedThrough = max(session.AcknowledgedThrough, command.AcknowledgedThrough)
+	return command.Sequence > session.AcknowledgedThrough
+}
+
+// openSession opens a session for an incarnation of a node, or finds the one that is open for it. A command that
+// expects another latest session than the present one is a Conflict, with the present one in the result.
 func (f *FSM) openSession(command *OpenSession) Result {
 	for _, id := range f.sessionIDs() {
 		session := f.Sessions[id]
-		if session.Node != command.Node {
-			continue
-		}
-		if session.Incarnation == command.Incarnation {
+		if session.Node == command.Node && session.Incarnation == command.Incarnation {
 			return Result{Session: id}
 		}
 	}
-	if newest := f.LatestSession(command.Node); newest != command.ExpectedLatest {
-		return Result{Code: Conflict, Session: newest}
+	if latest := f.LatestSession(command.Node); latest != command.ExpectedLatest {
+		return Result{Code: Conflict, Session: latest}
 	}
 	for _, id := range f.sessionIDs() {
 		if f.Sessions[id].Node == command.Node {
-			defer f.closeSession(id) // after the new one is open, so that what it owned can pass to it
+			defer f.closeSession(id) // after the new one is open, so that it can take over what the former one owned
 		}
 	}
 	f.LastSessionID++
@@ -31,47 +61,31 @@
 	return Result{Session: id}
 }
 
-// LatestSession returns the newest session that a node has had, or 0.
-func (f *FSM) LatestSession(node string) SessionID {
-	if last := f.LatestSessions[node]; last != nil {
-		return last.ID
-	}
-	return 0
-}
-
-// forgetLatestSessions forgets the newest sessions of nodes that have had none for long.
-func (f *FSM) forgetLatestSessions() {
-	for node, last := range f.LatestSessions {
-		if f.Sessions[last.ID] == nil && last.Tick+f.retentionTicks <= f.ClockTicks {
-			delete(f.LatestSessions, node)
-		}
-	}
-}
-
+// closeSession closes a session and reassigns what it owned. One that is closed already stays so.
 func (f *FSM) closeSession(id SessionID) Result {
 	session := f.Sessions[id]
 	if session == nil {
 		return Result{}
 	}
 	delete(f.Sessions, id)
-	if last := f.LatestSessions[session.Node]; last != nil && last.ID == id {
-		last.Tick = f.ClockTicks
+	if latest := f.LatestSessions[session.Node]; latest != nil && latest.ID == id {
+		latest.Tick = f.ClockTicks
 	}
 	f.notifyAll(Update{Sessions: f.sessionIDs()})
 	f.reassignWorkersAndJobs(id)
 	return Result{}
 }
 
-func (f *FSM) sessionIDs() []SessionID {
-	ids := make([]SessionID, 0, len(f.Sessions))
-	for id := range f.Sessions {
-		ids = append(ids, id)
+// LatestSession returns the last session that was opened for a node, or 0 where none is known.
+func (f *FSM) LatestSession(node string) SessionID {
+	if latest := f.LatestSessions[node]; latest != nil {
+		return latest.ID
 	}
-	slices.Sort(ids)
-	return ids
+	return 0
 }
 
-// InstanceReader returns the session that reads the platform's list: the first one open.
+// InstanceReader returns the session whose duty it is to read the platform's instance list, the open one with the
+// lowest ID, or 0 where none is open. Dispatchers find it out for themselves from the list of sessions.
 func (f *FSM) InstanceReader() SessionID {
 	first := SessionID(0)
 	for id := range f.Sessions {
@@ -81,3 +95,6 @@
 	}
 	return first
 }
+
+// sessionIDs returns the IDs of the open sessions in rising order; it is never nil.
+func (f *FSM) sessionIDs() []SessionID { return sortedKeys(f.Sessions) }
--- a/internal/control/statemachine/updates.go
+++ b/internal/control/statemachine/updates.go
@@ -6,23 +6,24 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Update tells dispatchers what has changed; one field is set.
+// Update notifies dispatchers of one change of the state; exactly one field is set. Commands queue updates, and the
+// server sends each to the sessions that it concerns and drops it. A dispatcher that connects gets updates that stand
+// for the whole state instead (SharedSnapshot, SessionSnapshot).
 type Update struct {
 	Config           *ConfigUpdate      `cbor:"1,keyasint,omitempty"`
-	Worker           *Worker            `cbor:"2,keyasint,omitempty"`
-	WorkerRemoved    string             `cbor:"3,keyasint,omitempty"`
+	Worker           *Worker            `cbor:"2,keyasint,omitempty"` // without its runs
+	WorkerRemoved    string             `cbor:"3,keyasint,omitempty"` // ID
 	Usage            *UsageUpdate       `cbor:"4,keyasint,omitempty"`
-	Job              *job.Job           `cbor:"5,keyasint,omitempty"`
-	JobRemoved       string             `cbor:"6,keyasint,omitempty"`
+	Job              *job.Job           `cbor:"5,keyasint,omitempty"` // to the owner, when it becomes the owner
+	JobRemoved       string             `cbor:"6,keyasint,omitempty"` // ID
 	Task             *TaskUpdate        `cbor:"7,keyasint,omitempty"`
 	JobState         *JobStateUpdate    `cbor:"8,keyasint,omitempty"`
-	Placement        *taskrun.Placement `cbor:"9,keyasint,omitempty"`
+	Placement        *taskrun.Placement `cbor:"9,keyasint,omitempty"` // to the worker's owner
 	PlacementRemoved *PlacementRemoved  `cbor:"10,keyasint,omitempty"`
-	Sessions         []SessionID        `cbor:"11,keyasint,omitempty"`
+	Sessions         []SessionID        `cbor:"11,keyasint,omitempty"` // all that are open, rising
 }
 
-// ConfigUpdate brings a configuration that is in force from now on: the whole body, or a patch of the body of
-// version Base.
+// ConfigUpdate brings a configuration that has come in force: the whole body, or a patch of the body of BaseVersion.
 type ConfigUpdate struct {
 	Version     int64        `cbor:"1,keyasint"`
 	Body        []byte       `cbor:"2,keyasint,omitempty"`
@@ -30,35 +31,55 @@
 	Patch       *patch.Patch `cbor:"4,keyasint,omitempty"`
 }
 
-// Usage tells how much of a worker is taken.
+// UsageUpdate notifies all sessions of how much of a worker's capacity is used: every dispatcher places tasks there.
 type UsageUpdate struct {
 	Worker string        `cbor:"1,keyasint"`
 	Used   job.Resources `cbor:"2,keyasint"`
 }
 
-// TaskUpdate tells the job's owner of one task.
+// TaskUpdate notifies the job's owner of one task.
 type TaskUpdate struct {
-	Job       string            `cbor:"1,keyasint"`
-	Key       job.TaskKey       `cbor:"2,keyasint"`
-	Task      job.Task          `cbor:"3,keyasint"`
-	EndReason taskrun.EndReason `cbor:"4,keyasint,omitempty"` // how the last run ended, where the task is not placed
+	Job  string      `cbor:"1,keyasint"`
+	Key  job.TaskKey `cbor:"2,keyasint"`
+	Task job.Task    `cbor:"3,keyasint"`
+	// EndReason says how the task's last run ended. It counts only where the task is not placed.
+	EndReason taskrun.EndReason `cbor:"4,keyasint,omitempty"`
 }
 
-// JobStateUpdate tells the job's owner of the job as a whole.
+// JobStateUpdate notifies the job's owner of the job as a whole.
 type JobStateUpdate struct {
 	Job   string    `cbor:"1,keyasint"`
 	State job.State `cbor:"2,keyasint"`
 }
 
-// PlacementRemoved tells the owner of a worker that a run is over for the system.
+// PlacementRemoved notifies a worker's owner that a run has ended in the state, so that nothing needs to be reported
+// of it any more.
 type PlacementRemoved struct {
 	Worker string `cbor:"1,keyasint"`
-	Task   string `cbor:"2,keyasint"`
+	Task   string `cbor:"2,keyasint"` // its wire name
 	Run    uint64 `cbor:"3,keyasint"`
 }
 
-// AddressedUpdate is an update with those whom it concerns.
+// AddressedUpdate is an update with the session that it concerns.
 type AddressedUpdate struct {
 	To     SessionID // 0: all sessions
 	Update Update
 }
+
+// DequeueUpdates returns the updates that were queued since the last call, in order.
+func (f *FSM) DequeueUpdates() []AddressedUpdate {
+	updates := f.updates
+	f.updates = nil
+	return updates
+}
+
+// notify queues an update for a session that is open; 0 stands for all of them.
+func (f *FSM) notify(to SessionID, update Update) {
+	if to != 0 && f.Sessions[to] == nil {
+		return
+	}
+	f.updates = append(f.updates, AddressedUpdate{to, update})
+}
+
+// notifyAll queues an update for all sessions.
+func (f *FSM) notifyAll(update Update) { f.updates = append(f.updates, AddressedUpdate{0, update}) }
