--- a/internal/control/statemachine/bench_test.go
+++ b/internal/control/statemachine/apply_bench_test.go
@@ -10,7 +10,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// script returns commands that carry jobs of four tasks through a cluster of 48 workers and 8 sessions.
+// script returns encoded commands that run jobs of four tasks in a cluster of 48 workers and 8 sessions.
 func script(jobs int) [][]byte {
 	var list [][]byte
 	add := func(command Command) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures writing the state with 2,500 jobs known.
+// BenchmarkSnapshot measures encoding the state with 2,500 jobs in it.
 func BenchmarkSnapshot(b *testing.B) {
 	c := New(25)
 	for _, data := range script(2500) {
--- a/internal/control/statemachine/copies_test.go
+++ b/internal/control/statemachine/duplicates_test.go
@@ -8,15 +8,15 @@
 	"yardflow/scheduling/job"
 )
 
-// duplicator plays nodes whose commands reach the state at once, and again as copies at any later time, as by members that
-// were cut off, frozen processes and connections that are slow.
+// duplicator simulates a node whose commands are applied at once, and again as duplicates at any later time, as by
+// members that were partitioned, processes that were frozen and slow connections.
 type duplicator struct {
 	*FSM
 	random      *rand.Rand
-	unfenced    bool // planted: copies come as if they were sent just now
+	unfenced    bool // planted fault: duplicates are fenced as if they were sent just now
 	sent        []Command
 	incarnation uint64
-	session     SessionID // of the present life of the node that is watched; 0: not open
+	session     SessionID // of the present incarnation of the node; 0: none was opened yet
 	sequence    uint64
 	reports     uint64
 	listed      bool // the worker is in the platform's list
@@ -25,8 +25,9 @@
 	violations  []string
 }
 
-func simulateDuplicates(seed uint64, plain bool) *duplicator {
-	c := &duplicator{FSM: New(2), random: rand.New(rand.NewPCG(seed, 3)), unfenced: plain, cancelled: map[string]bool{}}
+// simulateDuplicates takes 400 random steps, or fewer where an invariant is violated.
+func simulateDuplicates(seed uint64, unfenced bool) *duplicator {
+	c := &duplicator{FSM: New(2), random: rand.New(rand.NewPCG(seed, 3)), unfenced: unfenced, cancelled: map[string]bool{}}
 	for range 400 {
 		c.step()
 		c.checkInvariants()
@@ -37,20 +38,20 @@
 	return c
 }
 
-// send carries a command out, and keeps a copy that may come later.
+// send applies a command, and keeps it to be duplicated later.
 func (c *duplicator) send(command Command) Result {
 	c.sent = append(c.sent, command)
 	return c.Apply(&command)
 }
 
-// sendFenced sends a command of the watched node's session.
+// sendFenced sends a command of the node's session.
 func (c *duplicator) sendFenced(command Command) Result {
 	c.sequence++
 	command.Session, command.Sequence, command.AcknowledgedThrough = c.session, c.sequence, c.sequence-1
 	return c.send(command)
 }
 
-// deliverDuplicate carries a copy out.
+// deliverDuplicate applies one of the commands that were sent again.
 func (c *duplicator) deliverDuplicate() {
 	if len(c.sent) == 0 {
 		return
@@ -62,7 +63,7 @@
 	c.Apply(&command)
 }
 
-// withoutFences returns a copy without what fences it.
+// withoutFences returns a command that no fence can tell from one that is sent just now.
 func (c *duplicator) withoutFences(command Command) Command {
 	command.Session, command.Sequence, command.AcknowledgedThrough = 0, 0, 0
 	if open := command.OpenSession; open != nil {
@@ -80,7 +81,7 @@
 
 func (c *duplicator) step() {
 	switch c.random.IntN(10) {
-	case 0: // the node's next life
+	case 0: // the node's next incarnation
 		c.incarnation++
 		c.session = c.send(Command{OpenSession: &OpenSession{Node: "front-1", Incarnation: c.incarnation, ExpectedLatest: c.LatestSession("front-1")}}).Session
 	case 1:
@@ -94,7 +95,7 @@
 	}
 }
 
-// reportInstances tells what the platform's list says now.
+// reportInstances reports that the platform's list names w1 where it did not, and the other way round.
 func (c *duplicator) reportInstances() {
 	if c.session == 0 || c.InstanceReader() != c.session {
 		return
@@ -108,7 +109,7 @@
 	c.sendFenced(Command{InstancesChanged: instances})
 }
 
-// submitAndCancelJob hands a job in, and cancels it right away.
+// submitAndCancelJob submits a job and cancels it at once.
 func (c *duplicator) submitAndCancelJob() {
 	if c.session == 0 {
 		return
@@ -121,24 +122,24 @@
 	c.cancelled[id] = true
 }
 
-// checkInvariants has the invariants: the present life keeps its session, a worker that the newest reading lacks stays away, and
-// a job that is over does not begin anew.
+// checkInvariants checks that the present incarnation keeps its session, that a worker is there as the newest report
+// says, and that a terminal job is not started again.
 func (c *duplicator) checkInvariants() {
 	if c.session != 0 && (c.Sessions[c.session] == nil || c.Sessions[c.session].Incarnation != c.incarnation) {
-		c.violations = append(c.violations, "a former life has ended the present session")
+		c.violations = append(c.violations, "a former incarnation has closed the present session")
 	}
 	if c.Workers["w1"] != nil != c.listed {
-		c.violations = append(c.violations, "an old reading is in force")
+		c.violations = append(c.violations, "an old report is in force")
 	}
 	for id := range c.cancelled {
 		if known := c.Jobs[id]; known != nil && !known.State.Terminal() {
-			c.violations = append(c.violations, "a job that was over has begun anew")
+			c.violations = append(c.violations, "a terminal job was started again")
 		}
 	}
 }
 
-// TestDelayedDuplicatesKeepTheInvariants plays copies of commands at any later time; planted, they come without their fences, and each
-// invariant is found to be broken.
+// TestDelayedDuplicatesKeepTheInvariants applies duplicates of commands at any later time. With the fault planted that
+// they are not fenced, each invariant is found to be violated.
 func TestDelayedDuplicatesKeepTheInvariants(t *testing.T) {
 	const seeds = 400
 	for seed := range uint64(seeds) {
@@ -148,11 +149,11 @@
 	}
 	found := map[string]bool{}
 	for seed := range uint64(seeds) {
-		for _, broken := range simulateDuplicates(seed, true).violations {
-			found[broken] = true
+		for _, violation := range simulateDuplicates(seed, true).violations {
+			found[violation] = true
 		}
 	}
 	if len(found) != 3 {
-		t.Errorf("without fences only this is found: %v", found)
+		t.Errorf("without fences only these violations are found: %v", found)
 	}
 }
--- a/internal/control/statemachine/fuzz_test.go
+++ b/internal/control/statemachine/fuzz_test.go
@@ -9,7 +9,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// FuzzApply applies arbitrary commands to a cluster at work: an outcome, never a panic, and no worker over its room.
+// FuzzApply applies arbitrary commands to a cluster at work: an outcome, never a panic, and no worker
+// above its capacity.
 func FuzzApply(f *testing.F) {
 	add := func(command Command) {
 		data, err := cbor.Marshal(command)
@@ -31,7 +32,7 @@
 			return
 		}
 		if s := command.SubmitJob; s != nil && !s.Job.Request.Valid() {
-			return // dispatchers refuse it before it becomes a command
+			return // dispatchers reject it before it becomes a command
 		}
 		c := newTestCluster(t, 2, 3)
 		c.submit("j1", job.Step{Count: 2, CPU: 3000}, job.Step{Count: 1, DependsOn: []int{0}, Gang: true})
@@ -40,7 +41,7 @@
 		c.Apply(&command)
 		for id, worker := range c.Workers {
 			if len(worker.Runs) > 0 && !worker.Capacity.Covers(worker.Used) && command.InstancesChanged == nil {
-				t.Fatalf("%s is over its room: %v of %v", id, worker.Used, worker.Capacity)
+				t.Fatalf("%s is above its capacity: %v of %v", id, worker.Used, worker.Capacity)
 			}
 		}
 	})
--- a/internal/control/statemachine/owners_bench_test.go
+++ b/internal/control/statemachine/owners_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// largeFSM returns a state with so many sessions and workers in three zones.
+// largeFSM returns a state machine with sessions and workers in three zones.
 func largeFSM(sessions, workers int) *FSM {
 	c := New(25)
 	for i := range sessions {
@@ -22,24 +22,24 @@
 	return c
 }
 
-// BenchmarkSessionsComeAndGo measures one session that opens and is over, with 270 others and 3,000 workers, and how
-// many updates it makes, one to all counted for each session.
+// BenchmarkSessionsComeAndGo measures opening and closing one session beside 270 others and 3,000 workers, and how many
+// updates that makes, where an update to all counts once for each session.
 func BenchmarkSessionsComeAndGo(b *testing.B) {
 	const sessions, workers = 270, 3000
 	c := largeFSM(sessions, workers)
 	b.ReportAllocs()
 	b.ResetTimer()
-	told := 0
+	sent := 0
 	for i := range b.N {
 		id := c.Apply(&Command{OpenSession: &OpenSession{Node: "new", Zone: "z1", Incarnation: uint64(1000 + i), ExpectedLatest: c.LatestSession("new")}}).Session
 		c.Apply(&Command{CloseSession: &CloseSession{Session: id}})
 		for _, update := range c.DequeueUpdates() {
 			if update.To == 0 {
-				told += sessions
+				sent += sessions
 			} else {
-				told++
+				sent++
 			}
 		}
 	}
-	b.ReportMetric(float64(told)/float64(b.N), "updates/op")
+	b.ReportMetric(float64(sent)/float64(b.N), "updates/op")
 }
--- a/internal/control/statemachine/owners_test.go
+++ b/internal/control/statemachine/owners_test.go
@@ -4,33 +4,55 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+
+	"yardflow/scheduling/job"
 )
 
-// TestOwnersHaveTheHighestClaims opens and ends sessions at random, with workers and jobs that come and go, and
-// looks all of them through: nobody that a change does not concern may have been passed over.
+func TestClosedSessionsJobsAndWorkersAreReassigned(t *testing.T) {
+	c := newTestCluster(t, 3, 6)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1})
+	c.mustApply(Command{CloseSession: &CloseSession{1}}, OK)
+	if owner := c.Jobs[jobA].Owner; owner != 2 && owner != 3 {
+		t.Errorf("the job's owner is %d", owner)
+	}
+	for id, worker := range c.Workers {
+		if worker.Owner == 1 || worker.Owner == 0 {
+			t.Errorf("%s is owned by %d", id, worker.Owner)
+		}
+	}
+	c.mustApply(Command{CloseSession: &CloseSession{2}}, OK)
+	c.mustApply(Command{CloseSession: &CloseSession{3}}, OK)
+	result := c.mustApply(Command{OpenSession: &OpenSession{Node: "front-9", Incarnation: 9}}, OK)
+	if c.Jobs[jobA].Owner != result.Session {
+		t.Error("a job without an owner is not taken up by the next session")
+	}
+}
+
+// TestOwnersHaveTheHighestClaims opens and closes sessions and reports workers at random, and compares each worker's
+// owner with the highest of all claims: the changes look only at some of them.
 func TestOwnersHaveTheHighestClaims(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	c := New(25)
-	reading, life := uint64(0), uint64(0)
+	reports, incarnation := uint64(0), uint64(0)
 	for step := range 2000 {
 		switch random.IntN(4) {
 		case 0, 1:
-			life++
+			incarnation++
 			node := fmt.Sprint("front-", random.IntN(12))
-			c.Apply(&Command{OpenSession: &OpenSession{Node: node, Zone: fmt.Sprint("z", random.IntN(3)), Incarnation: life, ExpectedLatest: c.LatestSession(node)}})
+			c.Apply(&Command{OpenSession: &OpenSession{Node: node, Zone: fmt.Sprint("z", random.IntN(3)), Incarnation: incarnation, ExpectedLatest: c.LatestSession(node)}})
 		case 2:
 			if ids := c.sessionIDs(); len(ids) > 0 {
 				c.Apply(&Command{CloseSession: &CloseSession{Session: ids[random.IntN(len(ids))]}})
 			}
 		case 3:
-			reading++
-			c.Apply(&Command{InstancesChanged: &InstancesChanged{Reader: c.InstanceReader(), Sequence: reading, Changed: []Instance{
+			reports++
+			c.Apply(&Command{InstancesChanged: &InstancesChanged{Reader: c.InstanceReader(), Sequence: reports, Changed: []Instance{
 				{ID: fmt.Sprint("i-", random.IntN(60)), Zone: fmt.Sprint("z", random.IntN(4)), Service: "service"}}}})
 		}
 		checkOwners(t, c, step)
 	}
 	if len(c.Workers) < 40 {
-		t.Errorf("%d workers: the walk shows little", len(c.Workers))
+		t.Errorf("%d workers: too few for the test to show much", len(c.Workers))
 	}
 }
 
@@ -48,8 +70,8 @@
 	}
 }
 
-// TestOwnerChangeNotifiesBothOwners keeps that an owner learns that a worker is its own, and the former one that it is not,
-// and that the others are not told: at each of hundreds of dispatchers that attach, workers change their owners.
+// TestOwnerChangeNotifiesBothOwners checks that the new and the former owner of a worker are notified, and nobody else:
+// workers change owners with each of hundreds of dispatchers that attach.
 func TestOwnerChangeNotifiesBothOwners(t *testing.T) {
 	c := largeFSM(5, 40)
 	before := map[string]SessionID{}
@@ -57,28 +79,28 @@
 		before[id] = worker.Owner
 	}
 	opened := c.Apply(&Command{OpenSession: &OpenSession{Node: "new", Zone: "z1", Incarnation: 99}}).Session
-	told := map[string]map[SessionID]bool{}
+	notified := map[string]map[SessionID]bool{} // by worker
 	for _, update := range c.DequeueUpdates() {
 		if update.Update.Worker == nil {
 			continue
 		}
 		id := update.Update.Worker.ID
-		if told[id] == nil {
-			told[id] = map[SessionID]bool{}
+		if notified[id] == nil {
+			notified[id] = map[SessionID]bool{}
 		}
-		told[id][update.To] = true
+		notified[id][update.To] = true
 	}
 	moved := 0
 	for id, worker := range c.Workers {
 		if worker.Owner == before[id] {
-			if told[id] != nil {
-				t.Errorf("%s has kept its owner, and %v are told of it", id, told[id])
+			if notified[id] != nil {
+				t.Errorf("%s has kept its owner, and %v are notified", id, notified[id])
 			}
 			continue
 		}
 		moved++
-		if worker.Owner != opened || !told[id][opened] || !told[id][before[id]] || len(told[id]) != 2 {
-			t.Errorf("%s went from %d to %d, and %v are told", id, before[id], worker.Owner, told[id])
+		if worker.Owner != opened || !notified[id][opened] || !notified[id][before[id]] || len(notified[id]) != 2 {
+			t.Errorf("%s went from %d to %d, and %v are notified", id, before[id], worker.Owner, notified[id])
 		}
 	}
 	if moved == 0 {
@@ -86,7 +108,7 @@
 	}
 }
 
-// TestNewWorkerIsAnnouncedToAll keeps that every dispatcher learns of a worker that joins: all of them place tasks there.
+// TestNewWorkerIsAnnouncedToAll checks that every dispatcher is notified of a worker that joins: all place tasks there.
 func TestNewWorkerIsAnnouncedToAll(t *testing.T) {
 	c := largeFSM(3, 0)
 	c.Apply(&Command{InstancesChanged: &InstancesChanged{Reader: c.InstanceReader(), Sequence: 2, Changed: []Instance{{ID: "i-1", Service: "service"}}}})
@@ -95,5 +117,5 @@
 			return
 		}
 	}
-	t.Error("the others are not told")
+	t.Error("the others are not notified")
 }
--- /dev/null
+++ b/internal/control/statemachine/run_ends_test.go
@@ -0,0 +1,132 @@
+package statemachine
+
+import (
+	"testing"
+
+	"yardflow/scheduling/job"
+	"yardflow/scheduling/taskrun"
+)
+
+func TestFailedRunsAreCounted(t *testing.T) {
+	c := newTestCluster(t, 1, 1)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1})
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Lost)
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w1", 2, taskrun.Failed)
+	c.endRun(jobA, taskKey(0, 0), "w1", 2, taskrun.Failed) // reported twice
+	if state := c.Jobs[jobA].State; state != job.Running {
+		t.Errorf("state %v after one failed run of two", state)
+	}
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w1", 3, taskrun.Failed)
+	if state := c.Jobs[jobA].State; state != job.Failed {
+		t.Errorf("state %v", state)
+	}
+}
+
+// TestFormerOwnerCannotEndARun checks that a worker's former owner can't release what the next one runs.
+func TestFormerOwnerCannotEndARun(t *testing.T) {
+	c := newTestCluster(t, 2, 1)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1})
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	former := *c.Workers["w1"]
+	c.mustApply(Command{CloseSession: &CloseSession{former.Owner}}, OK)
+	if c.Workers["w1"].Owner == former.Owner || c.Workers["w1"].Token <= former.Token {
+		t.Fatal("no new owner with a higher token")
+	}
+	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Run: 1, Reason: taskrun.NotStarted, Token: former.Token}}, Conflict)
+	if c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Worker != "w1" {
+		t.Error("the former owner has released the run")
+	}
+}
+
+// TestLateSuccessOfARunDeclaredLostCounts: a run that was declared lost turns out to be done. The task is done, and its
+// next run is stopped.
+func TestLateSuccessOfARunDeclaredLostCounts(t *testing.T) {
+	c := newTestCluster(t, 1, 2)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1}, job.Step{Count: 1, CPU: 1, DependsOn: []int{0}})
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Lost)
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w2"})
+	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Done}}, OK)
+	if seen := c.Jobs[jobA].EnsureTask(taskKey(0, 0)); !seen.Done || !seen.Stopping {
+		t.Errorf("task %+v", seen)
+	}
+	c.place(jobA, OK, Target{Task: taskKey(1, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w2", 2, taskrun.Stopped)
+	c.place(jobA, Conflict, Target{Task: taskKey(0, 0), Worker: "w2"})
+}
+
+// TestFailureOfARunDeclaredLostCounts: a run that was declared lost turns out to have failed. It counts as an attempt,
+// once, and the last attempt ends the job.
+func TestFailureOfARunDeclaredLostCounts(t *testing.T) {
+	c := newTestCluster(t, 1, 2)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1}) // two attempts
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Lost)
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w2"})
+	late := Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Failed}}
+	c.mustApply(late, OK)
+	c.mustApply(late, OK)
+	if attempts := c.Jobs[jobA].EnsureTask(taskKey(0, 0)).FailedAttempts; attempts != 1 {
+		t.Errorf("%d attempts are counted, one has failed", attempts)
+	}
+	c.endRun(jobA, taskKey(0, 0), "w2", 2, taskrun.Failed)
+	if state := c.Jobs[jobA].State; state != job.Failed {
+		t.Errorf("the job is %v after its last attempt", state)
+	}
+	c.place(jobA, Conflict, Target{Task: taskKey(0, 0), Worker: "w1"})
+}
+
+// TestFailureOfAGangDeclaredLostCounts: the same for a gang, whose failed run counts once for all members, in whatever
+// order its runs are reported.
+func TestFailureOfAGangDeclaredLostCounts(t *testing.T) {
+	c := newTestCluster(t, 1, 2)
+	c.submit(jobA, job.Step{Count: 2, CPU: 1, Gang: true}) // two attempts
+	members := []Target{{Task: taskKey(0, 0), Worker: "w1"}, {Task: taskKey(0, 1), Worker: "w2"}}
+	for run := range uint64(2) {
+		c.place(jobA, OK, members...)
+		for _, member := range members {
+			c.endRun(jobA, member.Task, member.Worker, run+1, taskrun.Lost)
+		}
+	}
+	failed := func(member int, run uint64) {
+		c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: members[member].Worker, Job: jobA, Task: members[member].Task, Run: run, Reason: taskrun.Failed}}, OK)
+	}
+	step := job.StepKey{}
+	failed(0, 2)
+	failed(1, 2)
+	if failures := c.Jobs[jobA].GangFailures[step]; failures != 1 {
+		t.Errorf("%d failed runs are counted, one has failed", failures)
+	}
+	failed(0, 1)
+	if state := c.Jobs[jobA].State; state != job.Failed {
+		t.Errorf("the job is %v after its last attempt", state)
+	}
+}
+
+// TestEndsOfUnknownRunsAreIgnored: ends of runs that never were, and of jobs that are terminal, change nothing.
+func TestEndsOfUnknownRunsAreIgnored(t *testing.T) {
+	c := newTestCluster(t, 1, 1)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1})
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 2, Reason: taskrun.Failed}}, OK)
+	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Done)
+	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Failed}}, OK)
+	if known := c.Jobs[jobA]; known.State != job.Completed || known.EnsureTask(taskKey(0, 0)).FailedAttempts != 0 {
+		t.Errorf("%v, %+v", known.State, known.EnsureTask(taskKey(0, 0)))
+	}
+}
+
+// TestEndOfARunAtARemovedWorkerCounts checks that work counts that was done at a worker which is unlisted by now.
+func TestEndOfARunAtARemovedWorkerCounts(t *testing.T) {
+	c := newTestCluster(t, 1, 1)
+	c.submit(jobA, job.Step{Count: 1, CPU: 1})
+	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
+	c.mustApply(Command{InstancesChanged: &InstancesChanged{Reader: 1, Sequence: 2, Removed: []string{"w1"}}}, OK)
+	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Done}}, OK)
+	if !c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Done {
+		t.Error("the reported end does not count: the task would be done twice")
+	}
+}
