--- a/internal/platform/fault/walk_test.go
+++ b/internal/platform/fault/fault_test.go
@@ -11,13 +11,14 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// typed are the packages whose every error is a type with advice.
-var typed = []string{"yardflow/internal/gateway/workflowsteps", "yardflow/internal/fleet/lease", "yardflow/internal/fleet/coldstart/...",
+// typedPackages are the packages whose every error has a type with advice.
+var typedPackages = []string{"yardflow/internal/gateway/workflowsteps", "yardflow/internal/fleet/lease", "yardflow/internal/fleet/coldstart/...",
 	"yardflow/internal/fleet/workflow/...", "yardflow/internal/fleet/quota", "yardflow/internal/discovery/relayedlist", "yardflow/internal/platform/fault"}
 
-// listed are those whose types stand in the operators' table, too.
-var listed = append([]string{"yardflow/internal/gateway/httpfront"}, typed...)
+// listedPackages are those whose types are in the operators' table: the former, and one that has other errors, too.
+var listedPackages = append([]string{"yardflow/internal/gateway/httpfront"}, typedPackages...)
 
+// load type-checks the packages that match the patterns.
 func load(t *testing.T, patterns []string) []*packages.Package {
 	t.Helper()
 	all, err := packages.Load(&packages.Config{Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedDeps | packages.NeedImports}, patterns...)
@@ -27,9 +28,9 @@
 	return all
 }
 
-// No package of the fleet makes an error without a type of its own.
+// TestNoErrorWithoutAType checks that none of the packages makes an error without a type of its own.
 func TestNoErrorWithoutAType(t *testing.T) {
-	for _, p := range load(t, typed) {
+	for _, p := range load(t, typedPackages) {
 		for _, f := range p.Syntax {
 			ast.Inspect(f, func(n ast.Node) bool {
 				call, ok := n.(*ast.CallExpr)
@@ -47,7 +48,7 @@
 	}
 }
 
-// Each type of error says what to do, and its word stands in the operators' table.
+// TestEachFaultIsInTheTable checks that each type of error says what to do, and that its code is in the operators' table.
 func TestEachFaultIsInTheTable(t *testing.T) {
 	table, err := os.ReadFile("../../../docs/ON-CALL.md")
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 	isError := types.Universe.Lookup("error").Type().Underlying().(*types.Interface)
 	seen := 0
-	for _, p := range load(t, listed) {
+	for _, p := range load(t, listedPackages) {
 		scope := p.Types.Scope()
 		for _, name := range scope.Names() {
 			obj, ok := scope.Lookup(name).(*types.TypeName)
@@ -71,21 +72,21 @@
 				t.Errorf("%s.%s does not say what an operator can do", p.PkgPath, name)
 				continue
 			}
-			for _, word := range words(p, name) {
+			for _, code := range codesOf(p, name) {
 				seen++
-				if !strings.Contains(string(table), "| `"+word+"` |") {
-					t.Errorf("%s.%s: %q is not in the operators' table", p.PkgPath, name, word)
+				if !strings.Contains(string(table), "| `"+code+"` |") {
+					t.Errorf("%s.%s: %q is not in the operators' table", p.PkgPath, name, code)
 				}
 			}
 		}
 	}
 	if seen < 8 {
-		t.Errorf("%d words found: the walk sees nothing", seen)
+		t.Errorf("%d codes found: the check sees almost nothing", seen)
 	}
 }
 
-// words are those that a type's Code returns.
-func words(p *packages.Package, name string) (out []string) {
+// codesOf returns the codes that a type's Code method returns.
+func codesOf(p *packages.Package, name string) (out []string) {
 	for _, f := range p.Syntax {
 		for _, d := range f.Decls {
 			fn, ok := d.(*ast.FuncDecl)
--- a/internal/platform/settings/fuzz_test.go
+++ b/internal/platform/settings/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// FuzzLoad hands arbitrary files to the reader of settings: settings that pass have what a process needs.
+// FuzzLoad loads arbitrary files: settings that pass have what a process needs.
 func FuzzLoad(f *testing.F) {
 	f.Add([]byte("Node = \"n\"\nZone = \"z\"\nSeeds = [\"a:1\"]\nDataDir = \"/d\"\n[Listen]\nControl = \"a:1\"\n"))
 	f.Add([]byte("Node = 3"))
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,117 +1,66 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads and checks the settings file that the platform gives each process of the system: who it is,
+// where it serves, whom it can ask at its start, and the figures of the rules in force.
+//
+// Fields are named as the keys of the file, which the platform's page DEPLOY defines; other keys are skipped. A process
+// reads the file at its start, and a dispatcher again when it looks for control machines: the platform may change it at
+// any time. The package never writes the file, and nothing in it applies a setting.
 package settings
 
-import (
-	"os"
-
-	"github.com/juju/errors"
-	"github.com/pelletier/go-toml/v2"
-)
-
 // PathVariable names the environment variable that holds the path of the file.
 const PathVariable = "YARDFLOW_BOOT"
 
-// Listen has the addresses at which a process serves.
+// Settings is the content of the file. Load makes it and nothing changes it afterwards.
+type Settings struct {
+	Node      string            // this machine's name
+	Role      string            // not used by this version: the command line says what the process does
+	Class     string            // not used by this version
+	Serves    []string          // not used by this version
+	Zone      string            // this machine's zone
+	Seeds     []string          // control addresses of at most three machines, which may be out of date
+	Bootstrap bool              // the whole system starts for the first time, with empty disks
+	DataDir   string            // folder of a control process on its disk
+	Zones     map[string]string // region by zone; not used by this version
+	Listen    Listen
+	Limits    Limits
+	Tolerate  Tolerate
+	Bounds    Bounds
+	Cloud     Cloud
+}
+
+// Listen has the addresses at which a process serves, host and port. A control process has Control, a dispatcher Front
+// and Ready.
 type Listen struct {
-	Front   string
-	Ready   string
-	Control string
+	Front   string // clients
+	Ready   string // the platform's question whether the dispatcher is ready
+	Control string // dispatchers, operators and other control processes
 }
 
-// Limits of the machine.
+// Limits are those of the machine; 0 where the platform states none.
 type Limits struct {
-	Cores    int
-	MemoryMb int64
-	DiskMb   int64
+	Cores    int   // not used by this version
+	MemoryMb int64 // the process is killed above it
+	DiskMb   int64 // of DataDir
 }
 
-// Tolerate says how many machines may be lost at once with everything kept.
+// Tolerate says what may be lost at once with everything acknowledged kept.
 type Tolerate struct {
 	Machines int
-	Zones    int
-	Regions  int
+	Zones    int // not used by this version
+	Regions  int // not used by this version
 }
 
-// Bounds are the figures of the rules in force; Ms are milliseconds, S seconds.
+// Bounds are figures of the rules in force; the end of a name is its unit: Ms for milliseconds, S for seconds.
 type Bounds struct {
-	HoldMaxMs        int64
-	StopMs           int64   `toml:"stop_ms"`
-	GraceS           float64 // between SIGTERM and SIGKILL
+	HoldMaxMs int64   // the longest lease under which a worker goes on with what runs there
+	StopMs    int64   `toml:"stop_ms"` // a worker takes at most this to stop a run; not used by this version
+	GraceS    float64 // from SIGTERM to SIGKILL
+	// StatusRetentionS is for how long the state of a terminal job has to be known.
 	StatusRetentionS float64 `toml:"status_s"`
-	FarFactor        float64 `toml:"far_x"`
+	// FarFactor is how many times as long a task takes where its data, or its gang's other members, are far.
+	FarFactor float64 `toml:"far_x"`
 }
 
-// Cloud is the platform's list of instances.
+// Cloud is the platform's instance list.
 type Cloud struct {
-	Address string
-}
-
-// Settings is what a process is told at its start.
-type Settings struct {
-	Node      string
-	Role      string
-	Class     string
-	Serves    []string
-	Zone      string
-	Seeds     []string
-	Bootstrap bool
-	DataDir   string
-	Zones     map[string]string
-	Listen    Listen
-	Limits    Limits
-	Tolerate  Tolerate
-	Bounds    Bounds
-	Cloud     Cloud
-}
-
-// InvalidError names a key that is wrong, and what to do about it.
-type InvalidError struct {
-	Key     string
-	Problem string
-}
-
-// Error names key and advice.
-func (f *InvalidError) Error() string { return f.Key + ": " + f.Problem }
-
-// Load reads and checks the file. Fields it does not know are skipped.
-func Load(path string) (*Settings, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, errors.Annotatef(err, "the settings file; name it in %s", PathVariable)
-	}
-	s := &Settings{}
-	if err := toml.Unmarshal(text, s); err != nil {
-		var decoding *toml.DecodeError
-		if errors.As(err, &decoding) {
-			line, _ := decoding.Position()
-			return nil, errors.Errorf("%s line %d: %s", path, line, decoding.Error())
-		}
-		return nil, errors.Annotate(err, path)
-	}
-	if fault := s.check(); fault != nil {
-		return nil, fault
-	}
-	return s, nil
-}
-
-func (s *Settings) check() error {
-	switch {
-	case s.Node == "":
-		return &InvalidError{"Node", "is missing; give this machine's name"}
-	case s.Zone == "":
-		return &InvalidError{"Zone", "is missing; give this machine's zone"}
-	case len(s.Seeds) == 0:
-		return &InvalidError{"Seeds", "is empty; give the control addresses of up to three machines"}
-	case s.Listen.Control == "" && s.Listen.Front == "":
-		return &InvalidError{"Listen", "names no address; give Control on a core machine, Front and Ready on a front machine"}
-	case s.Listen.Control != "" && s.DataDir == "":
-		return &InvalidError{"DataDir", "is missing; a control process needs a folder on its disk"}
-	case s.Listen.Front != "" && s.Cloud.Address == "":
-		return &InvalidError{"Cloud.Address", "is missing; give the address of the platform's list"}
-	case s.Bounds.HoldMaxMs <= 0 && s.Listen.Front != "":
-		return &InvalidError{"Bounds.HoldMaxMs", "must be above 0; it is how long a worker holds what runs without renewal"}
-	case s.Tolerate.Machines < 0:
-		return &InvalidError{"Tolerate.Machines", "must not be below 0"}
-	}
-	return nil
+	Address string // host and port
 }
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -9,6 +9,7 @@
 	"github.com/juju/errors"
 )
 
+// core is the file of a control machine that passes all checks; tests replace parts of it.
 const core = `Node = "core-1"
 Zone = "a"
 Seeds = ["10.0.0.1:1"]
@@ -32,7 +33,7 @@
 	return Load(path)
 }
 
-func TestSoundSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	s, err := load(t, core)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +43,7 @@
 	}
 }
 
-func TestWrongSettingsNameTheKey(t *testing.T) {
+func TestInvalidSettingsNameTheKey(t *testing.T) {
 	cases := []struct{ old, new, key string }{
 		{`Node = "core-1"`, ``, "Node"},
 		{`Zone = "a"`, ``, "Zone"},
@@ -54,8 +55,8 @@
 	}
 	for _, c := range cases {
 		_, err := load(t, strings.Replace(core, c.old, c.new, 1))
-		var fault *InvalidError
-		if !errors.As(err, &fault) || fault.Key != c.key || fault.Problem == "" {
+		var invalid *InvalidError
+		if !errors.As(err, &invalid) || invalid.Key != c.key || invalid.Problem == "" || invalid.Advice() == "" {
 			t.Errorf("without %s: %v", c.old, err)
 		}
 	}
@@ -63,7 +64,7 @@
 
 func TestUnreadableSettings(t *testing.T) {
 	if _, err := load(t, strings.Replace(core, `Zone = "a"`, `Zone = 3`, 1)); err == nil {
-		t.Error("a field of the wrong kind was read")
+		t.Error("a field of the wrong type was read")
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); err == nil || !strings.Contains(err.Error(), PathVariable) {
 		t.Errorf("%v", err)
