--- a/cmd/coordinator/flow.go
+++ b/cmd/coordinator/flow.go
@@ -48,7 +48,7 @@
 	var key, who string
 	var lists, counts, moments []string
 	cmd := &cobra.Command{Use: "submit TEMPLATE", Short: "have a workflow begin; by the same key asked twice it is asked once", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		s := &claims.Submit{Key: key, Template: args[0], Who: who, Inputs: map[string]expansion.Input{}, Moments: map[string]time.Duration{}}
+		s := &claims.Submission{Key: key, Template: args[0], Submitter: who, Inputs: map[string]expansion.Input{}, Moments: map[string]time.Duration{}}
 		err := errors.Join(
 			pairs(lists, func(name, text string) error {
 				items, err := list(text)
@@ -69,7 +69,7 @@
 			return &coded{exitUsage, err}
 		}
 		return c.flow(func(a claims.Answer) error {
-			if a.Known {
+			if a.AlreadySubmitted {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s was submitted before\n", key)
 			} else {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s submitted\n", key)
@@ -128,31 +128,31 @@
 			}
 			w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "flow\ttemplate\tstate\tage\tdone\tfailed\tunknown\tskipped\tout\twhy")
-			for _, v := range a.Views {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Key, v.Template, v.State, v.Age.Round(time.Second), v.Ends[0], v.Ends[1], v.Ends[2], v.Ends[3], v.Out, v.Why)
+			for _, v := range a.Statuses {
+				fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Key, v.Template, v.State, v.Age.Round(time.Second), v.EndCounts[0], v.EndCounts[1], v.EndCounts[2], v.EndCounts[3], v.OpenClaims, v.Reason)
 			}
 			if err := w.Flush(); err != nil || key == "" {
 				return err
 			}
-			return steps(out, a.Views[0].Steps)
-		}, claims.Command{Show: &claims.Show{Flow: key}})
+			return steps(out, a.Statuses[0].Steps)
+		}, claims.Command{Query: &claims.StatusQuery{Workflow: key}})
 	}}
 }
 
-func steps(out io.Writer, all []claims.StepView) error {
+func steps(out io.Writer, all []claims.StepStatus) error {
 	if len(all) == 0 {
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "step\titems\tstate\tfor\tmay have run\tat\twhy")
 	for _, s := range all {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%t\t%s\t%s\n", place(s.Name, s.Ref), strings.Join(s.Values, ", "), s.State, s.For.Round(time.Second), s.MayRun, s.Who, s.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%t\t%s\t%s\n", place(s.Name, s.Ref), strings.Join(s.ItemValues, ", "), s.State, s.InStateFor.Round(time.Second), s.PossiblyExecuted, s.ClaimedBy, s.Reason)
 	}
 	return w.Flush()
 }
 
 // place names a step as settle takes it: its name, and its item's place in each fan-out around it.
-func place(name string, r expansion.Ref) string {
+func place(name string, r expansion.StepRef) string {
 	last := len(r.Path)
 	for last > 0 && r.Path[last-1] == 0 {
 		last--
@@ -173,7 +173,7 @@
 		return c.flow(func(claims.Answer) error {
 			fmt.Fprintln(cmd.OutOrStdout(), "nothing more of it is begun; what is out is waited for")
 			return nil
-		}, claims.Command{Cancel: &claims.Cancel{Flow: args[0], Who: who}})
+		}, claims.Command{Cancel: &claims.Cancellation{Workflow: args[0], RequestedBy: who}})
 	}}
 	cmd.Flags().StringVar(&who, "who", os.Getenv("USER"), "who asks for it")
 	return cmd
@@ -182,25 +182,25 @@
 func (c *calls) flowSettle() *cobra.Command {
 	var who string
 	cmd := &cobra.Command{Use: "settle KEY STEP done|failed|again", Short: "say how a step has ended that nobody knows of, or have it sent again", Args: cobra.ExactArgs(3), RunE: func(cmd *cobra.Command, args []string) error {
-		as, ok := map[string]claims.Outcome{"done": claims.Done, "failed": claims.Failed, "again": claims.Back}[args[2]]
+		as, ok := map[string]claims.Outcome{"done": claims.OutcomeDone, "failed": claims.OutcomeFailed, "again": claims.OutcomeRequeue}[args[2]]
 		if !ok {
 			return &coded{exitUsage, fmt.Errorf("%q: expected done, failed or again", args[2])}
 		}
-		var found *claims.StepView
+		var found *claims.StepStatus
 		err := c.flow(func(a claims.Answer) error {
-			if i := slices.IndexFunc(a.Views[0].Steps, func(s claims.StepView) bool { return place(s.Name, s.Ref) == args[1] }); i >= 0 {
-				found = &a.Views[0].Steps[i]
+			if i := slices.IndexFunc(a.Statuses[0].Steps, func(s claims.StepStatus) bool { return place(s.Name, s.Ref) == args[1] }); i >= 0 {
+				found = &a.Statuses[0].Steps[i]
 				return nil
 			}
 			return notDone("step %q is not under way: flow show %s names those that are", args[1], args[0])
-		}, claims.Command{Show: &claims.Show{Flow: args[0]}})
+		}, claims.Command{Query: &claims.StatusQuery{Workflow: args[0]}})
 		if err != nil {
 			return err
 		}
 		return c.flow(func(claims.Answer) error {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[1], args[2])
 			return nil
-		}, claims.Command{Settle: &claims.Settle{Flow: args[0], Who: who, Ref: found.Ref, As: as}})
+		}, claims.Command{Resolve: &claims.Resolution{Workflow: args[0], RequestedBy: who, Step: found.Ref, Outcome: as}})
 	}}
 	cmd.Flags().StringVar(&who, "who", os.Getenv("USER"), "who says so")
 	return cmd
--- a/cmd/coordinator/policy.go
+++ b/cmd/coordinator/policy.go
@@ -126,10 +126,10 @@
 		p.ID = fmt.Sprintf("%.8s-%d", statemachine.Digest(text), s.Revision) // another after each change that ended
 	}
 	p.Text, p.BaseVersion = text, s.CurrentPolicy().Version
-	if p.Limits, err = doc.Limits(); err != nil {
+	if p.Limits, err = doc.QuotaLimits(); err != nil {
 		return &coded{exitUsage, err}
 	}
-	p.OutlierSettings, p.ColdStart, p.Workflows, p.Pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
+	p.OutlierSettings, p.ColdStart, p.Workflows, p.Pools = doc.OutlierSettings(), doc.ColdStartSettings(), doc.Templates(), doc.PoolNames()
 	if _, err := c.do(ctx, cl, statemachine.Command{Proposal: &p}); err != nil {
 		return err
 	}
--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -32,18 +32,18 @@
 // under is a configuration with what a policy takes from it and adds to it.
 func under(base *config.Config, doc policy.Document) (*config.Config, error) {
 	own := *base
-	if doc.Attempts > 0 {
-		own.Module.MaxAttempts = min(own.Module.MaxAttempts, doc.Attempts)
+	if doc.MaxAttempts > 0 {
+		own.Module.MaxAttempts = min(own.Module.MaxAttempts, doc.MaxAttempts)
 	}
-	if doc.Rule != "" {
-		own.Membership.Rule = doc.Rule
+	if doc.MergeRule != "" {
+		own.Membership.Rule = doc.MergeRule
 	}
-	if doc.Room != nil {
-		own.Module.Backfill = doc.Room.Settings()
+	if doc.Reservations != nil {
+		own.Module.Backfill = doc.Reservations.Settings()
 	}
-	if len(doc.Contract) > 0 {
+	if len(doc.Contracts) > 0 {
 		own.SSE.Contracts = nil
-		for _, k := range doc.Contract {
+		for _, k := range doc.Contracts {
 			own.SSE.Contracts = append(own.SSE.Contracts, config.Contract(k))
 		}
 		if err := own.CheckContracts("", own.SSE.Contracts); err != nil {
@@ -58,8 +58,8 @@
 	was := n.live.Get()
 	own, err := under(base, doc)
 	var pools *pool.Set
-	if err == nil && len(doc.Pool) > 0 {
-		pools, err = pool.Bind(doc.Pool, own.Kinds, own.Zones)
+	if err == nil && len(doc.Pools) > 0 {
+		pools, err = pool.NewSet(doc.Pools, own.Kinds, own.Zones)
 	}
 	if err == nil {
 		err = n.broker.Retune(own.Module)
@@ -71,7 +71,7 @@
 	n.base, n.policy = base, doc
 	n.live.Set(own)
 	if n.flows != nil {
-		n.flows.Bind(len(doc.Flow) > 0, pools)
+		n.flows.ApplyPolicy(len(doc.Workflows) > 0, pools)
 	}
 	if own.Membership.Rule != was.Membership.Rule {
 		return n.sources.Retune()
@@ -90,13 +90,13 @@
 func (n *node) weigh(p statemachine.Policy) (policy.Document, error) {
 	doc, err := policy.Parse(p.Text)
 	if err == nil {
-		if limits, _ := doc.Limits(); !slices.Equal(limits, p.Limits) {
+		if limits, _ := doc.QuotaLimits(); !slices.Equal(limits, p.Limits) {
 			return doc, fmt.Errorf("its limits are not those of its text: %d of %d", len(p.Limits), len(limits))
 		}
-		if starts := doc.Starts(); !reflect.DeepEqual(starts, p.ColdStart) {
+		if starts := doc.ColdStartSettings(); !reflect.DeepEqual(starts, p.ColdStart) {
 			return doc, fmt.Errorf("its cold start is not that of its text: %+v, %+v", p.ColdStart, starts)
 		}
-		if judges := doc.Judges(); !reflect.DeepEqual(judges, p.OutlierSettings) {
+		if judges := doc.OutlierSettings(); !reflect.DeepEqual(judges, p.OutlierSettings) {
 			return doc, fmt.Errorf("its verdicts are not those of its text: %+v, %+v", p.OutlierSettings, judges)
 		}
 		n.policyMu.Lock()
@@ -122,16 +122,16 @@
 	if err != nil {
 		return err
 	}
-	n.sources.Ban(slices.Concat(ids, doc.Ban))
+	n.sources.Ban(slices.Concat(ids, doc.BannedWorkers))
 	if err := n.put(n.base, doc); err != nil {
 		return err
 	}
-	n.desk.Set(n.deskNow(), p.Limits)
-	n.starts.Bind(p.ColdStart != nil)
+	n.desk.SetLimits(n.deskNow(), p.Limits)
+	n.starts.SetEnabled(p.ColdStart != nil)
 	if n.judged.Store(p.OutlierSettings != nil); p.OutlierSettings != nil {
-		n.witness.Set(p.OutlierSettings.HalfLife)
+		n.witness.SetHalfLife(p.OutlierSettings.HalfLife)
 	} else {
-		n.witness.Set(0)
+		n.witness.SetHalfLife(0)
 		n.broker.Judged(nil, false)
 	}
 	n.broker.Rebound()
@@ -142,17 +142,17 @@
 // but, under Last, by the policy of the process before.
 func (n *node) hold(cfg *config.Config, dir string) {
 	began := time.Now()
-	n.desk, n.deskNow = quota.NewDesk(), func() time.Duration { return time.Since(began) }
+	n.desk, n.deskNow = quota.NewLimiter(), func() time.Duration { return time.Since(began) }
 	n.broker.Limit(n.desk, n.deskNow)
-	n.witness = outlier.NewWitness(outlier.Default().HalfLife, uint64(began.UnixNano()))
-	n.witness.Set(0) // until a policy has workers judged
+	n.witness = outlier.NewReporter(outlier.DefaultSettings().HalfLife, uint64(began.UnixNano()))
+	n.witness.SetHalfLife(0) // until a policy has workers judged
 	n.broker.Witness(n.witness)
 	// What the keepers have said of workers is not used for longer than a lease.
 	n.stale = time.AfterFunc(time.Hour, func() { n.broker.Judged(nil, false) })
 	fence, _ := statemachine.ParseLeaseLossMode(cfg.Keepers.Fence) // checked with the file
-	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.Form()), fence)
+	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.FormatVersion()), fence)
 	var more transport.Hooks
-	n.carry(cfg, half.Life(), &more)
+	n.carry(cfg, half.Incarnation(), &more)
 	apply := n.takePolicy
 	// Where nothing is admitted without a lease no list is needed before one: then the keepers are
 	// waited for as long as a list may be old. Else but a moment.
@@ -160,10 +160,10 @@
 	if fence == statemachine.RefuseWork {
 		patience = max(cfg.Module.ListRefreshInterval, patience)
 	}
-	n.starts = coldstart.NewDesk(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
+	n.starts = coldstart.NewClient(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
 	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.KeepLastPolicy {
 		if p, ok := n.lastPolicy(kept); ok {
-			half.Restore(p)
+			half.RestorePolicy(p)
 			log.Printf("policy: version %d (%.12s) of the process before, until the keepers are asked", p.Version, p.Digest)
 		}
 		apply = func(p statemachine.Policy) error {
@@ -184,39 +184,39 @@
 	hooks := transport.Hooks{
 		CheckPolicy: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
 		ApplyPolicy: apply, Log: func(s string) { log.Print(s) },
-		QuotaRequests: func() []quota.Want {
-			n.desk.AtMost(int64(n.broker.Fullest()))
+		QuotaRequests: func() []quota.Request {
+			n.desk.ObserveBusiestWorker(int64(n.broker.Fullest()))
 			n.broker.Rebound()
-			return n.desk.Wants(n.deskNow())
+			return n.desk.Requests(n.deskNow())
 		},
-		QuotaGranted: func(until time.Duration, parts []quota.Part) {
-			n.desk.Hear(n.deskNow(), until, parts)
+		QuotaGranted: func(until time.Duration, parts []quota.Share) {
+			n.desk.SetShares(n.deskNow(), until, parts)
 			n.broker.Rebound()
 		},
-		Zone: cfg.Module.Zone, ColdStartRequest: n.starts.Want, ListMark: n.starts.Has,
-		ColdStartGranted: func(asked, until time.Duration, w *coldstart.Word) {
-			list, speeds := n.starts.Hear(asked, until, w)
+		Zone: cfg.Module.Zone, ColdStartRequest: n.starts.NextRequest, ListMark: n.starts.Watermark,
+		ColdStartGranted: func(asked, until time.Duration, w *coldstart.Response) {
+			list, speeds := n.starts.HandleResponse(asked, until, w)
 			carrier.Take(list)
 			if speeds != nil {
-				n.broker.Recall(speeds.Module())
+				n.broker.Recall(speeds.Encode())
 				log.Printf("speeds: told of %d kinds and %d classes by the fleet", len(speeds.Kinds), len(speeds.Classes))
 			}
 		},
-		ListReceived:   func(u *relay.Update) { carrier.Take(n.starts.News(u)) },
-		QuotaExhausted: func() bool { return n.desk.Starved() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
+		ListReceived:   func(u *relay.Update) { carrier.Take(n.starts.HandleUpdate(u)) },
+		QuotaExhausted: func() bool { return n.desk.Exhausted() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
 		AddReports: func(hold *statemachine.LeaseRequest) {
 			if n.judged.Load() {
 				hold.WorkerCount, hold.OutlierReports = n.broker.Workers(), n.witness.Reports(n.deskNow())
 			}
 		},
-		ReportsUndelivered: n.witness.Unsaid,
+		ReportsUndelivered: n.witness.Undelivered,
 		VerdictsReceived:   n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
 	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
 	carrier = relayedlist.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
 	n.table.Share(n.starts, carrier.Told)
 	n.reader.Gate(func() (uint64, time.Time, bool) {
 		held, at := n.holder.Admits()
-		return held.Version, at, held.Admits
+		return held.Version, at, held.Allowed
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -240,8 +240,8 @@
 	for {
 		select {
 		case <-tick.C:
-			if n.starts.Bound() {
-				n.starts.Learned(speeds.From(n.broker.Memory(200 * time.Millisecond)))
+			if n.starts.Enabled() {
+				n.starts.SetLearnedSpeeds(speeds.Decode(n.broker.Memory(200 * time.Millisecond)))
 			}
 		case <-ctx.Done():
 			return
@@ -250,18 +250,18 @@
 }
 
 // heardVerdicts takes in the verdicts that hold here, until then.
-func (n *node) heardVerdicts(until time.Duration, all []outlier.Verdict, accused []outlier.Life, news bool) {
+func (n *node) heardVerdicts(until time.Duration, all []outlier.EjectionNotice, accused []outlier.Incarnation, news bool) {
 	if !n.judged.Load() {
 		return
 	}
-	own := slices.DeleteFunc(slices.Clone(all), func(v outlier.Verdict) bool {
-		return v.Zone != outlier.Everywhere && v.Zone != n.cfg.Module.Zone
+	own := slices.DeleteFunc(slices.Clone(all), func(v outlier.EjectionNotice) bool {
+		return v.Zone != outlier.AllZones && v.Zone != n.cfg.Module.Zone
 	})
-	n.witness.Pardon(n.verdicts, own)
+	n.witness.Reinstated(n.verdicts, own)
 	n.verdicts = own
 	n.broker.Judged(own, news)
 	if !news {
-		n.witness.Accused(accused)
+		n.witness.SetSuspects(accused)
 	}
 	n.stale.Reset(timers.Ahead(until - n.deskNow()))
 }
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -61,13 +61,13 @@
 	release     func()                  // gives its lease back
 	base        *config.Config          // in force, before the policy; reloads' and the policy's, under policyMu
 	policyMu    sync.Mutex
-	starts      *coldstart.Desk // of turns at the list service and the relayed list; nil: no keepers
-	desk        *quota.Desk     // of the limits of the fleet
+	starts      *coldstart.Client // of turns at the list service and the relayed list; nil: no keepers
+	desk        *quota.Limiter    // of the limits of the fleet
 	deskNow     func() time.Duration
-	witness     *outlier.Witness
-	judged      atomic.Bool       // the policy in force has workers judged
-	verdicts    []outlier.Verdict // that hold here; the holder's alone
-	stale       *time.Timer       // ends them
+	witness     *outlier.Reporter
+	judged      atomic.Bool              // the policy in force has workers judged
+	verdicts    []outlier.EjectionNotice // that hold here; the holder's alone
+	stale       *time.Timer              // ends them
 	policy      policy.Document
 	talk        *datagram.Link        // with the other dispatchers; nil: they don't talk
 	flows       *workflowsteps.Runner // of workflows' steps; nil: no keepers
--- a/cmd/yardflow/share.go
+++ b/cmd/yardflow/share.go
@@ -71,5 +71,5 @@
 func (n *node) takeOut(ids []string) {
 	n.policyMu.Lock()
 	defer n.policyMu.Unlock()
-	n.sources.Ban(slices.Concat(ids, n.policy.Ban))
+	n.sources.Ban(slices.Concat(ids, n.policy.BannedWorkers))
 }
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/steps.go
@@ -22,32 +22,32 @@
 
 // weighFlows tells what keeps a policy's workflows from being run under a configuration; nil: nothing.
 func weighFlows(cfg *config.Config, doc policy.Document, p statemachine.Policy) error {
-	if all := doc.Flows(); len(all)+len(p.Workflows) > 0 && !reflect.DeepEqual(all, p.Workflows) {
-		return &template.Error{Step: -1, Key: "flow", What: "the templates agreed on are not those of the text", Expected: "both alike"}
+	if all := doc.Templates(); len(all)+len(p.Workflows) > 0 && !reflect.DeepEqual(all, p.Workflows) {
+		return &template.Error{StepIndex: -1, Key: "flow", Problem: "the templates agreed on are not those of the text", Expected: "both alike"}
 	}
 	for _, t := range p.Workflows {
 		if len(cfg.Tenants) > 0 && !slices.Contains(cfg.Tenants, t.Tenant) {
-			return &template.Error{Template: t.Name, Step: -1, Key: "tenant", What: t.Tenant, Expected: fmt.Sprintf("one of the settings' %q", cfg.Tenants)}
+			return &template.Error{Template: t.Name, StepIndex: -1, Key: "tenant", Problem: t.Tenant, Expected: fmt.Sprintf("one of the settings' %q", cfg.Tenants)}
 		}
 		for i, s := range t.Steps {
 			if !slices.Contains(cfg.Classes, s.Class) {
-				return &template.Error{Template: t.Name, Step: i, Name: s.Name, Key: "class", What: s.Class, Expected: fmt.Sprintf("one of the settings' %q", cfg.Classes)}
+				return &template.Error{Template: t.Name, StepIndex: i, StepName: s.Name, Key: "class", Problem: s.Class, Expected: fmt.Sprintf("one of the settings' %q", cfg.Classes)}
 			}
 		}
 	}
-	_, err := pool.Bind(doc.Pool, cfg.Kinds, cfg.Zones)
+	_, err := pool.NewSet(doc.Pools, cfg.Kinds, cfg.Zones)
 	return err
 }
 
 // carry makes the runner of steps; hooks of the lease's holder are added to.
 func (n *node) carry(cfg *config.Config, life uint64, hooks *transport.Hooks) {
-	n.flows = workflowsteps.New(n.broker, workflowsteps.Hooks{Name: cfg.Name, Life: life, Now: n.deskNow, Live: n.live, Lines: n.lines, Log: func(s string) { log.Print(s) },
-		Call: func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
+	n.flows = workflowsteps.New(n.broker, workflowsteps.Config{Dispatcher: cfg.Name, Incarnation: life, Now: n.deskNow, Settings: n.live, Workers: n.lines, Log: func(s string) { log.Print(s) },
+		CallCoordinator: func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
 			return n.holder.Do(ctx, c)
 		},
-		Gate: func() (uint64, time.Time, bool) {
+		AdmissionGate: func() (uint64, time.Time, bool) {
 			held, at := n.holder.Admits()
-			return held.Version, at, held.Admits
+			return held.Version, at, held.Allowed
 		}})
-	hooks.ClaimLeaseRenewed, hooks.StepsReady = n.flows.Stay, n.flows.Ready
+	hooks.ClaimLeaseRenewed, hooks.StepsReady = n.flows.RenewLease, n.flows.NotifyReady
 }
--- a/cmd/yardflow/stop.go
+++ b/cmd/yardflow/stop.go
@@ -88,7 +88,7 @@
 	n.sources.Close()
 	n.lines.CloseIdle()
 	if n.flows != nil {
-		n.flows.Settle(began.Add(kill - killMargin))
+		n.flows.WaitUntilIdle(began.Add(kill - killMargin))
 	}
 	n.broker.Close()
 	if n.release != nil {
--- a/internal/discovery/relayedlist/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -32,13 +32,13 @@
 type Carrier struct {
 	name    string
 	zone    int
-	desk    *coldstart.Desk
+	desk    *coldstart.Client
 	table   Table
 	keepers Keepers
 	log     func(string)
 
 	mu      sync.Mutex
-	next    *relay.Word // what is to be handed on; nil: nothing is
+	next    *relay.Publication // what is to be handed on; nil: nothing is
 	seat    uint64
 	all     func() []membership.Worker
 	poke    chan struct{}
@@ -46,14 +46,14 @@
 }
 
 // New makes the carrier of a dispatcher in a zone.
-func New(name string, zone int, desk *coldstart.Desk, table Table, keepers Keepers, log func(string)) *Carrier {
+func New(name string, zone int, desk *coldstart.Client, table Table, keepers Keepers, log func(string)) *Carrier {
 	return &Carrier{name: name, zone: zone, desk: desk, table: table, keepers: keepers, log: log, poke: make(chan struct{}, 1)}
 }
 
 // Told hands on what the table was told, if this dispatcher reads for its zone. The table calls
 // it while it takes a word in, so it returns at once.
 func (c *Carrier) Told(t httpfront.Told) {
-	seat, whole := c.desk.Told()
+	seat, whole := c.desk.CallSucceeded()
 	if seat == 0 {
 		return
 	}
@@ -61,9 +61,9 @@
 	defer c.mu.Unlock()
 	if c.next != nil || whole || t.Afresh {
 		// Whatever waits is told with it, as a whole: it was not taken in yet.
-		c.next = &relay.Word{Generation: t.Generation, Whole: true, Afresh: t.Afresh || c.next != nil && c.next.Afresh, Entries: entries(t.All())}
+		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.Afresh || c.next != nil && c.next.NewSource, Entries: entries(t.All())}
 	} else {
-		c.next = &relay.Word{Generation: t.Generation, Entries: entries(t.Changed)}
+		c.next = &relay.Publication{Generation: t.Generation, Entries: entries(t.Changed)}
 	}
 	c.seat, c.all = seat, t.All
 	c.wake()
@@ -87,11 +87,11 @@
 		}
 		r, err := c.keepers.Do(ctx, statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: c.name, Incarnation: c.keepers.Incarnation(), Zone: c.zone, FencingToken: seat, Update: *w}})
 		if err == nil && r.Err == "" {
-			c.desk.Said(seat, true)
+			c.desk.ListPublished(seat, true)
 			c.refused = false
 			continue
 		}
-		c.desk.Said(seat, false)
+		c.desk.ListPublished(seat, false)
 		if !c.refused {
 			c.refused = true
 			why := r.Err
@@ -100,14 +100,14 @@
 			}
 			c.log("relayed list: not handed on: " + why)
 		}
-		if r.Err != "" && r.Code != (&relay.PartError{}).Code() {
+		if r.Err != "" && r.Code != (&relay.NeedsCompleteListError{}).Code() {
 			continue // by its seat or its age: the next word that it is told goes out whole
 		}
 		c.mu.Lock()
 		if c.next != nil {
 			w = c.next
 		}
-		c.next = &relay.Word{Generation: w.Generation, Whole: true, Afresh: w.Afresh, Entries: entries(c.all())}
+		c.next = &relay.Publication{Generation: w.Generation, Complete: true, NewSource: w.NewSource, Entries: entries(c.all())}
 		c.mu.Unlock()
 		select {
 		case <-time.After(100 * time.Millisecond):
@@ -129,15 +129,15 @@
 	if u == nil {
 		return
 	}
-	if !c.table.Relayed(u.Generation, u.Whole, workers(u.Entries)) {
-		c.desk.Lost()
+	if !c.table.Relayed(u.Generation, u.Complete, workers(u.Entries)) {
+		c.desk.ResetList()
 	}
 }
 
 func entries(list []membership.Worker) []relay.Entry {
 	out := make([]relay.Entry, 0, len(list))
 	for _, w := range list {
-		e := relay.Entry{ID: w.ID, Addr: w.Addr, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, Weight: w.Weight, State: uint8(w.State), Gone: w.State == membership.Gone}
+		e := relay.Entry{ID: w.ID, Addr: w.Addr, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, Weight: w.Weight, State: uint8(w.State), Removed: w.State == membership.Gone}
 		if !w.Started.IsZero() {
 			e.Started = w.Started.UnixMicro()
 		}
@@ -150,7 +150,7 @@
 	out := make([]membership.Worker, 0, len(list))
 	for _, e := range list {
 		w := membership.Worker{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, State: membership.State(e.State)}
-		if e.Gone {
+		if e.Removed {
 			w.State = membership.Gone
 		}
 		if e.Started != 0 {
--- a/internal/fleet/coldstart/admission/turns.go
+++ b/internal/fleet/coldstart/admission/turns.go
@@ -17,8 +17,8 @@
 
 // Settings are how much the service is stated to take.
 type Settings struct {
-	Calls int           // in any second; 2 to 10000
-	Use   time.Duration // a turn's length, and the longest way of a granted one; 10 ms to 1 s
+	CallsPerSecond int           `cbor:"Calls" json:"Calls"` // in any second; 2 to 10000
+	TokenWindow    time.Duration `cbor:"Use" json:"Use"`     // a turn's length, and the longest way of a granted one; 10 ms to 1 s
 }
 
 // SettingsError names what can't be a setting.
@@ -36,99 +36,101 @@
 	return "correct the key in the policy's [start] and propose it again; what is in force stays"
 }
 
-// Check names what can't be.
-func (s Settings) Check() error {
+// Validate names what can't be.
+func (s Settings) Validate() error {
 	switch {
-	case s.Calls < 2 || s.Calls > 10000:
-		return &SettingsError{"calls", fmt.Sprint(s.Calls), "2 to 10000 in a second, as the list service is stated to take"}
-	case s.Use < 10*time.Millisecond || s.Use > time.Second:
-		return &SettingsError{"use", s.Use.String(), "10ms to 1s"}
+	case s.CallsPerSecond < 2 || s.CallsPerSecond > 10000:
+		return &SettingsError{"calls", fmt.Sprint(s.CallsPerSecond), "2 to 10000 in a second, as the list service is stated to take"}
+	case s.TokenWindow < 10*time.Millisecond || s.TokenWindow > time.Second:
+		return &SettingsError{"use", s.TokenWindow.String(), "10ms to 1s"}
 	}
 	return nil
 }
 
-// Step is how far apart two turns' moments are.
-func (s Settings) Step() time.Duration {
-	return (time.Second + 2*s.Use) / time.Duration(s.Calls-1)
+// TokenSpacing is how far apart two turns' moments are.
+func (s Settings) TokenSpacing() time.Duration {
+	return (time.Second + 2*s.TokenWindow) / time.Duration(s.CallsPerSecond-1)
 }
 
-// Bound is the most calls that turns can make of any stretch of time so long.
-func (s Settings) Bound(in time.Duration) int { return int((in+2*s.Use)/s.Step()) + 1 }
+// MaxCalls is the most calls that turns can make of any stretch of time so long.
+func (s Settings) MaxCalls(in time.Duration) int {
+	return int((in+2*s.TokenWindow)/s.TokenSpacing()) + 1
+}
 
-// Turn is one call.
-type Turn struct {
-	No uint64
-	In time.Duration // from when it was asked for
+// Token is one call.
+type Token struct {
+	Number uint64        `cbor:"No"`
+	Delay  time.Duration `cbor:"In"` // from when it was asked for
 	// Its holder may call from In on, for Use; an answer that took longer than Use is dropped.
-	Use time.Duration
+	Window time.Duration `cbor:"Use"`
 }
 
-// Out is a turn that was given.
-type Out struct {
-	No uint64
-	At time.Duration // its moment
+// Issued is a turn that was given.
+type Issued struct {
+	Number  uint64        `cbor:"No"`
+	OpensAt time.Duration `cbor:"At"` // its moment
 }
 
-// Book is who has what turn.
-type Book struct {
+// Issuer is who has what turn.
+type Issuer struct {
 	Settings
-	Free time.Duration  // the next turn's moment at the soonest
-	No   uint64         // of the latest
-	Out  map[string]Out // by holder: one at the most
+	NextOpening time.Duration     `cbor:"Free"` // the next turn's moment at the soonest
+	LastNumber  uint64            `cbor:"No"`   // of the latest
+	Outstanding map[string]Issued `cbor:"Out"`  // by holder: one at the most
 }
 
-// New makes one by which the first turn is no sooner than a moment, with a number over base.
-func New(s Settings, from time.Duration, base uint64) *Book {
-	return &Book{Settings: s, Free: from, No: base, Out: map[string]Out{}}
+// NewIssuer makes one by which the first turn is no sooner than a moment, with a number over base.
+func NewIssuer(s Settings, from time.Duration, base uint64) *Issuer {
+	return &Issuer{Settings: s, NextOpening: from, LastNumber: base, Outstanding: map[string]Issued{}}
 }
 
-// Mend makes what a snapshot leaves out where it is empty.
-func (b *Book) Mend() {
-	if b.Out == nil {
-		b.Out = map[string]Out{}
+// InitMaps makes what a snapshot leaves out where it is empty.
+func (b *Issuer) InitMaps() {
+	if b.Outstanding == nil {
+		b.Outstanding = map[string]Issued{}
 	}
 }
 
-// Set puts other settings in force. What was given stays given.
-func (b *Book) Set(s Settings) { b.Settings = s }
-
-// Ask gives who its turn: the one that it has, unless it has used that or it is over, else the next.
-func (b *Book) Ask(now time.Duration, who string, used uint64) Turn {
-	o, ok := b.Out[who]
-	if !ok || used >= o.No || now >= o.At+b.Use {
-		b.No++
-		o = Out{b.No, max(now+b.Use, b.Free)} // what comes at once would be over on its way
-		b.Free = o.At + b.Step()
-		b.Out[who] = o
+// Configure puts other settings in force. What was given stays given.
+func (b *Issuer) Configure(s Settings) { b.Settings = s }
+
+// Issue gives who its turn: the one that it has, unless it has used that or it is over, else the next.
+func (b *Issuer) Issue(now time.Duration, who string, used uint64) Token {
+	o, ok := b.Outstanding[who]
+	if !ok || used >= o.Number || now >= o.OpensAt+b.TokenWindow {
+		b.LastNumber++
+		o = Issued{b.LastNumber, max(now+b.TokenWindow, b.NextOpening)} // what comes at once would be over on its way
+		b.NextOpening = o.OpensAt + b.TokenSpacing()
+		b.Outstanding[who] = o
 	}
-	return Turn{No: o.No, In: max(o.At-now, 0), Use: b.Use}
+	return Token{Number: o.Number, Delay: max(o.OpensAt-now, 0), Window: b.TokenWindow}
 }
 
-// Forget drops a holder that is gone; the call that it may have made has had its moment.
-func (b *Book) Forget(who string) { delete(b.Out, who) }
+// RemoveHolder drops a holder that is gone; the call that it may have made has had its moment.
+func (b *Issuer) RemoveHolder(who string) { delete(b.Outstanding, who) }
 
-// Mine is a holder's half: the turn that it has.
-type Mine struct {
-	Turn
+// Holder is a holder's half: the turn that it has.
+type Holder struct {
+	Token
 	asked time.Duration
 	spent bool
 }
 
-// Take takes up a turn that was asked for at one moment of the holder's clock and heard of at
+// Accept takes up a turn that was asked for at one moment of the holder's clock and heard of at
 // another. One whose way took too long is none.
-func (m *Mine) Take(asked, heard time.Duration, t Turn) {
-	if t.No <= m.No && t.No != 0 && m.spent {
+func (m *Holder) Accept(asked, heard time.Duration, t Token) {
+	if t.Number <= m.Number && t.Number != 0 && m.spent {
 		return // an old answer: it is used
 	}
-	m.Turn, m.asked, m.spent = t, asked, heard-asked > t.Use
+	m.Token, m.asked, m.spent = t, asked, heard-asked > t.Window
 }
 
-// May tells whether the call may be made now; else how long until then, below 0 where another
+// MayCall tells whether the call may be made now; else how long until then, below 0 where another
 // turn is needed. Yes uses the turn up.
-func (m *Mine) May(now time.Duration) (ok bool, wait time.Duration) {
-	from := m.asked + m.In
+func (m *Holder) MayCall(now time.Duration) (ok bool, wait time.Duration) {
+	from := m.asked + m.Delay
 	switch {
-	case m.No == 0 || m.spent || now > from+m.Use:
+	case m.Number == 0 || m.spent || now > from+m.Window:
 		m.spent = true
 		return false, -1
 	case now < from:
@@ -138,10 +140,10 @@
 	return true, 0
 }
 
-// Used is the number of the latest turn that is used up; 0: none is.
-func (m *Mine) Used() uint64 {
+// UsedToken is the number of the latest turn that is used up; 0: none is.
+func (m *Holder) UsedToken() uint64 {
 	if m.spent {
-		return m.No
+		return m.Number
 	}
 	return 0
 }
--- a/internal/fleet/coldstart/admission/turns_test.go
+++ b/internal/fleet/coldstart/admission/turns_test.go
@@ -13,12 +13,12 @@
 	sum := 0
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
-		s := Settings{Calls: 2 + rnd.IntN(40), Use: time.Duration(10+rnd.IntN(300)) * time.Millisecond}
-		b := New(s, 0, 0)
+		s := Settings{CallsPerSecond: 2 + rnd.IntN(40), TokenWindow: time.Duration(10+rnd.IntN(300)) * time.Millisecond}
+		b := NewIssuer(s, 0, 0)
 		type holder struct {
-			Mine
+			Holder
 			asked, heard time.Duration
-			answer       Turn
+			answer       Token
 			skew         float64
 		}
 		all := make([]*holder, 60)
@@ -35,20 +35,20 @@
 				switch {
 				case rnd.IntN(400) == 0:
 					all[i] = &holder{skew: h.skew} // killed, and started again
-				case h.answer.No != 0 && own >= h.heard:
+				case h.answer.Number != 0 && own >= h.heard:
 					if rnd.IntN(5) > 0 { // else it is lost
-						h.Take(h.asked, own, h.answer)
+						h.Accept(h.asked, own, h.answer)
 					}
 					if rnd.IntN(3) > 0 { // else it comes again
-						h.answer = Turn{}
+						h.answer = Token{}
 					}
 				default:
-					if ok, wait := h.May(own); ok {
+					if ok, wait := h.MayCall(own); ok {
 						calls = append(calls, now)
-					} else if wait < 0 && h.answer.No == 0 {
-						at := time.Duration(rnd.IntN(int(s.Use * 3 / 2))) // the way there takes its part
+					} else if wait < 0 && h.answer.Number == 0 {
+						at := time.Duration(rnd.IntN(int(s.TokenWindow * 3 / 2))) // the way there takes its part
 						h.asked, h.heard = own, own+at
-						h.answer = b.Ask(now+at/3, string(rune('a'+i)), h.Used())
+						h.answer = b.Issue(now+at/3, string(rune('a'+i)), h.UsedToken())
 					}
 				}
 			}
@@ -56,8 +56,8 @@
 		sum += len(calls)
 		for i, at := range calls {
 			n, _ := slices.BinarySearch(calls[i:], at+time.Second)
-			if n > s.Calls || n > s.Bound(time.Second) {
-				t.Fatalf("seed %d: %d calls in the second from %v; %d are stated, %d are the bound", seed, n, at, s.Calls, s.Bound(time.Second))
+			if n > s.CallsPerSecond || n > s.MaxCalls(time.Second) {
+				t.Fatalf("seed %d: %d calls in the second from %v; %d are stated, %d are the bound", seed, n, at, s.CallsPerSecond, s.MaxCalls(time.Second))
 			}
 		}
 	}
@@ -68,15 +68,15 @@
 
 // Asking again is asking once, until the turn is used or over.
 func TestAskingAgainGivesTheSameTurn(t *testing.T) {
-	b := New(Settings{Calls: 5, Use: 100 * time.Millisecond}, 0, 0)
-	first := b.Ask(0, "a", 0)
-	if again := b.Ask(50*time.Millisecond, "a", 0); again.No != first.No || again.In != first.In-50*time.Millisecond {
+	b := NewIssuer(Settings{CallsPerSecond: 5, TokenWindow: 100 * time.Millisecond}, 0, 0)
+	first := b.Issue(0, "a", 0)
+	if again := b.Issue(50*time.Millisecond, "a", 0); again.Number != first.Number || again.Delay != first.Delay-50*time.Millisecond {
 		t.Errorf("asked again: %+v after %+v", again, first)
 	}
-	if next := b.Ask(60*time.Millisecond, "a", first.No); next.No == first.No || next.In < b.Step() {
+	if next := b.Issue(60*time.Millisecond, "a", first.Number); next.Number == first.Number || next.Delay < b.TokenSpacing() {
 		t.Errorf("used, and asked again: %+v", next)
 	}
-	if err := (Settings{Calls: 1, Use: time.Second}).Check(); err == nil {
+	if err := (Settings{CallsPerSecond: 1, TokenWindow: time.Second}).Validate(); err == nil {
 		t.Error("one call a second can't be kept to, and is taken")
 	}
 }
--- a/internal/fleet/coldstart/desk.go
+++ b/internal/fleet/coldstart/desk.go
@@ -16,42 +16,42 @@
 // unfitAfter calls in a row that bring nothing, a reader gives its seat up.
 const unfitAfter = 3
 
-// Desk is one dispatcher's. Its methods may be called from any goroutine; time is the caller's
+// Client is one dispatcher's. Its methods may be called from any goroutine; time is the caller's
 // monotonic clock.
-type Desk struct {
+type Client struct {
 	mu      sync.Mutex
 	until   time.Duration // the lease, and all that hangs on it
 	bound   bool          // a policy has [start]; else calls are the dispatcher's own affair
 	relayed bool          // somebody reads for the zone, or will
 	seat    uint64
 	said    uint64 // the seat under which the whole list was handed on
-	turn    admission.Mine
+	turn    admission.Holder
 	wants   bool
 	alone   bool
-	has     relay.Mark
+	has     relay.Watermark
 	failed  int
 	unfit   uint64
 	blank   bool
-	learned *speeds.Speeds
+	learned *speeds.Estimates
 	changed chan struct{}
 	now     func() time.Duration
 	first   time.Duration // until then nobody is asked but the keepers; 0: they have answered
 }
 
-// NewDesk makes one by whose clock leases are counted. The keepers are waited for until a first
+// NewClient makes one by whose clock leases are counted. The keepers are waited for until a first
 // moment of it, which the caller draws, since many may start without any at one moment; from then
 // on the list service is asked without them.
-func NewDesk(now func() time.Duration, first time.Duration) *Desk {
-	return &Desk{blank: true, changed: make(chan struct{}), now: now, first: first}
+func NewClient(now func() time.Duration, first time.Duration) *Client {
+	return &Client{blank: true, changed: make(chan struct{}), now: now, first: first}
 }
 
-func (d *Desk) tellAll() {
+func (d *Client) tellAll() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Bind says whether a policy in force has [start].
-func (d *Desk) Bind(bound bool) {
+// SetEnabled says whether a policy in force has [start].
+func (d *Client) SetEnabled(bound bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.bound != bound {
@@ -60,42 +60,42 @@
 	}
 }
 
-// Bound tells whether a policy in force has [start].
-func (d *Desk) Bound() bool {
+// Enabled tells whether a policy in force has [start].
+func (d *Client) Enabled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bound
 }
 
-// Want words what it asks for with the next call for its lease; nil where there is nothing to ask.
-func (d *Desk) Want() *Want {
+// NextRequest words what it asks for with the next call for its lease; nil where there is nothing to ask.
+func (d *Client) NextRequest() *Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.bound {
 		return nil
 	}
-	w := &Want{Turn: d.wants, Alone: d.alone, Used: d.turn.Used(), Has: d.has, Unfit: d.unfit, Blank: d.blank, Learned: d.learned}
+	w := &Request{WantsAdmission: d.wants, Independent: d.alone, UsedAdmission: d.turn.UsedToken(), Watermark: d.has, ResignedFencingToken: d.unfit, NeedsSpeeds: d.blank, LearnedSpeeds: d.learned}
 	d.learned = nil
 	return w
 }
 
 // Urgent tells whether to ask soon.
-func (d *Desk) Urgent() bool {
+func (d *Client) Urgent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bound && d.wants && d.now() < d.until && (d.alone || !d.relayed || d.seat > 0)
 }
 
-// Learned notes what the module has learned, to be said once.
-func (d *Desk) Learned(s *speeds.Speeds) {
+// SetLearnedSpeeds notes what the module has learned, to be said once.
+func (d *Client) SetLearnedSpeeds(s *speeds.Estimates) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.learned = s
 }
 
-// Hear takes in what came with a lease that was asked for and holds until then. It returns what
+// HandleResponse takes in what came with a lease that was asked for and holds until then. It returns what
 // is new of the list, and of speeds to one that has none.
-func (d *Desk) Hear(asked, until time.Duration, w *Word) (list *relay.Update, speeds *speeds.Speeds) {
+func (d *Client) HandleResponse(asked, until time.Duration, w *Response) (list *relay.Update, speeds *speeds.Estimates) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w == nil {
@@ -105,12 +105,12 @@
 		}
 		return nil, nil
 	}
-	d.until, d.relayed, d.first = until, w.Relay, 0
-	if d.seat != w.Seat {
-		d.seat, d.failed = w.Seat, 0
+	d.until, d.relayed, d.first = until, w.RelayActive, 0
+	if d.seat != w.FencingToken {
+		d.seat, d.failed = w.FencingToken, 0
 	}
-	if w.Turn.No > 0 {
-		d.turn.Take(asked, d.now(), w.Turn)
+	if w.Admission.Number > 0 {
+		d.turn.Accept(asked, d.now(), w.Admission)
 	}
 	if w.Speeds != nil && d.blank {
 		speeds = w.Speeds
@@ -120,9 +120,9 @@
 	return d.take(w.List), speeds
 }
 
-// News takes in what a watch has told of the list, which may be old or come twice. Without a
+// HandleUpdate takes in what a watch has told of the list, which may be old or come twice. Without a
 // lease it is not gone by: whoever has none does not know who reads.
-func (d *Desk) News(u *relay.Update) *relay.Update {
+func (d *Client) HandleUpdate(u *relay.Update) *relay.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now() >= d.until {
@@ -131,7 +131,7 @@
 	return d.take(u)
 }
 
-func (d *Desk) take(u *relay.Update) *relay.Update {
+func (d *Client) take(u *relay.Update) *relay.Update {
 	if u == nil || !d.bound || u.Seq <= d.has.Seq {
 		return nil
 	}
@@ -140,24 +140,24 @@
 	return u
 }
 
-// Lost notes that what came of the list was not taken in: all of it is wanted again.
-func (d *Desk) Lost() {
+// ResetList notes that what came of the list was not taken in: all of it is wanted again.
+func (d *Client) ResetList() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.has.Seq = 0
 }
 
-// Has is how far it has the relayed list.
-func (d *Desk) Has() relay.Mark {
+// Watermark is how far it has the relayed list.
+func (d *Client) Watermark() relay.Watermark {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.has
 }
 
-// May tells whether the list service may be called now. anew is a call that it has to handle in
+// MayCall tells whether the list service may be called now. anew is a call that it has to handle in
 // turn, and not a watch carried on; alone is one that no relayed list can stand for. Where not:
 // what to wait for, and how long at the most.
-func (d *Desk) May(anew, alone bool) (ok bool, wait time.Duration, changed <-chan struct{}) {
+func (d *Client) MayCall(anew, alone bool) (ok bool, wait time.Duration, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -174,7 +174,7 @@
 	if !anew {
 		return true, 0, nil
 	}
-	if ok, wait = d.turn.May(now); ok {
+	if ok, wait = d.turn.MayCall(now); ok {
 		return true, 0, nil
 	}
 	if d.wants = wait < 0; d.wants {
@@ -183,9 +183,9 @@
 	return false, min(wait, left), d.changed
 }
 
-// Told notes that a call has brought a list. It returns the seat under which to hand it on (0: to
+// CallSucceeded notes that a call has brought a list. It returns the seat under which to hand it on (0: to
 // nobody), and whether the whole list is due.
-func (d *Desk) Told() (seat uint64, whole bool) {
+func (d *Client) CallSucceeded() (seat uint64, whole bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failed = 0
@@ -195,8 +195,8 @@
 	return d.seat, d.said != d.seat
 }
 
-// Said notes that it was handed on under a seat; false: it was not, and the whole list is due.
-func (d *Desk) Said(seat uint64, ok bool) {
+// ListPublished notes that it was handed on under a seat; false: it was not, and the whole list is due.
+func (d *Client) ListPublished(seat uint64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.said = seat; !ok {
@@ -204,8 +204,8 @@
 	}
 }
 
-// Failed notes that a call has brought nothing: a reader that goes on so gives up its seat.
-func (d *Desk) Failed() {
+// CallFailed notes that a call has brought nothing: a reader that goes on so gives up its seat.
+func (d *Client) CallFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.failed++; d.failed >= unfitAfter && d.seat > 0 {
--- a/internal/fleet/coldstart/relay/relay.go
+++ b/internal/fleet/coldstart/relay/relay.go
@@ -22,21 +22,21 @@
 	Weight  float64 `cbor:"6,keyasint,omitempty"`
 	State   uint8   `cbor:"7,keyasint,omitempty"` // as package membership has it
 	Started int64   `cbor:"8,keyasint,omitempty"` // Unix microseconds; 0: long ago
-	Gone    bool    `cbor:"9,keyasint,omitempty"` // in changes: it is off the list
+	Removed bool    `cbor:"9,keyasint,omitempty"` // in changes: it is off the list
 }
 
-// Mark is how far a holder has the list.
-type Mark struct {
+// Watermark is how far a holder has the list.
+type Watermark struct {
 	Seq uint64 // of the latest change; 0: nothing
 }
 
 // Update is what a holder does not have.
 type Update struct {
-	Fence      uint64 // of the seat by which it was published
-	Generation uint64 // of the list service
-	Seq        uint64
-	Whole      bool // the whole list; else what changed since the holder's mark
-	Entries    []Entry
+	FencingToken uint64 `cbor:"Fence"` // of the seat by which it was published
+	Generation   uint64 // of the list service
+	Seq          uint64
+	Complete     bool `cbor:"Whole"` // the whole list; else what changed since the holder's mark
+	Entries      []Entry
 }
 
 // Change is one step of the list.
@@ -47,24 +47,24 @@
 
 // List is one zone's.
 type List struct {
-	Reader     string // who reads; empty: nobody
-	Fence      uint64 // number of the seat, growing with each reader
-	Last       string // who read before, and gave the seat up as unfit
-	Generation uint64
-	Seq        uint64
-	By         uint64 // the seat by which it was last published whole; 0: never
-	Entries    []Entry
-	Recent     []Change // the latest, for those a little behind
+	Reader                string // who reads; empty: nobody
+	FencingToken          uint64 `cbor:"Fence"` // number of the seat, growing with each reader
+	ResignedReader        string `cbor:"Last"`  // who read before, and gave the seat up as unfit
+	Generation            uint64
+	Seq                   uint64
+	PublishedFencingToken uint64 `cbor:"By"` // the seat by which it was last published whole; 0: never
+	Entries               []Entry
+	RecentChanges         []Change `cbor:"Recent"` // the latest, for those a little behind
 }
 
 // recent changes are kept; who is further behind gets the whole list.
 const recent = 64
 
 // FenceError is a word of one who reads no more.
-type FenceError struct{ Fence, Now uint64 }
+type FenceError struct{ FencingToken, Current uint64 }
 
 func (e *FenceError) Error() string {
-	return fmt.Sprintf("published under seat %d; seat %d reads now", e.Fence, e.Now)
+	return fmt.Sprintf("published under seat %d; seat %d reads now", e.FencingToken, e.Current)
 }
 
 // Code is its word in the operators' table.
@@ -75,62 +75,64 @@
 	return "nothing: another dispatcher reads for the zone; if it comes often, see why readers lose their lease"
 }
 
-// OlderError is a list older than the one relayed.
-type OlderError struct{ Generation, Has uint64 }
+// OutdatedListError is a list older than the one relayed.
+type OutdatedListError struct{ Generation, Current uint64 }
 
-func (e *OlderError) Error() string {
-	return fmt.Sprintf("a list of generation %d; %d is relayed already", e.Generation, e.Has)
+func (e *OutdatedListError) Error() string {
+	return fmt.Sprintf("a list of generation %d; %d is relayed already", e.Generation, e.Current)
 }
 
 // Code is its word in the operators' table.
-func (e *OlderError) Code() string { return "relay-older" }
+func (e *OutdatedListError) Code() string { return "relay-older" }
 
 // Advice is what an operator can do.
-func (e *OlderError) Advice() string {
+func (e *OutdatedListError) Advice() string {
 	return "see whether the list service was restored from an older state; if it was meant, change calls or use in the policy's [start] and back, which begins the relay anew"
 }
 
-// PartError is a change where the whole list is due: what was told before was another seat's.
-type PartError struct{}
+// NeedsCompleteListError is a change where the whole list is due: what was told before was another seat's.
+type NeedsCompleteListError struct{}
 
-func (*PartError) Error() string { return "a change, before the whole list under this seat" }
+func (*NeedsCompleteListError) Error() string {
+	return "a change, before the whole list under this seat"
+}
 
 // Code is its word in the operators' table.
-func (*PartError) Code() string { return "relay-part" }
+func (*NeedsCompleteListError) Code() string { return "relay-part" }
 
 // Advice is what an operator can do.
-func (*PartError) Advice() string { return "nothing: the reader says the whole list next" }
+func (*NeedsCompleteListError) Advice() string { return "nothing: the reader says the whole list next" }
 
-// Seat gives who the seat.
-func (l *List) Seat(who string) { l.Reader, l.Fence = who, l.Fence+1 }
+// Appoint gives who the seat.
+func (l *List) Appoint(who string) { l.Reader, l.FencingToken = who, l.FencingToken+1 }
 
-// Leave empties the seat; unfit: its holder can't reach the service and is not given it next.
-func (l *List) Leave(unfit bool) {
+// Vacate empties the seat; unfit: its holder can't reach the service and is not given it next.
+func (l *List) Vacate(unfit bool) {
 	if unfit {
-		l.Last = l.Reader
+		l.ResignedReader = l.Reader
 	}
 	l.Reader = ""
 }
 
-// Word is what a reader was told.
-type Word struct {
+// Publication is what a reader was told.
+type Publication struct {
 	Generation uint64 // of the list service
-	Whole      bool   // the whole list; else what has changed
-	Afresh     bool   // of another list service, to which the reader was moved: generations begin anew
+	Complete   bool   `cbor:"Whole"`  // the whole list; else what has changed
+	NewSource  bool   `cbor:"Afresh"` // of another list service, to which the reader was moved: generations begin anew
 	Entries    []Entry
 }
 
 // Publish takes in what a reader was told, under the number of its seat. The first word under a
 // seat is whole.
-func (l *List) Publish(who string, fence uint64, w Word) error {
-	generation, whole, entries := w.Generation, w.Whole, w.Entries
+func (l *List) Publish(who string, fence uint64, w Publication) error {
+	generation, whole, entries := w.Generation, w.Complete, w.Entries
 	switch {
-	case who != l.Reader || fence != l.Fence:
-		return &FenceError{fence, l.Fence}
-	case generation < l.Generation && !(w.Afresh && whole):
-		return &OlderError{generation, l.Generation}
-	case !whole && l.By != fence:
-		return &PartError{}
+	case who != l.Reader || fence != l.FencingToken:
+		return &FenceError{fence, l.FencingToken}
+	case generation < l.Generation && !(w.NewSource && whole):
+		return &OutdatedListError{generation, l.Generation}
+	case !whole && l.PublishedFencingToken != fence:
+		return &NeedsCompleteListError{}
 	}
 	entries = slices.Clone(entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
@@ -138,16 +140,16 @@
 	if whole {
 		for _, e := range l.Entries {
 			if !has(entries, e.ID) {
-				changed = append(changed, Entry{ID: e.ID, Gone: true})
+				changed = append(changed, Entry{ID: e.ID, Removed: true})
 			}
 		}
 	}
 	for _, e := range entries {
 		i, ok := l.find(e.ID)
 		switch {
-		case e.Gone && ok:
+		case e.Removed && ok:
 			l.Entries = slices.Delete(l.Entries, i, i+1)
-		case e.Gone, ok && l.Entries[i] == e:
+		case e.Removed, ok && l.Entries[i] == e:
 			continue
 		case ok:
 			l.Entries[i] = e
@@ -157,19 +159,19 @@
 		changed = append(changed, e)
 	}
 	for _, e := range changed {
-		if i, ok := l.find(e.ID); ok && e.Gone {
+		if i, ok := l.find(e.ID); ok && e.Removed {
 			l.Entries = slices.Delete(l.Entries, i, i+1)
 		}
 	}
-	first := l.By == 0
+	first := l.PublishedFencingToken == 0
 	if l.Generation = generation; whole {
-		l.By = fence
+		l.PublishedFencingToken = fence
 	}
 	if len(changed) > 0 || first {
 		l.Seq++
-		l.Recent = append(l.Recent, Change{l.Seq, changed})
-		if over := len(l.Recent) - recent; over > 0 {
-			l.Recent = slices.Delete(l.Recent, 0, over)
+		l.RecentChanges = append(l.RecentChanges, Change{l.Seq, changed})
+		if over := len(l.RecentChanges) - recent; over > 0 {
+			l.RecentChanges = slices.Delete(l.RecentChanges, 0, over)
 		}
 	}
 	return nil
@@ -184,18 +186,18 @@
 	return slices.BinarySearchFunc(l.Entries, id, func(e Entry, id string) int { return strings.Compare(e.ID, id) })
 }
 
-// Since is what a holder does not have; nil where there is nothing.
-func (l *List) Since(m Mark) *Update {
-	if l.By == 0 || m.Seq == l.Seq {
+// UpdateSince is what a holder does not have; nil where there is nothing.
+func (l *List) UpdateSince(m Watermark) *Update {
+	if l.PublishedFencingToken == 0 || m.Seq == l.Seq {
 		return nil
 	}
-	u := &Update{Fence: l.Fence, Generation: l.Generation, Seq: l.Seq}
-	if m.Seq == 0 || m.Seq > l.Seq || len(l.Recent) == 0 || l.Recent[0].Seq > m.Seq+1 {
-		u.Whole, u.Entries = true, slices.Clone(l.Entries)
+	u := &Update{FencingToken: l.FencingToken, Generation: l.Generation, Seq: l.Seq}
+	if m.Seq == 0 || m.Seq > l.Seq || len(l.RecentChanges) == 0 || l.RecentChanges[0].Seq > m.Seq+1 {
+		u.Complete, u.Entries = true, slices.Clone(l.Entries)
 		return u
 	}
 	at := map[string]int{}
-	for _, c := range l.Recent {
+	for _, c := range l.RecentChanges {
 		if c.Seq <= m.Seq {
 			continue
 		}
--- a/internal/fleet/coldstart/relay/relay_test.go
+++ b/internal/fleet/coldstart/relay/relay_test.go
@@ -16,22 +16,22 @@
 		var l List
 		truth := map[string]Entry{}
 		mine := make([]map[string]Entry, 8)
-		marks := make([]Mark, len(mine))
+		marks := make([]Watermark, len(mine))
 		for i := range mine {
 			mine[i] = map[string]Entry{}
 		}
 		generation, whole := uint64(1), true
-		l.Seat("r0")
+		l.Appoint("r0")
 		for step := range 400 {
 			if rnd.IntN(20) == 0 {
-				l.Leave(false)
-				l.Seat(fmt.Sprint("r", step))
+				l.Vacate(false)
+				l.Appoint(fmt.Sprint("r", step))
 				whole = true
 			}
 			var told []Entry
 			for range rnd.IntN(4) {
-				e := Entry{ID: fmt.Sprint("s-", rnd.IntN(30)), Addr: "a", State: uint8(rnd.IntN(2)), Gone: rnd.IntN(4) == 0}
-				if told = append(told, e); e.Gone {
+				e := Entry{ID: fmt.Sprint("s-", rnd.IntN(30)), Addr: "a", State: uint8(rnd.IntN(2)), Removed: rnd.IntN(4) == 0}
+				if told = append(told, e); e.Removed {
 					delete(truth, e.ID)
 				} else {
 					truth[e.ID] = e
@@ -52,7 +52,7 @@
 				}
 			}
 			generation++
-			if err := l.Publish(l.Reader, l.Fence, Word{Generation: generation, Whole: whole, Entries: told}); err != nil {
+			if err := l.Publish(l.Reader, l.FencingToken, Publication{Generation: generation, Complete: whole, Entries: told}); err != nil {
 				t.Fatal(err)
 			}
 			whole = rnd.IntN(10) == 0
@@ -63,15 +63,15 @@
 				if rnd.IntN(1+i*20) > 0 {
 					continue
 				}
-				u := l.Since(marks[i])
+				u := l.UpdateSince(marks[i])
 				if u == nil {
 					continue
 				}
-				if u.Whole {
+				if u.Complete {
 					clear(mine[i])
 				}
 				for _, e := range u.Entries {
-					if e.Gone {
+					if e.Removed {
 						delete(mine[i], e.ID)
 					} else {
 						mine[i][e.ID] = e
@@ -88,21 +88,21 @@
 // A reader that lost its seat, and one that read an older list, are refused, each saying why.
 func TestNothingOldIsHandedOut(t *testing.T) {
 	var l List
-	l.Seat("a")
-	if err := l.Publish("a", 1, Word{Generation: 10, Whole: true, Entries: []Entry{{ID: "s1"}, {ID: "s2"}}}); err != nil {
+	l.Appoint("a")
+	if err := l.Publish("a", 1, Publication{Generation: 10, Complete: true, Entries: []Entry{{ID: "s1"}, {ID: "s2"}}}); err != nil {
 		t.Fatal(err)
 	}
-	l.Leave(false)
-	l.Seat("b")
+	l.Vacate(false)
+	l.Appoint("b")
 	var fence *FenceError
-	if err := l.Publish("a", 1, Word{Generation: 11, Whole: true, Entries: nil}); !errors.As(err, &fence) || fence.Advice() == "" || len(l.Entries) != 2 {
+	if err := l.Publish("a", 1, Publication{Generation: 11, Complete: true, Entries: nil}); !errors.As(err, &fence) || fence.Advice() == "" || len(l.Entries) != 2 {
 		t.Errorf("the one that was replaced: %v", err)
 	}
-	var older *OlderError
-	if err := l.Publish("b", 2, Word{Generation: 9, Whole: true, Entries: []Entry{{ID: "s9"}}}); !errors.As(err, &older) || older.Advice() == "" || len(l.Entries) != 2 {
+	var older *OutdatedListError
+	if err := l.Publish("b", 2, Publication{Generation: 9, Complete: true, Entries: []Entry{{ID: "s9"}}}); !errors.As(err, &older) || older.Advice() == "" || len(l.Entries) != 2 {
 		t.Errorf("an old list: %v", err)
 	}
-	if err := l.Publish("b", 2, Word{Generation: 12, Whole: true, Entries: []Entry{{ID: "s2", State: 1}}}); err != nil || len(l.Entries) != 1 || l.Seq != 2 {
+	if err := l.Publish("b", 2, Publication{Generation: 12, Complete: true, Entries: []Entry{{ID: "s2", State: 1}}}); err != nil || len(l.Entries) != 1 || l.Seq != 2 {
 		t.Errorf("%v, %+v", err, l)
 	}
 }
--- a/internal/fleet/coldstart/speeds/memory.go
+++ b/internal/fleet/coldstart/speeds/memory.go
@@ -12,20 +12,20 @@
 	"slices"
 )
 
-// Speeds are what is known, in the words of the decision module's memory.
-type Speeds struct {
-	Version int                   `cbor:"1,keyasint,omitempty"`
-	MeanRun float64               `cbor:"2,keyasint,omitempty"` // ln seconds
-	Jobs    float64               `cbor:"3,keyasint,omitempty"` // by which that is known
-	Kinds   []Kind                `cbor:"4,keyasint,omitempty"` // in the settings' order
-	Classes map[string][2]float64 `cbor:"5,keyasint,omitempty"` // ln of the work in seconds, and evidence for it
+// Estimates are what is known, in the words of the decision module's memory.
+type Estimates struct {
+	Version        int                   `cbor:"1,keyasint,omitempty"`
+	MeanLogRunTime float64               `cbor:"2,keyasint,omitempty"` // ln seconds
+	JobCount       float64               `cbor:"3,keyasint,omitempty"` // by which that is known
+	Kinds          []Kind                `cbor:"4,keyasint,omitempty"` // in the settings' order
+	Classes        map[string][2]float64 `cbor:"5,keyasint,omitempty"` // ln of the work in seconds, and evidence for it
 }
 
 // Kind is one kind of worker.
 type Kind struct {
-	Slow  float64 `cbor:"1,keyasint,omitempty"` // ln of how much longer a job runs than MeanRun
-	Seen  float64 `cbor:"2,keyasint,omitempty"` // jobs by which that is known
-	Slots float64 `cbor:"3,keyasint,omitempty"`
+	LogSlowdown float64 `cbor:"1,keyasint,omitempty" json:"Slow"` // ln of how much longer a job runs than MeanLogRunTime
+	JobCount    float64 `cbor:"2,keyasint,omitempty" json:"Seen"` // jobs by which that is known
+	Slots       float64 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -34,11 +34,11 @@
 	weigh = 1000
 )
 
-// Known tells whether there is anything.
-func (s *Speeds) Known() bool { return s.Jobs > 0 }
+// HasData tells whether there is anything.
+func (s *Estimates) HasData() bool { return s.JobCount > 0 }
 
-// From reads what one dispatcher's module has learned; nil where it is not to be read, or nothing.
-func From(module []byte) *Speeds {
+// Decode reads what one dispatcher's module has learned; nil where it is not to be read, or nothing.
+func Decode(module []byte) *Estimates {
 	var m struct {
 		Version int
 		MeanRun float64
@@ -48,30 +48,30 @@
 	if json.Unmarshal(module, &m) != nil {
 		return nil
 	}
-	s := &Speeds{Version: m.Version, MeanRun: m.MeanRun, Kinds: m.Kinds, Classes: m.Classes}
+	s := &Estimates{Version: m.Version, MeanLogRunTime: m.MeanRun, Kinds: m.Kinds, Classes: m.Classes}
 	for _, c := range m.Classes {
-		s.Jobs += c[1]
+		s.JobCount += c[1]
 	}
-	if !s.sound() || s.Jobs == 0 {
+	if !s.sound() || s.JobCount == 0 {
 		return nil
 	}
 	return s
 }
 
-// Module words it as the module's memory, to be recalled by one that knows nothing yet.
-func (s *Speeds) Module() []byte {
-	text, err := json.Marshal(map[string]any{"Version": s.Version, "Speeds": true, "MeanRun": s.MeanRun, "Kinds": s.Kinds, "Classes": s.Classes})
+// Encode words it as the module's memory, to be recalled by one that knows nothing yet.
+func (s *Estimates) Encode() []byte {
+	text, err := json.Marshal(map[string]any{"Version": s.Version, "Speeds": true, "MeanRun": s.MeanLogRunTime, "Kinds": s.Kinds, "Classes": s.Classes})
 	if err != nil {
 		return nil
 	}
 	return text
 }
 
-func (s *Speeds) sound() bool {
-	all := []float64{s.MeanRun}
+func (s *Estimates) sound() bool {
+	all := []float64{s.MeanLogRunTime}
 	for _, k := range s.Kinds {
-		all = append(all, k.Slow, k.Seen, k.Slots)
-		if k.Seen < 0 || k.Slots < 0 || k.Slots > 1e5 {
+		all = append(all, k.LogSlowdown, k.JobCount, k.Slots)
+		if k.JobCount < 0 || k.Slots < 0 || k.Slots > 1e5 {
 			return false
 		}
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	bad := func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }
-	return len(s.Kinds) <= mostKinds && len(s.Classes) <= mostClasses && math.Abs(s.MeanRun) < 20 && !slices.ContainsFunc(all, bad)
+	return len(s.Kinds) <= mostKinds && len(s.Classes) <= mostClasses && math.Abs(s.MeanLogRunTime) < 20 && !slices.ContainsFunc(all, bad)
 }
 
 // mean weighs a figure known by so many jobs with news of others.
@@ -94,24 +94,24 @@
 }
 
 // Merge takes in what one dispatcher has learned since it last said so. What can't be is left out.
-func (s *Speeds) Merge(o *Speeds) {
-	if !o.sound() || o.Jobs <= 0 || s.Known() && s.Version != o.Version {
+func (s *Estimates) Merge(o *Estimates) {
+	if !o.sound() || o.JobCount <= 0 || s.HasData() && s.Version != o.Version {
 		return
 	}
 	if s.Version = o.Version; s.Classes == nil {
 		s.Classes = map[string][2]float64{}
 	}
-	s.MeanRun = mean(s.MeanRun, min(s.Jobs, weigh), o.MeanRun, o.Jobs)
-	s.Jobs = min(s.Jobs+o.Jobs, weigh)
+	s.MeanLogRunTime = mean(s.MeanLogRunTime, min(s.JobCount, weigh), o.MeanLogRunTime, o.JobCount)
+	s.JobCount = min(s.JobCount+o.JobCount, weigh)
 	for i, k := range o.Kinds {
 		if i == len(s.Kinds) {
 			s.Kinds = append(s.Kinds, k)
 			continue
 		}
 		was := &s.Kinds[i]
-		was.Slow = mean(was.Slow, min(was.Seen, weigh), k.Slow, k.Seen)
+		was.LogSlowdown = mean(was.LogSlowdown, min(was.JobCount, weigh), k.LogSlowdown, k.JobCount)
 		was.Slots = max(was.Slots*0.99, k.Slots) // the most that was seen at once; what was seen by chance fades
-		was.Seen = min(was.Seen+k.Seen, weigh)
+		was.JobCount = min(was.JobCount+k.JobCount, weigh)
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.Classes)) {
 		if len(s.Classes) >= mostClasses {
--- a/internal/fleet/outlier/verdict.go
+++ b/internal/fleet/outlier/verdict.go
@@ -22,175 +22,179 @@
 	"time"
 )
 
-// One is one job's worth of evidence.
-const One = 1000
+// OneJob is one job's worth of evidence.
+const OneJob = 1000
 
-// Everywhere is the scope of a verdict that holds in every zone.
-const Everywhere = -1
+// AllZones is the scope of a verdict that holds in every zone.
+const AllZones = -1
 
 // Settings are how a fleet judges.
 type Settings struct {
-	Witnesses int           // distinct dispatchers that must have seen it fail
-	Failures  int           // jobs that must have failed there, at all of them together, none having ended well since at any of those
-	HalfLife  time.Duration // of evidence
-	Hearing   time.Duration // from the first word against it, for those who know better to say so
-	Most      float64       // part of the workers that may be condemned at once
-	Pace      time.Duration // between two trials of one worker by the whole fleet; doubles while they fail
-	Pass      int           // trials passed in a row for its return
+	MinReporters      int           `cbor:"Witnesses" json:"Witnesses"` // distinct dispatchers that must have seen it fail
+	MinFailures       int           `cbor:"Failures" json:"Failures"`   // jobs that must have failed there, at all of them together, none having ended well since at any of those
+	HalfLife          time.Duration // of evidence
+	ObjectionWindow   time.Duration `cbor:"Hearing" json:"Hearing"` // from the first word against it, for those who know better to say so
+	MaxEjectedShare   float64       `cbor:"Most" json:"Most"`       // part of the workers that may be condemned at once
+	TrialInterval     time.Duration `cbor:"Pace" json:"Pace"`       // between two trials of one worker by the whole fleet; doubles while they fail
+	TrialsToReinstate int           `cbor:"Pass" json:"Pass"`       // trials passed in a row for its return
 }
 
-// Default is sound to begin with.
-func Default() Settings {
-	return Settings{Witnesses: 2, Failures: 3, HalfLife: 10 * time.Second, Hearing: 1500 * time.Millisecond, Most: 0.3, Pace: time.Second, Pass: 2}
+// DefaultSettings is sound to begin with.
+func DefaultSettings() Settings {
+	return Settings{MinReporters: 2, MinFailures: 3, HalfLife: 10 * time.Second, ObjectionWindow: 1500 * time.Millisecond, MaxEjectedShare: 0.3, TrialInterval: time.Second, TrialsToReinstate: 2}
 }
 
-// Check names what can't be judged by.
-func (s *Settings) Check() error {
+// Validate names what can't be judged by.
+func (s *Settings) Validate() error {
 	switch {
-	case s.Witnesses < 2 || s.Witnesses > 100:
-		return fmt.Errorf("witnesses: %d; expected 2 to 100, since one alone may be wrong", s.Witnesses)
-	case s.Failures < s.Witnesses || s.Failures > 1000:
-		return fmt.Errorf("failures: %d; expected %d, one at each witness, to 1000", s.Failures, s.Witnesses)
+	case s.MinReporters < 2 || s.MinReporters > 100:
+		return fmt.Errorf("witnesses: %d; expected 2 to 100, since one alone may be wrong", s.MinReporters)
+	case s.MinFailures < s.MinReporters || s.MinFailures > 1000:
+		return fmt.Errorf("failures: %d; expected %d, one at each witness, to 1000", s.MinFailures, s.MinReporters)
 	case s.HalfLife < 100*time.Millisecond || s.HalfLife > time.Hour:
 		return fmt.Errorf("half_life: %v; expected 100ms to 1h", s.HalfLife)
-	case s.Hearing < 0 || s.Hearing > s.HalfLife:
-		return fmt.Errorf("hearing: %v; expected 0s to the half-life, %v", s.Hearing, s.HalfLife)
-	case !(s.Most > 0 && s.Most <= 0.5):
-		return fmt.Errorf("most: %v; expected over 0 and up to 0.5 of the workers", s.Most)
-	case s.Pace < 50*time.Millisecond || s.Pace > time.Hour:
-		return fmt.Errorf("pace: %v; expected 50ms to 1h", s.Pace)
-	case s.Pass < 1 || s.Pass > 100:
-		return fmt.Errorf("pass: %d; expected 1 to 100", s.Pass)
+	case s.ObjectionWindow < 0 || s.ObjectionWindow > s.HalfLife:
+		return fmt.Errorf("hearing: %v; expected 0s to the half-life, %v", s.ObjectionWindow, s.HalfLife)
+	case !(s.MaxEjectedShare > 0 && s.MaxEjectedShare <= 0.5):
+		return fmt.Errorf("most: %v; expected over 0 and up to 0.5 of the workers", s.MaxEjectedShare)
+	case s.TrialInterval < 50*time.Millisecond || s.TrialInterval > time.Hour:
+		return fmt.Errorf("pace: %v; expected 50ms to 1h", s.TrialInterval)
+	case s.TrialsToReinstate < 1 || s.TrialsToReinstate > 100:
+		return fmt.Errorf("pass: %d; expected 1 to 100", s.TrialsToReinstate)
 	}
 	return nil
 }
 
-// Life is one life of a worker: its id, and when it started (Unix milliseconds; 0: long ago).
-type Life struct {
+// Incarnation is one life of a worker: its id, and when it started (Unix milliseconds; 0: long ago).
+type Incarnation struct {
 	Worker  string
 	Started int64
 }
 
-func (l Life) compare(o Life) int {
+func (l Incarnation) compare(o Incarnation) int {
 	return cmp.Or(cmp.Compare(l.Worker, o.Worker), cmp.Compare(l.Started, o.Started))
 }
 
 // Report is one witness's word on one life of a worker.
 type Report struct {
-	Of        Life
-	Stamp     uint64        // grows with each word of this witness
-	Bad, Good int64         // thousandths of jobs, faded: failed since one ended well, and the other way round
+	Subject   Incarnation   `cbor:"Of"`
+	Sequence  uint64        `cbor:"Stamp"` // grows with each word of this witness
+	Failures  int64         `cbor:"Bad"`
+	Successes int64         `cbor:"Good"` // thousandths of jobs, faded: failed since one ended well, and the other way round
 	Age       time.Duration // of the latest of it
 	Trial     uint64        // whose outcome it is alone; 0: of no trial
 }
 
 // Evidence is a report as it was taken in.
 type Evidence struct {
-	Zone      int
-	Stamp     uint64
-	Bad, Good int64         // as of At
-	At        time.Duration // of the latest of it, on the ledger's clock
+	Zone       int
+	Sequence   uint64        `cbor:"Stamp" json:"Stamp"`
+	Failures   int64         `cbor:"Bad" json:"Bad"`
+	Successes  int64         `cbor:"Good" json:"Good"` // as of At
+	ObservedAt time.Duration `cbor:"At" json:"At"`     // of the latest of it, on the ledger's clock
 }
 
-// Later merges two words of one witness: the greater stamp counts, and of equal ones the worse.
-func Later(a, b Evidence) Evidence {
-	if c := cmp.Or(cmp.Compare(a.Stamp, b.Stamp), cmp.Compare(a.Bad, b.Bad), cmp.Compare(b.Good, a.Good), cmp.Compare(a.At, b.At), cmp.Compare(a.Zone, b.Zone)); c < 0 {
+// Newer merges two words of one witness: the greater stamp counts, and of equal ones the worse.
+func Newer(a, b Evidence) Evidence {
+	if c := cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Failures, b.Failures), cmp.Compare(b.Successes, a.Successes), cmp.Compare(a.ObservedAt, b.ObservedAt), cmp.Compare(a.Zone, b.Zone)); c < 0 {
 		return b
 	}
 	return a
 }
 
-// Case is all that is said of one life of a worker.
-type Case struct {
-	By       map[string]Evidence // by witness
-	Since    time.Duration       // it was accused; 0: it is not
-	Pardoned time.Duration       // what was seen before does not count
+// Observations is all that is said of one life of a worker.
+type Observations struct {
+	ByReporter     map[string]Evidence `cbor:"By" json:"By"`             // by witness
+	SuspectedSince time.Duration       `cbor:"Since" json:"Since"`       // it was accused; 0: it is not
+	ClearedAt      time.Duration       `cbor:"Pardoned" json:"Pardoned"` // what was seen before does not count
 }
 
 // Merge takes in what another case has.
-func (c *Case) Merge(o *Case) {
-	for who, e := range o.By {
-		c.By[who] = Later(c.By[who], e)
+func (c *Observations) Merge(o *Observations) {
+	for who, e := range o.ByReporter {
+		c.ByReporter[who] = Newer(c.ByReporter[who], e)
 	}
-	c.Pardoned = max(c.Pardoned, o.Pardoned)
+	c.ClearedAt = max(c.ClearedAt, o.ClearedAt)
 }
 
-// Sentence is a verdict that stands.
-type Sentence struct {
-	Of      Life
-	Zone    int // Everywhere, or the one in which it holds
-	Since   time.Duration
-	Against int           // witnesses that it rests on
-	Next    time.Duration // a trial may be had from then on
-	Wait    time.Duration // between two
-	Tried   string        // who has one now; empty: nobody
-	Trial   uint64        // its number
-	TriedAt time.Duration
-	Passed  int
+// Ejection is a verdict that stands.
+type Ejection struct {
+	Subject       Incarnation `cbor:"Of" json:"Of"`
+	Zone          int         // Everywhere, or the one in which it holds
+	Since         time.Duration
+	Reporters     int           `cbor:"Against" json:"Against"` // witnesses that it rests on
+	NextTrial     time.Duration `cbor:"Next" json:"Next"`       // a trial may be had from then on
+	TrialBackoff  time.Duration `cbor:"Wait" json:"Wait"`       // between two
+	TrialReporter string        `cbor:"Tried" json:"Tried"`     // who has one now; empty: nobody
+	TrialNumber   uint64        `cbor:"Trial" json:"Trial"`     // its number
+	TrialStarted  time.Duration `cbor:"TriedAt" json:"TriedAt"`
+	TrialsPassed  int           `cbor:"Passed" json:"Passed"`
 }
 
-// Verdict is what a dispatcher is told.
-type Verdict struct {
-	Of    Life
-	Zone  int    // Everywhere, or the one in which it holds
-	Trial uint64 // number of the trial that this dispatcher is to make; 0: it is to send nothing there
+// EjectionNotice is what a dispatcher is told.
+type EjectionNotice struct {
+	Subject Incarnation `cbor:"Of"`
+	Zone    int         // Everywhere, or the one in which it holds
+	Trial   uint64      // number of the trial that this dispatcher is to make; 0: it is to send nothing there
 }
 
-// Ledger is the keepers' half.
-type Ledger struct {
-	Settings  *Settings // nil: nobody judges
-	Cases     []Entry   // sorted by life
-	Sentences []*Sentence
-	Zones     map[string]int // of the witnesses
-	Workers   map[string]int // how many each of them knows
-	Trials    uint64
-	No        uint64 // grows with each sentence that begins or ends
+// Detector is the keepers' half.
+type Detector struct {
+	Settings      *Settings      // nil: nobody judges
+	Records       []Record       `cbor:"Cases" json:"Cases"` // sorted by life
+	Ejections     []*Ejection    `cbor:"Sentences" json:"Sentences"`
+	ReporterZones map[string]int `cbor:"Zones" json:"Zones"`     // of the witnesses
+	WorkerCounts  map[string]int `cbor:"Workers" json:"Workers"` // how many each of them knows
+	TrialCount    uint64         `cbor:"Trials" json:"Trials"`
+	Revision      uint64         `cbor:"No" json:"No"` // grows with each sentence that begins or ends
 }
 
-// Entry is one case with what it is of.
-type Entry struct {
-	Of   Life
-	Case *Case
+// Record is one case with what it is of.
+type Record struct {
+	Subject      Incarnation   `cbor:"Of" json:"Of"`
+	Observations *Observations `cbor:"Case" json:"Case"`
 }
 
-// NewLedger makes one.
-func NewLedger() *Ledger { return &Ledger{Zones: map[string]int{}, Workers: map[string]int{}} }
+// NewDetector makes one.
+func NewDetector() *Detector {
+	return &Detector{ReporterZones: map[string]int{}, WorkerCounts: map[string]int{}}
+}
 
-// Mend makes what a snapshot leaves out where it is empty.
-func (l *Ledger) Mend() {
-	if l.Zones == nil {
-		l.Zones = map[string]int{}
+// InitMaps makes what a snapshot leaves out where it is empty.
+func (l *Detector) InitMaps() {
+	if l.ReporterZones == nil {
+		l.ReporterZones = map[string]int{}
 	}
-	if l.Workers == nil {
-		l.Workers = map[string]int{}
+	if l.WorkerCounts == nil {
+		l.WorkerCounts = map[string]int{}
 	}
-	for _, e := range l.Cases {
-		if e.Case.By == nil {
-			e.Case.By = map[string]Evidence{}
+	for _, e := range l.Records {
+		if e.Observations.ByReporter == nil {
+			e.Observations.ByReporter = map[string]Evidence{}
 		}
 	}
 }
 
-// Set changes how it is judged; nil: all sentences end, and nobody judges.
-func (l *Ledger) Set(s *Settings) {
+// Configure changes how it is judged; nil: all sentences end, and nobody judges.
+func (l *Detector) Configure(s *Settings) {
 	l.Settings = s
 	if s == nil {
-		if len(l.Sentences) > 0 {
-			l.No++
+		if len(l.Ejections) > 0 {
+			l.Revision++
 		}
-		l.Cases, l.Sentences = nil, nil
+		l.Records, l.Ejections = nil, nil
 	}
 }
 
 const (
 	maxCases   = 4096 // beyond, the oldest word goes
 	maxReports = 256  // taken in of one call
-	maxWeight  = 1000 * One
+	maxWeight  = 1000 * OneJob
 	fadesAway  = 10 // half-lives after which evidence is forgotten
 )
 
-// Fade is a weight after a time: halved with each half-life, in straight lines between.
-func Fade(w int64, age, half time.Duration) int64 {
+// Decay is a weight after a time: halved with each half-life, in straight lines between.
+func Decay(w int64, age, half time.Duration) int64 {
 	if age <= 0 {
 		return w
 	}
@@ -202,233 +206,233 @@
 	return w - w*int64(age%half)/int64(2*half)
 }
 
-func (l *Ledger) find(of Life) (int, bool) {
-	return slices.BinarySearchFunc(l.Cases, of, func(e Entry, of Life) int { return e.Of.compare(of) })
+func (l *Detector) find(of Incarnation) (int, bool) {
+	return slices.BinarySearchFunc(l.Records, of, func(e Record, of Incarnation) int { return e.Subject.compare(of) })
 }
 
-// Hear takes in what a witness says. Whatever it says, it is one witness.
-func (l *Ledger) Hear(now time.Duration, who string, zone, workers int, reports []Report) {
+// AddReports takes in what a witness says. Whatever it says, it is one witness.
+func (l *Detector) AddReports(now time.Duration, who string, zone, workers int, reports []Report) {
 	if l.Settings == nil {
 		return
 	}
-	l.Zones[who], l.Workers[who] = zone, max(workers, 0)
+	l.ReporterZones[who], l.WorkerCounts[who] = zone, max(workers, 0)
 	for _, r := range reports[:min(len(reports), maxReports)] {
-		if r.Of.Worker == "" || len(r.Of.Worker) > 200 {
+		if r.Subject.Worker == "" || len(r.Subject.Worker) > 200 {
 			continue
 		}
-		at, ok := l.find(r.Of)
+		at, ok := l.find(r.Subject)
 		if !ok {
-			if len(l.Cases) >= maxCases {
+			if len(l.Records) >= maxCases {
 				continue
 			}
-			l.Cases = slices.Insert(l.Cases, at, Entry{r.Of, &Case{By: map[string]Evidence{}}})
+			l.Records = slices.Insert(l.Records, at, Record{r.Subject, &Observations{ByReporter: map[string]Evidence{}}})
 		}
-		c := l.Cases[at].Case
-		e := Evidence{Zone: zone, Stamp: r.Stamp, Bad: min(max(r.Bad, 0), maxWeight), Good: min(max(r.Good, 0), maxWeight), At: now - min(max(r.Age, 0), fadesAway*l.Settings.HalfLife)}
-		was, had := c.By[who]
+		c := l.Records[at].Observations
+		e := Evidence{Zone: zone, Sequence: r.Sequence, Failures: min(max(r.Failures, 0), maxWeight), Successes: min(max(r.Successes, 0), maxWeight), ObservedAt: now - min(max(r.Age, 0), fadesAway*l.Settings.HalfLife)}
+		was, had := c.ByReporter[who]
 		if had {
-			e = Later(was, e)
+			e = Newer(was, e)
 		}
-		c.By[who] = e
-		if !had || e.Stamp != was.Stamp {
+		c.ByReporter[who] = e
+		if !had || e.Sequence != was.Sequence {
 			l.tried(now, who, r)
 		}
 	}
 }
 
 // opinion is what a witness holds of a worker now: 1 that it fails, -1 that it does well, 0 neither.
-func (l *Ledger) opinion(now time.Duration, c *Case, e Evidence) int {
-	if e.At <= c.Pardoned {
+func (l *Detector) opinion(now time.Duration, c *Observations, e Evidence) int {
+	if e.ObservedAt <= c.ClearedAt {
 		return 0
 	}
-	bad, good := Fade(e.Bad, now-e.At, l.Settings.HalfLife), Fade(e.Good, now-e.At, l.Settings.HalfLife)
+	bad, good := Decay(e.Failures, now-e.ObservedAt, l.Settings.HalfLife), Decay(e.Successes, now-e.ObservedAt, l.Settings.HalfLife)
 	switch {
-	case bad >= One/2 && bad > good:
+	case bad >= OneJob/2 && bad > good:
 		return 1
-	case good >= One/2 && good >= bad:
+	case good >= OneJob/2 && good >= bad:
 		return -1
 	}
 	return 0
 }
 
 // tried takes in what a trial came to.
-func (l *Ledger) tried(now time.Duration, who string, r Report) {
-	for i, s := range l.Sentences {
-		if s.Of != r.Of || s.Tried != who || r.Trial != s.Trial {
+func (l *Detector) tried(now time.Duration, who string, r Report) {
+	for i, s := range l.Ejections {
+		if s.Subject != r.Subject || s.TrialReporter != who || r.Trial != s.TrialNumber {
 			continue
 		}
-		if s.Tried = ""; r.Bad > 0 {
-			s.Passed = 0
-			s.Wait = min(2*s.Wait, 8*l.Settings.Pace)
-			s.Next = now + s.Wait
+		if s.TrialReporter = ""; r.Failures > 0 {
+			s.TrialsPassed = 0
+			s.TrialBackoff = min(2*s.TrialBackoff, 8*l.Settings.TrialInterval)
+			s.NextTrial = now + s.TrialBackoff
 			return
 		}
-		s.Next = now + l.Settings.Pace
-		if s.Passed++; s.Passed >= l.Settings.Pass {
-			if at, ok := l.find(r.Of); ok {
-				l.Cases[at].Case.Pardoned, l.Cases[at].Case.Since = now, 0
+		s.NextTrial = now + l.Settings.TrialInterval
+		if s.TrialsPassed++; s.TrialsPassed >= l.Settings.TrialsToReinstate {
+			if at, ok := l.find(r.Subject); ok {
+				l.Records[at].Observations.ClearedAt, l.Records[at].Observations.SuspectedSince = now, 0
 			}
-			l.Sentences = slices.Delete(l.Sentences, i, i+1)
-			l.No++
+			l.Ejections = slices.Delete(l.Ejections, i, i+1)
+			l.Revision++
 		}
 		return
 	}
 }
 
-// Forget takes a witness out of the count of those that may speak; what it said fades by itself.
-func (l *Ledger) Forget(who string) {
-	delete(l.Zones, who)
-	delete(l.Workers, who)
+// RemoveReporter takes a witness out of the count of those that may speak; what it said fades by itself.
+func (l *Detector) RemoveReporter(who string) {
+	delete(l.ReporterZones, who)
+	delete(l.WorkerCounts, who)
 }
 
-// Judge weighs all cases as of now.
-func (l *Ledger) Judge(now time.Duration) {
+// Evaluate weighs all cases as of now.
+func (l *Detector) Evaluate(now time.Duration) {
 	if l.Settings == nil {
 		return
 	}
-	l.Cases = slices.DeleteFunc(l.Cases, func(e Entry) bool {
-		maps.DeleteFunc(e.Case.By, func(_ string, v Evidence) bool { return now-v.At > fadesAway*l.Settings.HalfLife })
-		return len(e.Case.By) == 0 && now-e.Case.Pardoned > fadesAway*l.Settings.HalfLife
+	l.Records = slices.DeleteFunc(l.Records, func(e Record) bool {
+		maps.DeleteFunc(e.Observations.ByReporter, func(_ string, v Evidence) bool { return now-v.ObservedAt > fadesAway*l.Settings.HalfLife })
+		return len(e.Observations.ByReporter) == 0 && now-e.Observations.ClearedAt > fadesAway*l.Settings.HalfLife
 	})
-	l.Sentences = slices.DeleteFunc(l.Sentences, func(s *Sentence) bool {
-		if s.Tried != "" && now-s.TriedAt > max(3*l.Settings.Pace, l.Settings.Hearing) {
-			s.Tried, s.Next = "", now // whoever had it had nothing to send there, or is gone: another
+	l.Ejections = slices.DeleteFunc(l.Ejections, func(s *Ejection) bool {
+		if s.TrialReporter != "" && now-s.TrialStarted > max(3*l.Settings.TrialInterval, l.Settings.ObjectionWindow) {
+			s.TrialReporter, s.NextTrial = "", now // whoever had it had nothing to send there, or is gone: another
 		}
 		// What it rested on is long past: the worker was replaced, or nobody has anything to send there.
-		at, ok := l.find(s.Of)
-		over := !ok || len(l.Cases[at].Case.By) == 0
+		at, ok := l.find(s.Subject)
+		over := !ok || len(l.Records[at].Observations.ByReporter) == 0
 		if over {
-			l.No++
+			l.Revision++
 		}
 		return over
 	})
 	zones := map[int]int{} // witnesses in each
-	for _, z := range l.Zones {
+	for _, z := range l.ReporterZones {
 		zones[z]++
 	}
-	for _, e := range l.Cases {
-		c := e.Case
+	for _, e := range l.Records {
+		c := e.Observations
 		first := time.Duration(1<<63 - 1) // of the failures that are held against it
-		for _, v := range c.By {
+		for _, v := range c.ByReporter {
 			if l.opinion(now, c, v) > 0 {
-				first = min(first, v.At)
+				first = min(first, v.ObservedAt)
 			}
 		}
 		bad, good := map[int]int{}, map[int]int{} // by zone; failing more than once counts there alone
 		from := map[int]bool{}
 		against, for_, jobs := 0, 0, int64(0)
-		for _, v := range c.By {
-			switch weight := Fade(v.Bad, now-v.At, l.Settings.HalfLife); {
+		for _, v := range c.ByReporter {
+			switch weight := Decay(v.Failures, now-v.ObservedAt, l.Settings.HalfLife); {
 			case l.opinion(now, c, v) > 0:
 				against++
 				from[v.Zone] = true
 				// One witness alone never weighs as much as it takes, less one more's word.
-				jobs += min(weight, (2*int64(l.Settings.Failures)-3)*One/2-One/10)
-				if weight >= One*5/4 {
+				jobs += min(weight, (2*int64(l.Settings.MinFailures)-3)*OneJob/2-OneJob/10)
+				if weight >= OneJob*5/4 {
 					bad[v.Zone]++
 				}
-			case l.opinion(now, c, v) < 0 && v.At >= first: // what ended well before tells nothing of now
+			case l.opinion(now, c, v) < 0 && v.ObservedAt >= first: // what ended well before tells nothing of now
 				good[v.Zone]++
 				for_++
 			}
 		}
 		if against == 0 {
-			c.Since = 0
+			c.SuspectedSince = 0
 			continue
 		}
-		if c.Since == 0 {
-			c.Since = max(now, 1)
+		if c.SuspectedSince == 0 {
+			c.SuspectedSince = max(now, 1)
 		}
 		// Those who know better have had time to say so, or all have spoken.
 		heard := func(spoke, of int) bool {
-			return now-c.Since >= l.Settings.Hearing || spoke >= of && of > l.Settings.Witnesses
+			return now-c.SuspectedSince >= l.Settings.ObjectionWindow || spoke >= of && of > l.Settings.MinReporters
 		}
-		enough := (2*int64(l.Settings.Failures) - 1) * One / 2 // some of it has faded a little
-		if against >= l.Settings.Witnesses && jobs >= enough && against > 2*for_ && (len(from) > 1 || len(zones) < 2) && heard(against+for_, len(l.Zones)) {
-			l.condemn(now, e.Of, Everywhere, against)
+		enough := (2*int64(l.Settings.MinFailures) - 1) * OneJob / 2 // some of it has faded a little
+		if against >= l.Settings.MinReporters && jobs >= enough && against > 2*for_ && (len(from) > 1 || len(zones) < 2) && heard(against+for_, len(l.ReporterZones)) {
+			l.condemn(now, e.Subject, AllZones, against)
 			continue
 		}
 		// One zone's word binds that zone. Few are in it, so each must have seen it fail again.
 		for _, z := range slices.Sorted(maps.Keys(bad)) {
-			if bad[z] >= l.Settings.Witnesses && bad[z] > 2*good[z] && heard(bad[z]+good[z], zones[z]) {
-				l.condemn(now, e.Of, z, bad[z])
+			if bad[z] >= l.Settings.MinReporters && bad[z] > 2*good[z] && heard(bad[z]+good[z], zones[z]) {
+				l.condemn(now, e.Subject, z, bad[z])
 			}
 		}
 	}
 }
 
-func (l *Ledger) sentenced(of Life, zone int) bool {
-	return slices.ContainsFunc(l.Sentences, func(s *Sentence) bool { return s.Of == of && (s.Zone == zone || s.Zone == Everywhere) })
+func (l *Detector) sentenced(of Incarnation, zone int) bool {
+	return slices.ContainsFunc(l.Ejections, func(s *Ejection) bool { return s.Subject == of && (s.Zone == zone || s.Zone == AllZones) })
 }
 
 // condemn passes a sentence, unless too many stand.
-func (l *Ledger) condemn(now time.Duration, of Life, zone, against int) {
-	if l.sentenced(of, zone) || len(l.Sentences) >= l.most() && zone == Everywhere {
+func (l *Detector) condemn(now time.Duration, of Incarnation, zone, against int) {
+	if l.sentenced(of, zone) || len(l.Ejections) >= l.most() && zone == AllZones {
 		return
 	}
 	in := 0
-	for _, s := range l.Sentences {
-		if s.Zone == zone || s.Zone == Everywhere || zone == Everywhere {
+	for _, s := range l.Ejections {
+		if s.Zone == zone || s.Zone == AllZones || zone == AllZones {
 			in++
 		}
 	}
 	if in >= l.most() {
 		return
 	}
-	if zone == Everywhere { // it takes in what was for one zone
-		l.Sentences = slices.DeleteFunc(l.Sentences, func(s *Sentence) bool { return s.Of == of })
+	if zone == AllZones { // it takes in what was for one zone
+		l.Ejections = slices.DeleteFunc(l.Ejections, func(s *Ejection) bool { return s.Subject == of })
 	}
-	l.Sentences = append(l.Sentences, &Sentence{Of: of, Zone: zone, Since: now, Against: against, Next: now + l.Settings.Pace, Wait: l.Settings.Pace})
-	l.No++
+	l.Ejections = append(l.Ejections, &Ejection{Subject: of, Zone: zone, Since: now, Reporters: against, NextTrial: now + l.Settings.TrialInterval, TrialBackoff: l.Settings.TrialInterval})
+	l.Revision++
 }
 
 // most is how many workers may be condemned at once, in any zone: by how many the witnesses know,
 // the median of what they say, so that one can't lie it up.
-func (l *Ledger) most() int {
-	if len(l.Workers) == 0 {
+func (l *Detector) most() int {
+	if len(l.WorkerCounts) == 0 {
 		return 0
 	}
-	all := slices.Sorted(maps.Values(l.Workers))
-	return int(l.Settings.Most * float64(all[(len(all)-1)/2]))
+	all := slices.Sorted(maps.Values(l.WorkerCounts))
+	return int(l.Settings.MaxEjectedShare * float64(all[(len(all)-1)/2]))
 }
 
-// Tell is what a witness is to hear: the verdicts that hold for it, one of which may be a trial
+// NoticesFor is what a witness is to hear: the verdicts that hold for it, one of which may be a trial
 // for it to make, and the workers accused, of which it is to say what it knows.
-func (l *Ledger) Tell(now time.Duration, who string, zone int) (verdicts []Verdict, accused []Life) {
+func (l *Detector) NoticesFor(now time.Duration, who string, zone int) (verdicts []EjectionNotice, accused []Incarnation) {
 	if l.Settings == nil {
 		return nil, nil
 	}
 	gave := false
-	for _, s := range l.Sentences {
-		if s.Zone != Everywhere && s.Zone != zone {
+	for _, s := range l.Ejections {
+		if s.Zone != AllZones && s.Zone != zone {
 			continue
 		}
-		v := Verdict{Of: s.Of, Zone: s.Zone}
-		if s.Tried == "" && now >= s.Next && !gave {
-			l.Trials++
-			s.Tried, s.TriedAt, s.Trial = who, now, l.Trials
+		v := EjectionNotice{Subject: s.Subject, Zone: s.Zone}
+		if s.TrialReporter == "" && now >= s.NextTrial && !gave {
+			l.TrialCount++
+			s.TrialReporter, s.TrialStarted, s.TrialNumber = who, now, l.TrialCount
 			gave = true
 		}
-		if s.Tried == who {
-			v.Trial = s.Trial
+		if s.TrialReporter == who {
+			v.Trial = s.TrialNumber
 		}
 		verdicts = append(verdicts, v)
 	}
-	for _, e := range l.Cases {
-		if e.Case.Since > 0 && len(accused) < maxReports {
-			accused = append(accused, e.Of)
+	for _, e := range l.Records {
+		if e.Observations.SuspectedSince > 0 && len(accused) < maxReports {
+			accused = append(accused, e.Subject)
 		}
 	}
 	return verdicts, accused
 }
 
-// All are the verdicts of all zones, without trials: what a watch tells.
-func (l *Ledger) All() (out []Verdict) {
-	for _, s := range l.Sentences {
-		out = append(out, Verdict{Of: s.Of, Zone: s.Zone})
+// Notices are the verdicts of all zones, without trials: what a watch tells.
+func (l *Detector) Notices() (out []EjectionNotice) {
+	for _, s := range l.Ejections {
+		out = append(out, EjectionNotice{Subject: s.Subject, Zone: s.Zone})
 	}
 	return out
 }
 
-// ErrOff is what is said where nobody judges.
-var ErrOff = errors.New("no verdicts: the policy in force has no [verdicts] enabled")
+// ErrDisabled is what is said where nobody judges.
+var ErrDisabled = errors.New("no verdicts: the policy in force has no [verdicts] enabled")
--- a/internal/fleet/outlier/witness.go
+++ b/internal/fleet/outlier/witness.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Witness is one dispatcher's. Its methods may be called from any goroutine; time is its own.
-type Witness struct {
+// Reporter is one dispatcher's. Its methods may be called from any goroutine; time is its own.
+type Reporter struct {
 	off     atomic.Bool // nobody judges
 	mu      sync.Mutex
 	half    time.Duration
 	stamp   uint64
-	seen    map[Life]*sight
-	accused map[Life]bool
+	seen    map[Incarnation]*sight
+	accused map[Incarnation]bool
 	urgent  bool
 }
 
@@ -30,15 +30,15 @@
 	trial     uint64
 }
 
-// NewWitness makes one; its stamps go on from a number that no earlier life of it has reached.
-func NewWitness(half time.Duration, stamp uint64) *Witness {
-	return &Witness{half: half, stamp: stamp, seen: map[Life]*sight{}, accused: map[Life]bool{}}
+// NewReporter makes one; its stamps go on from a number that no earlier life of it has reached.
+func NewReporter(half time.Duration, stamp uint64) *Reporter {
+	return &Reporter{half: half, stamp: stamp, seen: map[Incarnation]*sight{}, accused: map[Incarnation]bool{}}
 }
 
 const maxSeen = 2048
 
-// Saw notes how a job ended at a worker: well, or not; weight in thousandths of a job.
-func (w *Witness) Saw(now time.Duration, of Life, well bool, weight int64) {
+// Observe notes how a job ended at a worker: well, or not; weight in thousandths of a job.
+func (w *Reporter) Observe(now time.Duration, of Incarnation, well bool, weight int64) {
 	if w.off.Load() {
 		return
 	}
@@ -54,15 +54,15 @@
 		s = &sight{told: true}
 		w.seen[of] = s
 	}
-	s.bad, s.good, s.at = Fade(s.bad, now-s.at, w.half), Fade(s.good, now-s.at, w.half), now
+	s.bad, s.good, s.at = Decay(s.bad, now-s.at, w.half), Decay(s.good, now-s.at, w.half), now
 	news := false
 	if !well {
 		s.bad, s.good, news = min(s.bad+weight, maxWeight), 0, true
 	} else {
 		news = s.bad > 0 || w.accused[of] && !s.spoke
 		s.spoke = w.accused[of]
-		s.bad, s.good = 0, min(s.good+weight, 20*One)  // as sure as it needs to be
-		if w.accused[of] && now-s.toldAt > w.half/16 { // what was said fades
+		s.bad, s.good = 0, min(s.good+weight, 20*OneJob) // as sure as it needs to be
+		if w.accused[of] && now-s.toldAt > w.half/16 {   // what was said fades
 			s.told = false
 		}
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (w *Witness) tidy(now time.Duration) {
+func (w *Reporter) tidy(now time.Duration) {
 	for of, s := range w.seen {
 		if now-s.at > fadesAway*w.half {
 			delete(w.seen, of)
@@ -80,14 +80,14 @@
 }
 
 // Urgent tells whether there is something that the others should know soon.
-func (w *Witness) Urgent() bool {
+func (w *Reporter) Urgent() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.urgent
 }
 
 // Reports words what is to be said; Unsaid, where it did not get through.
-func (w *Witness) Reports(now time.Duration) (out []Report) {
+func (w *Reporter) Reports(now time.Duration) (out []Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.urgent = false
@@ -97,27 +97,27 @@
 		}
 		s.told, s.toldAt = true, now
 		w.stamp++
-		out = append(out, Report{Of: of, Stamp: w.stamp, Bad: s.bad, Good: s.good, Age: now - s.at, Trial: s.trial})
+		out = append(out, Report{Subject: of, Sequence: w.stamp, Failures: s.bad, Successes: s.good, Age: now - s.at, Trial: s.trial})
 	}
 	return out
 }
 
-// Unsaid notes that reports may not have arrived: they are said again.
-func (w *Witness) Unsaid(all []Report) {
+// Undelivered notes that reports may not have arrived: they are said again.
+func (w *Reporter) Undelivered(all []Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range all {
-		if s := w.seen[r.Of]; s != nil {
+		if s := w.seen[r.Subject]; s != nil {
 			s.told = false
 		}
 	}
 }
 
-// Accused notes of whom it is asked what it knows.
-func (w *Witness) Accused(all []Life) {
+// SetSuspects notes of whom it is asked what it knows.
+func (w *Reporter) SetSuspects(all []Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	next := map[Life]bool{}
+	next := map[Incarnation]bool{}
 	for _, of := range all {
 		next[of] = true
 		if s := w.seen[of]; s != nil && !w.accused[of] {
@@ -130,27 +130,27 @@
 	w.accused = next
 }
 
-// Pardon forgets what was seen of those that are condemned no more: a trial has shown better.
-func (w *Witness) Pardon(before, now []Verdict) {
+// Reinstated forgets what was seen of those that are condemned no more: a trial has shown better.
+func (w *Reporter) Reinstated(before, now []EjectionNotice) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, v := range before {
-		if !slices.ContainsFunc(now, func(n Verdict) bool { return n.Of == v.Of }) {
-			delete(w.seen, v.Of)
+		if !slices.ContainsFunc(now, func(n EjectionNotice) bool { return n.Subject == v.Subject }) {
+			delete(w.seen, v.Subject)
 		}
 	}
 }
 
-// Try notes that what is seen of a worker from here on is a trial's: what was before is left out.
-func (w *Witness) Try(now time.Duration, of Life, trial uint64) {
+// StartTrial notes that what is seen of a worker from here on is a trial's: what was before is left out.
+func (w *Reporter) StartTrial(now time.Duration, of Incarnation, trial uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seen[of] = &sight{at: now, told: true, trial: trial}
 	w.accused[of] = true
 }
 
-// Set changes the half-life by which it fades; 0: nobody judges, and nothing is noted.
-func (w *Witness) Set(half time.Duration) {
+// SetHalfLife changes the half-life by which it fades; 0: nobody judges, and nothing is noted.
+func (w *Reporter) SetHalfLife(half time.Duration) {
 	if w.off.Store(half <= 0); half <= 0 {
 		return
 	}
--- a/internal/fleet/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -33,8 +33,8 @@
 var forms = map[string]int{"ban": 1, "attempts": 1, "rule": 2, "room": 2, "contract": 2,
 	"limit": 3, "dispatchers": 3, "settle": 3, "verdicts": 3, "start": 4, "flow": 5, "pool": 5}
 
-// Form is the newest form that this program knows.
-func Form() int {
+// FormatVersion is the newest form that this program knows.
+func FormatVersion() int {
 	n, err := strconv.Atoi(form)
 	if err != nil {
 		return 0
@@ -44,122 +44,122 @@
 
 // Document is one policy. What it leaves out stays as the dispatchers' own files have it.
 type Document struct {
-	Ban      []string   `toml:"ban,omitempty"`      // ids of workers that get nothing new, beside those taken out by hand
-	Attempts int        `toml:"attempts,omitempty"` // at most so many for a request, where the settings allow more; 0: as they say
-	Rule     string     `toml:"rule,omitempty"`     // by which the sources of workers are merged
-	Room     *Room      `toml:"room,omitempty"`     // held for large jobs
-	Contract []Contract `toml:"contract,omitempty"` // of the second front's teams, in the place of the files'
+	BannedWorkers []string      `toml:"ban,omitempty"`      // ids of workers that get nothing new, beside those taken out by hand
+	MaxAttempts   int           `toml:"attempts,omitempty"` // at most so many for a request, where the settings allow more; 0: as they say
+	MergeRule     string        `toml:"rule,omitempty"`     // by which the sources of workers are merged
+	Reservations  *Reservations `toml:"room,omitempty"`     // held for large jobs
+	Contracts     []Contract    `toml:"contract,omitempty"` // of the second front's teams, in the place of the files'
 
 	// Limits of the whole fleet (package quota), for so many dispatchers; what one that vanished
 	// had open may go on for Settle.
-	Limit       []Limit `toml:"limit,omitempty"`
-	Dispatchers int     `toml:"dispatchers,omitempty"`
-	Settle      Span    `toml:"settle,omitempty"`
+	Limits       []Limit  `toml:"limit,omitempty"`
+	Dispatchers  int      `toml:"dispatchers,omitempty"`
+	ReclaimDelay Duration `toml:"settle,omitempty"`
 
-	Verdicts *Verdicts `toml:"verdicts,omitempty"` // of the fleet on workers
-	Start    *Start    `toml:"start,omitempty"`    // how a fleet starts cold
+	OutlierEjection *OutlierEjection `toml:"verdicts,omitempty"` // of the fleet on workers
+	ColdStart       *ColdStart       `toml:"start,omitempty"`    // how a fleet starts cold
 
-	Flow []Flow      `toml:"flow,omitempty"` // templates of workflows
-	Pool []pool.Pool `toml:"pool,omitempty"` // of workers, for their steps
+	Workflows []Workflow  `toml:"flow,omitempty"` // templates of workflows
+	Pools     []pool.Pool `toml:"pool,omitempty"` // of workers, for their steps
 }
 
-// Verdicts are how workers are judged together; what is left out is as package verdict has it.
-type Verdicts struct {
-	Enabled   bool    `toml:"enabled"`
-	Witnesses int     `toml:"witnesses,omitempty"`
-	Failures  int     `toml:"failures,omitempty"`
-	HalfLife  Span    `toml:"half_life,omitempty"`
-	Hearing   *Span   `toml:"hearing,omitempty"`
-	Most      float64 `toml:"most,omitempty"`
-	Pace      Span    `toml:"pace,omitempty"`
-	Pass      int     `toml:"pass,omitempty"`
+// OutlierEjection are how workers are judged together; what is left out is as package verdict has it.
+type OutlierEjection struct {
+	Enabled           bool      `toml:"enabled"`
+	MinReporters      int       `toml:"witnesses,omitempty"`
+	MinFailures       int       `toml:"failures,omitempty"`
+	HalfLife          Duration  `toml:"half_life,omitempty"`
+	ObjectionWindow   *Duration `toml:"hearing,omitempty"`
+	MaxEjectedShare   float64   `toml:"most,omitempty"`
+	TrialInterval     Duration  `toml:"pace,omitempty"`
+	TrialsToReinstate int       `toml:"pass,omitempty"`
 }
 
-// Judges is how workers are judged; nil: they are not.
-func (d *Document) Judges() *outlier.Settings {
-	v := d.Verdicts
+// OutlierSettings is how workers are judged; nil: they are not.
+func (d *Document) OutlierSettings() *outlier.Settings {
+	v := d.OutlierEjection
 	if v == nil || !v.Enabled {
 		return nil
 	}
-	s := outlier.Default()
-	orElse(&s.Witnesses, v.Witnesses)
-	orElse(&s.Failures, v.Failures)
+	s := outlier.DefaultSettings()
+	orElse(&s.MinReporters, v.MinReporters)
+	orElse(&s.MinFailures, v.MinFailures)
 	orElse(&s.HalfLife, time.Duration(v.HalfLife))
-	orElse(&s.Most, v.Most)
-	orElse(&s.Pace, time.Duration(v.Pace))
-	orElse(&s.Pass, v.Pass)
-	if v.Hearing != nil {
-		s.Hearing = time.Duration(*v.Hearing)
+	orElse(&s.MaxEjectedShare, v.MaxEjectedShare)
+	orElse(&s.TrialInterval, time.Duration(v.TrialInterval))
+	orElse(&s.TrialsToReinstate, v.TrialsToReinstate)
+	if v.ObjectionWindow != nil {
+		s.ObjectionWindow = time.Duration(*v.ObjectionWindow)
 	}
 	return &s
 }
 
-// Start is how a fleet starts cold: in turns at the list service, by one list a zone.
-type Start struct {
-	Calls int   `toml:"calls"`           // a second that the list service is stated to take
-	Use   Span  `toml:"use,omitempty"`   // a turn's length; "100ms" where nothing is said
-	Relay *bool `toml:"relay,omitempty"` // one dispatcher a zone reads for all; so where nothing is said
+// ColdStart is how a fleet starts cold: in turns at the list service, by one list a zone.
+type ColdStart struct {
+	CallsPerSecond int      `toml:"calls"`           // a second that the list service is stated to take
+	TokenWindow    Duration `toml:"use,omitempty"`   // a turn's length; "100ms" where nothing is said
+	RelayList      *bool    `toml:"relay,omitempty"` // one dispatcher a zone reads for all; so where nothing is said
 }
 
-// Starts is how a fleet starts cold; nil: each dispatcher by itself.
-func (d *Document) Starts() *coldstart.Settings {
-	if d.Start == nil {
+// ColdStartSettings is how a fleet starts cold; nil: each dispatcher by itself.
+func (d *Document) ColdStartSettings() *coldstart.Settings {
+	if d.ColdStart == nil {
 		return nil
 	}
-	s := &coldstart.Settings{Settings: admission.Settings{Calls: d.Start.Calls, Use: 100 * time.Millisecond}, Relay: true}
-	orElse(&s.Use, time.Duration(d.Start.Use))
-	if d.Start.Relay != nil {
-		s.Relay = *d.Start.Relay
+	s := &coldstart.Settings{Settings: admission.Settings{CallsPerSecond: d.ColdStart.CallsPerSecond, TokenWindow: 100 * time.Millisecond}, RelayList: true}
+	orElse(&s.TokenWindow, time.Duration(d.ColdStart.TokenWindow))
+	if d.ColdStart.RelayList != nil {
+		s.RelayList = *d.ColdStart.RelayList
 	}
 	return s
 }
 
 // Limit is one of the whole fleet.
 type Limit struct {
-	Name   string  `toml:"name"`
-	Kind   string  `toml:"kind"`
-	Team   string  `toml:"team,omitempty"`
-	Tenant string  `toml:"tenant,omitempty"`
-	Class  string  `toml:"class,omitempty"`
-	Amount float64 `toml:"amount"`
-	Burst  float64 `toml:"burst,omitempty"`
-	Share  float64 `toml:"share,omitempty"`
-	Static float64 `toml:"static,omitempty"`
+	Name        string  `toml:"name"`
+	Kind        string  `toml:"kind"`
+	Team        string  `toml:"team,omitempty"`
+	Tenant      string  `toml:"tenant,omitempty"`
+	Class       string  `toml:"class,omitempty"`
+	Amount      float64 `toml:"amount"`
+	Burst       float64 `toml:"burst,omitempty"`
+	RetryRatio  float64 `toml:"share,omitempty"`
+	StaticShare float64 `toml:"static,omitempty"`
 }
 
-// Limits are the document's, as the keepers hand them out.
-func (d *Document) Limits() (out []quota.Limit, err error) {
+// QuotaLimits are the document's, as the keepers hand them out.
+func (d *Document) QuotaLimits() (out []quota.Limit, err error) {
 	var all []error
 	names := map[string]bool{}
-	settle := time.Duration(d.Settle)
+	settle := time.Duration(d.ReclaimDelay)
 	if settle == 0 {
 		settle = 10 * time.Second
 	}
-	if len(d.Limit) > maxLimits {
-		return nil, fmt.Errorf("limit: %d of them; expected %d at most", len(d.Limit), maxLimits)
+	if len(d.Limits) > maxLimits {
+		return nil, fmt.Errorf("limit: %d of them; expected %d at most", len(d.Limits), maxLimits)
 	}
-	if len(d.Limit) > 0 && d.Dispatchers < 1 {
+	if len(d.Limits) > 0 && d.Dispatchers < 1 {
 		all = append(all, errors.New("dispatchers: missing; expected how many there are, with every second process of an upgrade"))
 	}
-	for i, l := range d.Limit {
+	for i, l := range d.Limits {
 		kind, err := quota.ParseKind(l.Kind)
 		if err != nil {
 			all = append(all, fmt.Errorf("limit[%d].%w", i, err))
 			continue
 		}
-		q := quota.Limit{Name: l.Name, Kind: kind, Team: l.Team, Tenant: l.Tenant, Class: l.Class, Holders: int64(d.Dispatchers), Settle: settle}
+		q := quota.Limit{Name: l.Name, Kind: kind, Team: l.Team, Tenant: l.Tenant, Class: l.Class, MaxHolders: int64(d.Dispatchers), ReclaimDelay: settle}
 		for _, f := range []struct {
 			to   *int64
 			from float64
 			key  string
-		}{{&q.Amount, l.Amount, "amount"}, {&q.Burst, l.Burst, "burst"}, {&q.Share, l.Share, "share"}, {&q.Static, l.Static, "static"}} {
+		}{{&q.Amount, l.Amount, "amount"}, {&q.Burst, l.Burst, "burst"}, {&q.RetryRatio, l.RetryRatio, "share"}, {&q.StaticShare, l.StaticShare, "static"}} {
 			if !(f.from >= 0 && f.from <= 1e6) {
 				all = append(all, fmt.Errorf("limit[%d].%s: %v; expected 0 to 1000000", i, f.key, f.from))
 				continue
 			}
-			*f.to = int64(math.Round(f.from * quota.One))
+			*f.to = int64(math.Round(f.from * quota.Unit))
 		}
-		if err := q.Check(); err != nil && d.Dispatchers > 0 {
+		if err := q.Validate(); err != nil && d.Dispatchers > 0 {
 			all = append(all, fmt.Errorf("limit[%d].%w", i, err))
 		} else if names[l.Name] {
 			all = append(all, fmt.Errorf("limit[%d].name: %q comes twice", i, l.Name))
@@ -170,16 +170,16 @@
 	return out, errors.Join(all...)
 }
 
-// Room is how room is held for large jobs; what is left out is as package room has it.
-type Room struct {
-	Enabled   bool    `toml:"enabled"`
-	Mode      string  `toml:"mode,omitempty"`
-	Quantile  float64 `toml:"quantile,omitempty"`
-	Most      int     `toml:"most,omitempty"`
-	Longest   Span    `toml:"longest,omitempty"`
-	Budget    float64 `toml:"budget,omitempty"`
-	SmallWait *Span   `toml:"small_wait,omitempty"`
-	Large     float64 `toml:"large,omitempty"`
+// Reservations is how room is held for large jobs; what is left out is as package room has it.
+type Reservations struct {
+	Enabled         bool      `toml:"enabled"`
+	Mode            string    `toml:"mode,omitempty"`
+	Quantile        float64   `toml:"quantile,omitempty"`
+	MaxReservations int       `toml:"most,omitempty"`
+	ReservationTTL  Duration  `toml:"longest,omitempty"`
+	IdleBudget      float64   `toml:"budget,omitempty"`
+	MaxJobDelay     *Duration `toml:"small_wait,omitempty"`
+	LargeRuns       float64   `toml:"large,omitempty"`
 }
 
 // Contract is what one team may ask for at one dispatcher.
@@ -192,33 +192,33 @@
 	MaxOpen int      `toml:"max_open"` // requests unanswered at once
 }
 
-// Span is a time written as text, such as "5s".
-type Span time.Duration
+// Duration is a time written as text, such as "5s".
+type Duration time.Duration
 
 // UnmarshalText reads a Span.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
 // MarshalText words a Span.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Settings is the room that is to be held; nil: none.
-func (r *Room) Settings() *backfill.Settings {
+func (r *Reservations) Settings() *backfill.Settings {
 	if !r.Enabled {
 		return nil
 	}
 	s := backfill.DefaultSettings()
 	orElse(&s.Mode, backfill.Mode(r.Mode))
 	orElse(&s.Quantile, r.Quantile)
-	orElse(&s.MaxReservations, r.Most)
-	orElse(&s.ReservationTTL, time.Duration(r.Longest))
-	orElse(&s.IdleBudget, r.Budget)
-	orElse(&s.LargeRuns, r.Large)
-	if r.SmallWait != nil {
-		s.MaxJobDelay = time.Duration(*r.SmallWait)
+	orElse(&s.MaxReservations, r.MaxReservations)
+	orElse(&s.ReservationTTL, time.Duration(r.ReservationTTL))
+	orElse(&s.IdleBudget, r.IdleBudget)
+	orElse(&s.LargeRuns, r.LargeRuns)
+	if r.MaxJobDelay != nil {
+		s.MaxJobDelay = time.Duration(*r.MaxJobDelay)
 	}
 	return &s
 }
@@ -258,8 +258,8 @@
 	if err := d.check(string(text)); err != nil {
 		return Document{}, err
 	}
-	slices.Sort(d.Ban)
-	d.Ban = slices.Compact(d.Ban)
+	slices.Sort(d.BannedWorkers)
+	d.BannedWorkers = slices.Compact(d.BannedWorkers)
 	return d, nil
 }
 
@@ -269,33 +269,33 @@
 	for key := range d.flat() {
 		key, _, _ = strings.Cut(key, ".")
 		key, _, _ = strings.Cut(key, "[")
-		if forms[key] > Form() {
-			wrong("%s: of form %d; this program knows form %d", key, forms[key], Form())
+		if forms[key] > FormatVersion() {
+			wrong("%s: of form %d; this program knows form %d", key, forms[key], FormatVersion())
 		}
 	}
-	if d.Attempts < 0 || d.Attempts > 100 {
-		wrong("attempts: %d; expected 0 to 100", d.Attempts)
+	if d.MaxAttempts < 0 || d.MaxAttempts > 100 {
+		wrong("attempts: %d; expected 0 to 100", d.MaxAttempts)
 	}
-	if len(d.Ban) > maxBans {
-		wrong("ban: %d ids; expected %d at most", len(d.Ban), maxBans)
+	if len(d.BannedWorkers) > maxBans {
+		wrong("ban: %d ids; expected %d at most", len(d.BannedWorkers), maxBans)
 	}
-	for i, id := range d.Ban {
+	for i, id := range d.BannedWorkers {
 		if id == "" || strings.ContainsAny(id, " \n") {
 			wrong("ban[%d]: %q; expected an id as discovery has it", i, id)
 		}
 	}
-	if d.Rule != "" && !slices.Contains([]string{"roster-vetoes", "any", "all"}, d.Rule) {
-		wrong("rule: %q; expected \"roster-vetoes\", \"any\" or \"all\"", d.Rule)
+	if d.MergeRule != "" && !slices.Contains([]string{"roster-vetoes", "any", "all"}, d.MergeRule) {
+		wrong("rule: %q; expected \"roster-vetoes\", \"any\" or \"all\"", d.MergeRule)
 	}
-	if d.Room != nil {
-		if s := d.Room.Settings(); s != nil {
+	if d.Reservations != nil {
+		if s := d.Reservations.Settings(); s != nil {
 			if err := s.Validate(); err != nil {
 				wrong("room.%w", err)
 			}
 		}
 	}
 	teams := map[string]bool{}
-	for i, k := range d.Contract {
+	for i, k := range d.Contracts {
 		switch {
 		case k.Team == "" || teams[k.Team]:
 			wrong("contract[%d].team: %q; expected a name that no other contract has", i, k.Team)
@@ -304,19 +304,19 @@
 		}
 		teams[k.Team] = true
 	}
-	if _, err := d.Limits(); err != nil {
+	if _, err := d.QuotaLimits(); err != nil {
 		all = append(all, err)
 	}
 	if _, err := d.flows(text); err != nil {
 		all = append(all, err)
 	}
-	if s := d.Judges(); s != nil {
-		if err := s.Check(); err != nil {
+	if s := d.OutlierSettings(); s != nil {
+		if err := s.Validate(); err != nil {
 			wrong("verdicts.%w", err)
 		}
 	}
-	if s := d.Starts(); s != nil {
-		if err := s.Check(); err != nil {
+	if s := d.ColdStartSettings(); s != nil {
+		if err := s.Validate(); err != nil {
 			wrong("start.%w", err)
 		}
 	}
--- a/internal/fleet/policy/policy_test.go
+++ b/internal/fleet/policy/policy_test.go
@@ -9,7 +9,7 @@
 
 func TestParse(t *testing.T) {
 	d, err := Parse([]byte("attempts = 3\nban = [\"s-2\", \"s-1\", \"s-2\"]\n"))
-	if diff := cmp.Diff(Document{Ban: []string{"s-1", "s-2"}, Attempts: 3}, d); diff != "" || err != nil {
+	if diff := cmp.Diff(Document{BannedWorkers: []string{"s-1", "s-2"}, MaxAttempts: 3}, d); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
 	for text, want := range map[string][]string{
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	next := Document{Ban: []string{"s-2", "s-3"}, Attempts: 2}
+	next := Document{BannedWorkers: []string{"s-2", "s-3"}, MaxAttempts: 2}
 	if diff := cmp.Diff([]string{"attempts: 3 to 2", "ban[s-1]: - s-1", "ban[s-3]: + s-3"}, d.Diff(next)); diff != "" {
 		t.Error(diff)
 	}
@@ -85,8 +85,8 @@
 // Templates are refused by line, a cycle by its path.
 func TestFlows(t *testing.T) {
 	d, err := Parse([]byte(course))
-	if err != nil || len(d.Flows()) != 1 || len(d.Flows()[0].Steps) != 4 {
-		t.Fatal(err, d.Flows())
+	if err != nil || len(d.Templates()) != 1 || len(d.Templates()[0].Steps) != 4 {
+		t.Fatal(err, d.Templates())
 	}
 	for _, c := range []struct{ was, is, want string }{
 		{`needs = ["package"]`, `needs = ["packages"]`, `21: flow "course", step "collect": needs: "packages" is none; expected steps of this template`},
--- a/internal/fleet/policylease/explore.go
+++ b/internal/fleet/policylease/explore.go
@@ -22,21 +22,21 @@
 
 // The faults that the explorer must find.
 const (
-	NoFault       Fault = ""
-	StaleTaken    Fault = "a late or doubled message is taken for a new one"
-	FromAnswer    Fault = "a lease counts from its answer, not from when it was asked for"
-	FastKeepers   Fault = "the keepers' time runs faster than any clock"
-	SaysNothing   Fault = "a holder says that it serves under nothing, and serves"
-	NoClosing     Fault = "a change comes into force without waiting for leases"
-	TakesEarly    Fault = "a holder goes over to a version when it is proposed"
-	LeaveGoesOn   Fault = "a holder goes on after it has left"
-	WakesBlind    Fault = "a holder that was stopped acts before it looks at its lease"
-	CountsAhead   Fault = "time that passed before a lease was given counts for it"
-	ForgetsLeases Fault = "a keeper that leads anew does not know what the one before gave"
+	NoFault               Fault = ""
+	AcceptsStaleMessages  Fault = "a late or doubled message is taken for a new one"
+	LeaseCountsFromAnswer Fault = "a lease counts from its answer, not from when it was asked for"
+	FastCoordinatorClock  Fault = "the keepers' time runs faster than any clock"
+	ReportsNotServing     Fault = "a holder says that it serves under nothing, and serves"
+	SkipsClosing          Fault = "a change comes into force without waiting for leases"
+	AppliesEarly          Fault = "a holder goes over to a version when it is proposed"
+	ServesAfterRelease    Fault = "a holder goes on after it has left"
+	ActsOnOldCheck        Fault = "a holder that was stopped acts before it looks at its lease"
+	CountsTimeBeforeGrant Fault = "time that passed before a lease was given counts for it"
+	LeaderForgetsLeases   Fault = "a keeper that leads anew does not know what the one before gave"
 )
 
 // Faults are all of them.
-var Faults = []Fault{StaleTaken, FromAnswer, FastKeepers, SaysNothing, NoClosing, TakesEarly, LeaveGoesOn, WakesBlind, CountsAhead, ForgetsLeases}
+var Faults = []Fault{AcceptsStaleMessages, LeaseCountsFromAnswer, FastCoordinatorClock, ReportsNotServing, SkipsClosing, AppliesEarly, ServesAfterRelease, ActsOnOldCheck, CountsTimeBeforeGrant, LeaderForgetsLeases}
 
 const step = 500 * time.Millisecond // of time, half a lease
 
@@ -51,10 +51,10 @@
 }
 
 type side struct {
-	a     Accord
+	a     Holder
 	out   uint64 // the call whose answer it waits for; 0: none
 	admit statemachine.Policy
-	sees  Held // at its last look, for the fault of one that does not look again
+	sees  Admission // at its last look, for the fault of one that does not look again
 	left  bool
 	moved int // messages made, bounded
 }
@@ -99,10 +99,10 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// Explored is what an exploration came to.
-type Explored struct {
-	States int
-	Broken []string // the steps to the first state in which a promise is broken; nil: none is
+// Exploration is what an exploration came to.
+type Exploration struct {
+	States    int
+	Violation []string // the steps to the first state in which a promise is broken; nil: none is
 }
 
 func newWorld(holders int) *world {
@@ -113,16 +113,16 @@
 	// All hold a lease under version 0 to begin with: the ways there are the same as later ones.
 	for i := range first.sides {
 		s := &first.sides[i]
-		h := s.a.Ask(0)
-		s.a.Heard(0, first.k.Apply(statemachine.Command{LeaseRequest: &h}))
-		s.sees = s.a.Admits(0)
+		h := s.a.NextRequest(0)
+		s.a.HandleResult(0, first.k.Apply(statemachine.Command{LeaseRequest: &h}))
+		s.sees = s.a.Admission(0)
 	}
 	return first
 }
 
 // Explore goes through every order of events with so many holders, to a depth in steps, or to
 // so many states. It is breadth first: the steps that it prints are the fewest.
-func Explore(holders, depth, most int, fault Fault) Explored {
+func Explore(holders, depth, most int, fault Fault) Exploration {
 	type node struct {
 		w     *world
 		steps []string
@@ -143,30 +143,30 @@
 				seen[k] = true
 				steps := append(append([]string(nil), n.steps...), e.name)
 				if why := w.broken(fault); why != "" {
-					return Explored{len(seen), append(steps, why)}
+					return Exploration{len(seen), append(steps, why)}
 				}
 				if len(seen) >= most {
-					return Explored{States: len(seen)}
+					return Exploration{States: len(seen)}
 				}
 				next = append(next, node{w, steps})
 			}
 		}
 		front = next
 	}
-	return Explored{States: len(seen)}
+	return Exploration{States: len(seen)}
 }
 
-// Wander takes so many walks of so many steps, each by a seed, where Explore does not reach:
+// RandomWalks takes so many walks of so many steps, each by a seed, where Explore does not reach:
 // the same seeds take the same walks. The steps that it prints are of the shortest that it
 // found to break a promise.
-func Wander(holders, walks, steps int, fault Fault) (got Explored) {
+func RandomWalks(holders, walks, steps int, fault Fault) (got Exploration) {
 	found := walks
 	for seed := 0; seed < min(walks, found+500); seed++ { // some more walks, for a shorter one
 		rnd := rand.New(rand.NewPCG(uint64(seed), 3))
 		w := newWorld(holders)
 		var names []string
 		for range steps {
-			if got.Broken != nil && len(names)+2 >= len(got.Broken) {
+			if got.Violation != nil && len(names)+2 >= len(got.Violation) {
 				break
 			}
 			all := w.events(fault)
@@ -187,7 +187,7 @@
 			got.States++
 			names = append(names, e.name)
 			if why := w.broken(fault); why != "" {
-				got.Broken, found = append(names, why), min(found, seed)
+				got.Violation, found = append(names, why), min(found, seed)
 				break
 			}
 		}
@@ -207,14 +207,14 @@
 	version, two := uint64(0), false
 	for i := range w.sides {
 		s := &w.sides[i]
-		h := s.a.Admits(w.now)
-		if fault == WakesBlind {
+		h := s.a.Admission(w.now)
+		if fault == ActsOnOldCheck {
 			h = s.sees
 		}
-		if fault == LeaveGoesOn && s.left {
-			h.Admits = true
+		if fault == ServesAfterRelease && s.left {
+			h.Allowed = true
 		}
-		if !h.Admits {
+		if !h.Allowed {
 			continue
 		}
 		if len(at) > 0 && h.Version != version {
@@ -237,13 +237,13 @@
 	if w.owed > 0 && w.tick == nil {
 		out = append(out, event{"the leader reads its clock", 4, func(w *world) {
 			w.tick = &statemachine.Tick{Elapsed: w.owed, GrantsSeen: w.k.GrantCount}
-			if fault == FastKeepers {
+			if fault == FastCoordinatorClock {
 				w.tick.Elapsed *= 2
 			}
 			w.owed = 0
 		}}, event{"a new leader counts anew", 1, func(w *world) {
 			w.owed, w.tick = 0, nil
-			if fault == ForgetsLeases {
+			if fault == LeaderForgetsLeases {
 				for _, h := range w.k.Holders {
 					h.LeaseExpiry, h.PendingGrant = 0, 0
 				}
@@ -254,7 +254,7 @@
 	if w.tick != nil {
 		out = append(out, event{"its time is told", 4, func(w *world) {
 			t := *w.tick
-			if fault == CountsAhead {
+			if fault == CountsTimeBeforeGrant {
 				t.GrantsSeen = w.k.GrantCount
 			}
 			w.k.Apply(statemachine.Command{Tick: &t})
@@ -271,11 +271,11 @@
 		if s := &w.sides[i]; s.out == 0 && s.moved < 8 && !s.left {
 			out = append(out, event{fmt.Sprintf("n%d asks", i), 4, func(w *world) {
 				s := &w.sides[i]
-				h := s.a.Ask(w.now)
-				if fault == SaysNothing {
+				h := s.a.NextRequest(w.now)
+				if fault == ReportsNotServing {
 					h.ServingVersion = 0
 				}
-				s.sees = s.a.Admits(w.now)
+				s.sees = s.a.Admission(w.now)
 				s.moved++
 				s.out = h.Seq
 				w.wire = append(w.wire, call{to: i, cmd: statemachine.Command{LeaseRequest: &h}, seq: h.Seq, asked: w.now})
@@ -283,9 +283,9 @@
 			if i == 0 {
 				out = append(out, event{"n0 leaves", 1, func(w *world) {
 					s := &w.sides[i]
-					l := s.a.Leave()
+					l := s.a.Release()
 					s.left = true
-					s.sees = s.a.Admits(w.now)
+					s.sees = s.a.Admission(w.now)
 					w.k.Apply(statemachine.Command{LeaseRelease: &l})
 				}})
 			}
@@ -296,7 +296,7 @@
 	if w.told < 4 && w.k.Change != nil {
 		for i := range w.sides {
 			out = append(out, event{fmt.Sprintf("n%d's watch sees revision %d", i, w.k.Revision), 2, func(w *world) {
-				text, _ := statemachine.Encode(w.k.UpdateFor(w.sides[i].a.policy.Version, 0, relay.Mark{})) // as it is now, however late it comes
+				text, _ := statemachine.Encode(w.k.UpdateFor(w.sides[i].a.policy.Version, 0, relay.Watermark{})) // as it is now, however late it comes
 				n := &statemachine.WatchUpdate{}
 				if err := statemachine.Decode(text, n); err != nil {
 					panic(err)
@@ -333,7 +333,7 @@
 		w.wire = append(append([]call(nil), w.wire[:j]...), w.wire[j+1:]...)
 	}
 	cmd := c.cmd
-	if cmd.LeaseRequest != nil && fault == StaleTaken {
+	if cmd.LeaseRequest != nil && fault == AcceptsStaleMessages {
 		h := *cmd.LeaseRequest
 		if known := w.k.Holders[fmt.Sprintf("%s/%d", h.Name, h.Incarnation)]; known != nil {
 			h.Seq = max(h.Seq, known.Seq+1)
@@ -341,7 +341,7 @@
 		cmd.LeaseRequest = &h
 	}
 	r := w.k.Apply(cmd)
-	if fault == NoClosing && w.k.Change != nil && w.k.Change.Stage == statemachine.Closing {
+	if fault == SkipsClosing && w.k.Change != nil && w.k.Change.Stage == statemachine.Closing {
 		for _, h := range w.k.Holders {
 			h.LeaseExpiry, h.PendingGrant = 0, 0
 		}
@@ -367,10 +367,10 @@
 	}
 	s.out = 0
 	asked := c.asked
-	if fault == FromAnswer {
+	if fault == LeaseCountsFromAnswer {
 		asked = w.now
 	}
-	w.act(c.to, s.a.Heard(asked, *c.answer), fault)
+	w.act(c.to, s.a.HandleResult(asked, *c.answer), fault)
 }
 
 // tell is a watch's word coming in.
@@ -379,26 +379,26 @@
 	w.wire = append(append([]call(nil), w.wire[:j]...), w.wire[j+1:]...)
 	s := &w.sides[c.to]
 	if !s.left {
-		w.act(c.to, s.a.Told(*c.news), fault)
+		w.act(c.to, s.a.HandleUpdate(*c.news), fault)
 	}
 }
 
 // act does what a holder is left to do.
-func (w *world) act(to int, t Todo, fault Fault) {
+func (w *world) act(to int, t Actions, fault Fault) {
 	s := &w.sides[to]
-	if t.Take != nil {
-		s.a.Took(*t.Take)
+	if t.ApplyPolicy != nil {
+		s.a.PolicyApplied(*t.ApplyPolicy)
 		s.moved--
 	}
-	if t.Weigh != nil {
-		say := s.a.Say(t.Weigh, "")
+	if t.CheckChange != nil {
+		say := s.a.Vote(t.CheckChange, "")
 		w.wire = append(w.wire, call{to: to, cmd: statemachine.Command{Vote: &say}, asked: w.now})
-		if fault == TakesEarly {
-			s.a.policy = t.Weigh.Policy
+		if fault == AppliesEarly {
+			s.a.policy = t.CheckChange.Policy
 		}
 	}
-	s.sees = s.a.Admits(w.now)
-	if t.Again {
+	s.sees = s.a.Admission(w.now)
+	if t.RequestAgain {
 		s.moved--
 	}
 }
--- a/internal/fleet/policylease/explore_test.go
+++ b/internal/fleet/policylease/explore_test.go
@@ -12,24 +12,24 @@
 // nothing.
 func TestExplore(t *testing.T) {
 	t.Parallel()
-	if got := Explore(2, 9, 10000, NoFault); got.Broken != nil {
-		t.Errorf("broken by %q", got.Broken)
+	if got := Explore(2, 9, 10000, NoFault); got.Violation != nil {
+		t.Errorf("broken by %q", got.Violation)
 	}
 	for n := 2; n <= 3; n++ {
-		got := Wander(n, 1500, 90, NoFault)
-		if got.Broken != nil {
-			t.Errorf("%d holders: broken by %q", n, got.Broken)
+		got := RandomWalks(n, 1500, 90, NoFault)
+		if got.Violation != nil {
+			t.Errorf("%d holders: broken by %q", n, got.Violation)
 		}
 		t.Logf("%d holders: %d steps", n, got.States)
 	}
 	for _, f := range Faults {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			got := Wander(2, 50000, 90, f)
-			if got.Broken == nil {
+			got := RandomWalks(2, 50000, 90, f)
+			if got.Violation == nil {
 				t.Errorf("not found in %d steps", got.States)
 			}
-			t.Logf("%d steps: %q", got.States, got.Broken)
+			t.Logf("%d steps: %q", got.States, got.Violation)
 		})
 	}
 }
--- a/internal/fleet/quota/desk.go
+++ b/internal/fleet/quota/desk.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Key is whom a request is for.
-type Key struct{ Team, Tenant, Class string }
+// Scope is whom a request is for.
+type Scope struct{ Team, Tenant, Class string }
 
-// Desk admits. Its methods may be called from any goroutine; time is the caller's clock.
-type Desk struct {
+// Limiter admits. Its methods may be called from any goroutine; time is the caller's clock.
+type Limiter struct {
 	mu     sync.Mutex
 	meters []*meter // by name
-	of     map[Key][]*meter
+	of     map[Scope][]*meter
 	until  time.Duration    // the parts hold
 	asked  time.Duration    // when the wants were last worded
 	starve bool             // something was refused since then
@@ -35,12 +35,12 @@
 	asked  int64 // that was wanted since then, of what flows
 }
 
-// NewDesk makes one without limits: all is admitted.
-func NewDesk() *Desk { return &Desk{of: map[Key][]*meter{}, runs: map[string]int64{}} }
+// NewLimiter makes one without limits: all is admitted.
+func NewLimiter() *Limiter { return &Limiter{of: map[Scope][]*meter{}, runs: map[string]int64{}} }
 
-// Set puts these limits in the place of all that were. What is open under one that stays, and
+// SetLimits puts these limits in the place of all that were. What is open under one that stays, and
 // what is left of its burst, goes on; a new one begins with nothing to burst with.
-func (d *Desk) Set(now time.Duration, limits []Limit) {
+func (d *Limiter) SetLimits(now time.Duration, limits []Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var next []*meter
@@ -54,16 +54,16 @@
 		m.tokens = min(m.tokens, m.most(m.now(now, d.until)))
 		next = append(next, m)
 	}
-	d.meters, d.of = next, map[Key][]*meter{}
+	d.meters, d.of = next, map[Scope][]*meter{}
 }
 
-// Hear takes in parts that hold until then.
-func (d *Desk) Hear(now, until time.Duration, parts []Part) {
+// SetShares takes in parts that hold until then.
+func (d *Limiter) SetShares(now, until time.Duration, parts []Share) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.meters {
 		m.refill(now, d.until)
-		m.part = m.Own() // it was not named: its static share
+		m.part = m.StaticPerHolder() // it was not named: its static share
 	}
 	for _, p := range parts {
 		if i := slices.IndexFunc(d.meters, func(m *meter) bool { return m.Name == p.Limit }); i >= 0 {
@@ -81,7 +81,7 @@
 	if now < until {
 		return m.part
 	}
-	return m.Own()
+	return m.StaticPerHolder()
 }
 
 // most is how much may be saved up of a part: one, and its share of the rest of the burst. All
@@ -90,13 +90,13 @@
 	if m.Kind.stock() {
 		return 0
 	}
-	rest := max(m.Burst-m.Holders*One, 0)
+	rest := max(m.Burst-m.MaxHolders*Unit, 0)
 	if part > 0 && m.Amount > 0 {
 		hi, lo := bits.Mul64(uint64(rest), uint64(min(part, m.Amount)))
 		q, _ := bits.Div64(hi, lo, uint64(m.Amount))
-		return One + int64(q)
+		return Unit + int64(q)
 	}
-	return One
+	return Unit
 }
 
 // refill lets time pass: to the end of the lease by the part, after it by the static share.
@@ -163,11 +163,11 @@
 }
 
 // match finds a request's meters. The caller holds mu.
-func (d *Desk) match(key Key) []*meter {
+func (d *Limiter) match(key Scope) []*meter {
 	all, ok := d.of[key]
 	if !ok {
 		for _, m := range d.meters {
-			if m.Kind != AtWorker && (m.Team == "" || m.Team == key.Team) && (m.Tenant == "" || m.Tenant == key.Tenant) && (m.Class == "" || m.Class == key.Class) {
+			if m.Kind != PerWorkerConcurrency && (m.Team == "" || m.Team == key.Team) && (m.Tenant == "" || m.Tenant == key.Tenant) && (m.Class == "" || m.Class == key.Class) {
 				all = append(all, m)
 			}
 		}
@@ -179,7 +179,7 @@
 // Admit takes what a request needs of all its limits, or nothing, and says then which one has
 // none left, and after what time to come back. Its work is reckoned by its slots and the typical
 // run of its class; Done settles it by what it took.
-func (d *Desk) Admit(now time.Duration, key Key, slots float64) (t Ticket, short string, wait time.Duration) {
+func (d *Limiter) Admit(now time.Duration, key Scope, slots float64) (t Ticket, short string, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := d.match(key)
@@ -188,21 +188,21 @@
 	}
 	run, ok := d.runs[key.Class]
 	if !ok {
-		run = One / 5
+		run = Unit / 5
 	}
 	t.class, t.slots = key.Class, max(slots, 1)
 	t.work = int64(float64(run) * t.slots)
 	for _, m := range all {
 		part := m.now(now, d.until)
 		switch m.Kind {
-		case Open:
-			m.peak = max(m.peak, m.open+One)
-			if m.open+One > part {
+		case Concurrency:
+			m.peak = max(m.peak, m.open+Unit)
+			if m.open+Unit > part {
 				short, wait = m.Name, 100*time.Millisecond
 			}
-		case Cold: // it is sent by its part, and waits elsewhere: nothing is refused for want of one
+		case WarmingShare: // it is sent by its part, and waits elsewhere: nothing is refused for want of one
 			m.asked += t.work
-		case Rate, Work:
+		case RequestRate, WorkRate:
 			m.refill(now, d.until)
 			cost := m.cost(&t)
 			m.asked += cost
@@ -221,13 +221,13 @@
 	}
 	for _, m := range all {
 		switch m.Kind {
-		case Open:
-			m.open += One
-		case Rate, Work:
+		case Concurrency:
+			m.open += Unit
+		case RequestRate, WorkRate:
 			m.tokens -= m.cost(&t)
-		case Retries:
+		case RetryBudget:
 			m.refill(now, d.until)
-			m.tokens = min(m.tokens+m.Share, max(m.most(m.now(now, d.until)), m.Share))
+			m.tokens = min(m.tokens+m.RetryRatio, max(m.most(m.now(now, d.until)), m.RetryRatio))
 		}
 		t.add(m)
 	}
@@ -236,14 +236,14 @@
 
 // cost is what a request takes of what flows.
 func (m *meter) cost(t *Ticket) int64 {
-	if m.Kind == Work {
+	if m.Kind == WorkRate {
 		return t.work
 	}
-	return One
+	return Unit
 }
 
 // Done gives back what is held, and settles work by what it really took.
-func (d *Desk) Done(t *Ticket, ran time.Duration) {
+func (d *Limiter) Done(t *Ticket, ran time.Duration) {
 	if t.n == 0 {
 		return
 	}
@@ -259,17 +259,17 @@
 	}
 	t.each(func(m *meter) {
 		switch m.Kind {
-		case Open:
-			m.open -= One
-		case Work:
+		case Concurrency:
+			m.open -= Unit
+		case WorkRate:
 			m.tokens += t.work - took
 		}
 	})
 	t.n, t.more = 0, nil
 }
 
-// Retry takes one further try of a request, or tells that there is none.
-func (d *Desk) Retry(now time.Duration, t *Ticket) bool {
+// TakeRetry takes one further try of a request, or tells that there is none.
+func (d *Limiter) TakeRetry(now time.Duration, t *Ticket) bool {
 	if t.n == 0 {
 		return true
 	}
@@ -277,11 +277,11 @@
 	defer d.mu.Unlock()
 	ok := d.canRetry(now, t)
 	t.each(func(m *meter) {
-		if m.Kind != Retries {
+		if m.Kind != RetryBudget {
 			return
 		}
-		if m.asked += One; ok {
-			m.tokens -= One
+		if m.asked += Unit; ok {
+			m.tokens -= Unit
 		}
 	})
 	d.starve = d.starve || !ok
@@ -289,7 +289,7 @@
 }
 
 // CanRetry tells whether Retry would, now.
-func (d *Desk) CanRetry(now time.Duration, t *Ticket) bool {
+func (d *Limiter) CanRetry(now time.Duration, t *Ticket) bool {
 	if t.n == 0 {
 		return true
 	}
@@ -298,35 +298,35 @@
 	return d.canRetry(now, t)
 }
 
-func (d *Desk) canRetry(now time.Duration, t *Ticket) bool {
+func (d *Limiter) canRetry(now time.Duration, t *Ticket) bool {
 	ok := true
 	t.each(func(m *meter) {
-		if m.Kind == Retries {
+		if m.Kind == RetryBudget {
 			m.refill(now, d.until)
-			ok = ok && m.tokens >= One
+			ok = ok && m.tokens >= Unit
 		}
 	})
 	return ok
 }
 
-// Unretry gives back a try that was not made.
-func (d *Desk) Unretry(t *Ticket) {
+// ReturnRetry gives back a try that was not made.
+func (d *Limiter) ReturnRetry(t *Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t.each(func(m *meter) {
-		if m.Kind == Retries {
-			m.tokens += One
+		if m.Kind == RetryBudget {
+			m.tokens += Unit
 		}
 	})
 }
 
-// AtWorker is how many jobs may be open at any one worker, where there is such a limit.
-func (d *Desk) AtWorker(now time.Duration) (most int, limited bool) {
+// PerWorkerLimit is how many jobs may be open at any one worker, where there is such a limit.
+func (d *Limiter) PerWorkerLimit(now time.Duration) (most int, limited bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.meters {
-		if m.Kind == AtWorker {
-			if part := int(m.now(now, d.until) / One); !limited || part < most {
+		if m.Kind == PerWorkerConcurrency {
+			if part := int(m.now(now, d.until) / Unit); !limited || part < most {
 				most, limited = part, true
 			}
 		}
@@ -334,13 +334,13 @@
 	return most, limited
 }
 
-// Cold is the part of what any one cold worker bears that may be sent it now, in millionths of
+// WarmingShare is the part of what any one cold worker bears that may be sent it now, in millionths of
 // the whole, where the fleet hands that out.
-func (d *Desk) Cold(now time.Duration) (part int64, limited bool) {
+func (d *Limiter) WarmingShare(now time.Duration) (part int64, limited bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.meters {
-		if m.Kind == Cold {
+		if m.Kind == WarmingShare {
 			if p := m.now(now, d.until); !limited || p < part {
 				part, limited = p, true
 			}
@@ -349,44 +349,44 @@
 	return part, limited
 }
 
-// AtMost notes how many jobs are open at the fullest worker.
-func (d *Desk) AtMost(jobs int64) {
+// ObserveBusiestWorker notes how many jobs are open at the fullest worker.
+func (d *Limiter) ObserveBusiestWorker(jobs int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.meters {
-		if m.Kind == AtWorker {
-			m.open = jobs * One
-			m.peak = max(m.peak, m.open+One)
+		if m.Kind == PerWorkerConcurrency {
+			m.open = jobs * Unit
+			m.peak = max(m.peak, m.open+Unit)
 		}
 	}
 }
 
-// Starved tells whether something was refused since the wants were last worded, so that to ask
+// Exhausted tells whether something was refused since the wants were last worded, so that to ask
 // soon is of use.
-func (d *Desk) Starved() bool {
+func (d *Limiter) Exhausted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.starve
 }
 
-// Wants words what could be used, by what was wanted since it was last worded.
-func (d *Desk) Wants(now time.Duration) (out []Want) {
+// Requests words what could be used, by what was wanted since it was last worded.
+func (d *Limiter) Requests(now time.Duration) (out []Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	span := max(now-d.asked, 50*time.Millisecond)
 	d.asked, d.starve = now, false
 	for _, m := range d.meters {
-		w := Want{Limit: m.Name, Used: m.open}
+		w := Request{Limit: m.Name, InUse: m.open}
 		if m.Kind.stock() {
-			if w.Want = max(m.peak, m.open); w.Want > m.now(now, d.until) {
-				w.Want += m.part // it may be far more: what was refused is not open
+			if w.Demand = max(m.peak, m.open); w.Demand > m.now(now, d.until) {
+				w.Demand += m.part // it may be far more: what was refused is not open
 			}
 			m.peak = m.open
 		} else {
-			w.Want = int64(float64(m.asked) / span.Seconds())
+			w.Demand = int64(float64(m.asked) / span.Seconds())
 			m.asked = 0
 		}
-		if w.Want > 0 || w.Used > 0 {
+		if w.Demand > 0 || w.InUse > 0 {
 			out = append(out, w)
 		}
 	}
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -28,12 +28,12 @@
 
 // The kinds.
 const (
-	Rate     Kind = iota // requests a second
-	Open                 // requests open at once
-	Work                 // slot-seconds a second
-	Retries              // further tries: a share of first tries, and some a second beside
-	AtWorker             // jobs open at any one worker
-	Cold                 // of what any one cold worker bears: 1 is all of it
+	RequestRate          Kind = iota // requests a second
+	Concurrency                      // requests open at once
+	WorkRate                         // slot-seconds a second
+	RetryBudget                      // further tries: a share of first tries, and some a second beside
+	PerWorkerConcurrency             // jobs open at any one worker
+	WarmingShare                     // of what any one cold worker bears: 1 is all of it
 )
 
 var kinds = []string{"rate", "open", "work", "retries", "at-worker", "cold"}
@@ -49,10 +49,10 @@
 func (k Kind) String() string { return kinds[min(int(k), len(kinds)-1)] }
 
 // stock tells that what is limited is held and given back, in whole numbers; else it flows.
-func (k Kind) stock() bool { return k == Open || k == AtWorker }
+func (k Kind) stock() bool { return k == Concurrency || k == PerWorkerConcurrency }
 
-// One is one request, slot-second or whole share.
-const One = 1_000_000
+// Unit is one request, slot-second or whole share.
+const Unit = 1_000_000
 
 // Limit is one of the fleet.
 type Limit struct {
@@ -61,10 +61,10 @@
 	Team, Tenant, Class string        // whom it is for; empty: all
 	Amount              int64         // at once; or a second: of Retries, beside the share
 	Burst               int64         // of what flows: so much at once beyond it
-	Share               int64         // of Retries: of first tries
-	Static              int64         // part of Amount that is held back for those that have lost the keepers
-	Holders             int64         // how many dispatchers, with every second process of an upgrade
-	Settle              time.Duration // of stocks: how long what a vanished holder had open may go on
+	RetryRatio          int64         `cbor:"Share" json:"Share"`     // of Retries: of first tries
+	StaticShare         int64         `cbor:"Static" json:"Static"`   // part of Amount that is held back for those that have lost the keepers
+	MaxHolders          int64         `cbor:"Holders" json:"Holders"` // how many dispatchers, with every second process of an upgrade
+	ReclaimDelay        time.Duration `cbor:"Settle" json:"Settle"`   // of stocks: how long what a vanished holder had open may go on
 }
 
 // LimitError names what can't be a limit.
@@ -80,206 +80,208 @@
 	return "correct the key in the policy's [[limit]] and propose it again; what is in force stays"
 }
 
-// Check names what can't be a limit, as a LimitError.
-func (l *Limit) Check() error {
+// Validate names what can't be a limit, as a LimitError.
+func (l *Limit) Validate() error {
 	wrong := func(key string, got any, want string) error { return &LimitError{key, fmt.Sprint(got), want} }
-	units := func(v int64) float64 { return float64(v) / One }
+	units := func(v int64) float64 { return float64(v) / Unit }
 	switch {
 	case l.Name == "":
 		return wrong("name", "missing", "one that no other limit has")
-	case l.Amount < 0 || l.Amount > 1e6*One:
+	case l.Amount < 0 || l.Amount > 1e6*Unit:
 		return wrong("amount", units(l.Amount), "0 to 1000000")
-	case l.Holders < 1 || l.Holders > 100000:
-		return wrong("dispatchers", l.Holders, "1 to 100000")
-	case l.Static < 0 || l.Static > One:
-		return wrong("static", units(l.Static), "0 to 1")
-	case l.Kind == Cold && (l.Amount > One || l.Burst != 0):
+	case l.MaxHolders < 1 || l.MaxHolders > 100000:
+		return wrong("dispatchers", l.MaxHolders, "1 to 100000")
+	case l.StaticShare < 0 || l.StaticShare > Unit:
+		return wrong("static", units(l.StaticShare), "0 to 1")
+	case l.Kind == WarmingShare && (l.Amount > Unit || l.Burst != 0):
 		return wrong("amount", units(l.Amount), "up to 1, the whole of what a cold worker bears, and no burst")
-	case !l.Kind.stock() && l.Kind != Cold && (l.Burst < l.Holders*One || l.Burst > 1e6*One):
-		return wrong("burst", units(l.Burst), fmt.Sprintf("one for each of the %d dispatchers or more, since less than one request lets none pass", l.Holders))
+	case !l.Kind.stock() && l.Kind != WarmingShare && (l.Burst < l.MaxHolders*Unit || l.Burst > 1e6*Unit):
+		return wrong("burst", units(l.Burst), fmt.Sprintf("one for each of the %d dispatchers or more, since less than one request lets none pass", l.MaxHolders))
 	case l.Kind.stock() && l.Burst != 0:
 		return wrong("burst", units(l.Burst), fmt.Sprintf("none for a limit of kind %v", l.Kind))
-	case l.Share < 0 || l.Share > 10*One || l.Kind != Retries && l.Share != 0:
-		return wrong("share", units(l.Share), "0 to 10, for retries alone")
-	case l.Settle < 0 || l.Settle > time.Hour:
-		return wrong("settle", l.Settle, "0s to 1h")
-	case (l.Kind == AtWorker || l.Kind == Cold) && l.Team+l.Tenant+l.Class != "":
+	case l.RetryRatio < 0 || l.RetryRatio > 10*Unit || l.Kind != RetryBudget && l.RetryRatio != 0:
+		return wrong("share", units(l.RetryRatio), "0 to 10, for retries alone")
+	case l.ReclaimDelay < 0 || l.ReclaimDelay > time.Hour:
+		return wrong("settle", l.ReclaimDelay, "0s to 1h")
+	case (l.Kind == PerWorkerConcurrency || l.Kind == WarmingShare) && l.Team+l.Tenant+l.Class != "":
 		return wrong("team, tenant, class", l.Team+l.Tenant+l.Class, fmt.Sprintf("none for a limit of kind %v: it is for all", l.Kind))
 	}
 	return nil
 }
 
-// Own is the static share of each holder: with a part it is within it, without one it is all.
-func (l *Limit) Own() int64 {
-	own := l.Amount / One * l.Static / l.Holders // whole ones first: no product overflows
-	own += l.Amount % One * l.Static / One / l.Holders
+// StaticPerHolder is the static share of each holder: with a part it is within it, without one it is all.
+func (l *Limit) StaticPerHolder() int64 {
+	own := l.Amount / Unit * l.StaticShare / l.MaxHolders // whole ones first: no product overflows
+	own += l.Amount % Unit * l.StaticShare / Unit / l.MaxHolders
 	if l.Kind.stock() {
-		own -= own % One
+		own -= own % Unit
 	}
 	return own
 }
 
-// Bound is by how much the limit may be exceeded, and why, for so many dispatchers at once.
-func (l *Limit) Bound(holders int64) (over int64, why string) {
-	if more := holders - l.Holders; more > 0 {
-		over = more * l.Own()
-		if !l.Kind.stock() && l.Kind != Cold {
-			over += more * One
+// MaxOvershoot is by how much the limit may be exceeded, and why, for so many dispatchers at once.
+func (l *Limit) MaxOvershoot(holders int64) (over int64, why string) {
+	if more := holders - l.MaxHolders; more > 0 {
+		over = more * l.StaticPerHolder()
+		if !l.Kind.stock() && l.Kind != WarmingShare {
+			over += more * Unit
 		}
-		why = fmt.Sprintf("%d dispatchers beyond the stated %d, each with a static share of %v", more, l.Holders, float64(l.Own())/One)
+		why = fmt.Sprintf("%d dispatchers beyond the stated %d, each with a static share of %v", more, l.MaxHolders, float64(l.StaticPerHolder())/Unit)
 	}
 	return over, why
 }
 
 // ---- the keepers' half
 
-// Want is what a holder asks for and uses of one limit.
-type Want struct {
-	Limit string
-	Want  int64 // it could use: a second, or at once
-	Used  int64 // of stocks: at once, now
+// Request is what a holder asks for and uses of one limit.
+type Request struct {
+	Limit  string
+	Demand int64 `cbor:"Want"` // it could use: a second, or at once
+	InUse  int64 `cbor:"Used"` // of stocks: at once, now
 }
 
-// Part is what it may use.
-type Part struct {
+// Share is what it may use.
+type Share struct {
 	Limit  string
 	Amount int64
 }
 
-// Lot is a part beyond the static share, under one grant.
-type Lot struct {
+// Allocation is a part beyond the static share, under one grant.
+type Allocation struct {
 	Grant uint64
 	Extra int64
 }
 
-// Holding is one holder's of one limit.
-type Holding struct {
-	Lots []Lot
-	Want int64 // beyond its static share
-	Used int64 // of stocks: beyond it, when it last said so
-	Out  int64 // beyond it that may be in use
+// Usage is one holder's of one limit.
+type Usage struct {
+	Allocations []Allocation `cbor:"Lots" json:"Lots"`
+	Demand      int64        `cbor:"Want" json:"Want"` // beyond its static share
+	InUse       int64        `cbor:"Used" json:"Used"` // of stocks: beyond it, when it last said so
+	Outstanding int64        `cbor:"Out" json:"Out"`   // beyond it that may be in use
 }
 
-// Account is one limit, and who has what of it.
-type Account struct {
-	Limit Limit
-	Held  map[string]*Holding
-	Out   int64 // sum of the holdings'
+// LimitState is one limit, and who has what of it.
+type LimitState struct {
+	Limit       Limit
+	Usages      map[string]*Usage `cbor:"Held" json:"Held"`
+	Outstanding int64             `cbor:"Out" json:"Out"` // sum of the holdings'
 }
 
-// Party is one holder.
-type Party struct {
-	Grants lease.Leases
+// Holder is one holder.
+type Holder struct {
+	Leases lease.Granter   `cbor:"Grants" json:"Grants"`
 	Limits map[string]bool // those of which it holds anything or wants some
 }
 
-// Book is all limits, and who has what of them.
-type Book struct {
-	Accounts map[string]*Account
-	Parties  map[string]*Party
-	Evenly   bool   // by proportional shares, as Doorman has them; else by max-min fair ones
-	Over     uint64 // times at which more was out than may be: it must stay 0
+// Allocator is all limits, and who has what of them.
+type Allocator struct {
+	Limits       map[string]*LimitState `cbor:"Accounts" json:"Accounts"`
+	Holders      map[string]*Holder     `cbor:"Parties" json:"Parties"`
+	Proportional bool                   `cbor:"Evenly" json:"Evenly"` // by proportional shares, as Doorman has them; else by max-min fair ones
+	Overcommits  uint64                 `cbor:"Over" json:"Over"`     // times at which more was out than may be: it must stay 0
 }
 
-// NewBook makes one without limits.
-func NewBook() *Book { return &Book{Accounts: map[string]*Account{}, Parties: map[string]*Party{}} }
+// NewAllocator makes one without limits.
+func NewAllocator() *Allocator {
+	return &Allocator{Limits: map[string]*LimitState{}, Holders: map[string]*Holder{}}
+}
 
-// Mend makes what a snapshot leaves out where it is empty.
-func (b *Book) Mend() {
-	if b.Accounts == nil {
-		b.Accounts = map[string]*Account{}
+// InitMaps makes what a snapshot leaves out where it is empty.
+func (b *Allocator) InitMaps() {
+	if b.Limits == nil {
+		b.Limits = map[string]*LimitState{}
 	}
-	if b.Parties == nil {
-		b.Parties = map[string]*Party{}
+	if b.Holders == nil {
+		b.Holders = map[string]*Holder{}
 	}
-	for _, a := range b.Accounts {
-		if a.Held == nil {
-			a.Held = map[string]*Holding{}
+	for _, a := range b.Limits {
+		if a.Usages == nil {
+			a.Usages = map[string]*Usage{}
 		}
 	}
-	for _, p := range b.Parties {
+	for _, p := range b.Holders {
 		if p.Limits == nil {
 			p.Limits = map[string]bool{}
 		}
 	}
 }
 
-// Set puts these limits in the place of all that were. What is out of one that stays goes on
+// SetLimits puts these limits in the place of all that were. What is out of one that stays goes on
 // counting; of one whose kind is another, or that is gone, nothing does.
-func (b *Book) Set(limits []Limit) {
-	next := map[string]*Account{}
+func (b *Allocator) SetLimits(limits []Limit) {
+	next := map[string]*LimitState{}
 	for _, l := range limits {
-		a := b.Accounts[l.Name]
+		a := b.Limits[l.Name]
 		if a == nil || a.Limit.Kind != l.Kind {
-			a = &Account{Held: map[string]*Holding{}}
+			a = &LimitState{Usages: map[string]*Usage{}}
 		}
 		a.Limit = l
 		next[l.Name] = a
 	}
-	b.Accounts = next
-	for _, p := range b.Parties {
-		maps.DeleteFunc(p.Limits, func(name string, _ bool) bool { return b.Accounts[name] == nil })
+	b.Limits = next
+	for _, p := range b.Holders {
+		maps.DeleteFunc(p.Limits, func(name string, _ bool) bool { return b.Limits[name] == nil })
 	}
 }
 
-// Ask gives a holder its parts under a new grant. heard is the latest grant that it goes by: what
+// Allocate gives a holder its parts under a new grant. heard is the latest grant that it goes by: what
 // came before is in use no more. Limits that it does not name it wants nothing of.
-func (b *Book) Ask(who string, no, heard uint64, wants []Want) (parts []Part) {
-	if len(b.Accounts) == 0 {
+func (b *Allocator) Allocate(who string, no, heard uint64, wants []Request) (parts []Share) {
+	if len(b.Limits) == 0 {
 		return nil
 	}
-	p := b.Parties[who]
+	p := b.Holders[who]
 	if p == nil {
-		p = &Party{Limits: map[string]bool{}}
-		b.Parties[who] = p
+		p = &Holder{Limits: map[string]bool{}}
+		b.Holders[who] = p
 	}
-	p.Grants.Give(no, heard)
-	named := map[string]Want{}
+	p.Leases.Grant(no, heard)
+	named := map[string]Request{}
 	for _, w := range wants {
-		if b.Accounts[w.Limit] != nil {
+		if b.Limits[w.Limit] != nil {
 			named[w.Limit] = w
 			p.Limits[w.Limit] = true
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Limits)) {
-		a, w := b.Accounts[name], named[name]
-		h := a.Held[who]
+		a, w := b.Limits[name], named[name]
+		h := a.Usages[who]
 		if h == nil {
-			h = &Holding{}
-			a.Held[who] = h
+			h = &Usage{}
+			a.Usages[who] = h
 		}
-		own := a.Limit.Own()
-		was := h.Out
-		h.Want = min(max(w.Want, 0), a.Limit.Amount) - own // whatever it says
-		h.Want = max(h.Want, 0)
-		h.Lots = slices.DeleteFunc(h.Lots, func(l Lot) bool { return l.Grant < heard })
+		own := a.Limit.StaticPerHolder()
+		was := h.Outstanding
+		h.Demand = min(max(w.Demand, 0), a.Limit.Amount) - own // whatever it says
+		h.Demand = max(h.Demand, 0)
+		h.Allocations = slices.DeleteFunc(h.Allocations, func(l Allocation) bool { return l.Grant < heard })
 		if a.Limit.Kind.stock() {
 			// What was admitted under a greater part is still open. No more than that can be.
-			h.Used = min(max(w.Used-own, 0), was)
+			h.InUse = min(max(w.InUse-own, 0), was)
 		}
-		h.Out = h.Used
-		for _, l := range h.Lots {
-			h.Out = max(h.Out, l.Extra)
+		h.Outstanding = h.InUse
+		for _, l := range h.Allocations {
+			h.Outstanding = max(h.Outstanding, l.Extra)
 		}
-		a.Out += h.Out - was
-		free := a.Limit.Amount - own*max(a.Limit.Holders, int64(len(b.Parties))) - (a.Out - h.Out)
+		a.Outstanding += h.Outstanding - was
+		free := a.Limit.Amount - own*max(a.Limit.MaxHolders, int64(len(b.Holders))) - (a.Outstanding - h.Outstanding)
 		extra := b.share(a, who)
 		if a.Limit.Kind.stock() { // rounded up, so that no whole one is left over: who comes last gets less
-			extra += One - 1
+			extra += Unit - 1
 		}
 		if extra = min(extra, max(free, 0)); a.Limit.Kind.stock() {
-			extra -= extra % One
+			extra -= extra % Unit
 		}
-		h.Lots = append(h.Lots, Lot{no, extra})
-		a.Out += max(h.Out, extra) - h.Out
-		h.Out = max(h.Out, extra)
-		if extra > 0 && a.Out > a.Limit.Amount-own*a.Limit.Holders {
-			b.Over++
+		h.Allocations = append(h.Allocations, Allocation{no, extra})
+		a.Outstanding += max(h.Outstanding, extra) - h.Outstanding
+		h.Outstanding = max(h.Outstanding, extra)
+		if extra > 0 && a.Outstanding > a.Limit.Amount-own*a.Limit.MaxHolders {
+			b.Overcommits++
 		}
 		if _, ok := named[name]; ok {
-			parts = append(parts, Part{name, own + extra})
-		} else if h.Out == 0 && h.Want == 0 {
-			delete(a.Held, who)
+			parts = append(parts, Share{name, own + extra})
+		} else if h.Outstanding == 0 && h.Demand == 0 {
+			delete(a.Usages, who)
 			delete(p.Limits, name)
 		}
 	}
@@ -287,66 +289,66 @@
 }
 
 // settle works out anew what a holder may have in use.
-func (b *Book) settle(a *Account, who string) {
-	h := a.Held[who]
-	out := h.Used
-	for _, l := range h.Lots {
+func (b *Allocator) settle(a *LimitState, who string) {
+	h := a.Usages[who]
+	out := h.InUse
+	for _, l := range h.Allocations {
 		out = max(out, l.Extra)
 	}
-	a.Out += out - h.Out
-	if h.Out = out; out == 0 && h.Want == 0 {
-		delete(a.Held, who)
+	a.Outstanding += out - h.Outstanding
+	if h.Outstanding = out; out == 0 && h.Demand == 0 {
+		delete(a.Usages, who)
 	}
 }
 
-// Counted notes that a grant counts, until then.
-func (b *Book) Counted(who string, no uint64, until time.Duration) {
-	if p := b.Parties[who]; p != nil {
-		p.Grants.Counted(no, until)
+// StartExpiry notes that a grant counts, until then.
+func (b *Allocator) StartExpiry(who string, no uint64, until time.Duration) {
+	if p := b.Holders[who]; p != nil {
+		p.Leases.StartExpiry(no, until)
 	}
 }
 
-// End notes that a holder admits nothing any more, by its own word.
-func (b *Book) End(who string, now time.Duration) {
-	if p := b.Parties[who]; p != nil {
-		p.Grants.End(now)
+// Release notes that a holder admits nothing any more, by its own word.
+func (b *Allocator) Release(who string, now time.Duration) {
+	if p := b.Holders[who]; p != nil {
+		p.Leases.Release(now)
 		b.pass(who, p, now)
 	}
 }
 
-// Pass notes that it is so late: what was given and is over comes back.
-func (b *Book) Pass(now time.Duration) {
-	for _, who := range slices.Sorted(maps.Keys(b.Parties)) {
-		b.pass(who, b.Parties[who], now)
+// Advance notes that it is so late: what was given and is over comes back.
+func (b *Allocator) Advance(now time.Duration) {
+	for _, who := range slices.Sorted(maps.Keys(b.Holders)) {
+		b.pass(who, b.Holders[who], now)
 	}
 }
 
-func (b *Book) pass(who string, p *Party, now time.Duration) {
-	first := p.Grants.Oldest(now)
+func (b *Allocator) pass(who string, p *Holder, now time.Duration) {
+	first := p.Leases.OldestActive(now)
 	if first == 0 {
 		return // the oldest holds, and so do all
 	}
 	waits := false
 	for name := range p.Limits { // each by itself: the order does not show
-		a := b.Accounts[name]
-		h := a.Held[who]
+		a := b.Limits[name]
+		h := a.Usages[who]
 		if h == nil {
 			continue
 		}
-		h.Lots = slices.DeleteFunc(h.Lots, func(l Lot) bool {
-			g, over, ok := p.Grants.Over(l.Grant, now)
-			if over && a.Limit.Kind.stock() && g.Until+a.Limit.Settle > now && l.Extra > 0 {
+		h.Allocations = slices.DeleteFunc(h.Allocations, func(l Allocation) bool {
+			g, over, ok := p.Leases.Expired(l.Grant, now)
+			if over && a.Limit.Kind.stock() && g.Expiry+a.Limit.ReclaimDelay > now && l.Extra > 0 {
 				waits = true
 				return false
 			}
 			return over || !ok
 		})
 		if first < 0 {
-			h.Want = 0
-			if last := p.Grants.Last(); h.Used > 0 && last+a.Limit.Settle > now {
+			h.Demand = 0
+			if last := p.Leases.LatestExpiry(); h.InUse > 0 && last+a.Limit.ReclaimDelay > now {
 				waits = true
 			} else {
-				h.Used = 0
+				h.InUse = 0
 			}
 		}
 		b.settle(a, who)
@@ -355,22 +357,22 @@
 		return
 	}
 	if first < 0 {
-		delete(b.Parties, who)
+		delete(b.Holders, who)
 		return
 	}
-	p.Grants.Drop(first)
+	p.Leases.DropOldest(first)
 }
 
 // share is what a holder is to have beyond its static share, by what all want.
-func (b *Book) share(a *Account, who string) int64 {
-	pool := max(a.Limit.Amount-a.Limit.Own()*a.Limit.Holders, 0)
-	wants := make([]int64, 0, len(a.Held))
-	for _, h := range a.Held {
-		if h.Want > 0 {
-			wants = append(wants, h.Want)
+func (b *Allocator) share(a *LimitState, who string) int64 {
+	pool := max(a.Limit.Amount-a.Limit.StaticPerHolder()*a.Limit.MaxHolders, 0)
+	wants := make([]int64, 0, len(a.Usages))
+	for _, h := range a.Usages {
+		if h.Demand > 0 {
+			wants = append(wants, h.Demand)
 		}
 	}
-	if mine := a.Held[who].Want; mine > 0 && b.Evenly {
+	if mine := a.Usages[who].Demand; mine > 0 && b.Proportional {
 		return proportional(pool, wants, mine)
 	} else if mine > 0 {
 		return fair(pool, wants, mine)
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -11,7 +11,7 @@
 // It counts what is really admitted, by itself.
 type world struct {
 	now    time.Duration
-	b      *Book
+	b      *Allocator
 	l      Limit
 	grants uint64
 	side   []*holder
@@ -23,10 +23,10 @@
 
 type holder struct {
 	name   string
-	d      *Desk
+	d      *Limiter
 	heard  uint64
 	asked  time.Duration
-	answer []Part
+	answer []Share
 	grant  uint64 // of the answer on its way; 0: there is none
 }
 
@@ -40,9 +40,9 @@
 const leaseTime = time.Second
 
 func newWorld(l Limit, holders int, evenly bool) *world {
-	w := &world{b: NewBook(), l: l}
-	w.b.Evenly = evenly
-	w.b.Set([]Limit{l})
+	w := &world{b: NewAllocator(), l: l}
+	w.b.Proportional = evenly
+	w.b.SetLimits([]Limit{l})
 	for range holders {
 		w.side = append(w.side, w.life())
 	}
@@ -51,8 +51,8 @@
 
 func (w *world) life() *holder {
 	w.lives++
-	h := &holder{name: fmt.Sprint("h", w.lives), d: NewDesk()}
-	h.d.Set(w.now, []Limit{w.l})
+	h := &holder{name: fmt.Sprint("h", w.lives), d: NewLimiter()}
+	h.d.SetLimits(w.now, []Limit{w.l})
 	return h
 }
 
@@ -62,10 +62,10 @@
 	if w.early {
 		until -= leaseTime / 2
 	}
-	for who := range w.b.Parties {
-		w.b.Counted(who, w.grants, until)
+	for who := range w.b.Holders {
+		w.b.StartExpiry(who, w.grants, until)
 	}
-	w.b.Pass(w.now)
+	w.b.Advance(w.now)
 	w.level = max(w.level-float64(w.l.Amount)*d.Seconds(), 0)
 	kept := w.jobs[:0]
 	for _, j := range w.jobs {
@@ -82,13 +82,13 @@
 func (w *world) ask(h *holder, heard uint64) {
 	w.grants++
 	h.asked, h.grant = w.now, w.grants
-	h.answer = w.b.Ask(h.name, h.grant, heard, h.d.Wants(w.now))
+	h.answer = w.b.Allocate(h.name, h.grant, heard, h.d.Requests(w.now))
 }
 
 // hear has the answer arrive.
 func (w *world) hear(h *holder, until time.Duration) {
 	if h.grant != 0 {
-		h.d.Hear(w.now, until, h.answer)
+		h.d.SetShares(w.now, until, h.answer)
 		h.heard, h.grant = h.grant, 0
 	}
 }
@@ -96,9 +96,9 @@
 // admit tries so many requests, and returns what was let in.
 func (w *world) admit(h *holder, tries int, lasts time.Duration) (in int) {
 	for range tries {
-		if t, short, _ := h.d.Admit(w.now, Key{}, 1); short == "" {
+		if t, short, _ := h.d.Admit(w.now, Scope{}, 1); short == "" {
 			in++
-			w.level += One
+			w.level += Unit
 			w.jobs = append(w.jobs, job{h: h, t: t, ends: w.now + lasts})
 		}
 	}
@@ -107,23 +107,23 @@
 
 // check returns what is wrong.
 func (w *world) check() string {
-	if w.l.Kind == Open {
-		if open := int64(len(w.jobs)) * One; open > w.l.Amount {
-			return fmt.Sprintf("%d open of %d", open/One, w.l.Amount/One)
+	if w.l.Kind == Concurrency {
+		if open := int64(len(w.jobs)) * Unit; open > w.l.Amount {
+			return fmt.Sprintf("%d open of %d", open/Unit, w.l.Amount/Unit)
 		}
 	} else if w.level > float64(w.l.Burst)+1 {
-		return fmt.Sprintf("%.3f at once beyond the rate, of %d", w.level/One, w.l.Burst/One)
+		return fmt.Sprintf("%.3f at once beyond the rate, of %d", w.level/Unit, w.l.Burst/Unit)
 	}
-	if w.b.Over != 0 {
+	if w.b.Overcommits != 0 {
 		return "more is out than may be"
 	}
 	return ""
 }
 
 func limits(kind Kind, holders int64) Limit {
-	l := Limit{Name: "l", Kind: kind, Amount: 40 * One, Static: One / 4, Holders: holders, Settle: 2 * time.Second}
+	l := Limit{Name: "l", Kind: kind, Amount: 40 * Unit, StaticShare: Unit / 4, MaxHolders: holders, ReclaimDelay: 2 * time.Second}
 	if !kind.stock() {
-		l.Burst = 30 * One
+		l.Burst = 30 * Unit
 	}
 	return l
 }
@@ -146,7 +146,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	l := limits(kind, 12) // a crashed one's static share counts while its jobs may run: each life is a holder
 	if f == noSettle {
-		l.Settle = 0
+		l.ReclaimDelay = 0
 	}
 	w := newWorld(l, 5, seed%2 == 0)
 	w.early = f == tooSoon
@@ -199,7 +199,7 @@
 // by all never exceeds the limit by as much as one request. Each planted fault is found.
 func TestNeverOver(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []Kind{Rate, Open} {
+	for _, kind := range []Kind{RequestRate, Concurrency} {
 		for seed := range uint64(150) {
 			if wrong := walk(seed, kind, none); wrong != "" {
 				t.Fatalf("%v: %s", kind, wrong)
@@ -209,7 +209,7 @@
 	for _, f := range []fault{forever, fromAnswer, atOnce, noSettle, tooSoon} {
 		found := false
 		for seed := uint64(0); seed < 150 && !found; seed++ {
-			found = walk(seed, Open, f) != "" || walk(seed, Rate, f) != ""
+			found = walk(seed, Concurrency, f) != "" || walk(seed, RequestRate, f) != ""
 		}
 		if !found {
 			t.Errorf("not found: %s", f)
@@ -221,7 +221,7 @@
 // by either way of sharing it out.
 func TestPartsFollowDemand(t *testing.T) {
 	for _, evenly := range []bool{false, true} {
-		for _, kind := range []Kind{Rate, Open} {
+		for _, kind := range []Kind{RequestRate, Concurrency} {
 			w := newWorld(limits(kind, 8), 8, evenly)
 			used := func(busy []*holder, span time.Duration) (share float64) {
 				in, n := 0, 0
@@ -240,7 +240,7 @@
 						t.Fatalf("%v: %s", kind, wrong)
 					}
 				}
-				if kind == Open {
+				if kind == Concurrency {
 					return float64(in) / float64(n) / 40
 				}
 				return float64(in) / span.Seconds() / 40
@@ -259,44 +259,44 @@
 
 // What a holder says that can't be true costs the others nothing, and what it wants may be all.
 func TestNonsense(t *testing.T) {
-	b := NewBook()
-	b.Set([]Limit{limits(Open, 4)})
-	for n, w := range []Want{{"l", -1 << 60, -1 << 60}, {"l", 1<<63 - 1, 1<<63 - 1}, {"none", 5, 5}} {
-		b.Ask("liar", uint64(n+1), uint64(n), []Want{w})
+	b := NewAllocator()
+	b.SetLimits([]Limit{limits(Concurrency, 4)})
+	for n, w := range []Request{{"l", -1 << 60, -1 << 60}, {"l", 1<<63 - 1, 1<<63 - 1}, {"none", 5, 5}} {
+		b.Allocate("liar", uint64(n+1), uint64(n), []Request{w})
 	}
-	got := b.Ask("other", 9, 0, []Want{{"l", 10 * One, 0}})
-	if len(got) != 1 || got[0].Amount < 2*One || b.Over != 0 {
-		t.Errorf("%+v beside one that says nonsense; over %d times", got, b.Over)
+	got := b.Allocate("other", 9, 0, []Request{{"l", 10 * Unit, 0}})
+	if len(got) != 1 || got[0].Amount < 2*Unit || b.Overcommits != 0 {
+		t.Errorf("%+v beside one that says nonsense; over %d times", got, b.Overcommits)
 	}
 }
 
 // A job dearer than all that may be saved up passes, and is paid back; a retry is a share of the
 // first tries; a limit of 0 lets nothing pass, and one that is halved goes by what is out.
 func TestKinds(t *testing.T) {
-	d := NewDesk()
-	work := Limit{Name: "w", Kind: Work, Amount: One, Burst: 2 * One, Holders: 1}
-	retries := Limit{Name: "r", Kind: Retries, Share: One / 4, Burst: One, Holders: 1}
-	d.Set(0, []Limit{work, retries})
-	d.Hear(0, time.Hour, []Part{{"w", One}})
+	d := NewLimiter()
+	work := Limit{Name: "w", Kind: WorkRate, Amount: Unit, Burst: 2 * Unit, MaxHolders: 1}
+	retries := Limit{Name: "r", Kind: RetryBudget, RetryRatio: Unit / 4, Burst: Unit, MaxHolders: 1}
+	d.SetLimits(0, []Limit{work, retries})
+	d.SetShares(0, time.Hour, []Share{{"w", Unit}})
 	now := 10 * time.Second
-	ticket, short, _ := d.Admit(now, Key{}, 20) // 20 slots at 0.2 s reckoned
+	ticket, short, _ := d.Admit(now, Scope{}, 20) // 20 slots at 0.2 s reckoned
 	if short != "" {
 		t.Fatal("a dear job never passes")
 	}
 	d.Done(&ticket, 500*time.Millisecond) // it took 10 slot-seconds, and 8 are owed
-	if _, short, wait := d.Admit(now+5*time.Second, Key{}, 1); short != "w" || wait <= 0 {
+	if _, short, wait := d.Admit(now+5*time.Second, Scope{}, 1); short != "w" || wait <= 0 {
 		t.Errorf("what is owed is not: %q, %v", short, wait)
 	}
 	now += 20 * time.Second
 	tries, retried := 0, 0
 	for range 40 {
 		now += time.Second
-		ticket, short, _ := d.Admit(now, Key{}, 1)
+		ticket, short, _ := d.Admit(now, Scope{}, 1)
 		if short != "" {
 			t.Fatal(short)
 		}
 		tries++
-		if d.Retry(now, &ticket) {
+		if d.TakeRetry(now, &ticket) {
 			retried++
 		}
 		d.Done(&ticket, time.Millisecond)
@@ -304,23 +304,23 @@
 	if retried < tries/4-1 || retried > tries/4+1 {
 		t.Errorf("%d retries of %d first tries, want a quarter", retried, tries)
 	}
-	d.Set(now, []Limit{{Name: "w", Kind: Work, Burst: One, Holders: 1}})
-	d.Hear(now, now+time.Hour, nil)
+	d.SetLimits(now, []Limit{{Name: "w", Kind: WorkRate, Burst: Unit, MaxHolders: 1}})
+	d.SetShares(now, now+time.Hour, nil)
 	for short = ""; short == ""; { // what was saved up
-		_, short, _ = d.Admit(now, Key{}, 5)
+		_, short, _ = d.Admit(now, Scope{}, 5)
 	}
-	if _, short, _ := d.Admit(now+time.Hour/2, Key{}, 1); short != "w" {
+	if _, short, _ := d.Admit(now+time.Hour/2, Scope{}, 1); short != "w" {
 		t.Error("a limit of 0 lets work pass")
 	}
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	d := NewDesk()
-	d.Set(0, []Limit{limits(Rate, 1), {Name: "o", Kind: Open, Amount: 1e6 * One, Holders: 1}, {Name: "w", Kind: Work, Amount: 1e6 * One, Burst: 1e6 * One, Holders: 1}})
-	d.Hear(0, time.Hour, []Part{{"l", 40 * One}, {"o", 1e6 * One}, {"w", 1e6 * One}})
+	d := NewLimiter()
+	d.SetLimits(0, []Limit{limits(RequestRate, 1), {Name: "o", Kind: Concurrency, Amount: 1e6 * Unit, MaxHolders: 1}, {Name: "w", Kind: WorkRate, Amount: 1e6 * Unit, Burst: 1e6 * Unit, MaxHolders: 1}})
+	d.SetShares(0, time.Hour, []Share{{"l", 40 * Unit}, {"o", 1e6 * Unit}, {"w", 1e6 * Unit}})
 	b.ReportAllocs()
 	for n := range b.N {
-		t, _, _ := d.Admit(time.Duration(n)*time.Microsecond, Key{Class: "c"}, 1)
+		t, _, _ := d.Admit(time.Duration(n)*time.Microsecond, Scope{Class: "c"}, 1)
 		d.Done(&t, 0)
 	}
 }
--- a/internal/fleet/statemachine/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -39,12 +39,12 @@
 		r.Err = ErrUnchanged.Error()
 	}
 	for _, l := range c.Limits {
-		if err := l.Check(); err != nil && r.Err == "" {
+		if err := l.Validate(); err != nil && r.Err == "" {
 			r.Err = fmt.Sprintf("limit %q: %v", l.Name, err)
 		}
 	}
 	if c.ColdStart != nil && r.Err == "" {
-		if err := c.ColdStart.Check(); err != nil {
+		if err := c.ColdStart.Validate(); err != nil {
 			r.Err = fmt.Sprintf("start: %v", err)
 		}
 	}
@@ -54,10 +54,10 @@
 		}
 	}
 	if s.Workflows != nil && r.Err == "" {
-		r.fault(s.Workflows.Without(c.Pools))
+		r.fault(s.Workflows.CheckPools(c.Pools))
 	}
 	if c.OutlierSettings != nil && r.Err == "" {
-		if err := c.OutlierSettings.Check(); err != nil {
+		if err := c.OutlierSettings.Validate(); err != nil {
 			r.Err = fmt.Sprintf("verdicts: %v", err)
 		}
 	}
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -43,12 +43,12 @@
 	KnownVersion   uint64 `cbor:"Knows"`  // the newest version that it has whole; a lease is given under no other
 	ServingVersion uint64 `cbor:"Serves"` // the version under which it admits work now; 0: it admits none
 	Program        string
-	CurrentGrant   uint64       `cbor:"Heard"` // the latest grant that it has heard of, and goes by
-	QuotaRequests  []quota.Want `cbor:"Wants"` // of the limits of the fleet
+	CurrentGrant   uint64          `cbor:"Heard"` // the latest grant that it has heard of, and goes by
+	QuotaRequests  []quota.Request `cbor:"Wants"` // of the limits of the fleet
 	Zone           int
-	WorkerCount    int              `cbor:"Workers"` // that it knows
-	OutlierReports []outlier.Report `cbor:"Saw"`     // of them
-	ColdStart      *coldstart.Want  `cbor:"Start"`
+	WorkerCount    int                `cbor:"Workers"` // that it knows
+	OutlierReports []outlier.Report   `cbor:"Saw"`     // of them
+	ColdStart      *coldstart.Request `cbor:"Start"`
 }
 
 // ListUpdate is what the reader of a zone was told by the list service.
@@ -56,8 +56,8 @@
 	Name         string
 	Incarnation  uint64 `cbor:"Life"`
 	Zone         int
-	FencingToken uint64     `cbor:"Fence"` // of its seat
-	Update       relay.Word `cbor:"Word"`
+	FencingToken uint64            `cbor:"Fence"` // of its seat
+	Update       relay.Publication `cbor:"Word"`
 }
 
 // Vote tells whether a holder could run the change, having taken it in whole.
@@ -105,18 +105,18 @@
 	Generation     uint64        `cbor:"Era"`   // of the keepers; who has heard of a later one takes nothing of this
 	LeaseDuration  time.Duration `cbor:"Lease"` // of the lease given, from when it was asked for; 0: none was given
 	Grant          uint64        // its number
-	QuotaGrants    []quota.Part  `cbor:"Parts"` // of the limits of the fleet, for as long
-	Verdicts       []outlier.Verdict
-	ReportsWanted  []outlier.Life  `cbor:"Accused"` // of whom it is to say what it knows
-	ColdStart      *coldstart.Word `cbor:"Start"`
-	Workflow       *claims.Answer  `cbor:"Flow"`
-	ClaimLease     time.Duration   `cbor:"Stay"`    // its claims on workflows are its own for so long from when it asked; 0: there are none
-	StepsReady     bool            `cbor:"Steps"`   // of workflows are ready
-	NoLeaseReason  string          `cbor:"Why"`     // none was given
-	CurrentVersion uint64          `cbor:"InForce"` // the version in force
-	Policy         *Policy         // in force, where the asker does not have it
-	Change         *PolicyChange   // under way, where the asker has yet to say something, or to stop
-	StopAdmitting  bool            `cbor:"Stop"` // admit nothing until a lease is given again
+	QuotaGrants    []quota.Share `cbor:"Parts"` // of the limits of the fleet, for as long
+	Verdicts       []outlier.EjectionNotice
+	ReportsWanted  []outlier.Incarnation `cbor:"Accused"` // of whom it is to say what it knows
+	ColdStart      *coldstart.Response   `cbor:"Start"`
+	Workflow       *claims.Answer        `cbor:"Flow"`
+	ClaimLease     time.Duration         `cbor:"Stay"`    // its claims on workflows are its own for so long from when it asked; 0: there are none
+	StepsReady     bool                  `cbor:"Steps"`   // of workflows are ready
+	NoLeaseReason  string                `cbor:"Why"`     // none was given
+	CurrentVersion uint64                `cbor:"InForce"` // the version in force
+	Policy         *Policy               // in force, where the asker does not have it
+	Change         *PolicyChange         // under way, where the asker has yet to say something, or to stop
+	StopAdmitting  bool                  `cbor:"Stop"` // admit nothing until a lease is given again
 }
 
 // fault words an error, and tells whether there is one.
--- a/internal/fleet/statemachine/flows.go
+++ b/internal/fleet/statemachine/flows.go
@@ -32,7 +32,7 @@
 		s.Workflows = claims.New()
 	}
 	if s.Workflows != nil {
-		s.Workflows.Set(p.Version, p.Workflows)
+		s.Workflows.SetTemplates(p.Version, p.Workflows)
 	}
 }
 
@@ -45,10 +45,10 @@
 			h.ClaimLease = ClaimLease{Expiry: s.Now + s.Config.LeaseDuration}
 		}
 	}
-	news := s.Workflows.Pass(s.Now, c.LeaderTerm, c.Number, c.GrantsSeen)
+	news := s.Workflows.AdvanceTime(s.Now, c.LeaderTerm, c.Number, c.GrantsSeen)
 	for _, who := range s.Workflows.Holders() {
 		if !s.stays(who) {
-			news = s.Workflows.Gone(s.Now, who) || news
+			news = s.Workflows.ReclaimFrom(s.Now, who) || news
 		}
 	}
 	if news {
@@ -63,23 +63,23 @@
 	}
 	s.GrantCount++
 	s.Holders[key(c.Name, c.Incarnation)].ClaimLease.PendingGrant = s.GrantCount
-	r.ClaimLease, r.StepsReady = s.Config.LeaseDuration, s.Workflows.Waiting()
+	r.ClaimLease, r.StepsReady = s.Config.LeaseDuration, s.Workflows.HasReadySteps()
 }
 
 func (flows) leave(s *State, h *LeaseHolder) {
 	h.ClaimLease = ClaimLease{}
-	if s.Workflows != nil && s.Workflows.Gone(s.Now, key(h.Name, h.Incarnation)) {
+	if s.Workflows != nil && s.Workflows.ReclaimFrom(s.Now, key(h.Name, h.Incarnation)) {
 		s.Revision++
 	}
 }
 
-func (flows) news(s *State, n *WatchUpdate, _ int, _ relay.Mark) {
-	n.StepsReady = s.Workflows != nil && s.Workflows.Waiting()
+func (flows) news(s *State, n *WatchUpdate, _ int, _ relay.Watermark) {
+	n.StepsReady = s.Workflows != nil && s.Workflows.HasReadySteps()
 }
 
 func (flows) mend(s *State) {
 	if s.Workflows != nil {
-		s.Workflows.Mend()
+		s.Workflows.RebuildIndexes()
 	}
 }
 
@@ -87,7 +87,7 @@
 
 func (flows) restored(s *State, skip uint64) {
 	if s.Workflows != nil {
-		s.Workflows.Restored(s.Now, skip)
+		s.Workflows.ResetAfterRestore(s.Now, skip)
 	}
 }
 
@@ -95,11 +95,11 @@
 // become ready: a revision for each word would have all of them ask again.
 func (s *State) flow(c *claims.Command) (r Result) {
 	if s.Workflows == nil {
-		r.fault(&claims.NoneError{})
+		r.fault(&claims.NoWorkflowsError{})
 		return r
 	}
 	s.GrantCount++ // a telling of time that has seen it is of after it
-	a, news, err := s.Workflows.Apply(s.Now, s.GrantCount, *c, claims.Lives{Claim: s.live, Hold: s.stays})
+	a, news, err := s.Workflows.Apply(s.Now, s.GrantCount, *c, claims.LeaseChecks{MayClaim: s.live, MayHold: s.stays})
 	if news {
 		s.Revision++
 	}
@@ -112,10 +112,10 @@
 // QueryWorkflows answers a command that changes nothing.
 func (s *State) QueryWorkflows(c *claims.Command) (r Result) {
 	if s.Workflows == nil {
-		r.fault(&claims.NoneError{})
+		r.fault(&claims.NoWorkflowsError{})
 		return r
 	}
-	a, err := s.Workflows.Show(s.Now, c.Show)
+	a, err := s.Workflows.Query(s.Now, c.Query)
 	if !r.fault(err) {
 		r.Workflow = &a
 	}
--- a/internal/fleet/statemachine/judges.go
+++ b/internal/fleet/statemachine/judges.go
@@ -11,10 +11,10 @@
 
 func (judges) rule(s *State, p Policy) {
 	if s.Outliers == nil && p.OutlierSettings != nil {
-		s.Outliers = outlier.NewLedger()
+		s.Outliers = outlier.NewDetector()
 	}
 	if s.Outliers != nil {
-		s.Outliers.Set(p.OutlierSettings)
+		s.Outliers.Configure(p.OutlierSettings)
 	}
 }
 
@@ -22,7 +22,7 @@
 
 func (judges) hear(s *State, c *LeaseRequest, _ *Result) {
 	if s.Outliers != nil {
-		if s.Outliers.Hear(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports); len(c.OutlierReports) > 0 { // else time alone changes anything: tick
+		if s.Outliers.AddReports(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports); len(c.OutlierReports) > 0 { // else time alone changes anything: tick
 			s.judge()
 		}
 	}
@@ -30,25 +30,25 @@
 
 func (judges) ask(s *State, c *LeaseRequest, r *Result) {
 	if s.Outliers != nil {
-		r.Verdicts, r.ReportsWanted = s.Outliers.Tell(s.Now, c.Name, c.Zone)
+		r.Verdicts, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
 	}
 }
 
 func (judges) forget(s *State, _ string, h *LeaseHolder) {
 	if s.Outliers != nil {
-		s.Outliers.Forget(h.Name)
+		s.Outliers.RemoveReporter(h.Name)
 	}
 }
 
-func (judges) news(s *State, n *WatchUpdate, _ int, _ relay.Mark) {
+func (judges) news(s *State, n *WatchUpdate, _ int, _ relay.Watermark) {
 	if s.Outliers != nil {
-		n.Verdicts = s.Outliers.All()
+		n.Verdicts = s.Outliers.Notices()
 	}
 }
 
 func (judges) mend(s *State) {
 	if s.Outliers != nil {
-		s.Outliers.Mend()
+		s.Outliers.InitMaps()
 	}
 }
 
@@ -59,8 +59,8 @@
 	if s.Outliers == nil {
 		return
 	}
-	no := s.Outliers.No
-	if s.Outliers.Judge(s.Now); s.Outliers.No != no {
+	no := s.Outliers.Revision
+	if s.Outliers.Evaluate(s.Now); s.Outliers.Revision != no {
 		s.Revision++
 	}
 }
--- a/internal/fleet/statemachine/keeper.go
+++ b/internal/fleet/statemachine/keeper.go
@@ -139,14 +139,14 @@
 	Policies           []Policy      // the newest last, which is the one in force
 	Change             *PolicyChange
 	Holders            map[string]*LeaseHolder
-	Members            map[uint64]string // the keepers that were taken in, with their addresses where told
-	RemovedMembers     map[uint64]bool   `cbor:"Left"` // and those taken out: a number is used once
-	GrantsBlockedUntil time.Duration     `cbor:"Shut"` // no lease is given before then
-	Generation         uint64            `cbor:"Era"`  // grows with each restore
-	Quota              *quota.Book       // the limits in force, and who has what of them; nil: there never were any
-	Outliers           *outlier.Ledger   `cbor:"Verdicts"` // on workers; nil: none were ever judged
-	ColdStart          *coldstart.Book   `cbor:"Start"`    // turns and relayed lists; nil: there never were any
-	Workflows          *claims.Ledger    `cbor:"Flows"`    // workflows; nil: there never were any
+	Members            map[uint64]string  // the keepers that were taken in, with their addresses where told
+	RemovedMembers     map[uint64]bool    `cbor:"Left"` // and those taken out: a number is used once
+	GrantsBlockedUntil time.Duration      `cbor:"Shut"` // no lease is given before then
+	Generation         uint64             `cbor:"Era"`  // grows with each restore
+	Quota              *quota.Allocator   // the limits in force, and who has what of them; nil: there never were any
+	Outliers           *outlier.Detector  `cbor:"Verdicts"` // on workers; nil: none were ever judged
+	ColdStart          *coldstart.Granter `cbor:"Start"`    // turns and relayed lists; nil: there never were any
+	Workflows          *claims.Table      `cbor:"Flows"`    // workflows; nil: there never were any
 }
 
 // New makes the state of keepers that have agreed on nothing yet.
@@ -203,7 +203,7 @@
 	s.GrantsBlockedUntil = s.Now + s.Config.LeaseDuration
 	each(func(one part) { one.rule(s, p) })
 	for _, l := range p.Limits { // what was open at their loss must have ended, too
-		s.GrantsBlockedUntil = max(s.GrantsBlockedUntil, s.Now+s.Config.LeaseDuration+l.Settle)
+		s.GrantsBlockedUntil = max(s.GrantsBlockedUntil, s.Now+s.Config.LeaseDuration+l.ReclaimDelay)
 	}
 }
 
--- a/internal/fleet/statemachine/wire.go
+++ b/internal/fleet/statemachine/wire.go
@@ -20,13 +20,13 @@
 	Change      *PolicyChange // proposed, and to be weighed
 	Closing     bool
 	Policy      *Policy // in force, where the one who watches does not have it
-	Verdicts    []outlier.Verdict
+	Verdicts    []outlier.EjectionNotice
 	RelayedList *relay.Update `cbor:"List"`
 	StepsReady  bool          `cbor:"Steps"` // of workflows are ready
 }
 
 // WatchUpdate is what there is for a holder that has a version whole, and its zone's list up to a mark.
-func (s *State) UpdateFor(knows uint64, zone int, has relay.Mark) WatchUpdate {
+func (s *State) UpdateFor(knows uint64, zone int, has relay.Watermark) WatchUpdate {
 	n := WatchUpdate{Revision: s.Revision, Generation: s.Generation}
 	each(func(p part) { p.news(s, &n, zone, has) })
 	if ch := s.Change; ch != nil && ch.Stage == Proposed {
--- a/internal/fleet/transport/client.go
+++ b/internal/fleet/transport/client.go
@@ -105,11 +105,11 @@
 // Watch waits until one keeper's state is past a revision, or for so long, and tells what there
 // is for a holder that has a version whole.
 func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n statemachine.WatchUpdate, err error) {
-	return c.WatchList(ctx, past, knows, 0, relay.Mark{}, wait)
+	return c.WatchList(ctx, past, knows, 0, relay.Watermark{}, wait)
 }
 
 // WatchList is Watch for one that has its zone's relayed list up to a mark.
-func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n statemachine.WatchUpdate, err error) {
+func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Watermark, wait time.Duration) (n statemachine.WatchUpdate, err error) {
 	text, _, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, knows, zone, has.Seq, wait.Milliseconds()), nil)
 	if err != nil {
 		return n, err
--- a/internal/fleet/transport/holder.go
+++ b/internal/fleet/transport/holder.go
@@ -26,19 +26,19 @@
 	ApplyPolicy func(p statemachine.Policy) error // runs it from here on; checked before
 	Log         func(line string)
 
-	QuotaRequests  func() []quota.Want                           // of the limits of the fleet; nil: nothing
-	QuotaGranted   func(until time.Duration, parts []quota.Part) // takes in what may be used until then
-	QuotaExhausted func() bool                                   // whether to ask for more soon
+	QuotaRequests  func() []quota.Request                         // of the limits of the fleet; nil: nothing
+	QuotaGranted   func(until time.Duration, parts []quota.Share) // takes in what may be used until then
+	QuotaExhausted func() bool                                    // whether to ask for more soon
 
 	AddReports         func(hold *statemachine.LeaseRequest) // words what was seen of workers; nil: nothing
 	ReportsUndelivered func(reports []outlier.Report)        // they may not have arrived
-	VerdictsReceived   func(until time.Duration, verdicts []outlier.Verdict, accused []outlier.Life, news bool)
+	VerdictsReceived   func(until time.Duration, verdicts []outlier.EjectionNotice, accused []outlier.Incarnation, news bool)
 
-	Zone             int                                                 // that the dispatcher is in
-	ColdStartRequest func() *coldstart.Want                              // of turns and the relayed list; nil: nothing
-	ColdStartGranted func(asked, until time.Duration, w *coldstart.Word) // takes in what came of it
-	ListMark         func() relay.Mark                                   // of the relayed list
-	ListReceived     func(u *relay.Update)                               // what a watch has told of it
+	Zone             int                                                     // that the dispatcher is in
+	ColdStartRequest func() *coldstart.Request                               // of turns and the relayed list; nil: nothing
+	ColdStartGranted func(asked, until time.Duration, w *coldstart.Response) // takes in what came of it
+	ListMark         func() relay.Watermark                                  // of the relayed list
+	ListReceived     func(u *relay.Update)                                   // what a watch has told of it
 
 	ClaimLeaseRenewed func(asked, length time.Duration, era uint64, ready bool) // of claims on workflows, and whether steps are ready
 	StepsReady        func()                                                    // some are, by what a watch has told
@@ -51,7 +51,7 @@
 	base   time.Time
 
 	mu      sync.Mutex
-	a       *policylease.Accord
+	a       *policylease.Holder
 	past    uint64 // the newest revision that was heard of
 	rewatch func() // ends the watch that is out
 }
@@ -63,17 +63,17 @@
 const callWithin = time.Second
 
 // NewLeaseSession makes the side of the accord a, which knows nothing yet. Its clock counts from base.
-func NewLeaseSession(c *Client, a *policylease.Accord, base time.Time, h Hooks) *LeaseSession {
+func NewLeaseSession(c *Client, a *policylease.Holder, base time.Time, h Hooks) *LeaseSession {
 	return &LeaseSession{client: c, hooks: h, base: base, a: a}
 }
 
 // Admits is what holds now, and the moment of this process's clock that it was asked for. It
 // waits for nobody.
-func (h *LeaseSession) Admits() (policylease.Held, time.Time) {
+func (h *LeaseSession) Admits() (policylease.Admission, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	return h.a.Admits(now.Sub(h.base)), now
+	return h.a.Admission(now.Sub(h.base)), now
 }
 
 // Describe is a line for staff.
@@ -81,14 +81,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Since(h.base)
-	held, p := h.a.Admits(now), h.a.Policy()
+	held, p := h.a.Admission(now), h.a.Policy()
 	switch {
-	case h.a.Holds(now):
-		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", held.Version, p.Digest, h.a.Left(now).Round(time.Millisecond))
-	case held.Admits:
-		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", held.Version, p.Digest, h.a.Why)
+	case h.a.HoldsLease(now):
+		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", held.Version, p.Digest, h.a.LeaseRemaining(now).Round(time.Millisecond))
+	case held.Allowed:
+		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", held.Version, p.Digest, h.a.NoLeaseReason)
 	}
-	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", held.Version, h.a.Why)
+	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", held.Version, h.a.NoLeaseReason)
 }
 
 // Run keeps the lease until ctx ends, and gives it back then.
@@ -114,8 +114,8 @@
 			wait.Stop()
 			h.mu.Lock()
 			h.past = max(h.past, n.Revision)
-			todo := h.a.Told(n)
-			until := h.a.Until()
+			todo := h.a.HandleUpdate(n)
+			until := h.a.LeaseExpiry()
 			h.mu.Unlock()
 			if h.hooks.ListReceived != nil && n.RelayedList != nil && n.Generation >= h.era() {
 				h.hooks.ListReceived(n.RelayedList)
@@ -156,7 +156,7 @@
 			due = time.Now()
 		default:
 			h.mu.Lock()
-			due = time.Now().Add(time.Duration(float64(h.a.Every()) * (0.8 + 0.2*rand.Float64())))
+			due = time.Now().Add(time.Duration(float64(h.a.RenewalInterval()) * (0.8 + 0.2*rand.Float64())))
 			h.mu.Unlock()
 		}
 		if fails > 0 {
@@ -168,7 +168,7 @@
 		h.mu.Unlock()
 	}
 	h.mu.Lock()
-	leave := h.a.Leave()
+	leave := h.a.Release()
 	h.mu.Unlock()
 	last, stop := context.WithTimeout(context.Background(), callWithin)
 	defer stop()
@@ -184,32 +184,32 @@
 }
 
 // Incarnation is what tells this process from all others that ever bore its name.
-func (h *LeaseSession) Incarnation() uint64 { return h.a.Life() }
+func (h *LeaseSession) Incarnation() uint64 { return h.a.Incarnation() }
 
 func (h *LeaseSession) era() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.a.Era()
+	return h.a.Generation()
 }
 
 func (h *LeaseSession) until() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.a.Until()
+	return h.a.LeaseExpiry()
 }
 
 // soon is how often it is looked whether more of a limit is wanted.
 func (h *LeaseSession) soon() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(h.a.Every()/4, 20*time.Millisecond)
+	return max(h.a.RenewalInterval()/4, 20*time.Millisecond)
 }
 
 // once asks for a lease, and does what the answer asks.
 func (h *LeaseSession) once(ctx context.Context) (r statemachine.Result, again bool, err error) {
 	h.mu.Lock()
 	asked := time.Since(h.base) // before anything is sent
-	hold := h.a.Ask(asked)
+	hold := h.a.NextRequest(asked)
 	h.mu.Unlock()
 	if h.hooks.QuotaRequests != nil {
 		hold.QuotaRequests = h.hooks.QuotaRequests()
@@ -225,7 +225,7 @@
 	defer stop()
 	if r, err = h.client.Do(one, statemachine.Command{LeaseRequest: &hold}); err != nil {
 		h.mu.Lock()
-		h.a.Silent()
+		h.a.RequestFailed()
 		h.mu.Unlock()
 		if len(hold.OutlierReports) > 0 {
 			h.hooks.ReportsUndelivered(hold.OutlierReports)
@@ -233,13 +233,13 @@
 		return r, false, err
 	}
 	h.mu.Lock()
-	void := h.a.Before(r)
-	todo := h.a.Heard(asked, r)
-	if r.LeaseDuration > 0 && h.hooks.QuotaGranted != nil && !void && todo.Take == nil {
-		h.hooks.QuotaGranted(h.a.Until(), r.QuotaGrants) // before anything is admitted by the new lease
+	void := h.a.FromOldGeneration(r)
+	todo := h.a.HandleResult(asked, r)
+	if r.LeaseDuration > 0 && h.hooks.QuotaGranted != nil && !void && todo.ApplyPolicy == nil {
+		h.hooks.QuotaGranted(h.a.LeaseExpiry(), r.QuotaGrants) // before anything is admitted by the new lease
 	}
 	h.mu.Unlock()
-	if r.LeaseDuration > 0 && h.hooks.ColdStartGranted != nil && !void && todo.Take == nil {
+	if r.LeaseDuration > 0 && h.hooks.ColdStartGranted != nil && !void && todo.ApplyPolicy == nil {
 		h.hooks.ColdStartGranted(asked, h.until(), r.ColdStart)
 	}
 	if r.LeaseDuration > 0 && h.hooks.VerdictsReceived != nil && !void {
@@ -257,38 +257,38 @@
 }
 
 // do does what the accord leaves to it, and tells whether to ask for a lease at once.
-func (h *LeaseSession) do(ctx context.Context, todo policylease.Todo) (again bool, err error) {
-	again = todo.Again
-	if todo.Weigh != nil {
+func (h *LeaseSession) do(ctx context.Context, todo policylease.Actions) (again bool, err error) {
+	again = todo.RequestAgain
+	if todo.CheckChange != nil {
 		why := ""
-		if err := h.hooks.CheckPolicy(todo.Weigh.Policy); err != nil {
+		if err := h.hooks.CheckPolicy(todo.CheckChange.Policy); err != nil {
 			why = err.Error()
-		} else if statemachine.Digest(todo.Weigh.Policy.Text) != todo.Weigh.Policy.Digest {
+		} else if statemachine.Digest(todo.CheckChange.Policy.Text) != todo.CheckChange.Policy.Digest {
 			why = "its text is not that of its digest"
 		}
 		h.mu.Lock()
-		say := h.a.Say(todo.Weigh, why)
+		say := h.a.Vote(todo.CheckChange, why)
 		h.mu.Unlock()
 		one, stop := context.WithTimeout(ctx, callWithin)
 		defer stop()
 		if _, err := h.client.Do(one, statemachine.Command{Vote: &say}); err != nil {
 			h.mu.Lock()
-			h.a.Unsaid()
+			h.a.VoteLost()
 			h.mu.Unlock()
 			return false, err
 		}
 		h.mu.Lock()
-		again = again || !h.a.Holds(time.Since(h.base)) // one that came in meanwhile gets its lease now
+		again = again || !h.a.HoldsLease(time.Since(h.base)) // one that came in meanwhile gets its lease now
 		h.mu.Unlock()
 	}
-	if todo.Take != nil {
-		if err := h.hooks.ApplyPolicy(*todo.Take); err != nil {
-			return false, fmt.Errorf("version %d can't be run: %w", todo.Take.Version, err)
+	if todo.ApplyPolicy != nil {
+		if err := h.hooks.ApplyPolicy(*todo.ApplyPolicy); err != nil {
+			return false, fmt.Errorf("version %d can't be run: %w", todo.ApplyPolicy.Version, err)
 		}
 		h.mu.Lock()
-		h.a.Took(*todo.Take)
+		h.a.PolicyApplied(*todo.ApplyPolicy)
 		h.mu.Unlock()
-		h.hooks.Log(fmt.Sprintf("policy: version %d (%.12s) taken up", todo.Take.Version, todo.Take.Digest))
+		h.hooks.Log(fmt.Sprintf("policy: version %d (%.12s) taken up", todo.ApplyPolicy.Version, todo.ApplyPolicy.Digest))
 		again = true
 	}
 	return again, nil
@@ -304,7 +304,7 @@
 		last = max(last, h.past)
 		knows := h.a.Policy().Version
 		h.mu.Unlock()
-		var has relay.Mark
+		var has relay.Watermark
 		if h.hooks.ListMark != nil {
 			has = h.hooks.ListMark()
 		}
--- a/internal/fleet/transport/server.go
+++ b/internal/fleet/transport/server.go
@@ -58,14 +58,16 @@
 		}
 		if nothing := false; cmd.Workflow != nil && cmd.Workflow.Claim != nil {
 			// Many ask after the same news: those for whom nothing is left cost no entry of the log.
-			k.ReadStale(func(s *statemachine.State) { nothing = s.Workflows != nil && s.Workflows.Nothing(cmd.Workflow.Claim) })
+			k.ReadStale(func(s *statemachine.State) {
+				nothing = s.Workflows != nil && s.Workflows.ClaimWouldBeEmpty(cmd.Workflow.Claim)
+			})
 			if nothing {
 				return answer(w, statemachine.Result{Workflow: &claims.Answer{}})
 			}
 		}
 		ctx, stop := context.WithTimeout(r.Context(), within)
 		defer stop()
-		if cmd.Workflow != nil && cmd.Workflow.Show != nil { // changes nothing: read, and never in the log
+		if cmd.Workflow != nil && cmd.Workflow.Query != nil { // changes nothing: read, and never in the log
 			var text []byte
 			var wording error
 			if err := k.Read(ctx, func(s *statemachine.State) { text, wording = statemachine.Encode(s.QueryWorkflows(cmd.Workflow)) }); err != nil {
@@ -96,7 +98,7 @@
 		k.WaitForRevision(ctx, past)
 		var text []byte
 		k.ReadStale(func(s *statemachine.State) {
-			text, err = statemachine.Encode(s.UpdateFor(knows, zone, relay.Mark{Seq: has}))
+			text, err = statemachine.Encode(s.UpdateFor(knows, zone, relay.Watermark{Seq: has}))
 		}) // worded before it can change
 		if err == nil {
 			_, err = w.Write(text)
--- a/internal/fleet/workflow/aging/age.go
+++ b/internal/fleet/workflow/aging/age.go
@@ -14,39 +14,39 @@
 	"time"
 )
 
-// Most is how much later than others a step may be served for want of urgency.
-const Most = 30 * time.Second
+// MaxDelay is how much later than others a step may be served for want of urgency.
+const MaxDelay = 30 * time.Second
 
-// Place is a step's, by when it became ready, and the latest at which it may begin (0: no matter).
-func Place(ready, latest time.Duration) time.Duration {
-	if latest == 0 || latest > ready+Most {
-		return ready + Most
+// ServeBy is a step's, by when it became ready, and the latest at which it may begin (0: no matter).
+func ServeBy(ready, latest time.Duration) time.Duration {
+	if latest == 0 || latest > ready+MaxDelay {
+		return ready + MaxDelay
 	}
 	return max(latest, ready)
 }
 
-// Bound is how long a ready step waits at the most where steps are served at a rate (a second), ahead
+// MaxWait is how long a ready step waits at the most where steps are served at a rate (a second), ahead
 // are ready before it, and others become ready at a rate that is lower.
-func Bound(ahead int, served, fresh float64) time.Duration {
-	return time.Duration((float64(ahead) + fresh*Most.Seconds()) / served * float64(time.Second))
+func MaxWait(ahead int, served, fresh float64) time.Duration {
+	return time.Duration((float64(ahead) + fresh*MaxDelay.Seconds()) / served * float64(time.Second))
 }
 
 // Entry is one that waits: in order of its place, then of its number, then by what it is. All who agree
 // on what waits hand it out alike, whatever way they came to it: so no two that are not alike are equal.
 type Entry[T Ordered[T]] struct {
-	Place time.Duration
-	No    uint64
-	Of    T
+	ServeBy time.Duration
+	Number  uint64
+	Value   T
 }
 
 // Ordered is what waits, in an order of its own.
 type Ordered[T any] interface{ Compare(T) int }
 
 func (e Entry[T]) less(o Entry[T]) bool {
-	if c := cmp.Or(cmp.Compare(e.Place, o.Place), cmp.Compare(e.No, o.No)); c != 0 {
+	if c := cmp.Or(cmp.Compare(e.ServeBy, o.ServeBy), cmp.Compare(e.Number, o.Number)); c != 0 {
 		return c < 0
 	}
-	return e.Of.Compare(o.Of) < 0
+	return e.Value.Compare(o.Value) < 0
 }
 
 // Queue is one order. The zero value is empty.
@@ -78,8 +78,8 @@
 	return heap.Pop(&q.q).(Entry[T]), true
 }
 
-// First is the first; false where there is none.
-func (q *Queue[T]) First() (e Entry[T], ok bool) {
+// Peek is the first; false where there is none.
+func (q *Queue[T]) Peek() (e Entry[T], ok bool) {
 	if len(q.q) == 0 {
 		return e, false
 	}
--- a/internal/fleet/workflow/claimant/hand_test.go
+++ b/internal/fleet/workflow/claimant/hand_test.go
@@ -11,26 +11,26 @@
 // ready: else its steps would be nobody's for as long as this dispatcher lives.
 func TestALostClaimIsAskedForAgain(t *testing.T) {
 	h := New("d", 1)
-	if h.Doubts() || h.Look(0) || h.Doubts() {
+	if h.NeedsResync() || h.CheckLease(0) || h.NeedsResync() {
 		t.Error("it doubts before it has ever asked")
 	}
 	h.Renew(0, 0, time.Second, 0)
-	_, asked := h.Claim(0, 4, nil)
-	if !h.Doubts() {
+	_, asked := h.NextClaim(0, 4, nil)
+	if !h.NeedsResync() {
 		t.Error("an answer is out, and it does not doubt")
 	}
-	if h.Look(2 * time.Second) {
+	if h.CheckLease(2 * time.Second) {
 		t.Error("the stay holds after its end")
 	}
-	if got := h.Took(asked, []claims.Task{{No: 7}}); got != nil || !h.Doubts() {
-		t.Errorf("after a lapse %v is begun; it doubts: %t", got, h.Doubts())
+	if got := h.AcceptClaimed(asked, []claims.ClaimedStep{{ClaimNumber: 7}}); got != nil || !h.NeedsResync() {
+		t.Errorf("after a lapse %v is begun; it doubts: %t", got, h.NeedsResync())
 	}
 	h.Renew(2*time.Second, 2*time.Second, time.Second, 0)
-	c, asked := h.Claim(2*time.Second, 0, nil)
-	if c.Heard != 0 {
-		t.Errorf("it has heard of %d", c.Heard)
+	c, asked := h.NextClaim(2*time.Second, 0, nil)
+	if c.LastSeenClaim != 0 {
+		t.Errorf("it has heard of %d", c.LastSeenClaim)
 	}
-	if got := h.Took(asked, []claims.Task{{No: 7}}); len(got) != 1 || h.Doubts() {
-		t.Errorf("told again, %v is begun; it doubts: %t", got, h.Doubts())
+	if got := h.AcceptClaimed(asked, []claims.ClaimedStep{{ClaimNumber: 7}}); len(got) != 1 || h.NeedsResync() {
+		t.Errorf("told again, %v is begun; it doubts: %t", got, h.NeedsResync())
 	}
 }
--- a/internal/fleet/workflow/claims/bench_test.go
+++ b/internal/fleet/workflow/claims/bench_test.go
@@ -12,9 +12,9 @@
 // BenchmarkSteps claims, marks and ends steps of a wide flow, 64 a word.
 func BenchmarkSteps(b *testing.B) {
 	form := flow("f", step("one", "once", each("in")), step("two", "any", each("in"), needs("one")))
-	form.Most, form.Fan = 600, 1<<20
+	form.MaxLiveItems, form.MaxFanOut = 600, 1<<20
 	l := New()
-	l.Set(1, []template.Template{form})
+	l.SetTemplates(1, []template.Template{form})
 	now, no := time.Second, uint64(0)
 	apply := func(c Command) Answer {
 		no++
@@ -25,17 +25,17 @@
 		return a
 	}
 	for i := range 1 + b.N/1000000 {
-		apply(Command{Submit: &Submit{Key: fmt.Sprint(i), Template: "f", Inputs: map[string]expansion.Input{"in": {Count: 500_000}}}})
+		apply(Command{Submit: &Submission{Key: fmt.Sprint(i), Template: "f", Inputs: map[string]expansion.Input{"in": {Count: 500_000}}}})
 	}
 	for n := 0; n < b.N; {
-		a := apply(Command{Claim: &Claim{Name: "d", Life: 1, Want: 64, Pools: []string{""}, Heard: l.No}})
-		var marks []Marked
-		var ends []Ended
-		for _, t := range a.Tasks {
-			marks, ends = append(marks, Marked{No: t.No, Once: t.Class == "once", Turn: 1}), append(ends, Ended{No: t.No})
+		a := apply(Command{Claim: &ClaimRequest{Dispatcher: "d", Incarnation: 1, WantedSteps: 64, Pools: []string{""}, LastSeenClaim: l.LastNumber}})
+		var marks []DispatchIntent
+		var ends []StepEnd
+		for _, t := range a.Claimed {
+			marks, ends = append(marks, DispatchIntent{ClaimNumber: t.ClaimNumber, AtMostOnce: t.Class == "once", Sequence: 1}), append(ends, StepEnd{ClaimNumber: t.ClaimNumber})
 		}
-		apply(Command{Mark: &Mark{Name: "d", Life: 1, All: marks}})
-		apply(Command{End: &End{Name: "d", Life: 1, All: ends}})
-		n += len(a.Tasks)
+		apply(Command{RecordIntents: &DispatchIntents{Dispatcher: "d", Incarnation: 1, Intents: marks}})
+		apply(Command{EndSteps: &StepEnds{Dispatcher: "d", Incarnation: 1, Ends: ends}})
+		n += len(a.Claimed)
 	}
 }
