--- a/internal/fleet/workflow/claims/command.go
+++ b/internal/fleet/workflow/claims/command.go
@@ -11,50 +11,50 @@
 
 // Command is one of the commands below; just one of its parts is set.
 type Command struct {
-	Submit *Submit `cbor:"1,keyasint,omitempty"`
-	Claim  *Claim  `cbor:"2,keyasint,omitempty"`
-	Mark   *Mark   `cbor:"3,keyasint,omitempty"`
-	End    *End    `cbor:"4,keyasint,omitempty"`
-	Cancel *Cancel `cbor:"5,keyasint,omitempty"`
-	Settle *Settle `cbor:"6,keyasint,omitempty"`
-	Show   *Show   `cbor:"7,keyasint,omitempty"`
+	Submit        *Submission      `cbor:"1,keyasint,omitempty"`
+	Claim         *ClaimRequest    `cbor:"2,keyasint,omitempty"`
+	RecordIntents *DispatchIntents `cbor:"3,keyasint,omitempty" json:"Mark"`
+	EndSteps      *StepEnds        `cbor:"4,keyasint,omitempty" json:"End"`
+	Cancel        *Cancellation    `cbor:"5,keyasint,omitempty"`
+	Resolve       *Resolution      `cbor:"6,keyasint,omitempty" json:"Settle"`
+	Query         *StatusQuery     `cbor:"7,keyasint,omitempty" json:"Show"`
 }
 
-// Submit asks for a flow. Asked twice by one key it is asked for once.
-type Submit struct {
-	Key      string
-	Template string
-	Inputs   map[string]expansion.Input `cbor:",omitempty"`
-	Moments  map[string]time.Duration   `cbor:",omitempty"` // from now on
-	Who      string
+// Submission asks for a flow. Asked twice by one key it is asked for once.
+type Submission struct {
+	Key       string
+	Template  string
+	Inputs    map[string]expansion.Input `cbor:",omitempty"`
+	Moments   map[string]time.Duration   `cbor:",omitempty"` // from now on
+	Submitter string                     `cbor:"Who" json:"Who"`
 }
 
-// Claim asks for ready steps, by a dispatcher that has a lease. What it was told already and has not
+// ClaimRequest asks for ready steps, by a dispatcher that has a lease. What it was told already and has not
 // heard of is told again.
-type Claim struct {
-	Name  string
-	Life  uint64
-	Want  int      // steps it would have at once
-	Heard uint64   // the latest claim it has heard of
-	Pools []string // that it has workers in now
+type ClaimRequest struct {
+	Dispatcher    string   `cbor:"Name" json:"Name"`
+	Incarnation   uint64   `cbor:"Life" json:"Life"`
+	WantedSteps   int      `cbor:"Want" json:"Want"`   // steps it would have at once
+	LastSeenClaim uint64   `cbor:"Heard" json:"Heard"` // the latest claim it has heard of
+	Pools         []string // that it has workers in now
 }
 
-// Marked says of one claim that its step may have run from now on.
-type Marked struct {
-	No     uint64        `cbor:"1,keyasint"`
-	Once   bool          `cbor:"2,keyasint,omitempty"` // never to be repeated
-	Cell   int           `cbor:"3,keyasint,omitempty"` // one more than that of the worker, where only it drops a repeat; 0: all do
-	Window time.Duration `cbor:"4,keyasint,omitempty"` // for which repeats are dropped; 0: it may be repeated at any time
-	Anew   bool          `cbor:"5,keyasint,omitempty"` // it has run nowhere so far: this mark goes before earlier ones
-	Turn   int           `cbor:"6,keyasint,omitempty"` // among the claim's marks, from 1 on: one that is late changes nothing
+// DispatchIntent says of one claim that its step may have run from now on.
+type DispatchIntent struct {
+	ClaimNumber  uint64        `cbor:"1,keyasint" json:"No"`
+	AtMostOnce   bool          `cbor:"2,keyasint,omitempty" json:"Once"`   // never to be repeated
+	PinnedCell   int           `cbor:"3,keyasint,omitempty" json:"Cell"`   // one more than that of the worker, where only it drops a repeat; 0: all do
+	DedupWindow  time.Duration `cbor:"4,keyasint,omitempty" json:"Window"` // for which repeats are dropped; 0: it may be repeated at any time
+	NotRunBefore bool          `cbor:"5,keyasint,omitempty" json:"Anew"`   // it has run nowhere so far: this mark goes before earlier ones
+	Sequence     int           `cbor:"6,keyasint,omitempty" json:"Turn"`   // among the claim's marks, from 1 on: one that is late changes nothing
 }
 
-// Mark is written before the first byte leaves. One whose claim is not held any more is refused,
+// DispatchIntents is written before the first byte leaves. One whose claim is not held any more is refused,
 // and its step must not be sent.
-type Mark struct {
-	Name string
-	Life uint64
-	All  []Marked
+type DispatchIntents struct {
+	Dispatcher  string           `cbor:"Name" json:"Name"`
+	Incarnation uint64           `cbor:"Life" json:"Life"`
+	Intents     []DispatchIntent `cbor:"All" json:"All"`
 }
 
 // Outcome is how a claimed step has ended at its dispatcher.
@@ -62,95 +62,105 @@
 
 // The outcomes.
 const (
-	Done    Outcome = iota
-	Failed          // by the worker's own word
-	Unknown         // it may have run, and may yet
-	Back            // it has not run: it is to be claimed again
+	OutcomeDone    Outcome = iota
+	OutcomeFailed          // by the worker's own word
+	OutcomeUnknown         // it may have run, and may yet
+	OutcomeRequeue         // it has not run: it is to be claimed again
 )
 
-// Ended is one claim's end.
-type Ended struct {
-	No      uint64        `cbor:"1,keyasint"`
-	How     Outcome       `cbor:"2,keyasint,omitempty"`
-	Result  []byte        `cbor:"3,keyasint,omitempty"`
-	After   time.Duration `cbor:"4,keyasint,omitempty"` // of Back: not again before
-	Why     string        `cbor:"5,keyasint,omitempty"`
-	Repeats bool          `cbor:"6,keyasint,omitempty"` // of Unknown: its class may be repeated
+// StepEnd is one claim's end.
+type StepEnd struct {
+	ClaimNumber uint64        `cbor:"1,keyasint" json:"No"`
+	Outcome     Outcome       `cbor:"2,keyasint,omitempty" json:"How"`
+	Result      []byte        `cbor:"3,keyasint,omitempty"`
+	RetryAfter  time.Duration `cbor:"4,keyasint,omitempty" json:"After"` // of Back: not again before
+	Reason      string        `cbor:"5,keyasint,omitempty" json:"Why"`
+	Repeatable  bool          `cbor:"6,keyasint,omitempty" json:"Repeats"` // of Unknown: its class may be repeated
 }
 
-// End tells ends.
-type End struct {
-	Name string
-	Life uint64
-	All  []Ended
+// StepEnds tells ends.
+type StepEnds struct {
+	Dispatcher  string    `cbor:"Name" json:"Name"`
+	Incarnation uint64    `cbor:"Life" json:"Life"`
+	Ends        []StepEnd `cbor:"All" json:"All"`
 }
 
-// Cancel ends a flow: nothing more of it is begun.
-type Cancel struct{ Flow, Who string }
+// Cancellation ends a flow: nothing more of it is begun.
+type Cancellation struct {
+	Workflow    string `cbor:"Flow" json:"Flow"`
+	RequestedBy string `cbor:"Who" json:"Who"`
+}
+
+// Resolve says how a step has ended that nobody knows of, or has a held flow go on.
+type Resolution struct {
+	Workflow    string            `cbor:"Flow" json:"Flow"`
+	RequestedBy string            `cbor:"Who" json:"Who"`
+	Step        expansion.StepRef `cbor:"Ref" json:"Ref"`
+	Outcome     Outcome           `cbor:"As" json:"As"` // Done or Failed; Back: it is sent again, at the operator's word
+}
 
-// Settle says how a step has ended that nobody knows of, or has a held flow go on.
-type Settle struct {
-	Flow, Who string
-	Ref       expansion.Ref
-	As        Outcome // Done or Failed; Back: it is sent again, at the operator's word
+// Query asks how far a flow is; without a key, for all in short.
+type StatusQuery struct {
+	Workflow string `cbor:"Flow" json:"Flow"`
 }
 
-// Show asks how far a flow is; without a key, for all in short.
-type Show struct{ Flow string }
-
-// View is how far a flow is.
-type View struct {
-	Key, Template, Who string
-	State, Why         string
-	Age, Makespan      time.Duration // since its submission; from it to its end
-	Ends               [4]int        // steps that have ended: done, failed, unknown, skipped
-	Out, Live          int           // claims that are out; items of fan-outs under way
-	Doubt              bool
-	Steps              []StepView // that are under way, of one shown by key; 200 at most
+// WorkflowStatus is how far a flow is.
+type WorkflowStatus struct {
+	Key           string
+	Template      string
+	Submitter     string `cbor:"Who" json:"Who"`
+	State         string
+	Reason        string        `cbor:"Why" json:"Why"`
+	Age, Makespan time.Duration // since its submission; from it to its end
+	EndCounts     [4]int        `cbor:"Ends" json:"Ends"` // steps that have ended: done, failed, unknown, skipped
+	OpenClaims    int           `cbor:"Out" json:"Out"`
+	LiveItems     int           `cbor:"Live" json:"Live"` // claims that are out; items of fan-outs under way
+	RunUncertain  bool          `cbor:"Doubt" json:"Doubt"`
+	Steps         []StepStatus  // that are under way, of one shown by key; 200 at most
 }
 
-// StepView is how far a step is.
-type StepView struct {
-	Name   string
-	Ref    expansion.Ref
-	Values []string
-	State  string
-	For    time.Duration
-	Who    string // that has claimed it
-	Why    string
-	MayRun bool // it has been marked
+// StepStatus is how far a step is.
+type StepStatus struct {
+	Name             string
+	Ref              expansion.StepRef
+	ItemValues       []string `cbor:"Values" json:"Values"`
+	State            string
+	InStateFor       time.Duration `cbor:"For" json:"For"`
+	ClaimedBy        string        `cbor:"Who" json:"Who"` // that has claimed it
+	Reason           string        `cbor:"Why" json:"Why"`
+	PossiblyExecuted bool          `cbor:"MayRun" json:"MayRun"` // it has been marked
 }
 
-// Task is one claimed step as its dispatcher is told.
-type Task struct {
-	No       uint64                     `cbor:"1,keyasint"`
-	Flow     string                     `cbor:"2,keyasint"`
-	Template string                     `cbor:"3,keyasint"`
-	Tenant   string                     `cbor:"4,keyasint,omitempty"`
-	Team     string                     `cbor:"17,keyasint,omitempty"`
-	Step     string                     `cbor:"5,keyasint"`
-	Class    string                     `cbor:"6,keyasint"`
-	Pool     string                     `cbor:"7,keyasint,omitempty"`
-	Ref      expansion.Ref              `cbor:"8,keyasint"`
-	Values   []string                   `cbor:"9,keyasint,omitempty"` // the items around it
-	Results  map[string]string          `cbor:"10,keyasint,omitempty"`
-	Tallies  map[string]expansion.Tally `cbor:"11,keyasint,omitempty"`
-	Cell     int                        `cbor:"12,keyasint,omitempty"` // one more than the one that it may be repeated in; 0: any
-	Left     time.Duration              `cbor:"13,keyasint,omitempty"` // in which it may be repeated; 0: no matter
-	Doubt    bool                       `cbor:"14,keyasint,omitempty"` // it may have run before the keepers were restored
-	Share    float64                    `cbor:"15,keyasint,omitempty"`
-	Takes    bool                       `cbor:"16,keyasint,omitempty"` // its result goes to later steps
-	Aged     bool                       `cbor:"18,keyasint,omitempty"` // it has waited for its age: it is due among fresh work
+// ClaimedStep is one claimed step as its dispatcher is told.
+type ClaimedStep struct {
+	ClaimNumber      uint64                             `cbor:"1,keyasint" json:"No"`
+	Workflow         string                             `cbor:"2,keyasint" json:"Flow"`
+	Template         string                             `cbor:"3,keyasint"`
+	Tenant           string                             `cbor:"4,keyasint,omitempty"`
+	Team             string                             `cbor:"17,keyasint,omitempty"`
+	Step             string                             `cbor:"5,keyasint"`
+	Class            string                             `cbor:"6,keyasint"`
+	Pool             string                             `cbor:"7,keyasint,omitempty"`
+	Ref              expansion.StepRef                  `cbor:"8,keyasint"`
+	ItemValues       []string                           `cbor:"9,keyasint,omitempty" json:"Values"` // the items around it
+	Results          map[string]string                  `cbor:"10,keyasint,omitempty"`
+	FanOutCounts     map[string]expansion.OutcomeCounts `cbor:"11,keyasint,omitempty" json:"Tallies"`
+	PinnedCell       int                                `cbor:"12,keyasint,omitempty" json:"Cell"`  // one more than the one that it may be repeated in; 0: any
+	RepeatWindowLeft time.Duration                      `cbor:"13,keyasint,omitempty" json:"Left"`  // in which it may be repeated; 0: no matter
+	RunUncertain     bool                               `cbor:"14,keyasint,omitempty" json:"Doubt"` // it may have run before the keepers were restored
+	DispatcherShare  float64                            `cbor:"15,keyasint,omitempty" json:"Share"`
+	ResultUsed       bool                               `cbor:"16,keyasint,omitempty" json:"Takes"` // its result goes to later steps
+	Overdue          bool                               `cbor:"18,keyasint,omitempty" json:"Aged"`  // it has waited for its age: it is due among fresh work
 }
 
 // Answer is what came of a command.
 type Answer struct {
-	Tasks   []Task                   `cbor:"1,keyasint,omitempty"`
-	Refused []uint64                 `cbor:"2,keyasint,omitempty"` // claims that are not held any more
-	Written []uint64                 `cbor:"7,keyasint,omitempty"` // of Mark: claims whose mark is; others are to be asked again
-	Lefts   map[uint64]time.Duration `cbor:"8,keyasint,omitempty"` // of them: from when they were claimed, how long they may be repeated
-	More    bool                     `cbor:"3,keyasint,omitempty"` // others wait
-	Known   bool                     `cbor:"4,keyasint,omitempty"` // of Submit: it was asked for before
-	Views   []View                   `cbor:"5,keyasint,omitempty"` // of Show; the newest 200 where no key was given
-	Counts  map[string]int           `cbor:"6,keyasint,omitempty"` // of Show: flows by state
+	Claimed          []ClaimedStep            `cbor:"1,keyasint,omitempty" json:"Tasks"`
+	Rejected         []uint64                 `cbor:"2,keyasint,omitempty" json:"Refused"` // claims that are not held any more
+	Recorded         []uint64                 `cbor:"7,keyasint,omitempty" json:"Written"` // of Mark: claims whose mark is; others are to be asked again
+	RepeatWindows    map[uint64]time.Duration `cbor:"8,keyasint,omitempty" json:"Lefts"`   // of them: from when they were claimed, how long they may be repeated
+	MoreReady        bool                     `cbor:"3,keyasint,omitempty" json:"More"`    // others wait
+	AlreadySubmitted bool                     `cbor:"4,keyasint,omitempty" json:"Known"`   // of Submit: it was asked for before
+	Statuses         []WorkflowStatus         `cbor:"5,keyasint,omitempty" json:"Views"`   // of Show; the newest 200 where no key was given
+	CountsByState    map[string]int           `cbor:"6,keyasint,omitempty" json:"Counts"`  // of Show: flows by state
 }
--- a/internal/fleet/workflow/claims/faults.go
+++ b/internal/fleet/workflow/claims/faults.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// UnknownError names what the ledger does not have.
-type UnknownError struct {
-	What string // a flow, a template, a step
-	Name string
-	Have []string
+// NotFoundError names what the ledger does not have.
+type NotFoundError struct {
+	Kind     string // a flow, a template, a step
+	Name     string
+	Existing []string
 }
 
-func (e *UnknownError) Error() string {
-	return fmt.Sprintf("no such %s: %q; expected one of %s", e.What, e.Name, strings.Join(e.Have, ", "))
+func (e *NotFoundError) Error() string {
+	return fmt.Sprintf("no such %s: %q; expected one of %s", e.Kind, e.Name, strings.Join(e.Existing, ", "))
 }
 
 // Advice says what an operator can do.
-func (e *UnknownError) Advice() string {
+func (e *NotFoundError) Advice() string {
 	return "see keeper flow show, and the templates of the policy in force"
 }
 
 // Code is its word.
-func (e *UnknownError) Code() string { return "flow-unknown" }
+func (e *NotFoundError) Code() string { return "flow-unknown" }
 
 // InputError is a submission that its template can't take.
 type InputError struct {
-	Template, Input string
-	What, Expected  string
+	Template, Input   string
+	Problem, Expected string
 }
 
 func (e *InputError) Error() string {
-	return fmt.Sprintf("flow %q: %s: %s; expected %s", e.Template, e.Input, e.What, e.Expected)
+	return fmt.Sprintf("flow %q: %s: %s; expected %s", e.Template, e.Input, e.Problem, e.Expected)
 }
 
 // Advice says what an operator can do.
@@ -44,24 +44,24 @@
 // Code is its word.
 func (e *InputError) Code() string { return "flow-input" }
 
-// FullError refuses a submission for want of room.
-type FullError struct{ Most int }
+// LimitError refuses a submission for want of room.
+type LimitError struct{ Limit int }
 
-func (e *FullError) Error() string { return fmt.Sprintf("%d flows are under way, the most", e.Most) }
+func (e *LimitError) Error() string { return fmt.Sprintf("%d flows are under way, the most", e.Limit) }
 
 // Advice says what an operator can do.
-func (e *FullError) Advice() string {
+func (e *LimitError) Advice() string {
 	return "submit it again under the same key once some have ended, or cancel some"
 }
 
 // Code is its word.
-func (e *FullError) Code() string { return "flow-full" }
+func (e *LimitError) Code() string { return "flow-full" }
 
 // StateError is a call that the flow, or its step, is in no state for.
-type StateError struct{ Flow, Is, Expected string }
+type StateError struct{ Workflow, Actual, Expected string }
 
 func (e *StateError) Error() string {
-	return fmt.Sprintf("flow %q: %s; expected %s", e.Flow, e.Is, e.Expected)
+	return fmt.Sprintf("flow %q: %s; expected %s", e.Workflow, e.Actual, e.Expected)
 }
 
 // Advice says what an operator can do.
@@ -71,10 +71,10 @@
 func (e *StateError) Code() string { return "flow-state" }
 
 // LeaseError refuses a dispatcher that holds no lease.
-type LeaseError struct{ Name string }
+type LeaseError struct{ Dispatcher string }
 
 func (e *LeaseError) Error() string {
-	return fmt.Sprintf("%s holds no lease: it claims, marks and ends nothing", e.Name)
+	return fmt.Sprintf("%s holds no lease: it claims, marks and ends nothing", e.Dispatcher)
 }
 
 // Advice says what an operator can do.
@@ -89,14 +89,14 @@
 type ResultError struct {
 	Step  string
 	Bytes int // 0: it is no list
-	Most  int
+	Limit int
 }
 
 func (e *ResultError) Error() string {
 	if e.Bytes > 0 {
-		return fmt.Sprintf("step %q: a result of %d bytes; expected %d at most", e.Step, e.Bytes, e.Most)
+		return fmt.Sprintf("step %q: a result of %d bytes; expected %d at most", e.Step, e.Bytes, e.Limit)
 	}
-	return fmt.Sprintf("step %q: its result is no list of %d items at the most", e.Step, e.Most)
+	return fmt.Sprintf("step %q: its result is no list of %d items at the most", e.Step, e.Limit)
 }
 
 // Advice says what an operator can do.
@@ -107,28 +107,28 @@
 // Code is its word.
 func (e *ResultError) Code() string { return "flow-result" }
 
-// NoneError is a call for workflows where no policy ever had any.
-type NoneError struct{}
+// NoWorkflowsError is a call for workflows where no policy ever had any.
+type NoWorkflowsError struct{}
 
-func (e *NoneError) Error() string { return "no workflows: no policy in force has had any yet" }
+func (e *NoWorkflowsError) Error() string { return "no workflows: no policy in force has had any yet" }
 
 // Advice says what an operator can do.
-func (e *NoneError) Advice() string { return "propose a policy with a section [[flow]]" }
+func (e *NoWorkflowsError) Advice() string { return "propose a policy with a section [[flow]]" }
 
 // Code is its word.
-func (e *NoneError) Code() string { return "flow-none" }
+func (e *NoWorkflowsError) Code() string { return "flow-none" }
 
-// PoolError is a policy without a pool that a flow under way needs.
-type PoolError struct{ Pool, Flow string }
+// PoolInUseError is a policy without a pool that a flow under way needs.
+type PoolInUseError struct{ Pool, Workflow string }
 
-func (e *PoolError) Error() string {
-	return fmt.Sprintf("pool %q: not in the policy, and flow %q, which is under way, needs it", e.Pool, e.Flow)
+func (e *PoolInUseError) Error() string {
+	return fmt.Sprintf("pool %q: not in the policy, and flow %q, which is under way, needs it", e.Pool, e.Workflow)
 }
 
 // Advice says what an operator can do.
-func (e *PoolError) Advice() string {
+func (e *PoolInUseError) Advice() string {
 	return "leave the pool in until that flow has ended, or cancel the flow"
 }
 
 // Code is its word.
-func (e *PoolError) Code() string { return "flow-pool-needed" }
+func (e *PoolInUseError) Code() string { return "flow-pool-needed" }
--- a/internal/fleet/workflow/claims/ledger.go
+++ b/internal/fleet/workflow/claims/ledger.go
@@ -26,82 +26,82 @@
 	"yardflow/internal/fleet/workflow/template"
 )
 
-// MostFlows are under way at the most; MostEnded are remembered after their end.
+// MaxWorkflows are under way at the most; MaxEndedWorkflows are remembered after their end.
 const (
-	MostFlows = 20_000
-	MostEnded = 20_000
-	// MostTasks goes out in one answer at the most: an entry's answer stays small.
-	MostTasks = 256
+	MaxWorkflows      = 20_000
+	MaxEndedWorkflows = 20_000
+	// MaxClaimsPerAnswer goes out in one answer at the most: an entry's answer stays small.
+	MaxClaimsPerAnswer = 256
 )
 
-// State is how far a flow is.
-type State uint8
+// WorkflowState is how far a flow is.
+type WorkflowState uint8
 
 // The states; from Finished on it has ended.
 const (
-	Running State = iota
-	Held          // an operator is to settle a step
-	Closing       // nothing more is begun; what is out is waited for
-	Finished
-	Broken // failed
-	Cancelled
+	WorkflowRunning WorkflowState = iota
+	WorkflowHeld                  // an operator is to settle a step
+	WorkflowClosing               // nothing more is begun; what is out is waited for
+	WorkflowDone
+	WorkflowFailed // failed
+	WorkflowCancelled
 )
 
-func (s State) String() string {
-	return [...]string{"running", "held", "closing", "done", "failed", "cancelled"}[min(s, Cancelled)]
+func (s WorkflowState) String() string {
+	return [...]string{"running", "held", "closing", "done", "failed", "cancelled"}[min(s, WorkflowCancelled)]
 }
 
-// Flow is one flow.
-type Flow struct {
-	Key      string
-	No       uint64 // of its submission
-	Form     string // of its template
-	Who      string
-	At       time.Duration // of its submission, in the state's time
-	Moments  map[string]time.Duration
-	State    State
-	Then     State // what Closing ends as
-	Why      string
-	Tree     *expansion.Tree // nil: it has ended
-	Out      int             // claims that are out
-	Turn     uint64          // how often it has gone on after it was held
-	Stuck    int             // steps to be settled
-	Doubt    bool            // it may have run further, before the keepers were restored
-	Ended    time.Duration
-	Ends     [4]int // steps by how they have ended, of one that has ended
-	Makespan time.Duration
-	g        *graph.Graph
+// Workflow is one flow.
+type Workflow struct {
+	Key             string
+	Number          uint64        `cbor:"No" json:"No"`     // of its submission
+	TemplateVersion string        `cbor:"Form" json:"Form"` // of its template
+	Submitter       string        `cbor:"Who" json:"Who"`
+	SubmittedAt     time.Duration `cbor:"At" json:"At"` // of its submission, in the state's time
+	Moments         map[string]time.Duration
+	State           WorkflowState
+	FinalState      WorkflowState   `cbor:"Then" json:"Then"` // what Closing ends as
+	Reason          string          `cbor:"Why" json:"Why"`
+	Tree            *expansion.Tree // nil: it has ended
+	OpenClaims      int             `cbor:"Out" json:"Out"`     // claims that are out
+	ResumeCount     uint64          `cbor:"Turn" json:"Turn"`   // how often it has gone on after it was held
+	HeldSteps       int             `cbor:"Stuck" json:"Stuck"` // steps to be settled
+	RunUncertain    bool            `cbor:"Doubt" json:"Doubt"` // it may have run further, before the keepers were restored
+	EndedAt         time.Duration   `cbor:"Ended" json:"Ended"`
+	EndCounts       [4]int          `cbor:"Ends" json:"Ends"` // steps by how they have ended, of one that has ended
+	Makespan        time.Duration
+	g               *graph.Graph
 }
 
 // held is one claim.
 type held struct {
 	Key   string
 	Who   string
-	Ref   expansion.Ref
+	Ref   expansion.StepRef
 	Grant uint64 // number among all grants of when its holder was told of it last
 }
 
-// Form is one template of one version.
-type Form struct {
-	Template template.Template
-	Flows    int // that go by it
+// VersionedTemplate is one template of one version.
+type VersionedTemplate struct {
+	Template  template.Template
+	Workflows int `cbor:"Flows" json:"Flows"` // that go by it
 }
 
-// Ledger is all of it.
-type Ledger struct {
-	Forms   map[string]*Form // by version and name
-	Live    map[string]string
-	Flows   map[string]*Flow
-	Over    []string // keys of those that have ended, the oldest first
-	Claims  map[uint64]*held
-	No      uint64        // of the latest claim or submission
-	Active  int           // flows that have not ended
-	Expired int           // claims that were taken back
-	Late    int           // words under claims that were not held any more
-	At      time.Duration // now, by the latest command or telling of time
-	Seen    uint64        // grants that the latest telling of time had seen
-	Lead    uint64        // by whom time was told last, and how often in a row
-	Told    uint64
+// Table is all of it.
+type Table struct {
+	Templates        map[string]*VersionedTemplate `cbor:"Forms" json:"Forms"` // by version and name
+	CurrentTemplates map[string]string             `cbor:"Live" json:"Live"`
+	Workflows        map[string]*Workflow          `cbor:"Flows" json:"Flows"`
+	EndedKeys        []string                      `cbor:"Over" json:"Over"` // keys of those that have ended, the oldest first
+	Claims           map[uint64]*held
+	LastNumber       uint64        `cbor:"No" json:"No"`           // of the latest claim or submission
+	ActiveWorkflows  int           `cbor:"Active" json:"Active"`   // flows that have not ended
+	ExpiredClaims    int           `cbor:"Expired" json:"Expired"` // claims that were taken back
+	StaleReports     int           `cbor:"Late" json:"Late"`       // words under claims that were not held any more
+	Now              time.Duration `cbor:"At" json:"At"`           // now, by the latest command or telling of time
+	GrantsSeen       uint64        `cbor:"Seen" json:"Seen"`       // grants that the latest telling of time had seen
+	LeaderTerm       uint64        `cbor:"Lead" json:"Lead"`       // by whom time was told last, and how often in a row
+	TickNumber       uint64        `cbor:"Told" json:"Told"`
 
 	of     map[string][]uint64           // claims by who holds them, in order
 	ready  map[string]*aging.Queue[spot] // by pool
@@ -114,28 +114,28 @@
 type spot struct {
 	key   string
 	no    uint64 // of the flow
-	ref   expansion.Ref
+	ref   expansion.StepRef
 	since time.Duration
 	turn  uint64 // of its flow
 }
 
 // New makes an empty one.
-func New() *Ledger {
-	l := &Ledger{}
-	l.Mend()
+func New() *Table {
+	l := &Table{}
+	l.RebuildIndexes()
 	return l
 }
 
-// Mend makes what a snapshot leaves out: what follows from the rest.
-func (l *Ledger) Mend() {
-	if l.Live == nil {
-		l.Live = map[string]string{}
+// RebuildIndexes makes what a snapshot leaves out: what follows from the rest.
+func (l *Table) RebuildIndexes() {
+	if l.CurrentTemplates == nil {
+		l.CurrentTemplates = map[string]string{}
 	}
-	if l.Forms == nil {
-		l.Forms = map[string]*Form{}
+	if l.Templates == nil {
+		l.Templates = map[string]*VersionedTemplate{}
 	}
-	if l.Flows == nil {
-		l.Flows = map[string]*Flow{}
+	if l.Workflows == nil {
+		l.Workflows = map[string]*Workflow{}
 	}
 	if l.Claims == nil {
 		l.Claims = map[uint64]*held{}
@@ -145,21 +145,21 @@
 		l.of[l.Claims[no].Who] = append(l.of[l.Claims[no].Who], no)
 	}
 	l.ready, l.later, l.graphs, l.woke = map[string]*aging.Queue[spot]{}, aging.Queue[spot]{}, map[string]*graph.Graph{}, false
-	for _, name := range slices.Sorted(maps.Keys(l.Forms)) {
-		g, err := graph.Compile(l.Forms[name].Template)
+	for _, name := range slices.Sorted(maps.Keys(l.Templates)) {
+		g, err := graph.Compile(l.Templates[name].Template)
 		if err != nil {
 			continue // it was compiled before it was in force
 		}
 		l.graphs[name] = g
 	}
-	for _, key := range slices.Sorted(maps.Keys(l.Flows)) {
-		f := l.Flows[key]
+	for _, key := range slices.Sorted(maps.Keys(l.Workflows)) {
+		f := l.Workflows[key]
 		if f.Tree == nil {
 			continue
 		}
-		f.g = l.graphs[f.Form]
-		f.Tree.G = f.g
-		f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+		f.g = l.graphs[f.TemplateVersion]
+		f.Tree.Graph = f.g
+		f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
 			if run.State == expansion.Ready {
 				l.queue(f, r, run)
 			}
@@ -168,33 +168,33 @@
 	l.woke = false // told when it was so
 }
 
-// Set puts the templates of a policy in force. Flows under way end by their own.
-func (l *Ledger) Set(version uint64, all []template.Template) {
-	clear(l.Live)
+// SetTemplates puts the templates of a policy in force. Flows under way end by their own.
+func (l *Table) SetTemplates(version uint64, all []template.Template) {
+	clear(l.CurrentTemplates)
 	for _, t := range all {
 		name := fmt.Sprintf("%d/%s", version, t.Name)
 		if g, err := graph.Compile(t); err == nil { // checked before it was proposed
 			l.graphs[name] = g
-			if l.Forms[name] == nil {
-				l.Forms[name] = &Form{Template: t}
+			if l.Templates[name] == nil {
+				l.Templates[name] = &VersionedTemplate{Template: t}
 			}
-			l.Live[t.Name] = name
+			l.CurrentTemplates[t.Name] = name
 		}
 	}
 	l.sweep()
 }
 
-// Without tells which flow under way would wait for ever under a policy that has these pools alone;
+// CheckPools tells which flow under way would wait for ever under a policy that has these pools alone;
 // nil: none. One that is submitted before the policy is in force waits until another has its pool.
-func (l *Ledger) Without(pools []string) error {
-	for _, key := range slices.Sorted(maps.Keys(l.Flows)) {
-		f := l.Flows[key]
+func (l *Table) CheckPools(pools []string) error {
+	for _, key := range slices.Sorted(maps.Keys(l.Workflows)) {
+		f := l.Workflows[key]
 		if f.Tree == nil {
 			continue
 		}
 		for _, n := range f.g.Nodes {
 			if n.Pool != "" && !slices.Contains(pools, n.Pool) {
-				return &PoolError{n.Pool, key}
+				return &PoolInUseError{n.Pool, key}
 			}
 		}
 	}
@@ -202,44 +202,44 @@
 }
 
 // sweep forgets templates that are neither in force nor gone by.
-func (l *Ledger) sweep() {
-	for name, f := range l.Forms { // each by itself
-		if f.Flows == 0 && l.Live[f.Template.Name] != name {
-			delete(l.Forms, name)
+func (l *Table) sweep() {
+	for name, f := range l.Templates { // each by itself
+		if f.Workflows == 0 && l.CurrentTemplates[f.Template.Name] != name {
+			delete(l.Templates, name)
 			delete(l.graphs, name)
 		}
 	}
 }
 
 // Idle tells that no time need pass here.
-func (l *Ledger) Idle() bool { return l.Active == 0 }
+func (l *Table) Idle() bool { return l.ActiveWorkflows == 0 }
 
-// Waiting tells whether a step may be claimed.
-func (l *Ledger) Waiting() bool { return l.more(slices.Collect(maps.Keys(l.ready))) }
+// HasReadySteps tells whether a step may be claimed.
+func (l *Table) HasReadySteps() bool { return l.more(slices.Collect(maps.Keys(l.ready))) }
 
-// Ready is how many steps may be claimed, at the most: some may have been overtaken.
-func (l *Ledger) Ready() (n int) {
+// ReadySteps is how many steps may be claimed, at the most: some may have been overtaken.
+func (l *Table) ReadySteps() (n int) {
 	for _, q := range l.ready {
 		n += q.Len()
 	}
 	return n
 }
 
-// Pass notes that time has passed: what was not to be before now may be claimed.
+// AdvanceTime notes that time has passed: what was not to be before now may be claimed.
 //
 // Time is told by whoever leads, who has seen so many grants when it read its clock. Between two that
 // lead, and where one's word was lost (they are numbered), more time may have passed than is ever
 // told: what may be repeated for a while only, and was marked before, is not repeated any more.
-func (l *Ledger) Pass(now time.Duration, lead, told, seen uint64) (news bool) {
-	l.At = now
+func (l *Table) AdvanceTime(now time.Duration, lead, told, seen uint64) (news bool) {
+	l.Now = now
 	l.due()
-	whole := l.Lead == lead && l.Told+1 == told
-	if l.Seen, l.Lead, l.Told = seen, lead, told; !whole {
-		for _, f := range l.Flows { // each by itself
+	whole := l.LeaderTerm == lead && l.TickNumber+1 == told
+	if l.GrantsSeen, l.LeaderTerm, l.TickNumber = seen, lead, told; !whole {
+		for _, f := range l.Workflows { // each by itself
 			if f.Tree != nil {
-				f.Tree.Each(func(_ expansion.Ref, run *expansion.Run) {
-					if run.Until > 0 && run.Until < forever {
-						run.Until = min(run.Until, now)
+				f.Tree.ForEachStep(func(_ expansion.StepRef, run *expansion.StepRun) {
+					if run.RepeatableUntil > 0 && run.RepeatableUntil < forever {
+						run.RepeatableUntil = min(run.RepeatableUntil, now)
 					}
 				})
 			}
@@ -249,20 +249,20 @@
 }
 
 // news tells whether a pool has got steps that had none since it was last asked.
-func (l *Ledger) news() bool {
+func (l *Table) news() bool {
 	woke := l.woke
 	l.woke = false
 	return woke
 }
 
-// Nothing tells whether a claim would bring nothing: for a state that may be old, a hint.
-func (l *Ledger) Nothing(c *Claim) bool {
-	own := l.of[Who(c.Name, c.Life)]
-	return c.Heard > 0 && (len(own) == 0 || own[len(own)-1] <= c.Heard) && !l.more(c.Pools)
+// ClaimWouldBeEmpty tells whether a claim would bring nothing: for a state that may be old, a hint.
+func (l *Table) ClaimWouldBeEmpty(c *ClaimRequest) bool {
+	own := l.of[DispatcherKey(c.Dispatcher, c.Incarnation)]
+	return c.LastSeenClaim > 0 && (len(own) == 0 || own[len(own)-1] <= c.LastSeenClaim) && !l.more(c.Pools)
 }
 
 // more tells whether steps wait in some pools.
-func (l *Ledger) more(pools []string) bool {
+func (l *Table) more(pools []string) bool {
 	return slices.ContainsFunc(pools, func(p string) bool {
 		q := l.ready[p]
 		if q == nil {
@@ -274,13 +274,13 @@
 }
 
 // find is a spot's flow and step; nil where it is not ready any more, or anew.
-func (l *Ledger) find(s spot) (*Flow, *expansion.Run) {
-	f := l.Flows[s.key]
-	if f == nil || f.Tree == nil || f.No != s.no || f.Turn != s.turn {
+func (l *Table) find(s spot) (*Workflow, *expansion.StepRun) {
+	f := l.Workflows[s.key]
+	if f == nil || f.Tree == nil || f.Number != s.no || f.ResumeCount != s.turn {
 		return nil, nil
 	}
-	run := f.Tree.Run(s.ref)
-	if run == nil || run.State != expansion.Ready || run.Since != s.since {
+	run := f.Tree.StepRun(s.ref)
+	if run == nil || run.State != expansion.Ready || run.StateSince != s.since {
 		return nil, nil
 	}
 	return f, run
@@ -292,32 +292,32 @@
 }
 
 // queue puts a ready step where it waits.
-func (l *Ledger) queue(f *Flow, r expansion.Ref, run *expansion.Run) {
+func (l *Table) queue(f *Workflow, r expansion.StepRef, run *expansion.StepRun) {
 	n := &f.g.Nodes[r.Step]
-	not := max(run.From+n.NotBefore, run.Since) // sent back for a while
-	if n.At != "" {
-		not = max(not, f.Moments[n.At])
+	not := max(run.EligibleSince+n.StartDelay, run.StateSince) // sent back for a while
+	if n.StartMoment != "" {
+		not = max(not, f.Moments[n.StartMoment])
 	}
-	l.later.Push(aging.Entry[spot]{Place: not, No: f.No, Of: spot{f.Key, f.No, r, run.Since, f.Turn}})
+	l.later.Push(aging.Entry[spot]{ServeBy: not, Number: f.Number, Value: spot{f.Key, f.Number, r, run.StateSince, f.ResumeCount}})
 	l.due()
 }
 
 // due has all that was not to be before now wait to be claimed. Whatever way a ledger has come to its
 // state, after each command just the steps that may be claimed now do so, in one order.
-func (l *Ledger) due() {
+func (l *Table) due() {
 	for {
-		e, ok := l.later.First()
-		if !ok || e.Place > l.At {
+		e, ok := l.later.Peek()
+		if !ok || e.ServeBy > l.Now {
 			return
 		}
 		l.later.Pop()
-		if f, run := l.find(e.Of); run != nil {
-			l.put(f, e.Of, run)
+		if f, run := l.find(e.Value); run != nil {
+			l.put(f, e.Value, run)
 		}
 	}
 }
 
-func (l *Ledger) put(f *Flow, s spot, run *expansion.Run) {
+func (l *Table) put(f *Workflow, s spot, run *expansion.StepRun) {
 	n := &f.g.Nodes[s.ref.Step]
 	q := l.ready[n.Pool]
 	if q == nil {
@@ -325,23 +325,23 @@
 		l.ready[n.Pool] = q
 	}
 	latest := time.Duration(0)
-	if w := f.g.Template.Wanted; w > 0 {
-		latest = max(f.At+w-n.Left, 1)
+	if w := f.g.Template.TargetMakespan; w > 0 {
+		latest = max(f.SubmittedAt+w-n.RemainingCriticalPath, 1)
 	}
 	if _, ok := l.first(q); !ok {
 		l.woke = true
 	}
-	q.Push(aging.Entry[spot]{Place: aging.Place(run.From, latest), No: f.No, Of: s})
+	q.Push(aging.Entry[spot]{ServeBy: aging.ServeBy(run.EligibleSince, latest), Number: f.Number, Value: s})
 }
 
 // first is the first of a queue that may be claimed; those before it that were overtaken, or whose
 // flow goes on no more or is held, are let go of (a flow that is settled is queued anew).
-func (l *Ledger) first(q *aging.Queue[spot]) (e aging.Entry[spot], ok bool) {
+func (l *Table) first(q *aging.Queue[spot]) (e aging.Entry[spot], ok bool) {
 	for {
-		if e, ok = q.First(); !ok {
+		if e, ok = q.Peek(); !ok {
 			return e, false
 		}
-		if f, run := l.find(e.Of); run != nil && f.State == Running {
+		if f, run := l.find(e.Value); run != nil && f.State == WorkflowRunning {
 			return e, true
 		}
 		q.Pop()
@@ -349,12 +349,12 @@
 }
 
 // take gives out the first ready step of some pools.
-func (l *Ledger) take(pools []string) (f *Flow, s spot, run *expansion.Run, ok bool) {
+func (l *Table) take(pools []string) (f *Workflow, s spot, run *expansion.StepRun, ok bool) {
 	var best *aging.Queue[spot]
 	var least aging.Entry[spot]
 	for _, p := range pools {
 		if q := l.ready[p]; q != nil {
-			if e, ok := l.first(q); ok && (best == nil || e.Place < least.Place || e.Place == least.Place && e.No < least.No) {
+			if e, ok := l.first(q); ok && (best == nil || e.ServeBy < least.ServeBy || e.ServeBy == least.ServeBy && e.Number < least.Number) {
 				best, least = q, e
 			}
 		}
@@ -363,14 +363,14 @@
 		return nil, spot{}, nil, false
 	}
 	best.Pop()
-	f, run = l.find(least.Of)
-	return f, least.Of, run, true
+	f, run = l.find(least.Value)
+	return f, least.Value, run, true
 }
 
 // fresh queues what has become ready in a flow.
-func (l *Ledger) fresh(f *Flow) {
-	for _, r := range f.Tree.Fresh() {
-		if run := f.Tree.Run(r); run != nil && run.State == expansion.Ready {
+func (l *Table) fresh(f *Workflow) {
+	for _, r := range f.Tree.TakeReady() {
+		if run := f.Tree.StepRun(r); run != nil && run.State == expansion.Ready {
 			l.queue(f, r, run)
 		}
 	}
@@ -378,80 +378,80 @@
 
 // Apply carries out a command, before which so many grants were given; one more counts for it. news
 // tells whether those that wait should look.
-func (l *Ledger) Apply(now time.Duration, grants uint64, c Command, may Lives) (a Answer, news bool, err error) {
-	l.At = now
+func (l *Table) Apply(now time.Duration, grants uint64, c Command, may LeaseChecks) (a Answer, news bool, err error) {
+	l.Now = now
 	l.due()
 	switch {
 	case c.Submit != nil:
 		a, err = l.submit(now, c.Submit)
 	case c.Claim != nil:
 		a, err = l.claim(now, grants, c.Claim, may)
-	case c.Mark != nil:
-		a, err = l.mark(now, c.Mark, may)
-	case c.End != nil:
-		a, err = l.end(now, c.End, may)
+	case c.RecordIntents != nil:
+		a, err = l.mark(now, c.RecordIntents, may)
+	case c.EndSteps != nil:
+		a, err = l.end(now, c.EndSteps, may)
 	case c.Cancel != nil:
 		err = l.cancel(now, c.Cancel)
-	case c.Settle != nil:
-		err = l.settle(now, c.Settle)
-	case c.Show != nil:
-		a, err = l.Show(now, c.Show)
+	case c.Resolve != nil:
+		err = l.settle(now, c.Resolve)
+	case c.Query != nil:
+		a, err = l.Query(now, c.Query)
 	default:
 		err = &StateError{"", "no command that this program knows", "one of submit, claim, mark, end, cancel, settle, show"}
 	}
 	return a, l.news(), err
 }
 
-func (l *Ledger) submit(now time.Duration, c *Submit) (a Answer, err error) {
-	if l.Flows[c.Key] != nil {
-		a.Known = true
+func (l *Table) submit(now time.Duration, c *Submission) (a Answer, err error) {
+	if l.Workflows[c.Key] != nil {
+		a.AlreadySubmitted = true
 		return a, nil
 	}
-	name, ok := l.Live[c.Template]
+	name, ok := l.CurrentTemplates[c.Template]
 	if !ok {
-		return a, &UnknownError{"template", c.Template, slices.Sorted(maps.Keys(l.Live))}
+		return a, &NotFoundError{"template", c.Template, slices.Sorted(maps.Keys(l.CurrentTemplates))}
 	}
 	g := l.graphs[name]
 	switch {
-	case !template.Named(c.Key):
+	case !template.ValidName(c.Key):
 		return a, &InputError{c.Template, "key", fmt.Sprintf("%q", c.Key), "1 to 100 letters, digits and . _ : @ -"}
-	case l.Active >= MostFlows:
-		return a, &FullError{MostFlows}
+	case l.ActiveWorkflows >= MaxWorkflows:
+		return a, &LimitError{MaxWorkflows}
 	}
 	size := 0
-	for _, in := range g.Inputs() {
+	for _, in := range g.InputNames() {
 		v, ok := c.Inputs[in]
 		if !ok || v.Count < 0 || v.Count > 0 && len(v.Items) > 0 {
 			return a, &InputError{c.Template, in, "missing, or both a list and a count", "a list, or how many items there are"}
 		}
-		if n := v.Len(); n > g.Template.Widest() {
-			return a, &InputError{c.Template, in, fmt.Sprintf("%d items", n), fmt.Sprintf("%d at most, the template's fan", g.Template.Widest())}
+		if n := v.Len(); n > g.Template.FanOutLimit() {
+			return a, &InputError{c.Template, in, fmt.Sprintf("%d items", n), fmt.Sprintf("%d at most, the template's fan", g.Template.FanOutLimit())}
 		}
 		for _, s := range v.Items {
 			size += len(s)
 		}
 	}
 	for in := range c.Inputs {
-		if !slices.Contains(g.Inputs(), in) {
-			return a, &InputError{c.Template, in, "no fan-out is over it", fmt.Sprint("inputs among ", g.Inputs())}
+		if !slices.Contains(g.InputNames(), in) {
+			return a, &InputError{c.Template, in, "no fan-out is over it", fmt.Sprint("inputs among ", g.InputNames())}
 		}
 	}
-	if size > template.MaxInput {
-		return a, &InputError{c.Template, "inputs", fmt.Sprintf("%d bytes", size), fmt.Sprintf("%d at most", template.MaxInput)}
+	if size > template.MaxInputBytes {
+		return a, &InputError{c.Template, "inputs", fmt.Sprintf("%d bytes", size), fmt.Sprintf("%d at most", template.MaxInputBytes)}
 	}
 	moments := map[string]time.Duration{}
-	for _, m := range g.Moments() {
+	for _, m := range g.MomentNames() {
 		d, ok := c.Moments[m]
 		if !ok {
 			return a, &InputError{c.Template, m, "missing", "a moment, from now on"}
 		}
 		moments[m] = now + max(d, 0)
 	}
-	l.No++
-	f := &Flow{Key: c.Key, No: l.No, Form: name, Who: c.Who, At: now, Moments: moments, g: g, Tree: expansion.New(g, c.Inputs)}
-	l.Flows[c.Key] = f
-	l.Forms[name].Flows++
-	l.Active++
+	l.LastNumber++
+	f := &Workflow{Key: c.Key, Number: l.LastNumber, TemplateVersion: name, Submitter: c.Submitter, SubmittedAt: now, Moments: moments, g: g, Tree: expansion.New(g, c.Inputs)}
+	l.Workflows[c.Key] = f
+	l.Templates[name].Workflows++
+	l.ActiveWorkflows++
 	f.Tree.Start(now)
 	l.fresh(f)
 	l.look(now, f)
@@ -459,29 +459,29 @@
 }
 
 // look ends a flow where all that is to come has come.
-func (l *Ledger) look(now time.Duration, f *Flow) {
+func (l *Table) look(now time.Duration, f *Workflow) {
 	switch {
 	case f.Tree == nil:
 		return
-	case f.State == Closing && f.Out == 0:
-		l.close(now, f, f.Then)
-	case f.undoing() && f.State == Running && f.Out == 0 && !f.Tree.Any(expansion.Ready):
-		l.close(now, f, Broken)
-	case f.State == Running && f.Out == 0 && f.Stuck == 0 && f.Tree.Over():
-		l.close(now, f, Finished)
+	case f.State == WorkflowClosing && f.OpenClaims == 0:
+		l.close(now, f, f.FinalState)
+	case f.undoing() && f.State == WorkflowRunning && f.OpenClaims == 0 && !f.Tree.AnyInState(expansion.Ready):
+		l.close(now, f, WorkflowFailed)
+	case f.State == WorkflowRunning && f.OpenClaims == 0 && f.HeldSteps == 0 && f.Tree.Complete():
+		l.close(now, f, WorkflowDone)
 	}
 }
 
-func (l *Ledger) close(now time.Duration, f *Flow, as State) {
-	f.State, f.Ended, f.Ends, f.Makespan, f.Tree, f.g = as, now, f.Tree.Ends, now-f.At, nil, nil
-	l.Active--
-	l.Forms[f.Form].Flows--
-	l.Over = append(l.Over, f.Key)
-	if over := len(l.Over) - MostEnded; over > 0 {
-		for _, k := range l.Over[:over] {
-			delete(l.Flows, k)
+func (l *Table) close(now time.Duration, f *Workflow, as WorkflowState) {
+	f.State, f.EndedAt, f.EndCounts, f.Makespan, f.Tree, f.g = as, now, f.Tree.EndCounts, now-f.SubmittedAt, nil, nil
+	l.ActiveWorkflows--
+	l.Templates[f.TemplateVersion].Workflows--
+	l.EndedKeys = append(l.EndedKeys, f.Key)
+	if over := len(l.EndedKeys) - MaxEndedWorkflows; over > 0 {
+		for _, k := range l.EndedKeys[:over] {
+			delete(l.Workflows, k)
 		}
-		l.Over = slices.Delete(l.Over, 0, over)
+		l.EndedKeys = slices.Delete(l.EndedKeys, 0, over)
 	}
 	l.sweep()
 }
--- a/internal/fleet/workflow/claims/show.go
+++ b/internal/fleet/workflow/claims/show.go
@@ -12,46 +12,46 @@
 // mostViews is how many flows, or steps of one, are shown at the most.
 const mostViews = 200
 
-// Show tells how far flows are.
-func (l *Ledger) Show(now time.Duration, c *Show) (a Answer, err error) {
-	if c.Flow != "" {
-		f, err := l.flow(c.Flow)
+// Query tells how far flows are.
+func (l *Table) Query(now time.Duration, c *StatusQuery) (a Answer, err error) {
+	if c.Workflow != "" {
+		f, err := l.flow(c.Workflow)
 		if err != nil {
 			return a, err
 		}
 		v := l.view(now, f)
 		if f.Tree != nil {
-			f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+			f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
 				if len(v.Steps) == mostViews || run.State.Ended() || run.State == expansion.Waiting {
 					return
 				}
-				s := StepView{Name: f.g.Nodes[r.Step].Name, Ref: r, Values: f.Tree.Values(r), State: run.State.String(), For: max(now-run.Since, 0), Why: run.Why, MayRun: run.Marked > 0}
-				if h := l.Claims[run.Claim]; run.State == expansion.Claimed && h != nil {
-					s.Who = h.Who
+				s := StepStatus{Name: f.g.Nodes[r.Step].Name, Ref: r, ItemValues: f.Tree.ItemValues(r), State: run.State.String(), InStateFor: max(now-run.StateSince, 0), Reason: run.Reason, PossiblyExecuted: run.PossiblyExecutedAt > 0}
+				if h := l.Claims[run.ClaimNumber]; run.State == expansion.Claimed && h != nil {
+					s.ClaimedBy = h.Who
 				}
 				v.Steps = append(v.Steps, s)
 			})
 		}
-		a.Views = []View{v}
+		a.Statuses = []WorkflowStatus{v}
 		return a, nil
 	}
-	a.Counts = map[string]int{}
-	var all []*Flow
-	for _, f := range l.Flows {
-		a.Counts[f.State.String()]++
+	a.CountsByState = map[string]int{}
+	var all []*Workflow
+	for _, f := range l.Workflows {
+		a.CountsByState[f.State.String()]++
 		all = append(all, f)
 	}
-	slices.SortFunc(all, func(a, b *Flow) int { return int(int64(b.No) - int64(a.No)) })
+	slices.SortFunc(all, func(a, b *Workflow) int { return int(int64(b.Number) - int64(a.Number)) })
 	for _, f := range all[:min(len(all), mostViews)] {
-		a.Views = append(a.Views, l.view(now, f))
+		a.Statuses = append(a.Statuses, l.view(now, f))
 	}
 	return a, nil
 }
 
-func (l *Ledger) view(now time.Duration, f *Flow) View {
-	v := View{Key: f.Key, Template: f.Form, Who: f.Who, State: f.State.String(), Why: f.Why, Age: now - f.At, Makespan: f.Makespan, Ends: f.Ends, Out: f.Out, Doubt: f.Doubt}
+func (l *Table) view(now time.Duration, f *Workflow) WorkflowStatus {
+	v := WorkflowStatus{Key: f.Key, Template: f.TemplateVersion, Submitter: f.Submitter, State: f.State.String(), Reason: f.Reason, Age: now - f.SubmittedAt, Makespan: f.Makespan, EndCounts: f.EndCounts, OpenClaims: f.OpenClaims, RunUncertain: f.RunUncertain}
 	if f.Tree != nil {
-		v.Ends, v.Live = f.Tree.Ends, f.Tree.Live
+		v.EndCounts, v.LiveItems = f.Tree.EndCounts, f.Tree.LiveItems
 	}
 	return v
 }
--- a/internal/fleet/workflow/claims/staff.go
+++ b/internal/fleet/workflow/claims/staff.go
@@ -12,97 +12,97 @@
 	"yardflow/internal/fleet/workflow/expansion"
 )
 
-func (l *Ledger) flow(key string) (*Flow, error) {
-	f := l.Flows[key]
+func (l *Table) flow(key string) (*Workflow, error) {
+	f := l.Workflows[key]
 	if f == nil {
-		have := slices.Sorted(maps.Keys(l.Flows))
-		return nil, &UnknownError{"flow", key, have[:min(len(have), 5)]}
+		have := slices.Sorted(maps.Keys(l.Workflows))
+		return nil, &NotFoundError{"flow", key, have[:min(len(have), 5)]}
 	}
 	return f, nil
 }
 
-func (l *Ledger) cancel(now time.Duration, c *Cancel) error {
-	f, err := l.flow(c.Flow)
+func (l *Table) cancel(now time.Duration, c *Cancellation) error {
+	f, err := l.flow(c.Workflow)
 	switch {
 	case err != nil:
 		return err
-	case f.State == Cancelled || f.State == Closing && f.Then == Cancelled:
+	case f.State == WorkflowCancelled || f.State == WorkflowClosing && f.FinalState == WorkflowCancelled:
 		return nil // asked twice
-	case f.Tree == nil || f.State == Closing:
-		return &StateError{c.Flow, f.State.String(), "one that has not ended"}
+	case f.Tree == nil || f.State == WorkflowClosing:
+		return &StateError{c.Workflow, f.State.String(), "one that has not ended"}
 	}
-	f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
-		if run.State == expansion.Stuck {
-			f.Tree.End(now, r, run.Was, nil, nil)
+	f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
+		if run.State == expansion.AwaitingOperator {
+			f.Tree.EndStep(now, r, run.OutcomeBeforeHold, nil, nil)
 		}
 	})
-	f.Stuck = 0
-	l.shut(f, Cancelled, "by "+c.Who)
+	f.HeldSteps = 0
+	l.shut(f, WorkflowCancelled, "by "+c.RequestedBy)
 	l.look(now, f)
 	return nil
 }
 
 // settle says how a step has ended that is stuck. With the last of them its flow goes on.
-func (l *Ledger) settle(now time.Duration, c *Settle) error {
-	f, err := l.flow(c.Flow)
+func (l *Table) settle(now time.Duration, c *Resolution) error {
+	f, err := l.flow(c.Workflow)
 	if err != nil {
 		return err
 	}
-	if f.State != Held {
-		return &StateError{c.Flow, f.State.String(), "one that is held"}
+	if f.State != WorkflowHeld {
+		return &StateError{c.Workflow, f.State.String(), "one that is held"}
 	}
-	run := f.Tree.Run(c.Ref)
-	if run == nil || run.State != expansion.Stuck {
-		return &StateError{c.Flow, "that step is not to be settled", "one that keeper flow show names as stuck"}
+	run := f.Tree.StepRun(c.Step)
+	if run == nil || run.State != expansion.AwaitingOperator {
+		return &StateError{c.Workflow, "that step is not to be settled", "one that keeper flow show names as stuck"}
 	}
-	f.Stuck--
-	if f.Stuck == 0 {
-		f.State, f.Tree.Shut = Running, f.undoing()
-		f.Turn++ // whatever waited while it was held does so anew
-		if !f.Tree.Shut {
-			f.Why = ""
+	f.HeldSteps--
+	if f.HeldSteps == 0 {
+		f.State, f.Tree.NoNewSteps = WorkflowRunning, f.undoing()
+		f.ResumeCount++ // whatever waited while it was held does so anew
+		if !f.Tree.NoNewSteps {
+			f.Reason = ""
 		}
 	}
-	switch c.As {
-	case Done:
-		f.Tree.End(now, c.Ref, expansion.Done, nil, nil)
-	case Back:
+	switch c.Outcome {
+	case OutcomeDone:
+		f.Tree.EndStep(now, c.Step, expansion.Done, nil, nil)
+	case OutcomeRequeue:
 		// By an operator's word alone: who knows that it has not run.
-		run.Marked, run.Until, run.Cell, run.Tries, run.Sure = 0, 0, 0, 0, true
-		run.State, run.Since = expansion.Ready, now
-		l.queue(f, c.Ref, run)
+		run.PossiblyExecutedAt, run.RepeatableUntil, run.PinnedCell, run.Attempts, run.ConfirmedNotRun = 0, 0, 0, 0, true
+		run.State, run.StateSince = expansion.Ready, now
+		l.queue(f, c.Step, run)
 	default:
-		f.Tree.End(now, c.Ref, expansion.Failed, nil, nil)
+		f.Tree.EndStep(now, c.Step, expansion.Failed, nil, nil)
 	}
-	run.Why = fmt.Sprintf("settled by %s", c.Who)
-	if f.State == Running {
-		f.Tree.Wake(now)
-		f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
+	run.Reason = fmt.Sprintf("settled by %s", c.RequestedBy)
+	if f.State == WorkflowRunning {
+		f.Tree.Resume(now)
+		f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
 			if run.State == expansion.Ready {
 				l.queue(f, r, run)
 			}
 		})
-		f.Tree.Fresh()
+		f.Tree.TakeReady()
 	}
 	l.look(now, f)
 	return nil
 }
 
-// Restored makes of this ledger, which may be an old one, one that is safe to go on from: whatever
+// ResetAfterRestore makes of this ledger, which may be an old one, one that is safe to go on from: whatever
 // was not ended by it may have run since. Such steps are told as in doubt from here on, and those
 // that may not be repeated are unknown.
-func (l *Ledger) Restored(now time.Duration, skip uint64) {
-	l.No += skip
+func (l *Table) ResetAfterRestore(now time.Duration, skip uint64) {
+	l.LastNumber += skip
 	for _, no := range slices.Sorted(maps.Keys(l.Claims)) {
 		h := l.Claims[no]
-		f := l.Flows[h.Key]
-		run := f.Tree.Run(h.Ref)
+		f := l.Workflows[h.Key]
+		run := f.Tree.StepRun(h.Ref)
 		l.drop(f, no)
-		l.again(now, f, h.Ref, run, expansion.Unknown, "it was claimed when the keepers were restored", run.Until > 0)
+		l.again(now, f, h.Ref, run, expansion.Unknown, "it was claimed when the keepers were restored", run.RepeatableUntil > 0)
 	}
-	for _, key := range slices.Sorted(maps.Keys(l.Flows)) {
-		if f := l.Flows[key]; f.Tree != nil {
-			f.Doubt = true
+	for _, key := range slices.Sorted(maps.Keys(l.Workflows)) {
+		if f := l.Workflows[key]; f.Tree != nil {
+			f.RunUncertain = true
 			l.look(now, f)
 		}
 	}
--- a/internal/fleet/workflow/expansion/grow.go
+++ b/internal/fleet/workflow/expansion/grow.go
@@ -14,24 +14,24 @@
 
 // settle looks at all that waits in the last item of a chain.
 func (t *Tree) settle(c chain, now time.Duration) {
-	steps := t.G.Scopes[c.scopes[c.depth]].Steps
+	steps := t.Graph.Scopes[c.scopes[c.depth]].Steps
 	for again := true; again; {
 		again = false
 		for _, i := range steps {
-			n := &t.G.Nodes[i]
-			run := &c.last().Runs[n.Place]
+			n := &t.Graph.Nodes[i]
+			run := &c.last().Steps[n.Index]
 			if run.State != Waiting {
 				continue
 			}
 			switch t.decide(&c, n) {
 			case Ready:
-				if t.Shut {
+				if t.NoNewSteps {
 					continue
 				}
-				run.State, run.Since, run.From = Ready, now, now
-				t.fresh = append(t.fresh, Ref{i, c.path})
+				run.State, run.StateSince, run.EligibleSince = Ready, now, now
+				t.fresh = append(t.fresh, StepRef{i, c.path})
 			case Skipped:
-				run.State, run.Since = Skipped, now
+				run.State, run.StateSince = Skipped, now
 				t.ended(c, i, nil)
 				again = true
 			}
@@ -40,28 +40,28 @@
 }
 
 // decide says what becomes of a step that waits: Ready, Skipped, or it waits on.
-func (t *Tree) decide(c *chain, n *graph.Node) State {
-	if n.Dormant && !c.last().Runs[n.Place].Active {
-		for _, i := range t.G.Scopes[n.Scope].Steps {
-			m := &t.G.Nodes[i]
-			if (m.Failed >= 0 && &t.G.Nodes[m.Failed] == n || m.Unknown >= 0 && &t.G.Nodes[m.Unknown] == n) && !c.last().Runs[m.Place].State.Ended() {
+func (t *Tree) decide(c *chain, n *graph.Node) StepState {
+	if n.IsHandler && !c.last().Steps[n.Index].HandlerTriggered {
+		for _, i := range t.Graph.Scopes[n.Scope].Steps {
+			m := &t.Graph.Nodes[i]
+			if (m.FailedHandler >= 0 && &t.Graph.Nodes[m.FailedHandler] == n || m.UnknownHandler >= 0 && &t.Graph.Nodes[m.UnknownHandler] == n) && !c.last().Steps[m.Index].State.Ended() {
 				return Waiting
 			}
 		}
 		return Skipped
 	}
 	all, good := true, true
-	for _, j := range n.Needs {
+	for _, j := range n.Dependencies {
 		ended, ok := t.status(c, n.Scope, j)
 		all, good = all && ended, good && (ok || !ended)
-		if !good && n.When == template.Done {
+		if !good && n.Trigger == template.AllDone {
 			return Skipped
 		}
 	}
 	switch {
 	case !all:
 		return Waiting
-	case n.When == template.Failed && good:
+	case n.Trigger == template.AnyNotDone && good:
 		return Skipped
 	}
 	return Ready
@@ -69,16 +69,16 @@
 
 // status tells whether a step has ended as one of a scope sees it, and whether as done.
 func (t *Tree) status(c *chain, scope, step int) (ended, ok bool) {
-	m := &t.G.Nodes[step]
-	common := t.G.Common(scope, m.Scope)
-	d := t.G.Scopes[common].Depth
+	m := &t.Graph.Nodes[step]
+	common := t.Graph.CommonScope(scope, m.Scope)
+	d := t.Graph.Scopes[common].Depth
 	if common == m.Scope {
-		s := c.items[d].Runs[m.Place].State
+		s := c.items[d].Steps[m.Index].State
 		return s.Ended(), s == Done
 	}
-	f := c.fan(d, t.G.Toward(common, m.Scope))
-	e := f.Ends[step]
-	return f.Known && (e.Ended >= f.Width), e.Bad == 0 && !f.Void
+	f := c.fan(d, t.Graph.ChildToward(common, m.Scope))
+	e := f.EndCounts[step]
+	return f.ItemsKnown && (e.Ended >= f.ItemCount), e.NotDone == 0 && !f.SourceFailed
 }
 
 // after goes on from an end: down to items that have waited for it, up to what waits for a whole
@@ -119,8 +119,8 @@
 		index, scope := c.path[c.depth-1], c.scopes[c.depth]
 		c = c.up()
 		if done {
-			delete(c.fan(c.depth, scope).Live, index)
-			t.Live--
+			delete(c.fan(c.depth, scope).LiveItems, index)
+			t.LiveItems--
 		}
 		t.settle(c, now)
 		t.open(c, now)
@@ -130,26 +130,26 @@
 // complete tells whether all in the last item of a chain has ended.
 func (t *Tree) complete(c chain) bool {
 	it := c.last()
-	return !slices.ContainsFunc(it.Runs, func(r Run) bool { return !r.State.Ended() }) &&
-		!slices.ContainsFunc(it.Fans, func(f Fan) bool { return !f.over() })
+	return !slices.ContainsFunc(it.Steps, func(r StepRun) bool { return !r.State.Ended() }) &&
+		!slices.ContainsFunc(it.FanOuts, func(f FanOut) bool { return !f.over() })
 }
 
 // down settles a chain's last item and all that is under way within it.
 func (t *Tree) down(c chain, now time.Duration) {
 	t.settle(c, now)
-	for k, s := range t.G.Scopes[c.scopes[c.depth]].Subs {
-		f := &c.last().Fans[k]
-		if len(f.Live) == 0 {
+	for k, s := range t.Graph.Scopes[c.scopes[c.depth]].Children {
+		f := &c.last().FanOuts[k]
+		if len(f.LiveItems) == 0 {
 			continue
 		}
-		for _, i := range keys(f.Live) {
-			in := c.within(s, i, f.Live[i])
+		for _, i := range keys(f.LiveItems) {
+			in := c.within(s, i, f.LiveItems[i])
 			t.down(in, now)
 			t.open(in, now)
 			t.clamp(c.depth)
 			if t.complete(in) {
-				delete(f.Live, i)
-				t.Live--
+				delete(f.LiveItems, i)
+				t.LiveItems--
 			}
 		}
 	}
@@ -168,30 +168,30 @@
 // open begins more items of the fan-outs of a chain's last item, as far as the window lets it; one
 // of each fan-out always, and all of one whose items wait for each other.
 func (t *Tree) open(c chain, now time.Duration) {
-	for k, s := range t.G.Scopes[c.scopes[c.depth]].Subs {
-		f := &c.last().Fans[k]
-		for !t.Shut && f.Known && f.Next < f.Width && (len(f.Live) == 0 || t.G.Scopes[s].Whole || t.Live < t.G.Template.Window()) {
+	for k, s := range t.Graph.Scopes[c.scopes[c.depth]].Children {
+		f := &c.last().FanOuts[k]
+		for !t.NoNewSteps && f.ItemsKnown && f.NextItem < f.ItemCount && (len(f.LiveItems) == 0 || t.Graph.Scopes[s].Unwindowed || t.LiveItems < t.Graph.Template.Window()) {
 			it := t.item(s)
-			it.Value = strconv.Itoa(f.Next)
-			if f.Values != nil {
-				it.Value = f.Values[f.Next]
-			} else if items := t.Inputs[t.G.Scopes[s].Input].Items; len(items) > 0 {
-				it.Value = items[f.Next]
+			it.Value = strconv.Itoa(f.NextItem)
+			if f.ItemValues != nil {
+				it.Value = f.ItemValues[f.NextItem]
+			} else if items := t.Inputs[t.Graph.Scopes[s].Input].Items; len(items) > 0 {
+				it.Value = items[f.NextItem]
 			}
-			in := c.within(s, f.Next, it)
-			t.Live++
-			f.Next++
+			in := c.within(s, f.NextItem, it)
+			t.LiveItems++
+			f.NextItem++
 			t.settle(in, now)
 			t.open(in, now)
 			t.clamp(c.depth)
 			if t.complete(in) {
-				t.Live--
+				t.LiveItems--
 				continue
 			}
-			if f.Live == nil {
-				f.Live = map[int]*Item{}
+			if f.LiveItems == nil {
+				f.LiveItems = map[int]*Item{}
 			}
-			f.Live[f.Next-1] = it
+			f.LiveItems[f.NextItem-1] = it
 		}
 		t.settle(c, now)
 	}
--- a/internal/fleet/workflow/graph/graph.go
+++ b/internal/fleet/workflow/graph/graph.go
@@ -14,76 +14,76 @@
 
 // Scope is one fan-out, or the flow itself (the first).
 type Scope struct {
-	Parent int    // under 0: the flow itself
-	Depth  int    // of the flow itself 0
-	Input  string // whose items it has; empty: a step's result
-	Source int    // that step; under 0: an input
-	Steps  []int
-	Subs   []int // fan-outs within it
-	Whole  bool  // its items wait for a step that waits for all of them: all are under way at once
+	Parent     int    // under 0: the flow itself
+	Depth      int    // of the flow itself 0
+	Input      string // whose items it has; empty: a step's result
+	SourceStep int    // that step; under 0: an input
+	Steps      []int
+	Children   []int // fan-outs within it
+	Unwindowed bool  // its items wait for a step that waits for all of them: all are under way at once
 }
 
 // Node is one step.
 type Node struct {
 	template.Step
-	Scope   int
-	Place   int           // among its scope's steps
-	Needs   []int         // steps
-	Dormant bool          // runs only where another step's end says so
-	Failed  int           // step that is run where it fails; under 0: none
-	Unknown int           // and where it is unknown
-	Left    time.Duration // from its start to the flow's end, on the critical path
-	Below   bool          // a step of a fan-out within its scope waits for it
-	Fans    []int         // fan-outs over its result
-	Takes   bool          // its result goes to later steps
-	Undoes  bool          // it takes back what a failed step has left
+	Scope                 int
+	Index                 int           // among its scope's steps
+	Dependencies          []int         // steps
+	IsHandler             bool          // runs only where another step's end says so
+	FailedHandler         int           // step that is run where it fails; under 0: none
+	UnknownHandler        int           // and where it is unknown
+	RemainingCriticalPath time.Duration // from its start to the flow's end, on the critical path
+	Below                 bool          // a step of a fan-out within its scope waits for it
+	FanOuts               []int         // fan-outs over its result
+	ResultUsed            bool          // its result goes to later steps
+	Compensates           bool          // it takes back what a failed step has left
 }
 
 // Graph is one template's.
 type Graph struct {
-	Template template.Template
-	Scopes   []Scope
-	Nodes    []Node
-	Critical time.Duration // typical time from submission to the end
+	Template     template.Template
+	Scopes       []Scope
+	Nodes        []Node
+	CriticalPath time.Duration // typical time from submission to the end
 }
 
 // Compile makes a template's graph.
 func Compile(t template.Template) (*Graph, error) {
-	g := &Graph{Template: t, Scopes: []Scope{{Parent: -1, Source: -1}}}
+	g := &Graph{Template: t, Scopes: []Scope{{Parent: -1, SourceStep: -1}}}
 	at := map[string]int{}
 	wrong := func(step int, key, expected, what string, args ...any) error {
-		e := &template.Error{Template: t.Name, Step: step, Key: key, What: fmt.Sprintf(what, args...), Expected: expected}
+		e := &template.Error{Template: t.Name, StepIndex: step, Key: key, Problem: fmt.Sprintf(what, args...), Expected: expected}
 		if step >= 0 {
-			e.Name = t.Steps[step].Name
+			e.StepName = t.Steps[step].Name
 		}
 		return e
 	}
 	switch {
-	case !template.Named(t.Name):
+	case !template.ValidName(t.Name):
 		return nil, wrong(-1, "name", "1 to 100 letters, digits and . _ : @ -", "%q", t.Name)
 	case len(t.Steps) == 0 || len(t.Steps) > template.MaxSteps:
 		return nil, wrong(-1, "step", fmt.Sprintf("1 to %d", template.MaxSteps), "%d of them", len(t.Steps))
-	case t.Most < 0 || t.Most > 100_000:
-		return nil, wrong(-1, "most", "0 to 100000", "%d", t.Most)
-	case t.Fan < 0 || t.Fan > template.MaxFan:
-		return nil, wrong(-1, "fan", fmt.Sprintf("0 to %d", template.MaxFan), "%d", t.Fan)
-	case !(t.Share >= 0 && t.Share <= 1):
-		return nil, wrong(-1, "share", "0 to 1", "%v", t.Share)
+	case t.MaxLiveItems < 0 || t.MaxLiveItems > 100_000:
+		return nil, wrong(-1, "most", "0 to 100000", "%d", t.MaxLiveItems)
+	case t.MaxFanOut < 0 || t.MaxFanOut > template.MaxFanOut:
+		return nil, wrong(-1, "fan", fmt.Sprintf("0 to %d", template.MaxFanOut), "%d", t.MaxFanOut)
+	case !(t.DispatcherShare >= 0 && t.DispatcherShare <= 1):
+		return nil, wrong(-1, "share", "0 to 1", "%v", t.DispatcherShare)
 	}
 	for i, s := range t.Steps {
 		_, twice := at[s.Name]
 		switch {
-		case !template.Named(s.Name) || twice:
+		case !template.ValidName(s.Name) || twice:
 			return nil, wrong(i, "name", "a name that no other step has, of letters, digits and . _ : @ -", "%q", s.Name)
 		case s.Class == "":
 			return nil, wrong(i, "class", "a class of the settings", "missing")
-		case s.NotBefore < 0 || s.Runs < 0:
-			return nil, wrong(i, "not_before", "no time under 0", "%v, %v", s.NotBefore, s.Runs)
-		case s.Tries < 0 || s.Tries > template.MaxTries:
-			return nil, wrong(i, "tries", fmt.Sprintf("0 to %d", template.MaxTries), "%d", s.Tries)
+		case s.StartDelay < 0 || s.TypicalDuration < 0:
+			return nil, wrong(i, "not_before", "no time under 0", "%v, %v", s.StartDelay, s.TypicalDuration)
+		case s.MaxAttempts < 0 || s.MaxAttempts > template.MaxAttempts:
+			return nil, wrong(i, "tries", fmt.Sprintf("0 to %d", template.MaxAttempts), "%d", s.MaxAttempts)
 		}
 		at[s.Name] = i
-		g.Nodes = append(g.Nodes, Node{Step: s, Failed: -1, Unknown: -1})
+		g.Nodes = append(g.Nodes, Node{Step: s, FailedHandler: -1, UnknownHandler: -1})
 	}
 	for i := range g.Nodes {
 		n := &g.Nodes[i]
@@ -92,15 +92,15 @@
 			if !ok {
 				return nil, wrong(i, "needs", "steps of this template", "%q is none", name)
 			}
-			n.Needs = append(n.Needs, j)
-			g.Nodes[j].Takes = true
+			n.Dependencies = append(n.Dependencies, j)
+			g.Nodes[j].ResultUsed = true
 		}
 		for _, r := range []struct {
 			key string
 			to  *int
 			r   template.Reaction
-		}{{"on_failed", &n.Failed, n.OnFailed}, {"on_unknown", &n.Unknown, n.OnUnknown}} {
-			if r.r.Act != template.Go && r.r.Act != template.Undo {
+		}{{"on_failed", &n.FailedHandler, n.OnFailed}, {"on_unknown", &n.UnknownHandler, n.OnUnknown}} {
+			if r.r.Action != template.RunAlternative && r.r.Action != template.Compensate {
 				continue
 			}
 			j, ok := at[r.r.Step]
@@ -108,8 +108,8 @@
 				return nil, wrong(i, r.key, "another step of this template", "%q is none", r.r.Step)
 			}
 			*r.to = j
-			g.Nodes[j].Dormant = true
-			g.Nodes[j].Undoes = g.Nodes[j].Undoes || r.r.Act == template.Undo
+			g.Nodes[j].IsHandler = true
+			g.Nodes[j].Compensates = g.Nodes[j].Compensates || r.r.Action == template.Compensate
 		}
 	}
 	order, err := g.sort(wrong)
@@ -121,15 +121,15 @@
 	}
 	for i := range g.Nodes {
 		n := &g.Nodes[i]
-		for _, j := range []int{n.Failed, n.Unknown} {
+		for _, j := range []int{n.FailedHandler, n.UnknownHandler} {
 			if j < 0 {
 				continue
 			}
-			if len(g.Nodes[j].Needs) > 0 || !g.within(n.Scope, g.Nodes[j].Scope) || n.Scope != g.Nodes[j].Scope {
+			if len(g.Nodes[j].Dependencies) > 0 || !g.within(n.Scope, g.Nodes[j].Scope) || n.Scope != g.Nodes[j].Scope {
 				return nil, wrong(i, "on_failed", "a step without needs of the same fan-out", "%q is not", g.Nodes[j].Name)
 			}
 		}
-		for _, j := range n.Needs {
+		for _, j := range n.Dependencies {
 			if g.Nodes[j].Scope != n.Scope && g.within(n.Scope, g.Nodes[j].Scope) {
 				g.Nodes[j].Below = true
 			}
@@ -140,14 +140,14 @@
 	}
 	for _, i := range slices.Backward(order) {
 		n := &g.Nodes[i]
-		n.Left += n.Typical()
+		n.RemainingCriticalPath += n.ExpectedDuration()
 		for _, j := range g.before(i) {
-			g.Nodes[j].Left = max(g.Nodes[j].Left, n.Left+n.NotBefore)
+			g.Nodes[j].RemainingCriticalPath = max(g.Nodes[j].RemainingCriticalPath, n.RemainingCriticalPath+n.StartDelay)
 		}
-		g.Critical = max(g.Critical, n.Left+n.NotBefore)
+		g.CriticalPath = max(g.CriticalPath, n.RemainingCriticalPath+n.StartDelay)
 	}
-	if t.Wanted > 0 && t.Wanted < g.Critical {
-		return nil, wrong(-1, "wanted", fmt.Sprintf("%v at least, its critical path", g.Critical), "%v", t.Wanted)
+	if t.TargetMakespan > 0 && t.TargetMakespan < g.CriticalPath {
+		return nil, wrong(-1, "wanted", fmt.Sprintf("%v at least, its critical path", g.CriticalPath), "%v", t.TargetMakespan)
 	}
 	return g, nil
 }
@@ -156,9 +156,9 @@
 // those whose end it is run by.
 func (g *Graph) before(i int) (out []int) {
 	n := &g.Nodes[i]
-	out = append(out, n.Needs...)
+	out = append(out, n.Dependencies...)
 	for j := range g.Nodes {
-		if m := &g.Nodes[j]; m.Failed == i || m.Unknown == i || n.Each != "" && n.Each == m.Name {
+		if m := &g.Nodes[j]; m.FailedHandler == i || m.UnknownHandler == i || n.FanOutOver != "" && n.FanOutOver == m.Name {
 			out = append(out, j)
 		}
 	}
@@ -205,27 +205,27 @@
 func (g *Graph) fan(order []int, at map[string]int, wrong func(int, string, string, string, ...any) error) error {
 	for _, i := range order {
 		n := &g.Nodes[i]
-		if n.Each != "" {
-			parent, input, source := 0, n.Each, -1
-			if j, ok := at[n.Each]; ok {
+		if n.FanOutOver != "" {
+			parent, input, source := 0, n.FanOutOver, -1
+			if j, ok := at[n.FanOutOver]; ok {
 				parent, input, source = g.Nodes[j].Scope, "", j
 			}
-			n.Scope = slices.IndexFunc(g.Scopes, func(s Scope) bool { return s.Parent == parent && s.Input == input && s.Source == source })
+			n.Scope = slices.IndexFunc(g.Scopes, func(s Scope) bool { return s.Parent == parent && s.Input == input && s.SourceStep == source })
 			if n.Scope < 0 {
 				n.Scope = len(g.Scopes)
-				g.Scopes = append(g.Scopes, Scope{Parent: parent, Depth: g.Scopes[parent].Depth + 1, Input: input, Source: source})
-				g.Scopes[parent].Subs = append(g.Scopes[parent].Subs, n.Scope)
+				g.Scopes = append(g.Scopes, Scope{Parent: parent, Depth: g.Scopes[parent].Depth + 1, Input: input, SourceStep: source})
+				g.Scopes[parent].Children = append(g.Scopes[parent].Children, n.Scope)
 				if source >= 0 {
-					g.Nodes[source].Fans = append(g.Nodes[source].Fans, n.Scope)
-					g.Nodes[source].Takes = true
+					g.Nodes[source].FanOuts = append(g.Nodes[source].FanOuts, n.Scope)
+					g.Nodes[source].ResultUsed = true
 				}
 			}
-			if g.Scopes[n.Scope].Depth > template.MaxDepth {
-				return wrong(i, "each", fmt.Sprintf("%d fan-outs within each other at the most", template.MaxDepth), "%q", n.Each)
+			if g.Scopes[n.Scope].Depth > template.MaxFanOutDepth {
+				return wrong(i, "each", fmt.Sprintf("%d fan-outs within each other at the most", template.MaxFanOutDepth), "%q", n.FanOutOver)
 			}
 		}
 		s := &g.Scopes[n.Scope]
-		n.Place = len(s.Steps)
+		n.Index = len(s.Steps)
 		s.Steps = append(s.Steps, i)
 	}
 	return nil
@@ -252,8 +252,8 @@
 				if inside&(1<<i) == 0 || inside&(1<<k) != 0 || after[i]&(1<<k) == 0 || after[k]&inside == 0 {
 					continue
 				}
-				if g.Scopes[s].Whole = true; g.Template.Widest() > template.MaxWhole {
-					return wrong(i, "needs", fmt.Sprintf("fan %d at most where items wait for a step that waits for all of them", template.MaxWhole), "%q, with fan %d", g.Nodes[k].Name, g.Template.Widest())
+				if g.Scopes[s].Unwindowed = true; g.Template.FanOutLimit() > template.MaxUnwindowedItems {
+					return wrong(i, "needs", fmt.Sprintf("fan %d at most where items wait for a step that waits for all of them", template.MaxUnwindowedItems), "%q, with fan %d", g.Nodes[k].Name, g.Template.FanOutLimit())
 				}
 			}
 		}
@@ -271,24 +271,24 @@
 	return false
 }
 
-// Common is the innermost scope that has both.
-func (g *Graph) Common(a, b int) int {
+// CommonScope is the innermost scope that has both.
+func (g *Graph) CommonScope(a, b int) int {
 	for !g.within(b, a) {
 		a = g.Scopes[a].Parent
 	}
 	return a
 }
 
-// Toward is the fan-out within an outer scope that has an inner one.
-func (g *Graph) Toward(outer, inner int) int {
+// ChildToward is the fan-out within an outer scope that has an inner one.
+func (g *Graph) ChildToward(outer, inner int) int {
 	for g.Scopes[inner].Parent != outer {
 		inner = g.Scopes[inner].Parent
 	}
 	return inner
 }
 
-// Inputs are the names of the lists that a flow is submitted with.
-func (g *Graph) Inputs() (out []string) {
+// InputNames are the names of the lists that a flow is submitted with.
+func (g *Graph) InputNames() (out []string) {
 	for _, s := range g.Scopes {
 		if s.Input != "" {
 			out = append(out, s.Input)
@@ -297,11 +297,11 @@
 	return out
 }
 
-// Moments are the names of the moments that a flow is submitted with.
-func (g *Graph) Moments() (out []string) {
+// MomentNames are the names of the moments that a flow is submitted with.
+func (g *Graph) MomentNames() (out []string) {
 	for _, n := range g.Nodes {
-		if n.At != "" && !slices.Contains(out, n.At) {
-			out = append(out, n.At)
+		if n.StartMoment != "" && !slices.Contains(out, n.StartMoment) {
+			out = append(out, n.StartMoment)
 		}
 	}
 	return out
--- a/internal/fleet/workflow/pool/pool.go
+++ b/internal/fleet/workflow/pool/pool.go
@@ -22,11 +22,11 @@
 
 // Error is a pool that can't be.
 type Error struct {
-	Pool, Key, What, Expected string
+	Pool, Key, Problem, Expected string
 }
 
 func (e *Error) Error() string {
-	return fmt.Sprintf("pool %q: %s: %s; expected %s", e.Pool, e.Key, e.What, e.Expected)
+	return fmt.Sprintf("pool %q: %s: %s; expected %s", e.Pool, e.Key, e.Problem, e.Expected)
 }
 
 // Advice says what an operator can do.
@@ -35,8 +35,8 @@
 // Code is its word.
 func (e *Error) Code() string { return "flow-pool" }
 
-// Check tells what is wrong with some pools by themselves; nil: nothing is.
-func Check(all []Pool) error {
+// Validate tells what is wrong with some pools by themselves; nil: nothing is.
+func Validate(all []Pool) error {
 	if len(all) > MaxPools {
 		return &Error{"", "pool", fmt.Sprintf("%d of them", len(all)), fmt.Sprintf("%d at most", MaxPools)}
 	}
@@ -66,8 +66,8 @@
 	workers      []string
 }
 
-// Bind makes a set of pools, by the names of kinds and zones in the settings.
-func Bind(all []Pool, kinds, zones []string) (*Set, error) {
+// NewSet makes a set of pools, by the names of kinds and zones in the settings.
+func NewSet(all []Pool, kinds, zones []string) (*Set, error) {
 	s := &Set{}
 	for _, p := range all {
 		o := one{name: p.Name, cells: p.Cells, workers: p.Workers}
@@ -89,8 +89,8 @@
 	return s, nil
 }
 
-// Of are the pools that a worker is in, a bit each; 0: none. A nil set has none.
-func (s *Set) Of(name string, zone, kind, cell int) (bits uint64) {
+// PoolsOf are the pools that a worker is in, a bit each; 0: none. A nil set has none.
+func (s *Set) PoolsOf(name string, zone, kind, cell int) (bits uint64) {
 	if s == nil {
 		return 0
 	}
--- a/internal/fleet/workflow/simulation/dispatchers.go
+++ b/internal/fleet/workflow/simulation/dispatchers.go
@@ -39,7 +39,7 @@
 		v := p.s.CurrentPolicy().Version
 		p.send(d, statemachine.Command{LeaseRequest: &statemachine.LeaseRequest{Name: d.name, Incarnation: d.life, Seq: d.seq, KnownVersion: v, ServingVersion: v, CurrentGrant: d.grant}}, func(r statemachine.Result) {
 			if r.ClaimLease > 0 {
-				if p.plant == Uncounted {
+				if p.plant == LeaseFromAnswer {
 					asked = p.clock(d)
 				}
 				if d.hand.Renew(asked, p.clock(d), r.ClaimLease, r.Generation) {
@@ -53,21 +53,21 @@
 
 // lapse calls off what may be another's, but what is never to be repeated.
 func (p *play) lapse(d *dispatcher) {
-	if p.plant == Restless {
+	if p.plant == KeepRunningAfterLapse {
 		return
 	}
 	for _, no := range d.held() {
 		if t := d.out[no]; t.at != nil && t.task.Class != "once" && !t.over {
 			t.at.to = min(t.at.to, p.now)
-			p.end(d, no, t, claims.Ended{How: claims.Unknown, Repeats: true, Why: "called off"})
+			p.end(d, no, t, claims.StepEnd{Outcome: claims.OutcomeUnknown, Repeatable: true, Reason: "called off"})
 		}
 	}
 }
 
-func (p *play) end(d *dispatcher, no uint64, t *try, e claims.Ended) {
+func (p *play) end(d *dispatcher, no uint64, t *try, e claims.StepEnd) {
 	t.over = true
-	e.No = no
-	d.hand.End(e)
+	e.ClaimNumber = no
+	d.hand.EndStep(e)
 	delete(d.out, no)
 }
 
@@ -75,7 +75,7 @@
 func (p *play) work(d *dispatcher, life uint64) {
 	p.at(d, life, func() {
 		now := p.clock(d)
-		if !d.hand.Look(now) {
+		if !d.hand.CheckLease(now) {
 			p.lapse(d)
 		} else {
 			p.say(d)
@@ -91,7 +91,7 @@
 }
 
 func (p *play) say(d *dispatcher) {
-	c := d.hand.Say(4)
+	c := d.hand.NextReport(4)
 	if c == nil || d.saying {
 		return
 	}
@@ -100,12 +100,12 @@
 	p.send(d, statemachine.Command{Workflow: c}, func(r statemachine.Result) {
 		d.saying = false
 		if r.Workflow != nil {
-			d.hand.Said(c, *r.Workflow)
-			if c.Mark != nil && p.stormy() && p.rnd.IntN(60) == 0 {
+			d.hand.ReportAnswered(c, *r.Workflow)
+			if c.RecordIntents != nil && p.stormy() && p.rnd.IntN(60) == 0 {
 				d.thaw = max(d.thaw, p.now+p.pause(3*lease)) // between the keepers' word and the first byte
 			}
 		} else if r.Code == (&claims.LeaseError{}).Code() {
-			d.hand.Doubt()
+			d.hand.Invalidate()
 			p.lapse(d)
 		}
 	})
@@ -114,9 +114,9 @@
 
 func (p *play) claim(d *dispatcher) {
 	want := 3
-	if d.hand.Doubts() {
+	if d.hand.NeedsResync() {
 		want = 0
-	} else if d.hand.Held() >= want {
+	} else if d.hand.HeldSteps() >= want {
 		return
 	}
 	if d.claiming {
@@ -124,23 +124,25 @@
 	}
 	d.claiming = true
 	life, told := d.life, p.clock(d)
-	c, asked := d.hand.Claim(told, want, []string{""})
+	c, asked := d.hand.NextClaim(told, want, []string{""})
 	p.send(d, statemachine.Command{Workflow: &claims.Command{Claim: c}}, func(r statemachine.Result) {
 		d.claiming = false
 		if r.Workflow == nil {
 			return
 		}
-		if p.plant == Unfenced {
-			_, asked = d.hand.Claim(told, want, nil)
+		if p.plant == AcceptStaleAnswer {
+			_, asked = d.hand.NextClaim(told, want, nil)
 		}
-		for _, t := range d.hand.Took(asked, r.Workflow.Tasks) {
-			d.out[t.No] = &try{task: t, told: told, cell: p.rnd.IntN(cells)}
+		for _, t := range d.hand.AcceptClaimed(asked, r.Workflow.Claimed) {
+			d.out[t.ClaimNumber] = &try{task: t, told: told, cell: p.rnd.IntN(cells)}
 		}
 	})
 	p.after(200*time.Millisecond, func() { p.at(d, life, func() { d.claiming = false }) })
 }
 
-func name(t *claims.Task) string { return fmt.Sprintf("%s/%s%v", t.Flow, t.Step, t.Ref.Path) }
+func name(t *claims.ClaimedStep) string {
+	return fmt.Sprintf("%s/%s%v", t.Workflow, t.Step, t.Ref.Path)
+}
 
 // carry takes one step as far as it goes now.
 func (p *play) carry(d *dispatcher, no uint64, t *try) {
@@ -148,33 +150,33 @@
 	switch {
 	case t.at != nil:
 		return
-	case d.hand.Void(no) && p.plant != Unlooked && p.plant != Unfenced:
-		p.end(d, no, t, claims.Ended{How: claims.Back})
+	case d.hand.Revoked(no) && p.plant != SkipLeaseCheck && p.plant != AcceptStaleAnswer:
+		p.end(d, no, t, claims.StepEnd{Outcome: claims.OutcomeRequeue})
 		return
-	case t.task.Class == "keyed" && t.task.Left > 0 && now-t.told >= t.task.Left:
-		p.end(d, no, t, claims.Ended{How: claims.Unknown, Repeats: true})
+	case t.task.Class == "keyed" && t.task.RepeatWindowLeft > 0 && now-t.told >= t.task.RepeatWindowLeft:
+		p.end(d, no, t, claims.StepEnd{Outcome: claims.OutcomeUnknown, Repeatable: true})
 		return
 	}
-	m := claims.Marked{No: no, Once: t.task.Class == "once", Anew: t.task.Left == 0}
+	m := claims.DispatchIntent{ClaimNumber: no, AtMostOnce: t.task.Class == "once", NotRunBefore: t.task.RepeatWindowLeft == 0}
 	if t.task.Class == "keyed" {
-		if t.task.Cell > 0 {
-			t.cell = t.task.Cell - 1
+		if t.task.PinnedCell > 0 {
+			t.cell = t.task.PinnedCell - 1
 		}
-		m.Cell, m.Window = t.cell+1, window*9/10
+		m.PinnedCell, m.DedupWindow = t.cell+1, window*9/10
 	}
-	d.hand.Ask(m)
-	may := d.hand.May(now, no)
+	d.hand.RequestIntent(m)
+	may := d.hand.MaySend(now, no)
 	switch p.plant {
-	case Unmarked:
-		may = d.hand.Look(now) && !d.hand.Void(no)
-	case Unlooked:
-		may = d.hand.Written(no)
+	case SendWithoutIntent:
+		may = d.hand.CheckLease(now) && !d.hand.Revoked(no)
+	case SkipLeaseCheck:
+		may = d.hand.IntentRecorded(no)
 	}
 	if !may {
 		return
 	}
 	if p.rnd.IntN(12) == 0 { // it can't be reached: it has not run
-		p.end(d, no, t, claims.Ended{How: claims.Back, After: 20 * time.Millisecond})
+		p.end(d, no, t, claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: 20 * time.Millisecond})
 		return
 	}
 	long := 400 * time.Millisecond
@@ -196,12 +198,12 @@
 			if t.over {
 				return
 			}
-			e := claims.Ended{How: claims.Done, Repeats: t.task.Class != "once"}
+			e := claims.StepEnd{Outcome: claims.OutcomeDone, Repeatable: t.task.Class != "once"}
 			switch {
 			case lost:
-				e.How, e.Why = claims.Unknown, "its answer was lost"
+				e.Outcome, e.Reason = claims.OutcomeUnknown, "its answer was lost"
 			case !r.ok:
-				e.How, e.Why = claims.Failed, "failed"
+				e.Outcome, e.Reason = claims.OutcomeFailed, "failed"
 			}
 			p.end(d, no, t, e)
 		})
@@ -211,13 +213,13 @@
 // check judges a send at the moment at which it is made.
 func (p *play) check(t *try, r *run) {
 	before := p.runs[name(&t.task)]
-	p.res.Runs++
-	if p.s.Workflows.Claims[t.task.No] == nil {
+	p.res.Sends++
+	if p.s.Workflows.Claims[t.task.ClaimNumber] == nil {
 		p.wrong("%s is sent by %s under a claim that was taken back", name(&t.task), r.by.name)
 	}
 	if len(before) == 0 {
 		if t.task.Step == "package" && t.task.Class == "keyed" {
-			loan := fmt.Sprintf("%s/loan%v", t.task.Flow, t.task.Ref.Path)
+			loan := fmt.Sprintf("%s/loan%v", t.task.Workflow, t.task.Ref.Path)
 			if all := p.runs[loan]; len(all) != 1 || all[0].to > p.now {
 				p.wrong("%s is sent before %s has ended", name(&t.task), loan)
 			}
--- a/internal/fleet/workflow/simulation/end.go
+++ b/internal/fleet/workflow/simulation/end.go
@@ -10,8 +10,8 @@
 		return false
 	}
 	for key := range keys {
-		f := p.s.Workflows.Flows[key]
-		if f == nil || f.State < claims.Finished && f.State != claims.Held {
+		f := p.s.Workflows.Workflows[key]
+		if f == nil || f.State < claims.WorkflowDone && f.State != claims.WorkflowHeld {
 			return false
 		}
 	}
@@ -19,23 +19,23 @@
 }
 
 func (p *play) judge(keys map[string]int) {
-	p.res.Flows, p.res.Expired = len(keys), p.s.Workflows.Expired
+	p.res.Workflows, p.res.ExpiredClaims = len(keys), p.s.Workflows.ExpiredClaims
 	for key := range keys {
-		f := p.s.Workflows.Flows[key]
+		f := p.s.Workflows.Workflows[key]
 		switch {
 		case f == nil:
 			p.wrong("flow %s is lost", key)
 			continue
-		case f.State < claims.Finished && f.State != claims.Held:
-			p.wrong("flow %s is %v in the end: %+v", key, f.State, f.Ends)
+		case f.State < claims.WorkflowDone && f.State != claims.WorkflowHeld:
+			p.wrong("flow %s is %v in the end: %+v", key, f.State, f.EndCounts)
 			continue
-		case f.State != claims.Finished:
+		case f.State != claims.WorkflowDone:
 			continue
 		}
-		p.res.Steps += f.Ends[0] + f.Ends[1] + f.Ends[2] + f.Ends[3]
-		p.res.Unknown += f.Ends[2]
-		if want := 2*keys[key] + 1; keys[key]%4 != 0 && f.Ends[0]+f.Ends[1]+f.Ends[2]+f.Ends[3] != want {
-			p.wrong("flow %s has ended with %v of %d steps", key, f.Ends, want)
+		p.res.Steps += f.EndCounts[0] + f.EndCounts[1] + f.EndCounts[2] + f.EndCounts[3]
+		p.res.Unknown += f.EndCounts[2]
+		if want := 2*keys[key] + 1; keys[key]%4 != 0 && f.EndCounts[0]+f.EndCounts[1]+f.EndCounts[2]+f.EndCounts[3] != want {
+			p.wrong("flow %s has ended with %v of %d steps", key, f.EndCounts, want)
 		}
 		ran := 0
 		for at, all := range p.runs {
@@ -48,8 +48,8 @@
 				}
 			}
 		}
-		if f.Ends[0] > ran {
-			p.wrong("flow %s has %d steps done, and %d ran to their end", key, f.Ends[0], ran)
+		if f.EndCounts[0] > ran {
+			p.wrong("flow %s has %d steps done, and %d ran to their end", key, f.EndCounts[0], ran)
 		}
 	}
 }
--- a/internal/fleet/workflow/simulation/faults.go
+++ b/internal/fleet/workflow/simulation/faults.go
@@ -48,11 +48,11 @@
 	case 10:
 		p.stalled = p.now + p.pause(lease)
 	case 8:
-		if p.plant == Early {
-			p.s.Workflows.Gone(p.s.Now, claims.Who(d.name, d.life))
+		if p.plant == EarlyReclaim {
+			p.s.Workflows.ReclaimFrom(p.s.Now, claims.DispatcherKey(d.name, d.life))
 		}
 	case 9:
-		if p.plant == Ready {
+		if p.plant == RequeuePossiblyRun {
 			p.forget()
 		}
 	}
@@ -85,22 +85,22 @@
 
 // operate is what an operator does now and then: one settles a step that is stuck, or cancels a flow.
 func (p *play) operate() {
-	for _, key := range slices.Sorted(maps.Keys(p.s.Workflows.Flows)) {
-		f := p.s.Workflows.Flows[key]
-		var stuck *expansion.Ref
-		if f.Tree != nil && f.State == claims.Held {
-			f.Tree.Each(func(r expansion.Ref, run *expansion.Run) {
-				if run.State == expansion.Stuck {
+	for _, key := range slices.Sorted(maps.Keys(p.s.Workflows.Workflows)) {
+		f := p.s.Workflows.Workflows[key]
+		var stuck *expansion.StepRef
+		if f.Tree != nil && f.State == claims.WorkflowHeld {
+			f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
+				if run.State == expansion.AwaitingOperator {
 					stuck = &r
 				}
 			})
 		}
 		if stuck != nil {
-			p.apply(statemachine.Command{Workflow: &claims.Command{Settle: &claims.Settle{Flow: key, Who: "o", Ref: *stuck, As: claims.Failed}}})
+			p.apply(statemachine.Command{Workflow: &claims.Command{Resolve: &claims.Resolution{Workflow: key, RequestedBy: "o", Step: *stuck, Outcome: claims.OutcomeFailed}}})
 			return
 		}
 		if f.Tree != nil && p.rnd.IntN(60) == 0 {
-			p.apply(statemachine.Command{Workflow: &claims.Command{Cancel: &claims.Cancel{Flow: key, Who: "o"}}})
+			p.apply(statemachine.Command{Workflow: &claims.Command{Cancel: &claims.Cancellation{Workflow: key, RequestedBy: "o"}}})
 			return
 		}
 	}
@@ -108,17 +108,17 @@
 
 // forget is what a ledger would do that did not know that a step may have run.
 func (p *play) forget() {
-	for _, f := range p.s.Workflows.Flows {
+	for _, f := range p.s.Workflows.Workflows {
 		if f.Tree != nil {
-			f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) {
+			f.Tree.ForEachStep(func(_ expansion.StepRef, r *expansion.StepRun) {
 				if r.State == expansion.Claimed {
-					r.Marked, r.Turn = 0, 0
+					r.PossiblyExecutedAt, r.IntentSequence = 0, 0
 				}
 			})
 		}
 	}
 	for _, who := range p.s.Workflows.Holders() {
-		p.s.Workflows.Gone(p.s.Now, who)
+		p.s.Workflows.ReclaimFrom(p.s.Now, who)
 	}
 }
 
--- a/internal/fleet/workflow/simulation/keepers.go
+++ b/internal/fleet/workflow/simulation/keepers.go
@@ -64,7 +64,7 @@
 	}
 	switch {
 	case err != nil:
-	case p.plant != None: // planted faults are in one state alone
+	case p.plant != NoFault: // planted faults are in one state alone
 		p.s = other
 	default:
 		p.s, p.twin = other, p.s
@@ -72,10 +72,10 @@
 	if err != nil {
 		p.wrong("%v", err)
 	}
-	if p.plant == Unremembered {
-		for _, f := range p.s.Workflows.Flows {
+	if p.plant == ForgetIntentsInSnapshot {
+		for _, f := range p.s.Workflows.Workflows {
 			if f.Tree != nil {
-				f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) { r.Marked, r.Turn = 0, 0 })
+				f.Tree.ForEachStep(func(_ expansion.StepRef, r *expansion.StepRun) { r.PossiblyExecutedAt, r.IntentSequence = 0, 0 })
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 	if form == "course" {
 		in["titles"] = expansion.Input{Count: titles}
 	}
-	r := p.apply(statemachine.Command{Workflow: &claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}}})
+	r := p.apply(statemachine.Command{Workflow: &claims.Command{Submit: &claims.Submission{Key: key, Template: form, Inputs: in}}})
 	if r.Workflow == nil {
 		p.after(100*time.Millisecond, func() { p.submit(key, titles) })
 	}
--- a/internal/fleet/workflow/simulation/planted_test.go
+++ b/internal/fleet/workflow/simulation/planted_test.go
@@ -9,11 +9,11 @@
 
 // Each fault that is planted is found.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for _, f := range All {
+	for _, f := range AllFaults {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(300) {
-				if len(Play(seed, f).Wrong) > 0 {
+				if len(Run(seed, f).Violations) > 0 {
 					t.Log("by seed", seed)
 					return
 				}
--- a/internal/fleet/workflow/simulation/storm.go
+++ b/internal/fleet/workflow/simulation/storm.go
@@ -20,24 +20,24 @@
 	"yardflow/internal/fleet/workflow/template"
 )
 
-// Planted is a fault that is in the play on purpose.
-type Planted string
+// PlantedFault is a fault that is in the play on purpose.
+type PlantedFault string
 
 // The faults that can be planted.
 const (
-	None         Planted = ""
-	Unmarked     Planted = "a step is sent before the keepers have written that it may run"
-	Unlooked     Planted = "a dispatcher does not look at its stay before it sends"
-	Uncounted    Planted = "a stay counts from its answer, and not from its question"
-	Early        Planted = "the keepers take claims back while their holder's stay holds"
-	Unfenced     Planted = "an answer's lapse is not looked at"
-	Unremembered Planted = "a mark is forgotten by a snapshot"
-	Restless     Planted = "a try is not called off when the stay lapses"
-	Ready        Planted = "a step that may have run is ready again when its holder is lost"
+	NoFault                 PlantedFault = ""
+	SendWithoutIntent       PlantedFault = "a step is sent before the keepers have written that it may run"
+	SkipLeaseCheck          PlantedFault = "a dispatcher does not look at its stay before it sends"
+	LeaseFromAnswer         PlantedFault = "a stay counts from its answer, and not from its question"
+	EarlyReclaim            PlantedFault = "the keepers take claims back while their holder's stay holds"
+	AcceptStaleAnswer       PlantedFault = "an answer's lapse is not looked at"
+	ForgetIntentsInSnapshot PlantedFault = "a mark is forgotten by a snapshot"
+	KeepRunningAfterLapse   PlantedFault = "a try is not called off when the stay lapses"
+	RequeuePossiblyRun      PlantedFault = "a step that may have run is ready again when its holder is lost"
 )
 
-// All are all that can be planted.
-var All = []Planted{Unmarked, Unlooked, Uncounted, Early, Unfenced, Unremembered, Restless, Ready}
+// AllFaults are all that can be planted.
+var AllFaults = []PlantedFault{SendWithoutIntent, SkipLeaseCheck, LeaseFromAnswer, EarlyReclaim, AcceptStaleAnswer, ForgetIntentsInSnapshot, KeepRunningAfterLapse, RequeuePossiblyRun}
 
 const (
 	lease  = 1500 * time.Millisecond
@@ -49,9 +49,9 @@
 
 // Result is what came of a play.
 type Result struct {
-	Wrong                      []string // what must not be, and was
-	Flows, Steps, Runs         int
-	Unknown, Repeated, Expired int
+	Violations                       []string // what must not be, and was
+	Workflows, Steps, Sends          int
+	Unknown, Repeated, ExpiredClaims int
 }
 
 // run is one step at a worker.
@@ -72,7 +72,7 @@
 	thaw     time.Duration // it stands still until then
 	cut      time.Duration // its messages are lost until then
 	slow     time.Duration // answers to what comes until then take most of a lease
-	hand     *claimant.Hand
+	hand     *claimant.Claimant
 	out      map[uint64]*try
 	saying   bool
 	claiming bool
@@ -83,7 +83,7 @@
 func (d *dispatcher) held() []uint64 { return slices.Sorted(maps.Keys(d.out)) }
 
 type try struct {
-	task claims.Task
+	task claims.ClaimedStep
 	told time.Duration
 	at   *run
 	over bool
@@ -114,7 +114,7 @@
 // play is one.
 type play struct {
 	rnd            *rand.Rand
-	plant          Planted
+	plant          PlantedFault
 	now            time.Duration
 	queue          events
 	count          int
@@ -133,20 +133,20 @@
 
 // Templates are those that are played.
 func Templates() []template.Template {
-	pass := template.Reaction{Act: template.Pass}
-	return []template.Template{{Name: "course", Most: 6, Steps: []template.Step{
-		{Name: "loan", Class: "once", Each: "titles", OnFailed: pass, OnUnknown: pass},
-		{Name: "package", Class: "keyed", Each: "titles", Needs: []string{"loan"}, OnFailed: pass, OnUnknown: pass},
-		{Name: "collect", Class: "any", Needs: []string{"package"}, When: template.Any, Tries: 10},
-	}}, {Name: "undone", Most: 2, Steps: []template.Step{
-		{Name: "loan", Class: "once", OnFailed: template.Reaction{Act: template.Undo, Step: "return"}, OnUnknown: template.Reaction{Act: template.Hold}},
+	pass := template.Reaction{Action: template.Continue}
+	return []template.Template{{Name: "course", MaxLiveItems: 6, Steps: []template.Step{
+		{Name: "loan", Class: "once", FanOutOver: "titles", OnFailed: pass, OnUnknown: pass},
+		{Name: "package", Class: "keyed", FanOutOver: "titles", Needs: []string{"loan"}, OnFailed: pass, OnUnknown: pass},
+		{Name: "collect", Class: "any", Needs: []string{"package"}, Trigger: template.AllEnded, MaxAttempts: 10},
+	}}, {Name: "undone", MaxLiveItems: 2, Steps: []template.Step{
+		{Name: "loan", Class: "once", OnFailed: template.Reaction{Action: template.Compensate, Step: "return"}, OnUnknown: template.Reaction{Action: template.HoldForOperator}},
 		{Name: "return", Class: "once", OnUnknown: pass},
 		{Name: "package", Class: "keyed", Needs: []string{"loan"}, OnUnknown: pass},
 	}}}
 }
 
-// Play plays a storm.
-func Play(seed uint64, plant Planted) Result {
+// Run plays a storm.
+func Run(seed uint64, plant PlantedFault) Result {
 	p := &play{rnd: rand.New(rand.NewPCG(seed, 11)), plant: plant, runs: map[string][]*run{}, class: map[string]string{}}
 	p.s = statemachine.New(statemachine.Config{LeaseDuration: lease, VoteTimeout: time.Second, OnLeaseLoss: statemachine.KeepLastPolicy, PolicyHistory: 3})
 	p.s.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "one", Text: []byte("x"), Workflows: Templates()}})
@@ -193,5 +193,5 @@
 func (p *play) stormy() bool { return p.now < storms }
 
 func (p *play) wrong(format string, args ...any) {
-	p.res.Wrong = append(p.res.Wrong, fmt.Sprintf("%v: ", p.now)+fmt.Sprintf(format, args...))
+	p.res.Violations = append(p.res.Violations, fmt.Sprintf("%v: ", p.now)+fmt.Sprintf(format, args...))
 }
--- a/internal/fleet/workflow/template/template.go
+++ b/internal/fleet/workflow/template/template.go
@@ -11,127 +11,127 @@
 
 // Bounds of any template.
 const (
-	MaxSteps  = 64
-	MaxDepth  = 3       // fan-outs within each other
-	MaxFan    = 1 << 20 // items of one fan-out
-	MaxWhole  = 10000   // of one whose items wait for each other
-	MaxResult = 1024    // bytes of a result that goes to later steps
-	MaxInput  = 512 << 10
-	MaxTries  = 10
+	MaxSteps           = 64
+	MaxFanOutDepth     = 3       // fan-outs within each other
+	MaxFanOut          = 1 << 20 // items of one fan-out
+	MaxUnwindowedItems = 10000   // of one whose items wait for each other
+	MaxResultBytes     = 1024    // bytes of a result that goes to later steps
+	MaxInputBytes      = 512 << 10
+	MaxAttempts        = 10
 )
 
-// Named tells whether a text can name a flow, a template or a step: 1 to 100 of A-Z, a-z, 0-9 and
+// ValidName tells whether a text can name a flow, a template or a step: 1 to 100 of A-Z, a-z, 0-9 and
 // any of . _ : @ -, since names go into headers and files.
-func Named(text string) bool {
+func ValidName(text string) bool {
 	return len(text) > 0 && len(text) <= 100 && !strings.ContainsFunc(text, func(c rune) bool {
 		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && !strings.ContainsRune("._:@-", c)
 	})
 }
 
-// When is on which ends of what it needs a step runs; else it is skipped.
-type When uint8
+// TriggerRule is on which ends of what it needs a step runs; else it is skipped.
+type TriggerRule uint8
 
 // The conditions.
 const (
-	Done   When = iota // all are done
-	Failed             // one at least is not
-	Any                // all have ended, however
+	AllDone    TriggerRule = iota // all are done
+	AnyNotDone                    // one at least is not
+	AllEnded                      // all have ended, however
 )
 
-// Act is what becomes of a flow where a step fails, or is unknown.
-type Act uint8
+// Action is what becomes of a flow where a step fails, or is unknown.
+type Action uint8
 
 // The reactions.
 const (
-	Stop Act = iota // nothing more is begun; the flow ends as failed
-	Hold            // nothing more is begun until an operator has settled it
-	Go              // another step is run instead, and the flow goes on
-	Undo            // another step is run, and the flow ends as failed
-	Pass            // the flow goes on; what needs the step sees how it ended
+	FailWorkflow    Action = iota // nothing more is begun; the flow ends as failed
+	HoldForOperator               // nothing more is begun until an operator has settled it
+	RunAlternative                // another step is run instead, and the flow goes on
+	Compensate                    // another step is run, and the flow ends as failed
+	Continue                      // the flow goes on; what needs the step sees how it ended
 )
 
 // Reaction is an act, with the step that it runs.
 type Reaction struct {
-	Act  Act
-	Step string
+	Action Action `cbor:"Act" json:"Act"`
+	Step   string
 }
 
 // Step is one step of a template.
 type Step struct {
-	Name      string
-	Class     string // of jobs, in the settings
-	Pool      string // of workers; empty: any
-	Needs     []string
-	Each      string        // an input, or a step's result: one of this step for each item; empty: one
-	When      When          // on which ends of its needs
-	NotBefore time.Duration // after all it needs has ended
-	At        string        // a moment given at submission, before which it does not run
-	Runs      time.Duration // a typical run, by which the critical path is reckoned; 0: a second
-	Tries     int           // that may have run, where it may be repeated; 0: 3
-	OnFailed  Reaction
-	OnUnknown Reaction
+	Name            string
+	Class           string // of jobs, in the settings
+	Pool            string // of workers; empty: any
+	Needs           []string
+	FanOutOver      string        `cbor:"Each" json:"Each"`           // an input, or a step's result: one of this step for each item; empty: one
+	Trigger         TriggerRule   `cbor:"When" json:"When"`           // on which ends of its needs
+	StartDelay      time.Duration `cbor:"NotBefore" json:"NotBefore"` // after all it needs has ended
+	StartMoment     string        `cbor:"At" json:"At"`               // a moment given at submission, before which it does not run
+	TypicalDuration time.Duration `cbor:"Runs" json:"Runs"`           // a typical run, by which the critical path is reckoned; 0: a second
+	MaxAttempts     int           `cbor:"Tries" json:"Tries"`         // that may have run, where it may be repeated; 0: 3
+	OnFailed        Reaction
+	OnUnknown       Reaction
 }
 
 // Template is one kind of workflow.
 type Template struct {
-	Name   string
-	Tenant string        // whose jobs its steps are
-	Team   string        // under whose contract they come; empty: none
-	Wanted time.Duration // from submission to its end
-	Most   int           // items under way at once; 0: 64
-	Fan    int           // items of a fan-out at the most; 0: 10000
-	Share  float64       // of a dispatcher's open jobs that may be its steps while others want the room; 0: 0.2
-	Steps  []Step
+	Name            string
+	Tenant          string        // whose jobs its steps are
+	Team            string        // under whose contract they come; empty: none
+	TargetMakespan  time.Duration `cbor:"Wanted" json:"Wanted"` // from submission to its end
+	MaxLiveItems    int           `cbor:"Most" json:"Most"`     // items under way at once; 0: 64
+	MaxFanOut       int           `cbor:"Fan" json:"Fan"`       // items of a fan-out at the most; 0: 10000
+	DispatcherShare float64       `cbor:"Share" json:"Share"`   // of a dispatcher's open jobs that may be its steps while others want the room; 0: 0.2
+	Steps           []Step
 }
 
 // Window is how many items may be under way at once.
 func (t *Template) Window() int {
-	if t.Most == 0 {
+	if t.MaxLiveItems == 0 {
 		return 64
 	}
-	return t.Most
+	return t.MaxLiveItems
 }
 
-// Widest is how many items a fan-out may have.
-func (t *Template) Widest() int {
-	if t.Fan == 0 {
+// FanOutLimit is how many items a fan-out may have.
+func (t *Template) FanOutLimit() int {
+	if t.MaxFanOut == 0 {
 		return 10000
 	}
-	return t.Fan
+	return t.MaxFanOut
 }
 
-// Typical is a step's typical run.
-func (s *Step) Typical() time.Duration {
-	if s.Runs == 0 {
+// ExpectedDuration is a step's typical run.
+func (s *Step) ExpectedDuration() time.Duration {
+	if s.TypicalDuration == 0 {
 		return time.Second
 	}
-	return s.Runs
+	return s.TypicalDuration
 }
 
-// Most is how often a step that may be repeated is tried.
-func (s *Step) Most() int {
-	if s.Tries == 0 {
+// MaxLiveItems is how often a step that may be repeated is tried.
+func (s *Step) AttemptLimit() int {
+	if s.MaxAttempts == 0 {
 		return 3
 	}
-	return s.Tries
+	return s.MaxAttempts
 }
 
 // Error is a template that can't be run.
 type Error struct {
-	Template string
-	Step     int    // its place among the steps; under 0: the template itself is at fault
-	Name     string // of the step
-	Key      string // that is wrong
-	What     string
-	Expected string
+	Template  string
+	StepIndex int    // its place among the steps; under 0: the template itself is at fault
+	StepName  string // of the step
+	Key       string // that is wrong
+	Problem   string
+	Expected  string
 }
 
 func (e *Error) Error() string {
 	where := fmt.Sprintf("flow %q", e.Template)
-	if e.Step >= 0 {
-		where += fmt.Sprintf(", step %q", e.Name)
+	if e.StepIndex >= 0 {
+		where += fmt.Sprintf(", step %q", e.StepName)
 	}
-	return fmt.Sprintf("%s: %s: %s; expected %s", where, e.Key, e.What, e.Expected)
+	return fmt.Sprintf("%s: %s: %s; expected %s", where, e.Key, e.Problem, e.Expected)
 }
 
 // Advice says what an operator can do.
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -47,9 +47,9 @@
 	module   dispatch.Dispatcher               // touched by run alone
 	log      func(string)
 	budgets  atomic.Pointer[map[string]*budget]
-	desk     *quota.Desk                    // of the limits of the fleet; nil: there are none
+	desk     *quota.Limiter                 // of the limits of the fleet; nil: there are none
 	deskNow  func() time.Duration           // its clock
-	witness  *outlier.Witness               // of what is seen of workers; nil: nobody wants to know
+	witness  *outlier.Reporter              // of what is seen of workers; nil: nobody wants to know
 	bound    atomic.Int64                   // at each worker, as the module was told
 	cold     atomic.Int64                   // one more than the part of a cold worker, in millionths, as it was told; 0: none
 	observe  func(worker string, code Code) // nil: nobody wants to know
--- a/internal/gateway/broker/budget.go
+++ b/internal/gateway/broker/budget.go
@@ -77,11 +77,11 @@
 
 // Limit has all requests come under the limits of the whole fleet that a desk keeps, by its
 // clock. Before any request.
-func (b *Broker) Limit(d *quota.Desk, now func() time.Duration) { b.desk, b.deskNow = d, now }
+func (b *Broker) Limit(d *quota.Limiter, now func() time.Duration) { b.desk, b.deskNow = d, now }
 
 // admit takes a request in under the fleet's limits.
 func (b *Broker) admit(q *Request) (t quota.Ticket, short string, wait time.Duration) {
-	key := quota.Key{Team: q.Team, Class: q.Settings.Classes[q.Class].Name}
+	key := quota.Scope{Team: q.Team, Class: q.Settings.Classes[q.Class].Name}
 	if q.Tenant >= 0 && q.Tenant < len(q.Settings.Tenants) {
 		key.Tenant = q.Settings.Tenants[q.Tenant].Name
 	}
@@ -127,20 +127,20 @@
 
 // Rebound tells the module what the limits at each worker and at cold ones are now, and returns the first.
 func (b *Broker) Rebound() (most int, limited bool) {
-	most, limited = b.desk.AtWorker(b.deskNow())
+	most, limited = b.desk.PerWorkerLimit(b.deskNow())
 	told := int64(most)
 	if !limited {
 		told = 0
 	} else if most == 0 {
 		told = -1
 	}
-	part, handed := b.desk.Cold(b.deskNow())
+	part, handed := b.desk.WarmingShare(b.deskNow())
 	if !handed {
 		part = -1
 	}
 	if cold := b.cold.Swap(part + 1); b.bound.Swap(told) != told || cold != part+1 {
 		b.post(func(now time.Duration, out dispatch.Actions) {
-			b.module.SetWorkerLimits(now, int(b.bound.Load()), float64(b.cold.Load()-1)/quota.One, out)
+			b.module.SetWorkerLimits(now, int(b.bound.Load()), float64(b.cold.Load()-1)/quota.Unit, out)
 		})
 	}
 	return most, limited
--- a/internal/gateway/broker/job.go
+++ b/internal/gateway/broker/job.go
@@ -127,7 +127,7 @@
 	b := a.s.b
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return pool == "" || b.pools.Bit(pool)&b.pools.Of(a.Worker, a.Zone, a.Kind, a.Cell) != 0
+	return pool == "" || b.pools.Bit(pool)&b.pools.PoolsOf(a.Worker, a.Zone, a.Kind, a.Cell) != 0
 }
 
 // Do carries one attempt to its end and reports it. When ctx ends it must give
--- a/internal/gateway/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -31,14 +31,14 @@
 	told       dispatch.Worker // as the list has it
 	open       int             // attempts out there, where there are limits of the fleet
 	verdict    dispatch.Health
-	judged     outlier.Life // whose that is: another life of the worker is another matter
+	judged     outlier.Incarnation // whose that is: another life of the worker is another matter
 	trial      uint64
 	out, back  time.Duration // when it was last taken out, and called back; 0: never
 }
 
 // of is the life that the worker is in, as the list has it.
-func (p *place) of() outlier.Life {
-	return outlier.Life{Worker: p.name, Started: p.told.Launched.Milliseconds()}
+func (p *place) of() outlier.Incarnation {
+	return outlier.Incarnation{Worker: p.name, Started: p.told.Launched.Milliseconds()}
 }
 
 // entry is what the module is handed of a worker; the caller holds mu. A ban is a fact, not a
@@ -53,7 +53,7 @@
 	if p.of() == p.judged {
 		w.Health = p.verdict
 	}
-	w.Pools = b.pools.Of(p.name, w.Zone, w.Kind, w.Cell)
+	w.Pools = b.pools.PoolsOf(p.name, w.Zone, w.Kind, w.Cell)
 	if (p.banned || b.stale(p)) && w.State == dispatch.Ready {
 		w.State = dispatch.Draining
 	}
@@ -186,7 +186,7 @@
 	for _, p := range b.places {
 		if b.usable(p) {
 			any = true
-			pools |= b.pools.Of(p.name, p.told.Zone, p.told.Kind, p.told.Cell)
+			pools |= b.pools.PoolsOf(p.name, p.told.Zone, p.told.Kind, p.told.Cell)
 		}
 	}
 	return any, pools
--- a/internal/gateway/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -80,7 +80,7 @@
 		ticket = &t
 		defer func() {
 			if tried {
-				b.desk.Unretry(ticket)
+				b.desk.ReturnRetry(ticket)
 			}
 			b.desk.Done(ticket, ran)
 		}()
@@ -107,7 +107,7 @@
 		a := &Attempt{N: s.attempts, s: s, id: d.worker}
 		b.mu.Lock()
 		p := b.places[d.worker]
-		var of outlier.Life
+		var of outlier.Incarnation
 		if p != nil {
 			a.Worker, a.Addr, of = p.name, p.addr, p.of()
 			a.Zone, a.Kind, a.Cell = p.told.Zone, p.told.Kind, p.told.Cell
@@ -158,7 +158,7 @@
 		late = o.Code == TimedOut
 		last := false
 		if b.desk != nil && !gone && o.Code != NeverSent {
-			tried = b.desk.Retry(b.deskNow(), ticket)
+			tried = b.desk.TakeRetry(b.deskNow(), ticket)
 			last = !tried
 		}
 		s.report(a, o, gone, last)
--- a/internal/gateway/broker/verdicts.go
+++ b/internal/gateway/broker/verdicts.go
@@ -11,7 +11,7 @@
 )
 
 // Witness sets who notes what is seen of workers, by the clock of Limit. Before any request.
-func (b *Broker) Witness(w *outlier.Witness) { b.witness = w }
+func (b *Broker) Witness(w *outlier.Reporter) { b.witness = w }
 
 // Workers is how many workers the list has.
 func (b *Broker) Workers() (n int) {
@@ -27,10 +27,10 @@
 
 // Judged makes exactly these verdicts the ones that hold here. Trials that were given before go on
 // where news tells of none.
-func (b *Broker) Judged(all []outlier.Verdict, news bool) {
-	next := map[outlier.Life]outlier.Verdict{}
+func (b *Broker) Judged(all []outlier.EjectionNotice, news bool) {
+	next := map[outlier.Incarnation]outlier.EjectionNotice{}
 	for _, v := range all {
-		next[v.Of] = v
+		next[v.Subject] = v
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,11 +40,11 @@
 		is := dispatch.Healthy
 		switch {
 		case !condemned:
-		case news && p.judged == v.Of && p.verdict != dispatch.Healthy:
+		case news && p.judged == v.Subject && p.verdict != dispatch.Healthy:
 			continue
 		case v.Trial != 0 && v.Trial != p.trial:
 			is = dispatch.OnProbation
-		case v.Trial != 0 && p.judged == v.Of:
+		case v.Trial != 0 && p.judged == v.Subject:
 			is = p.verdict // it has it already
 		default:
 			is = dispatch.Ejected
@@ -52,7 +52,7 @@
 		if v.Trial != 0 {
 			p.trial = v.Trial
 		}
-		if is != p.verdict || condemned && p.judged != v.Of {
+		if is != p.verdict || condemned && p.judged != v.Subject {
 			p.verdict, p.judged = is, p.of()
 			list = append(list, b.entry(p))
 		}
@@ -69,16 +69,16 @@
 		return
 	}
 	p.verdict = dispatch.Ejected
-	b.witness.Try(b.deskNow(), p.judged, p.trial)
+	b.witness.StartTrial(b.deskNow(), p.judged, p.trial)
 	b.hand(dispatch.ListOverride, []dispatch.Worker{b.entry(p)})
 }
 
 // weights are what an outcome tells against a worker, in thousandths of a job. What never reached
 // it whole may be the way's fault, and what was called off is nobody's.
-var weights = map[Code]int64{Failed: outlier.One, TimedOut: outlier.One, ConnectFailed: outlier.One, Broken: outlier.One / 2}
+var weights = map[Code]int64{Failed: outlier.OneJob, TimedOut: outlier.OneJob, ConnectFailed: outlier.OneJob, Broken: outlier.OneJob / 2}
 
-func (b *Broker) testify(of outlier.Life, code Code) {
+func (b *Broker) testify(of outlier.Incarnation, code Code) {
 	if weight := weights[code]; weight > 0 || code == OK {
-		b.witness.Saw(b.deskNow(), of, code == OK, cmp.Or(weight, outlier.One))
+		b.witness.Observe(b.deskNow(), of, code == OK, cmp.Or(weight, outlier.OneJob))
 	}
 }
--- a/internal/gateway/broker/verdicts_test.go
+++ b/internal/gateway/broker/verdicts_test.go
@@ -18,12 +18,12 @@
 		b := open(t)
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
-		desk, witness := quota.NewDesk(), outlier.NewWitness(10*time.Second, 1)
+		desk, witness := quota.NewLimiter(), outlier.NewReporter(10*time.Second, 1)
 		b.Limit(desk, now)
 		b.Witness(witness)
 		life := time.UnixMilli(time.Now().Add(-time.Hour).UnixMilli())
 		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1, Started: life}, {ID: "b", Addr: "b:1", State: dispatch.Ready, Weight: 1}})
-		of := outlier.Life{Worker: "a", Started: life.UnixMilli()}
+		of := outlier.Incarnation{Worker: "a", Started: life.UnixMilli()}
 		serve := func() (to string, a Answer) {
 			a = b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(5 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
 				to = at.Worker
@@ -31,34 +31,34 @@
 			})
 			return to, a
 		}
-		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere}}, false)
+		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, false)
 		for range 20 {
 			if to, _ := serve(); to != "b" {
 				t.Fatalf("a job goes to %q", to)
 			}
 		}
-		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere, Trial: 7}}, false)
+		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false)
 		if to, _ := serve(); to != "a" {
 			t.Errorf("the trial's job goes to %q", to)
 		}
-		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere, Trial: 7}}, false) // told again
-		b.Judged([]outlier.Verdict{{Of: of, Zone: outlier.Everywhere}}, true)
+		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false) // told again
+		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, true)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("a second job of one trial goes to %q", to)
 		}
-		if all := witness.Reports(now()); len(all) != 1 || all[0].Trial != 7 || all[0].Of != of || all[0].Bad != 0 || all[0].Good == 0 {
+		if all := witness.Reports(now()); len(all) != 1 || all[0].Trial != 7 || all[0].Subject != of || all[0].Failures != 0 || all[0].Successes == 0 {
 			t.Errorf("the trial's outcome is told as %+v", all)
 		}
-		b.Judged([]outlier.Verdict{{Of: outlier.Life{Worker: "b", Started: 5}, Zone: outlier.Everywhere}, {Of: of, Zone: outlier.Everywhere}}, false)
+		b.Judged([]outlier.EjectionNotice{{Subject: outlier.Incarnation{Worker: "b", Started: 5}, Zone: outlier.AllZones}, {Subject: of, Zone: outlier.AllZones}}, false)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("%q is used: a verdict on another life of b holds", to)
 		}
-		desk.Set(now(), []quota.Limit{{Name: "l", Kind: quota.Open, Amount: 5 * quota.One, Holders: 1}})
-		desk.Hear(now(), now()+time.Hour, []quota.Part{{Limit: "l", Amount: 0}})
+		desk.SetLimits(now(), []quota.Limit{{Name: "l", Kind: quota.Concurrency, Amount: 5 * quota.Unit, MaxHolders: 1}})
+		desk.SetShares(now(), now()+time.Hour, []quota.Share{{Limit: "l", Amount: 0}})
 		if _, a := serve(); a.Verdict != Refused || !a.Over || a.ComeBack <= 0 {
 			t.Errorf("over a limit: %+v", a)
 		}
-		desk.Hear(now(), now()+time.Hour, []quota.Part{{Limit: "l", Amount: quota.One}})
+		desk.SetShares(now(), now()+time.Hour, []quota.Share{{Limit: "l", Amount: quota.Unit}})
 		for range 5 { // each gives back what it took
 			if to, a := serve(); to == "" || a.Verdict != Served {
 				t.Errorf("within it: %+v", a)
@@ -76,10 +76,10 @@
 		b := open(t)
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
-		desk := quota.NewDesk()
+		desk := quota.NewLimiter()
 		b.Limit(desk, now)
-		desk.Set(now(), []quota.Limit{{Name: "each", Kind: quota.AtWorker, Amount: 14 * quota.One, Holders: 7, Settle: time.Second}})
-		desk.Hear(now(), now()+2*time.Second, []quota.Part{{Limit: "each", Amount: 3 * quota.One}})
+		desk.SetLimits(now(), []quota.Limit{{Name: "each", Kind: quota.PerWorkerConcurrency, Amount: 14 * quota.Unit, MaxHolders: 7, ReclaimDelay: time.Second}})
+		desk.SetShares(now(), now()+2*time.Second, []quota.Share{{Limit: "each", Amount: 3 * quota.Unit}})
 		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1}})
 		attempts := 0
 		b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(10 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
--- a/internal/gateway/httpfront/listfault.go
+++ b/internal/gateway/httpfront/listfault.go
@@ -104,7 +104,7 @@
 	return "the list held serves on: see what else answers at that address, or what discovery was told"
 }
 
-// OlderError is a list older than the one that the fleet shares.
+// OutdatedListError is a list older than the one that the fleet shares.
 type OlderError struct{ Generation, Has uint64 }
 
 func (e *OlderError) Error() string {
--- a/internal/gateway/httpfront/shared.go
+++ b/internal/gateway/httpfront/shared.go
@@ -16,10 +16,10 @@
 
 // Turns says when discovery may be called: package start's Desk.
 type Turns interface {
-	// May tells whether now; else what to wait for, and how long at the most. anew: discovery has
+	// MayCall tells whether now; else what to wait for, and how long at the most. anew: discovery has
 	// to handle the call in turn; alone: no other's word can stand for it.
-	May(anew, alone bool) (ok bool, wait time.Duration, changed <-chan struct{})
-	Failed() // a call has brought nothing
+	MayCall(anew, alone bool) (ok bool, wait time.Duration, changed <-chan struct{})
+	CallFailed() // a call has brought nothing
 }
 
 // Told is what discovery has told here.
@@ -44,7 +44,7 @@
 	for t.turns != nil {
 		awaits, failed := t.awaits()
 		alone := t.moved || awaits && !failed // another's word would do for a call that failed
-		ok, wait, changed := t.turns.May(!t.carry, alone)
+		ok, wait, changed := t.turns.MayCall(!t.carry, alone)
 		if ok {
 			break
 		}
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -151,7 +151,7 @@
 	}
 	silent, isSilent := err.(*SilentError)
 	if t.carry = false; t.turns != nil {
-		t.turns.Failed()
+		t.turns.CallFailed()
 	}
 	if isSilent && !t.pushed() {
 		// An agent close by is silent while discovery is down, and learns nothing then: where a
--- a/internal/gateway/httpfront/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -359,8 +359,8 @@
 // open is turns at a service that takes any number.
 type open struct{}
 
-func (open) May(bool, bool) (bool, time.Duration, <-chan struct{}) { return true, 0, nil }
-func (open) Failed()                                               {}
+func (open) MayCall(bool, bool) (bool, time.Duration, <-chan struct{}) { return true, 0, nil }
+func (open) CallFailed()                                               {}
 
 func awaits(t *Table) bool {
 	yes, _ := t.awaits()
--- a/internal/gateway/workflowsteps/faults.go
+++ b/internal/gateway/workflowsteps/faults.go
@@ -9,10 +9,10 @@
 )
 
 // SettingsError is a step that this dispatcher's settings have no class, or no tenant, for.
-type SettingsError struct{ Step *claims.Task }
+type SettingsError struct{ Step *claims.ClaimedStep }
 
 func (e *SettingsError) Error() string {
-	return fmt.Sprintf("step %q of flow %q: class %q, tenant %q: not both in the settings", e.Step.Step, e.Step.Flow, e.Step.Class, e.Step.Tenant)
+	return fmt.Sprintf("step %q of flow %q: class %q, tenant %q: not both in the settings", e.Step.Step, e.Step.Workflow, e.Step.Class, e.Step.Tenant)
 }
 
 // Advice says what an operator can do.
@@ -23,17 +23,17 @@
 // Code is its word.
 func (e *SettingsError) Code() string { return "flow-settings" }
 
-// LeftError is of steps that were out when the process ended.
-type LeftError struct{ Steps int }
+// AbandonedStepsError is of steps that were out when the process ended.
+type AbandonedStepsError struct{ Steps int }
 
-func (e *LeftError) Error() string {
+func (e *AbandonedStepsError) Error() string {
 	return fmt.Sprintf("%d steps are still out at the end of this process", e.Steps)
 }
 
 // Advice says what an operator can do.
-func (e *LeftError) Advice() string {
+func (e *AbandonedStepsError) Advice() string {
 	return "see keeper flow show for flows that are held: a step that is never to be repeated is unknown now"
 }
 
 // Code is its word.
-func (e *LeftError) Code() string { return "flow-left" }
+func (e *AbandonedStepsError) Code() string { return "flow-left" }
--- a/internal/gateway/workflowsteps/flows.go
+++ b/internal/gateway/workflowsteps/flows.go
@@ -24,30 +24,30 @@
 )
 
 const (
-	words  = claims.MostTasks       // in one call
-	spread = 30 * time.Millisecond  // over which dispatchers ask after the same news
-	pause  = 100 * time.Millisecond // after a call that brought nothing
+	words  = claims.MaxClaimsPerAnswer // in one call
+	spread = 30 * time.Millisecond     // over which dispatchers ask after the same news
+	pause  = 100 * time.Millisecond    // after a call that brought nothing
 )
 
-// Hooks are what a runner stands on.
-type Hooks struct {
-	Name  string
-	Life  uint64
-	Call  func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) // one call of one keeper, bounded
-	Gate  httpfront.Gate                                                                 // whether new work is admitted now
-	Now   func() time.Duration                                                           // the clock that stays are told by
-	Log   func(line string)
-	Live  *config.Live
-	Lines *httpfront.WorkerConns
+// Config are what a runner stands on.
+type Config struct {
+	Dispatcher      string
+	Incarnation     uint64
+	CallCoordinator func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) // one call of one keeper, bounded
+	AdmissionGate   httpfront.Gate                                                                 // whether new work is admitted now
+	Now             func() time.Duration                                                           // the clock that stays are told by
+	Log             func(line string)
+	Settings        *config.Live
+	Workers         *httpfront.WorkerConns
 }
 
 // Runner is one dispatcher's.
 type Runner struct {
-	h Hooks
+	h Config
 	b *broker.Broker
 
 	mu      sync.Mutex
-	hand    *claimant.Hand
+	hand    *claimant.Claimant
 	out     map[uint64]*run
 	pools   *pool.Set
 	bound   bool // the policy in force has workflows
@@ -70,14 +70,14 @@
 }
 
 // New makes a runner that claims nothing until a policy has workflows.
-func New(b *broker.Broker, h Hooks) *Runner {
-	r := &Runner{h: h, b: b, hand: claimant.New(h.Name, h.Life), out: map[uint64]*run{}, changed: make(chan struct{}), poke: make(chan struct{}, 1), want: make(chan struct{}, 1)}
+func New(b *broker.Broker, h Config) *Runner {
+	r := &Runner{h: h, b: b, hand: claimant.New(h.Dispatcher, h.Incarnation), out: map[uint64]*run{}, changed: make(chan struct{}), poke: make(chan struct{}, 1), want: make(chan struct{}, 1)}
 	r.lapse = time.AfterFunc(time.Hour, r.lapsed)
 	return r
 }
 
-// Bind goes by a policy's pools from here on; claims only where it has workflows.
-func (r *Runner) Bind(workflows bool, pools *pool.Set) {
+// ApplyPolicy goes by a policy's pools from here on; claims only where it has workflows.
+func (r *Runner) ApplyPolicy(workflows bool, pools *pool.Set) {
 	r.mu.Lock()
 	r.bound, r.pools = workflows, pools
 	r.mu.Unlock()
@@ -85,21 +85,21 @@
 	signal(r.want)
 }
 
-// Stay takes up a stay that was asked for at a moment, and whether steps are ready.
-func (r *Runner) Stay(asked, length time.Duration, era uint64, ready bool) {
+// RenewLease takes up a stay that was asked for at a moment, and whether steps are ready.
+func (r *Runner) RenewLease(asked, length time.Duration, era uint64, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.hand.Renew(asked, r.h.Now(), length, era) {
 		r.doubt()
 	}
-	r.lapse.Reset(timers.Ahead(r.hand.Until() - r.h.Now()))
-	if r.ready = r.ready || ready; ready || r.hand.Doubts() {
+	r.lapse.Reset(timers.Ahead(r.hand.LeaseExpiry() - r.h.Now()))
+	if r.ready = r.ready || ready; ready || r.hand.NeedsResync() {
 		signal(r.want)
 	}
 }
 
-// Ready notes that the keepers have steps.
-func (r *Runner) Ready() {
+// NotifyReady notes that the keepers have steps.
+func (r *Runner) NotifyReady() {
 	r.mu.Lock()
 	r.ready = true
 	r.mu.Unlock()
@@ -110,7 +110,7 @@
 func (r *Runner) lapsed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.out) > 0 && !r.hand.Look(r.h.Now()) {
+	if len(r.out) > 0 && !r.hand.CheckLease(r.h.Now()) {
 		r.doubt()
 	}
 }
@@ -157,15 +157,15 @@
 func (r *Runner) claim(ctx context.Context) bool {
 	s := r.b.Stats()
 	any, serving := r.b.Serving()
-	_, _, admits := r.h.Gate()
+	_, _, admits := r.h.AdmissionGate()
 	r.mu.Lock()
-	held, doubts := r.hand.Held(), r.hand.Doubts()
-	room := claimant.Room{Held: held, Running: max(len(r.out)-s.StepsWaiting, 0), Fresh: s.Open - s.Steps, Waiting: s.Waiting, Share: r.share}
-	want := room.Want()
+	held, doubts := r.hand.HeldSteps(), r.hand.NeedsResync()
+	room := claimant.Load{HeldSteps: held, RunningSteps: max(len(r.out)-s.StepsWaiting, 0), OpenRequests: s.Open - s.Steps, QueuedRequests: s.Waiting, StepShare: r.share}
+	want := room.TargetSteps()
 	if !r.bound || r.closing || !admits || !any {
 		want = 0
 	}
-	if now := r.h.Now(); !r.hand.Look(now) || !doubts && (!r.ready || want <= held) {
+	if now := r.h.Now(); !r.hand.CheckLease(now) || !doubts && (!r.ready || want <= held) {
 		r.mu.Unlock()
 		return false
 	}
@@ -173,7 +173,7 @@
 		want = 0 // first it is to be known what is held
 	}
 	told := r.h.Now()
-	c, asked := r.hand.Claim(told, want, append(r.pools.Names(serving), ""))
+	c, asked := r.hand.NextClaim(told, want, append(r.pools.Names(serving), ""))
 	r.mu.Unlock()
 	a, ok := r.call(ctx, &claims.Command{Claim: c})
 	if !ok {
@@ -182,17 +182,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	begin := r.hand.Took(asked, a.Tasks)
+	begin := r.hand.AcceptClaimed(asked, a.Claimed)
 	if !doubts {
-		r.ready = a.More
+		r.ready = a.MoreReady
 	}
 	for _, t := range begin {
-		if t.Share > 0 {
-			r.share = t.Share
+		if t.DispatcherShare > 0 {
+			r.share = t.DispatcherShare
 		}
 		one, stop := context.WithCancel(context.WithoutCancel(ctx))
 		o := &run{stop: stop}
-		r.out[t.No] = o
+		r.out[t.ClaimNumber] = o
 		go r.step(one, o, t, told)
 	}
 	if doubts {
@@ -201,7 +201,7 @@
 	}
 	if r.empty++; len(begin) > 0 {
 		r.empty = 0
-	} else if a.More { // they are gone before they can be had
+	} else if a.MoreReady { // they are gone before they can be had
 		time.AfterFunc(pause<<min(r.empty, 5), func() { signal(r.want) })
 	}
 	return len(begin) > 0
@@ -209,14 +209,14 @@
 
 // call has one command carried out; false: it is not known to be.
 func (r *Runner) call(ctx context.Context, c *claims.Command) (a claims.Answer, ok bool) {
-	res, err := r.h.Call(ctx, statemachine.Command{Workflow: c})
+	res, err := r.h.CallCoordinator(ctx, statemachine.Command{Workflow: c})
 	switch {
 	case err != nil:
 		return a, false // its lease's own calls say so
 	case res.Workflow == nil:
 		if res.Code == (&claims.LeaseError{}).Code() {
 			r.mu.Lock()
-			r.hand.Doubt()
+			r.hand.Invalidate()
 			r.doubt()
 			r.mu.Unlock()
 		} else {
@@ -232,8 +232,8 @@
 	for {
 		r.mu.Lock()
 		var c *claims.Command
-		if r.hand.Look(r.h.Now()) {
-			c = r.hand.Say(words)
+		if r.hand.CheckLease(r.h.Now()) {
+			c = r.hand.NextReport(words)
 		}
 		r.mu.Unlock()
 		if c == nil {
@@ -254,11 +254,11 @@
 			}
 		}
 		r.mu.Lock()
-		r.hand.Said(c, a)
+		r.hand.ReportAnswered(c, a)
 		r.wake()
 		r.mu.Unlock()
 		signal(r.want)
-		if c.Mark != nil && len(a.Written)+len(a.Refused) < len(c.Mark.All) {
+		if c.RecordIntents != nil && len(a.Recorded)+len(a.Rejected) < len(c.RecordIntents.Intents) {
 			select { // they wait for time to be told
 			case <-time.After(pause / 5):
 			case <-ctx.Done():
@@ -279,13 +279,13 @@
 	}
 }
 
-// Settle waits until all that was claimed has ended and is told of, or a moment has come.
-func (r *Runner) Settle(until time.Time) {
+// WaitUntilIdle waits until all that was claimed has ended and is told of, or a moment has come.
+func (r *Runner) WaitUntilIdle(until time.Time) {
 	end := time.NewTimer(timers.Ahead(time.Until(until)))
 	defer end.Stop()
 	for {
 		r.mu.Lock()
-		left, changed := r.hand.Held(), r.changed
+		left, changed := r.hand.HeldSteps(), r.changed
 		r.mu.Unlock()
 		if left == 0 {
 			return
@@ -293,7 +293,7 @@
 		select {
 		case <-changed:
 		case <-end.C:
-			r.h.Log("flows: " + fault.Text(&LeftError{Steps: left}))
+			r.h.Log("flows: " + fault.Text(&AbandonedStepsError{Steps: left}))
 			return
 		}
 	}
--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -21,72 +21,72 @@
 
 // job is what a worker is sent of a step.
 type job struct {
-	Flow    string                     `json:"flow"`
-	Step    string                     `json:"step"`
-	Items   []string                   `json:"items,omitempty"`
-	Results map[string]string          `json:"results,omitempty"`
-	Tallies map[string]expansion.Tally `json:"tallies,omitempty"`
+	Flow    string                             `json:"flow"`
+	Step    string                             `json:"step"`
+	Items   []string                           `json:"items,omitempty"`
+	Results map[string]string                  `json:"results,omitempty"`
+	Tallies map[string]expansion.OutcomeCounts `json:"tallies,omitempty"`
 }
 
 // key names a step, the same for all its tries.
-func key(t *claims.Task) string {
-	return fmt.Sprintf("%s/%s%v", t.Flow, t.Step, t.Ref.Path)
+func key(t *claims.ClaimedStep) string {
+	return fmt.Sprintf("%s/%s%v", t.Workflow, t.Step, t.Ref.Path)
 }
 
 // step carries one step to its end.
-func (r *Runner) step(ctx context.Context, o *run, t claims.Task, told time.Duration) {
+func (r *Runner) step(ctx context.Context, o *run, t claims.ClaimedStep, told time.Duration) {
 	defer o.stop()
 	e := r.carry(ctx, o, &t, told)
-	e.No = t.No
+	e.ClaimNumber = t.ClaimNumber
 	r.mu.Lock()
-	delete(r.out, t.No)
-	r.hand.End(e)
+	delete(r.out, t.ClaimNumber)
+	r.hand.EndStep(e)
 	r.mu.Unlock()
 	signal(r.poke)
 }
 
-func (r *Runner) carry(ctx context.Context, o *run, t *claims.Task, told time.Duration) claims.Ended {
-	cfg := r.h.Live.Get()
+func (r *Runner) carry(ctx context.Context, o *run, t *claims.ClaimedStep, told time.Duration) claims.StepEnd {
+	cfg := r.h.Settings.Get()
 	class, tenant := slices.Index(cfg.Classes, t.Class), 0
 	if len(cfg.Tenants) > 0 {
 		tenant = slices.Index(cfg.Tenants, t.Tenant)
 	}
 	if class < 0 || tenant < 0 {
 		r.h.Log("flows: " + fault.Text(&SettingsError{t}))
-		return claims.Ended{How: claims.Back, After: 2 * time.Second} // another's settings may have them
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: 2 * time.Second} // another's settings may have them
 	}
 	c := &cfg.Module.Classes[class]
-	version, at, admits := r.h.Gate()
+	version, at, admits := r.h.AdmissionGate()
 	r.mu.Lock()
 	bit := r.pools.Bit(t.Pool)
 	o.once = c.Semantics == dispatch.AtMostOnce
 	r.mu.Unlock()
 	switch {
-	case t.Doubt && c.Semantics != dispatch.Retryable:
-		return claims.Ended{How: claims.Unknown, Why: "it may have run before the keepers were restored"}
+	case t.RunUncertain && c.Semantics != dispatch.Retryable:
+		return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "it may have run before the keepers were restored"}
 	case !admits || t.Pool != "" && bit == 0:
-		return claims.Ended{How: claims.Back, After: time.Second}
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: time.Second}
 	}
-	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Aged, Pools: bit, Policy: version, Admitted: at,
+	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Overdue, Pools: bit, Policy: version, Admitted: at,
 		Deadline: time.Now().Add(c.Deadline)}
-	if c.Semantics == dispatch.Deduplicated && t.Left > 0 {
-		left := t.Left - (r.h.Now() - told)
+	if c.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
+		left := t.RepeatWindowLeft - (r.h.Now() - told)
 		if left <= 0 {
-			return claims.Ended{How: claims.Unknown, Why: "the time is over in which it may be repeated"}
+			return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "the time is over in which it may be repeated"}
 		}
-		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.Cell - 1, Cell: t.Cell - 1}, max(c.DedupWindow-left, 0)
+		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}, max(c.DedupWindow-left, 0)
 		q.Deadline = time.Now().Add(min(c.Deadline, left))
 	}
-	body, err := json.Marshal(job{t.Flow, t.Step, t.Values, t.Results, t.Tallies})
+	body, err := json.Marshal(job{t.Workflow, t.Step, t.ItemValues, t.Results, t.FanOutCounts})
 	if err != nil {
-		return claims.Ended{How: claims.Failed, Why: err.Error()}
+		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: err.Error()}
 	}
-	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.No), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.No) }}
+	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.ClaimNumber) }}
 	if c.Semantics == dispatch.Deduplicated {
 		j.Key = key(t)
 	}
 	s := httpfront.NewJob(cfg, j, q)
-	do := r.h.Lines.Do(s)
+	do := r.h.Workers.Do(s)
 	var last *broker.Outcome // of the one try that may have run
 	answer := r.b.Serve(ctx, q, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
 		if last != nil || !a.In(t.Pool) || !r.mark(ctx, t, c, a) {
@@ -107,48 +107,48 @@
 }
 
 // ended words how a step has ended.
-func ended(t *claims.Task, c *dispatch.Class, answer broker.Answer, last *broker.Outcome) claims.Ended {
-	e := claims.Ended{Repeats: c.Semantics != dispatch.AtMostOnce}
+func ended(t *claims.ClaimedStep, c *dispatch.Class, answer broker.Answer, last *broker.Outcome) claims.StepEnd {
+	e := claims.StepEnd{Repeatable: c.Semantics != dispatch.AtMostOnce}
 	switch {
 	case last == nil:
-		e.How, e.After = claims.Back, max(answer.ComeBack, pause)
-	case last.Code == broker.OK && t.Takes && len(last.Result) > template.MaxResult:
-		e.How, e.Repeats, e.Why = claims.Failed, false, fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(last.Result), Most: template.MaxResult})
+		e.Outcome, e.RetryAfter = claims.OutcomeRequeue, max(answer.ComeBack, pause)
+	case last.Code == broker.OK && t.ResultUsed && len(last.Result) > template.MaxResultBytes:
+		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(last.Result), Limit: template.MaxResultBytes})
 	case last.Code == broker.OK:
-		if e.How = claims.Done; t.Takes {
+		if e.Outcome = claims.OutcomeDone; t.ResultUsed {
 			e.Result = last.Result
 		}
 	case last.Code == broker.Rejected:
-		e.How, e.Repeats, e.Why = claims.Failed, false, "the worker found it unusable"
+		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, "the worker found it unusable"
 	case last.Code == broker.Failed:
-		e.How, e.Why = claims.Failed, "the worker says that it has failed"
+		e.Outcome, e.Reason = claims.OutcomeFailed, "the worker says that it has failed"
 	case last.Code == broker.TimedOut:
-		e.How, e.Why = claims.Unknown, "no answer in its time"
+		e.Outcome, e.Reason = claims.OutcomeUnknown, "no answer in its time"
 	default:
-		e.How, e.Why = claims.Unknown, "its connection broke"
+		e.Outcome, e.Reason = claims.OutcomeUnknown, "its connection broke"
 	}
 	return e
 }
 
 // mark has the keepers write that a step may run at a worker; true once they have.
-func (r *Runner) mark(ctx context.Context, t *claims.Task, c *dispatch.Class, a *broker.Attempt) bool {
-	m := claims.Marked{No: t.No, Once: c.Semantics == dispatch.AtMostOnce, Anew: t.Left == 0}
+func (r *Runner) mark(ctx context.Context, t *claims.ClaimedStep, c *dispatch.Class, a *broker.Attempt) bool {
+	m := claims.DispatchIntent{ClaimNumber: t.ClaimNumber, AtMostOnce: c.Semantics == dispatch.AtMostOnce, NotRunBefore: t.RepeatWindowLeft == 0}
 	if c.Semantics == dispatch.Deduplicated {
-		m.Window = c.DedupWindow * 9 / 10 // as long as the module would send it again
+		m.DedupWindow = c.DedupWindow * 9 / 10 // as long as the module would send it again
 		switch c.DedupScope {
 		case dispatch.ScopeCell:
-			m.Cell = a.Cell + 1
+			m.PinnedCell = a.Cell + 1
 		case dispatch.ScopeZone:
-			m.Cell = a.Zone + 1
+			m.PinnedCell = a.Zone + 1
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hand.Ask(m)
+	r.hand.RequestIntent(m)
 	signal(r.poke)
-	for !r.hand.Written(t.No) {
+	for !r.hand.IntentRecorded(t.ClaimNumber) {
 		changed := r.changed
-		gone := r.hand.Void(t.No)
+		gone := r.hand.Revoked(t.ClaimNumber)
 		r.mu.Unlock()
 		if gone {
 			r.mu.Lock()
@@ -170,6 +170,6 @@
 func (r *Runner) may(o *run, no uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.sent = r.hand.May(r.h.Now(), no)
+	o.sent = r.hand.MaySend(r.h.Now(), no)
 	return o.sent
 }
--- a/lab/prove-flows/keepers.go
+++ b/lab/prove-flows/keepers.go
@@ -27,7 +27,7 @@
 
 // proveSize measures memory and bytes, without processes.
 func proveSize(t *prove.Table) {
-	form := template.Template{Name: "f", Most: 64, Steps: []template.Step{{Name: "loan", Class: "once", Each: "in"}, {Name: "package", Class: "any", Each: "in", Needs: []string{"loan"}}, {Name: "collect", Class: "any", Needs: []string{"package"}}}}
+	form := template.Template{Name: "f", MaxLiveItems: 64, Steps: []template.Step{{Name: "loan", Class: "once", FanOutOver: "in"}, {Name: "package", Class: "any", FanOutOver: "in", Needs: []string{"loan"}}, {Name: "collect", Class: "any", Needs: []string{"package"}}}}
 	heap := func() uint64 {
 		runtime.GC()
 		runtime.GC()
@@ -47,11 +47,11 @@
 		t.Row("snapshot", err.Error(), "none", false)
 		return
 	}
-	form.Most = 5000
+	form.MaxLiveItems = 5000
 	one := newWorld(1, form)
 	before = heap()
 	one.submit("wide", "f", 9000)
-	wide := float64(heap()-before) / float64(form.Most)
+	wide := float64(heap()-before) / float64(form.MaxLiveItems)
 	runtime.KeepAlive(one)
 	runtime.KeepAlive(w)
 	t.Row("keeper memory: a flow of 7 steps; an item under way (two steps)", fmt.Sprintf("%.0f B; %.0f B", perFlow, wide), "a flow 8 KB at most", perFlow > 0 && perFlow <= 8<<10)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	ended := s.Workflows.Flows["w"].Tree.Ends
+	ended := s.Workflows.Workflows["w"].Tree.EndCounts
 	t.Row("steps that clients ended, and that the keepers have ended", fmt.Sprintf("%d, %d", done.Load(), ended[0]), "alike but for words without an answer", int64(ended[0]) >= done.Load() && int64(ended[0]) < done.Load()+12*256)
 	return histories(t, r)
 }
@@ -156,25 +156,25 @@
 			hold()
 			last = time.Now()
 		}
-		a := do(statemachine.Command{Workflow: &claims.Command{Claim: &claims.Claim{Name: name, Life: life, Want: 256, Heard: heard, Pools: []string{""}}}})
-		if a == nil || len(a.Tasks) == 0 {
+		a := do(statemachine.Command{Workflow: &claims.Command{Claim: &claims.ClaimRequest{Dispatcher: name, Incarnation: life, WantedSteps: 256, LastSeenClaim: heard, Pools: []string{""}}}})
+		if a == nil || len(a.Claimed) == 0 {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		var marks []claims.Marked
-		var ends []claims.Ended
-		for _, k := range a.Tasks {
-			heard = max(heard, k.No)
-			marks, ends = append(marks, claims.Marked{No: k.No, Once: k.Class == "issue-loan", Turn: 1}), append(ends, claims.Ended{No: k.No})
+		var marks []claims.DispatchIntent
+		var ends []claims.StepEnd
+		for _, k := range a.Claimed {
+			heard = max(heard, k.ClaimNumber)
+			marks, ends = append(marks, claims.DispatchIntent{ClaimNumber: k.ClaimNumber, AtMostOnce: k.Class == "issue-loan", Sequence: 1}), append(ends, claims.StepEnd{ClaimNumber: k.ClaimNumber})
 		}
 		for a = nil; a == nil && ctx.Err() == nil; {
-			a = do(statemachine.Command{Workflow: &claims.Command{Mark: &claims.Mark{Name: name, Life: life, All: marks}}})
+			a = do(statemachine.Command{Workflow: &claims.Command{RecordIntents: &claims.DispatchIntents{Dispatcher: name, Incarnation: life, Intents: marks}}})
 		}
 		for a = nil; a == nil && ctx.Err() == nil; {
-			a = do(statemachine.Command{Workflow: &claims.Command{End: &claims.End{Name: name, Life: life, All: ends}}})
+			a = do(statemachine.Command{Workflow: &claims.Command{EndSteps: &claims.StepEnds{Dispatcher: name, Incarnation: life, Ends: ends}}})
 		}
 		if a != nil {
-			done.Add(int64(len(ends) - len(a.Refused)))
+			done.Add(int64(len(ends) - len(a.Rejected)))
 		}
 	}
 }
@@ -225,9 +225,9 @@
 			defer cl.Close()
 			for i := 0; ctx.Err() == nil; i++ {
 				in := asked{key: fmt.Sprintf("h%d", i/3), look: (c+i)%3 == 0}
-				cmd := claims.Command{Submit: &claims.Submit{Key: in.key, Template: "wide", Inputs: map[string]expansion.Input{"titles": {Count: 1}}}}
+				cmd := claims.Command{Submit: &claims.Submission{Key: in.key, Template: "wide", Inputs: map[string]expansion.Input{"titles": {Count: 1}}}}
 				if in.look {
-					cmd = claims.Command{Show: &claims.Show{Flow: in.key}}
+					cmd = claims.Command{Query: &claims.StatusQuery{Workflow: in.key}}
 				}
 				at := time.Since(base)
 				one, end := context.WithTimeout(ctx, time.Second)
@@ -242,7 +242,7 @@
 				case in.look:
 					o.Output = res.Workflow != nil
 				case res.Workflow != nil:
-					o.Output = res.Workflow.Known
+					o.Output = res.Workflow.AlreadySubmitted
 				default:
 					continue
 				}
--- a/lab/prove-flows/plans.go
+++ b/lab/prove-flows/plans.go
@@ -27,12 +27,12 @@
 
 // draw is a template drawn, of some steps that need earlier ones; several are over one input.
 func draw(rnd *rand.Rand, name string) template.Template {
-	t := template.Template{Name: name, Most: 100}
+	t := template.Template{Name: name, MaxLiveItems: 100}
 	for i := range 3 + rnd.IntN(6) {
-		s := template.Step{Name: fmt.Sprint("s", i), Class: "any", Runs: time.Duration(1+rnd.IntN(4)) * time.Second,
-			OnFailed: template.Reaction{Act: template.Pass}, OnUnknown: template.Reaction{Act: template.Pass}}
+		s := template.Step{Name: fmt.Sprint("s", i), Class: "any", TypicalDuration: time.Duration(1+rnd.IntN(4)) * time.Second,
+			OnFailed: template.Reaction{Action: template.Continue}, OnUnknown: template.Reaction{Action: template.Continue}}
 		if rnd.IntN(2) == 0 {
-			s.Each = "in"
+			s.FanOutOver = "in"
 		}
 		for j := range i {
 			if rnd.IntN(i+1) == 0 || j == i-1 && rnd.IntN(2) == 0 {
@@ -45,9 +45,9 @@
 }
 
 // length is how long a step runs, the same in every play.
-func length(t *template.Template, step int, path [template.MaxDepth]int, seed uint64) time.Duration {
+func length(t *template.Template, step int, path [template.MaxFanOutDepth]int, seed uint64) time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, uint64(step)<<32|uint64(path[0])))
-	return time.Duration(float64(t.Steps[step].Typical()) * (0.5 + rnd.Float64()))
+	return time.Duration(float64(t.Steps[step].ExpectedDuration()) * (0.5 + rnd.Float64()))
 }
 
 type out struct {
@@ -57,7 +57,7 @@
 
 // world runs flows by the ledger.
 type world struct {
-	l       *claims.Ledger
+	l       *claims.Table
 	now     time.Duration
 	no      uint64
 	running []out
@@ -69,7 +69,7 @@
 	steps   int
 }
 
-var always = claims.Lives{Claim: func(string) bool { return true }, Hold: func(string) bool { return true }}
+var always = claims.LeaseChecks{MayClaim: func(string) bool { return true }, MayHold: func(string) bool { return true }}
 
 func (w *world) apply(c claims.Command) claims.Answer {
 	w.no++
@@ -83,30 +83,30 @@
 // turn lets so much time pass: what has run ends, and what is ready begins where a slot is free.
 func (w *world) turn() {
 	w.now += look
-	w.l.Pass(w.now, 1, uint64(w.now/look), w.no)
-	var ends []claims.Ended
+	w.l.AdvanceTime(w.now, 1, uint64(w.now/look), w.no)
+	var ends []claims.StepEnd
 	w.running = slices.DeleteFunc(w.running, func(o out) bool {
 		if o.at <= w.now {
-			ends = append(ends, claims.Ended{No: o.no})
+			ends = append(ends, claims.StepEnd{ClaimNumber: o.no})
 			w.free++
 		}
 		return o.at <= w.now
 	})
 	if len(ends) > 0 {
-		w.apply(claims.Command{End: &claims.End{Name: "d", Life: 1, All: ends}})
+		w.apply(claims.Command{EndSteps: &claims.StepEnds{Dispatcher: "d", Incarnation: 1, Ends: ends}})
 	}
 	if w.free == 0 {
 		return
 	}
-	a := w.apply(claims.Command{Claim: &claims.Claim{Name: "d", Life: 1, Want: w.free + len(w.running), Pools: []string{""}, Heard: w.l.No}})
-	for _, k := range a.Tasks {
-		f := w.l.Flows[k.Flow]
-		if run := f.Tree.Run(k.Ref); run != nil {
-			w.longest = max(w.longest, w.now-run.From)
+	a := w.apply(claims.Command{Claim: &claims.ClaimRequest{Dispatcher: "d", Incarnation: 1, WantedSteps: w.free + len(w.running), Pools: []string{""}, LastSeenClaim: w.l.LastNumber}})
+	for _, k := range a.Claimed {
+		f := w.l.Workflows[k.Workflow]
+		if run := f.Tree.StepRun(k.Ref); run != nil {
+			w.longest = max(w.longest, w.now-run.EligibleSince)
 		}
 		t := w.forms[k.Template]
-		w.apply(claims.Command{Mark: &claims.Mark{Name: "d", Life: 1, All: []claims.Marked{{No: k.No, Turn: 1}}}})
-		w.running = append(w.running, out{w.now + 2*way + length(&t, k.Ref.Step, k.Ref.Path, w.seed+hash(k.Flow)), k.No})
+		w.apply(claims.Command{RecordIntents: &claims.DispatchIntents{Dispatcher: "d", Incarnation: 1, Intents: []claims.DispatchIntent{{ClaimNumber: k.ClaimNumber, Sequence: 1}}}})
+		w.running = append(w.running, out{w.now + 2*way + length(&t, k.Ref.Step, k.Ref.Path, w.seed+hash(k.Workflow)), k.ClaimNumber})
 		w.free--
 		w.steps++
 	}
@@ -122,10 +122,10 @@
 func (w *world) submit(key, form string, items int) {
 	in := map[string]expansion.Input{}
 	g, _ := graph.Compile(w.forms[form])
-	for _, name := range g.Inputs() {
+	for _, name := range g.InputNames() {
 		in[name] = expansion.Input{Count: items}
 	}
-	w.apply(claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}})
+	w.apply(claims.Command{Submit: &claims.Submission{Key: key, Template: form, Inputs: in}})
 }
 
 func newWorld(seed uint64, forms ...template.Template) *world {
@@ -133,7 +133,7 @@
 	for _, f := range forms {
 		w.forms[f.Name] = f
 	}
-	w.l.Set(1, forms)
+	w.l.SetTemplates(1, forms)
 	return w
 }
 
@@ -149,7 +149,7 @@
 	var nodes []node
 	at := map[[2]int]int{}
 	width := func(step int) int {
-		if t.Steps[step].Each != "" {
+		if t.Steps[step].FanOutOver != "" {
 			return items
 		}
 		return 1
@@ -157,13 +157,13 @@
 	for step := range t.Steps {
 		for i := range width(step) {
 			at[[2]int{step, i}] = len(nodes)
-			nodes = append(nodes, node{run: length(&t, step, [template.MaxDepth]int{i}, seed)})
+			nodes = append(nodes, node{run: length(&t, step, [template.MaxFanOutDepth]int{i}, seed)})
 		}
 	}
 	for step := range t.Steps {
 		for i := range width(step) {
 			n := at[[2]int{step, i}]
-			for _, j := range g.Nodes[step].Needs {
+			for _, j := range g.Nodes[step].Dependencies {
 				if g.Nodes[j].Scope == g.Nodes[step].Scope {
 					nodes[n].needs = append(nodes[n].needs, at[[2]int{j, i}])
 					continue
@@ -228,12 +228,12 @@
 		items := 5 + rnd.IntN(80)
 		w := newWorld(uint64(i), form)
 		w.submit("k", form.Name, items)
-		for w.l.Flows["k"].Tree != nil && w.now < time.Hour {
+		for w.l.Workflows["k"].Tree != nil && w.now < time.Hour {
 			w.turn()
 		}
 		best, critical := plan(form, items, uint64(i)+hash("k"))
-		ratio := float64(w.l.Flows["k"].Makespan) / float64(best)
-		worst, sum, overCritical = max(worst, ratio), sum+ratio, overCritical+float64(w.l.Flows["k"].Makespan)/float64(critical)
+		ratio := float64(w.l.Workflows["k"].Makespan) / float64(best)
+		worst, sum, overCritical = max(worst, ratio), sum+ratio, overCritical+float64(w.l.Workflows["k"].Makespan)/float64(critical)
 	}
 	t.Row("makespan of 40 drawn flows on 40 slots against a list schedule that knows all: mean, worst", fmt.Sprintf("%.3f, %.3f", sum/drawn, worst), "mean 1.25 at most", sum/drawn <= 1.25)
 	t.Row("and against the critical path: mean", fmt.Sprintf("%.2f", overCritical/drawn), "", true)
@@ -244,15 +244,15 @@
 		f := draw(rnd, fmt.Sprint("l", i))
 		g, _ := graph.Compile(f)
 		if i%3 == 0 {
-			f.Wanted = 2 * g.Critical // in a hurry; most have all the time
+			f.TargetMakespan = 2 * g.CriticalPath // in a hurry; most have all the time
 		}
 		forms = append(forms, f)
 		for _, s := range f.Steps {
 			n := 1.0
-			if s.Each != "" {
+			if s.FanOutOver != "" {
 				n = 12
 			}
-			mean += n * s.Typical().Seconds() / 12
+			mean += n * s.ExpectedDuration().Seconds() / 12
 		}
 	}
 	w := newWorld(99, forms...)
@@ -269,27 +269,27 @@
 			n++
 			next += time.Duration(rnd.ExpFloat64() * mean / served * float64(time.Second))
 		}
-		w.ready = max(w.ready, w.l.Ready())
+		w.ready = max(w.ready, w.l.ReadySteps())
 		w.turn()
 	}
 	load := w.now
 	steps = w.steps
-	for w.l.Active > 0 && w.now < 30*time.Minute {
+	for w.l.ActiveWorkflows > 0 && w.now < 30*time.Minute {
 		w.turn()
 	}
 	for _, key := range keys {
-		f := w.l.Flows[key]
-		form := w.forms[f.Form[2:]]
-		if form.Wanted > 0 {
+		f := w.l.Workflows[key]
+		form := w.forms[f.TemplateVersion[2:]]
+		if form.TargetMakespan > 0 {
 			hurried++
-			if f.Makespan > form.Wanted {
+			if f.Makespan > form.TargetMakespan {
 				late++
 			}
 		}
 	}
 	rate := float64(steps) / load.Seconds()
-	bound := aging.Bound(w.ready, rate, rate) + look
+	bound := aging.MaxWait(w.ready, rate, rate) + look
 	t.Row("10 min at load 0.95: longest wait of a ready step", fmt.Sprintf("%.1f s, %d steps", w.longest.Seconds(), steps), fmt.Sprintf("its bound, %.1f s", bound.Seconds()), w.longest <= bound && steps > 0)
 	t.Row("flows in a hurry (twice their critical path) that were late", fmt.Sprintf("%d of %d", late, hurried), "", !math.IsNaN(rate))
-	t.Row("flows that never ended", fmt.Sprint(w.l.Active), "0", w.l.Active == 0)
+	t.Row("flows that never ended", fmt.Sprint(w.l.ActiveWorkflows), "0", w.l.ActiveWorkflows == 0)
 }
--- a/lab/prove-limits/main.go
+++ b/lab/prove-limits/main.go
@@ -42,15 +42,15 @@
 		if evenly {
 			way = "proportional"
 		}
-		b := quota.NewBook()
-		b.Evenly = evenly
-		l := quota.Limit{Name: "l", Kind: quota.Rate, Amount: 600 * quota.One, Burst: 24 * quota.One, Static: quota.One / 5, Holders: 12}
-		b.Set([]quota.Limit{l})
-		desks := make([]*quota.Desk, 12)
+		b := quota.NewAllocator()
+		b.Proportional = evenly
+		l := quota.Limit{Name: "l", Kind: quota.RequestRate, Amount: 600 * quota.Unit, Burst: 24 * quota.Unit, StaticShare: quota.Unit / 5, MaxHolders: 12}
+		b.SetLimits([]quota.Limit{l})
+		desks := make([]*quota.Limiter, 12)
 		heard := make([]uint64, 12)
 		for i := range desks {
-			desks[i] = quota.NewDesk()
-			desks[i].Set(0, []quota.Limit{l})
+			desks[i] = quota.NewLimiter()
+			desks[i].SetLimits(0, []quota.Limit{l})
 		}
 		grants, now := uint64(0), time.Duration(0)
 		run := func(span time.Duration, busy func(i int) bool) float64 {
@@ -59,22 +59,22 @@
 				for i, d := range desks {
 					if busy(i) {
 						for range 20 {
-							if _, short, _ := d.Admit(now, quota.Key{}, 1); short == "" {
+							if _, short, _ := d.Admit(now, quota.Scope{}, 1); short == "" {
 								in++
 							}
 						}
 					}
 					if int(now/(10*time.Millisecond))%33 == i*2 { // three calls a lease, not all at once
 						grants++
-						parts := b.Ask(fmt.Sprint(i), grants, heard[i], d.Wants(now))
-						d.Hear(now, now+lease*98/100, parts)
+						parts := b.Allocate(fmt.Sprint(i), grants, heard[i], d.Requests(now))
+						d.SetShares(now, now+lease*98/100, parts)
 						heard[i] = grants
-						for who := range b.Parties {
-							b.Counted(who, grants, now+lease)
+						for who := range b.Holders {
+							b.StartExpiry(who, grants, now+lease)
 						}
 					}
 				}
-				b.Pass(now)
+				b.Advance(now)
 			}
 			return float64(in) / span.Seconds() / 600
 		}
@@ -90,12 +90,12 @@
 
 func admission(t *prove.Table) {
 	got := testing.Benchmark(func(b *testing.B) {
-		d := quota.NewDesk()
-		d.Set(0, []quota.Limit{{Name: "r", Kind: quota.Rate, Amount: 1e6 * quota.One, Burst: 1e6 * quota.One, Holders: 1}, {Name: "o", Kind: quota.Open, Amount: 1e6 * quota.One, Holders: 1}})
-		d.Hear(0, time.Hour, []quota.Part{{Limit: "r", Amount: 1e6 * quota.One}, {Limit: "o", Amount: 1e6 * quota.One}})
+		d := quota.NewLimiter()
+		d.SetLimits(0, []quota.Limit{{Name: "r", Kind: quota.RequestRate, Amount: 1e6 * quota.Unit, Burst: 1e6 * quota.Unit, MaxHolders: 1}, {Name: "o", Kind: quota.Concurrency, Amount: 1e6 * quota.Unit, MaxHolders: 1}})
+		d.SetShares(0, time.Hour, []quota.Share{{Limit: "r", Amount: 1e6 * quota.Unit}, {Limit: "o", Amount: 1e6 * quota.Unit}})
 		b.ReportAllocs()
 		for n := range b.N {
-			ticket, _, _ := d.Admit(time.Duration(n)*time.Microsecond, quota.Key{Class: "c"}, 1)
+			ticket, _, _ := d.Admit(time.Duration(n)*time.Microsecond, quota.Scope{Class: "c"}, 1)
 			d.Done(&ticket, 0)
 		}
 	})
@@ -109,16 +109,16 @@
 	s := statemachine.New(statemachine.Config{LeaseDuration: 3 * time.Second, VoteTimeout: 10 * time.Second, PolicyHistory: 2, OnLeaseLoss: statemachine.KeepLastPolicy})
 	var all []quota.Limit
 	for i := range limits {
-		all = append(all, quota.Limit{Name: fmt.Sprint("l", i), Kind: quota.Rate, Amount: 100 * quota.One, Burst: 400 * quota.One, Static: quota.One / 5, Holders: 320})
+		all = append(all, quota.Limit{Name: fmt.Sprint("l", i), Kind: quota.RequestRate, Amount: 100 * quota.Unit, Burst: 400 * quota.Unit, StaticShare: quota.Unit / 5, MaxHolders: 320})
 	}
 	s.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "c", Text: []byte("x"), Limits: all}})
 	rnd := rand.New(rand.NewPCG(*seed, 9))
 	seq, calls, bytes, back := uint64(0), 0, 0, 0
 	heard := make([]uint64, dispatchers)
-	wants := make([][]quota.Want, dispatchers)
+	wants := make([][]quota.Request, dispatchers)
 	for i := range wants {
 		for range each {
-			wants[i] = append(wants[i], quota.Want{Limit: fmt.Sprint("l", rnd.IntN(limits)), Want: int64(rnd.IntN(20)) * quota.One})
+			wants[i] = append(wants[i], quota.Request{Limit: fmt.Sprint("l", rnd.IntN(limits)), Demand: int64(rnd.IntN(20)) * quota.Unit})
 		}
 	}
 	round := func() {
@@ -147,5 +147,5 @@
 	share := time.Since(began).Seconds() / rounds
 	t.Row("300 dispatchers, 10,000 limits: of a core at each keeper", fmt.Sprintf("%.2f", share), "0.5", share < 0.5)
 	t.Row("300 dispatchers, 10,000 limits: a call and its answer", fmt.Sprintf("%d and %d bytes", bytes/calls, back/calls), "", true)
-	t.Row("300 dispatchers, 10,000 limits: more out than may be", fmt.Sprint(s.Quota.Over), "0", s.Quota.Over == 0)
+	t.Row("300 dispatchers, 10,000 limits: more out than may be", fmt.Sprint(s.Quota.Overcommits), "0", s.Quota.Overcommits == 0)
 }
--- a/lab/prove-policy/main.go
+++ b/lab/prove-policy/main.go
@@ -65,24 +65,24 @@
 }
 
 func proveModel() {
-	all := make([]policylease.Explored, 3+len(policylease.Faults))
+	all := make([]policylease.Exploration, 3+len(policylease.Faults))
 	var wg sync.WaitGroup
 	wg.Go(func() { all[0] = policylease.Explore(2, 9, 20000, policylease.NoFault) })
 	for n := 2; n <= 3; n++ {
-		wg.Go(func() { all[n-1] = policylease.Wander(n, 5000, 90, policylease.NoFault) })
+		wg.Go(func() { all[n-1] = policylease.RandomWalks(n, 5000, 90, policylease.NoFault) })
 	}
 	for i, f := range policylease.Faults {
-		wg.Go(func() { all[3+i] = policylease.Wander(2, 50000, 90, f) })
+		wg.Go(func() { all[3+i] = policylease.RandomWalks(2, 50000, 90, f) })
 	}
 	wg.Wait()
 	states, broken, found := 0, 0, 0
 	for i, got := range all {
 		switch {
-		case i >= 3 && got.Broken != nil:
+		case i >= 3 && got.Violation != nil:
 			found++
 		case i < 3:
 			states += got.States
-			broken += len(got.Broken)
+			broken += len(got.Violation)
 		}
 	}
 	row("model: states and steps explored", strconv.Itoa(states), "", true)
--- a/lab/rig/harness/coldstart.go
+++ b/lab/rig/harness/coldstart.go
@@ -170,28 +170,28 @@
 		check(t, Until("another reads", func() bool {
 			now, list := r.seat(t)
 			reader = now
-			return now != nil && now != was && list.Fence > fence && list.By == list.Fence
+			return now != nil && now != was && list.FencingToken > fence && list.PublishedFencingToken == list.FencingToken
 		}))
 		return reader
 	}
-	check(t, Until("somebody has read", func() bool { _, l := r.seat(t); return l.By > 0 }))
+	check(t, Until("somebody has read", func() bool { _, l := r.seat(t); return l.PublishedFencingToken > 0 }))
 	// It stands still through three leases, and another reads meanwhile and is told of a drain.
 	reader, list := r.seat(t)
 	reader.Stop()
-	second := next(reader, list.Fence)
+	second := next(reader, list.FencingToken)
 	drained(t, r, 0, func() {
 		check(t, Until("the drain is relayed", func() bool { _, l := r.seat(t); return l.Entries[0].State == uint8(membership.Draining) }))
 		time.Sleep(2 * lease)
 	})
 	reader.Go()
 	serves(t, r, reader, true)
-	if _, l := r.seat(t); l.Entries[0].State != uint8(membership.Draining) || l.Fence < list.Fence+1 {
+	if _, l := r.seat(t); l.Entries[0].State != uint8(membership.Draining) || l.FencingToken < list.FencingToken+1 {
 		t.Errorf("%s woke, and the list is as it knew it: %+v", reader.Name, l)
 	}
 	// It is killed.
 	_, list = r.seat(t)
 	second.Kill()
-	third := next(second, list.Fence)
+	third := next(second, list.FencingToken)
 	drained(t, r, 1, func() { time.Sleep(lease) })
 	check(t, second.Start())
 	serves(t, r, second, true)
@@ -200,7 +200,7 @@
 	for _, k := range r.Keeper {
 		r.Link(third.Name, k.Name).CutWays(true, false)
 	}
-	next(third, list.Fence)
+	next(third, list.FencingToken)
 	drained(t, r, 2, func() { time.Sleep(lease) })
 	for _, k := range r.Keeper {
 		r.Link(third.Name, k.Name).Cut(false)
@@ -279,7 +279,7 @@
 	up(t, r.Keeper[0])
 	serve(t, r, time.Now())
 	up(t, r.Keeper[1:]...)
-	check(t, Until("one reads for all", func() bool { reader, l := r.seat(t); return reader != nil && l.By == l.Fence }))
+	check(t, Until("one reads for all", func() bool { reader, l := r.seat(t); return reader != nil && l.PublishedFencingToken == l.FencingToken }))
 	drained(t, r, 0, func() {
 		check(t, Until("the drain is relayed", func() bool { _, l := r.seat(t); return l.Entries[0].State == uint8(membership.Draining) }))
 	})
@@ -429,18 +429,18 @@
 		p := &paper{}
 		all[i] = p
 		now := func() time.Duration { return time.Since(began) }
-		desk := coldstart.NewDesk(now, Patience)
+		desk := coldstart.NewClient(now, Patience)
 		name := fmt.Sprint("h", i)
 		var carrier *relayedlist.Carrier
 		h := transport.NewLeaseSession(transport.NewClient(fleet, addrs), policylease.New(name, uint64(i+1), "", statemachine.RefuseWork), began, transport.Hooks{
 			CheckPolicy: func(statemachine.Policy) error { return nil }, Log: func(string) {},
-			ApplyPolicy: func(p statemachine.Policy) error { desk.Bind(p.ColdStart != nil); return nil },
-			Zone:        i % zones, ColdStartRequest: desk.Want, ListMark: desk.Has, QuotaExhausted: desk.Urgent,
-			ColdStartGranted: func(asked, until time.Duration, w *coldstart.Word) {
-				u, _ := desk.Hear(asked, until, w)
+			ApplyPolicy: func(p statemachine.Policy) error { desk.SetEnabled(p.ColdStart != nil); return nil },
+			Zone:        i % zones, ColdStartRequest: desk.NextRequest, ListMark: desk.Watermark, QuotaExhausted: desk.Urgent,
+			ColdStartGranted: func(asked, until time.Duration, w *coldstart.Response) {
+				u, _ := desk.HandleResponse(asked, until, w)
 				carrier.Take(u)
 			},
-			ListReceived: func(u *relay.Update) { carrier.Take(desk.News(u)) }})
+			ListReceived: func(u *relay.Update) { carrier.Take(desk.HandleUpdate(u)) }})
 		carrier = relayedlist.New(name, i%zones, desk, p, h, func(string) {})
 		wg.Go(func() { h.Run(ctx) })
 		wg.Go(func() { carrier.Run(ctx) })
@@ -472,9 +472,9 @@
 }
 
 // read asks for the list in its turn, and hands it on.
-func read(ctx context.Context, addr string, desk *coldstart.Desk, carrier *relayedlist.Carrier, p *paper) {
+func read(ctx context.Context, addr string, desk *coldstart.Client, carrier *relayedlist.Carrier, p *paper) {
 	for ctx.Err() == nil {
-		ok, wait, changed := desk.May(true, false)
+		ok, wait, changed := desk.MayCall(true, false)
 		if !ok {
 			select {
 			case <-time.After(wait + time.Millisecond):
@@ -485,7 +485,7 @@
 		}
 		resp, err := http.Get("http://" + addr + "/v1/servers")
 		if err != nil {
-			desk.Failed()
+			desk.CallFailed()
 			continue
 		}
 		var reply struct {
@@ -495,7 +495,7 @@
 		err = json.NewDecoder(resp.Body).Decode(&reply)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK {
-			desk.Failed()
+			desk.CallFailed()
 			continue
 		}
 		var list []membership.Worker
--- a/lab/rig/harness/flowplays.go
+++ b/lab/rig/harness/flowplays.go
@@ -63,13 +63,13 @@
 		r.Runs(5 * time.Millisecond)
 		v, err := r.Ends(key, "done")
 		check(t, err)
-		t.Logf("%s: %d loans were out; %v", key, n, v.Ends)
-		if v.Ends[2] < 4 || v.Ends[2] > 6 || v.Ends[0]+v.Ends[1]+v.Ends[2]+v.Ends[3] != 13 {
-			t.Errorf("%s: %v: expected 4 to 6 unknown of 13", key, v.Ends)
+		t.Logf("%s: %d loans were out; %v", key, n, v.EndCounts)
+		if v.EndCounts[2] < 4 || v.EndCounts[2] > 6 || v.EndCounts[0]+v.EndCounts[1]+v.EndCounts[2]+v.EndCounts[3] != 13 {
+			t.Errorf("%s: %v: expected 4 to 6 unknown of 13", key, v.EndCounts)
 		}
 		sound(t, r, key)
-		if sent := once(t, r, key, "loan"); sent < 4 || 6-sent > v.Ends[2] { // marked, and not sent: unknown, too
-			t.Errorf("%s: %d of 6 loans were sent, %d are unknown", key, sent, v.Ends[2])
+		if sent := once(t, r, key, "loan"); sent < 4 || 6-sent > v.EndCounts[2] { // marked, and not sent: unknown, too
+			t.Errorf("%s: %d of 6 loans were sent, %d are unknown", key, sent, v.EndCounts[2])
 		}
 	}
 	play("killed", func() { one.Kill() })
@@ -140,10 +140,10 @@
 		v, err := r.Ends(key, "done")
 		check(t, err)
 		sound(t, r, key)
-		if v.Ends[0]+v.Ends[1]+v.Ends[2]+v.Ends[3] != 2*titles+1 {
-			t.Errorf("%s: %v of %d steps", key, v.Ends, 2*titles+1)
+		if v.EndCounts[0]+v.EndCounts[1]+v.EndCounts[2]+v.EndCounts[3] != 2*titles+1 {
+			t.Errorf("%s: %v of %d steps", key, v.EndCounts, 2*titles+1)
 		}
-		unknown, steps = unknown+v.Ends[2], steps+2*titles+1
+		unknown, steps = unknown+v.EndCounts[2], steps+2*titles+1
 	}
 	t.Logf("%d of %d steps unknown", unknown, steps)
 	r.Most("share of steps unknown", float64(unknown)/float64(steps), 0.25)
@@ -178,7 +178,7 @@
 	v, err := r.Ends("old", "held")
 	check(t, err)
 	t.Logf("%d loans were sent before; %+v", sent, v)
-	if !v.Doubt {
+	if !v.RunUncertain {
 		t.Error("it is not in doubt")
 	}
 	time.Sleep(2 * lease)
@@ -189,7 +189,7 @@
 	// An operator who knows that one has not run has it sent; who cancels ends it.
 	v, err = r.View("old")
 	check(t, err)
-	var never *claims.StepView
+	var never *claims.StepStatus
 	all := r.Sent("old/loan")
 	for i, s := range v.Steps {
 		if s.State == "stuck" && s.Name == "loan" && all[fmt.Sprintf("old/loan%v", s.Ref.Path)] == 0 {
@@ -209,7 +209,7 @@
 			for _, s := range v.Steps {
 				if s.State == "stuck" {
 					stuck = true
-					_, err := r.Flow(claims.Command{Settle: &claims.Settle{Flow: "old", Ref: s.Ref, As: claims.Failed, Who: "rig"}})
+					_, err := r.Flow(claims.Command{Resolve: &claims.Resolution{Workflow: "old", Step: s.Ref, Outcome: claims.OutcomeFailed, RequestedBy: "rig"}})
 					check(t, err)
 				}
 			}
@@ -274,8 +274,8 @@
 		check(t, err)
 		sound(t, r, key)
 		want := map[string]int{"a": 2*titles + 1, "b": 21}[key]
-		if last := map[string]string{"a": "collect", "b": "gather"}[key]; v.Ends[0]+v.Ends[2] < want-4 || len(r.Sent(key+"/"+last)) != 1 {
-			t.Errorf("%s: %v of %d; %d of %s were sent", key, v.Ends, want, len(r.Sent(key+"/"+last)), last)
+		if last := map[string]string{"a": "collect", "b": "gather"}[key]; v.EndCounts[0]+v.EndCounts[2] < want-4 || len(r.Sent(key+"/"+last)) != 1 {
+			t.Errorf("%s: %v of %d; %d of %s were sent", key, v.EndCounts, want, len(r.Sent(key+"/"+last)), last)
 		}
 	}
 	for i, w := range r.Workers {
@@ -317,8 +317,8 @@
 	}
 	took := time.Since(began)
 	check(t, Until("all flows are done", func() bool {
-		a, err := r.Flow(claims.Command{Show: &claims.Show{}})
-		return err == nil && a.Counts["done"] == flows
+		a, err := r.Flow(claims.Command{Query: &claims.StatusQuery{}})
+		return err == nil && a.CountsByState["done"] == flows
 	}))
 	t.Logf("%d flows of 5 steps submitted in %v, done after %v", flows, took, time.Since(began))
 	r.Most("submissions take, s", took.Seconds(), 3)
@@ -335,26 +335,26 @@
 	check(t, r.Submit("wide", "course", wide))
 	check(t, r.Submit("off", "course", off*6/5))
 	r.Runs(1500 * time.Millisecond)
-	check(t, Until("many steps of one flow are out", func() bool { v, err := r.View("off"); return err == nil && v.Out >= off }))
+	check(t, Until("many steps of one flow are out", func() bool { v, err := r.View("off"); return err == nil && v.OpenClaims >= off }))
 	staff(t, r, 0, "flow", "cancel", "off")
 	v, err := r.View("off")
 	check(t, err)
-	if v.State != "closing" || v.Out == 0 {
-		t.Errorf("just cancelled: %v with %d out", v.State, v.Out)
+	if v.State != "closing" || v.OpenClaims == 0 {
+		t.Errorf("just cancelled: %v with %d out", v.State, v.OpenClaims)
 	}
 	r.Runs(time.Millisecond)
 	v, err = r.Ends("off", "cancelled")
 	check(t, err)
 	n := len(r.Sent("off/"))
-	t.Logf("cancelled with %d sent: %v", n, v.Ends)
-	if v.Ends[2] > 0 || v.Ends[0] != n {
-		t.Errorf("%v, with %d sent: what was out is waited for", v.Ends, n)
+	t.Logf("cancelled with %d sent: %v", n, v.EndCounts)
+	if v.EndCounts[2] > 0 || v.EndCounts[0] != n {
+		t.Errorf("%v, with %d sent: what was out is waited for", v.EndCounts, n)
 	}
 	v, err = r.Ends("wide", "done")
 	check(t, err)
-	t.Logf("a fan-out of %d: %v after %v", wide, v.Ends, time.Since(began))
-	if n := once(t, r, "wide", "loan"); n != wide || v.Ends[0] != 2*wide+1 {
-		t.Errorf("%d loans were sent; %v", n, v.Ends)
+	t.Logf("a fan-out of %d: %v after %v", wide, v.EndCounts, time.Since(began))
+	if n := once(t, r, "wide", "loan"); n != wide || v.EndCounts[0] != 2*wide+1 {
+		t.Errorf("%d loans were sent; %v", n, v.EndCounts)
 	}
 }
 
@@ -387,15 +387,15 @@
 	check(t, err)
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("%v, %v; workers killed: %v", p.Ends, q.Ends, kills)
+	t.Logf("%v, %v; workers killed: %v", p.EndCounts, q.EndCounts, kills)
 	// With a worker goes what else is open there: that loan is unknown, too, and its package skipped.
 	if kills["p/loan[3 0 0]"] != 1 || kills["q/package[7 0 0]"] != 3 && len(r.Sent("q/package[7 ")) > 0 {
 		t.Errorf("workers killed: %v; expected 1 by a loan, 3 by a package", kills)
 	}
 	once(t, r, "p", "loan")
 	once(t, r, "q", "loan")
-	if p.Ends[2] < 2 || q.Ends[1] < 1 && len(r.Sent("q/package[7 ")) > 0 {
-		t.Errorf("%v, %v: expected two loans unknown, and a package failed", p.Ends, q.Ends)
+	if p.EndCounts[2] < 2 || q.EndCounts[1] < 1 && len(r.Sent("q/package[7 ")) > 0 {
+		t.Errorf("%v, %v: expected two loans unknown, and a package failed", p.EndCounts, q.EndCounts)
 	}
 }
 
--- a/lab/rig/harness/flows.go
+++ b/lab/rig/harness/flows.go
@@ -62,21 +62,21 @@
 
 // Submit submits a flow over so many titles.
 func (r *Rig) Submit(key, template string, titles int) error {
-	_, err := r.Flow(claims.Command{Submit: &claims.Submit{Key: key, Template: template, Inputs: map[string]expansion.Input{"titles": {Count: titles}}, Who: "rig"}})
+	_, err := r.Flow(claims.Command{Submit: &claims.Submission{Key: key, Template: template, Inputs: map[string]expansion.Input{"titles": {Count: titles}}, Submitter: "rig"}})
 	return err
 }
 
 // View is how far a flow is.
-func (r *Rig) View(key string) (claims.View, error) {
-	a, err := r.Flow(claims.Command{Show: &claims.Show{Flow: key}})
-	if err != nil || len(a.Views) != 1 {
-		return claims.View{}, errors.Join(err, fmt.Errorf("%d views of %s", len(a.Views), key))
+func (r *Rig) View(key string) (claims.WorkflowStatus, error) {
+	a, err := r.Flow(claims.Command{Query: &claims.StatusQuery{Workflow: key}})
+	if err != nil || len(a.Statuses) != 1 {
+		return claims.WorkflowStatus{}, errors.Join(err, fmt.Errorf("%d views of %s", len(a.Statuses), key))
 	}
-	return a.Views[0], nil
+	return a.Statuses[0], nil
 }
 
 // Ends waits until a flow has come to a state.
-func (r *Rig) Ends(key string, states ...string) (v claims.View, err error) {
+func (r *Rig) Ends(key string, states ...string) (v claims.WorkflowStatus, err error) {
 	limit := time.Now().Add(3 * Patience)
 	for {
 		if v, err = r.View(key); err == nil {
--- a/lab/rig/harness/history.go
+++ b/lab/rig/harness/history.go
@@ -42,9 +42,9 @@
 		if !limited || a.In <= 0 {
 			continue
 		}
-		level = max(level-float64(l.Amount)/quota.One*float64(a.In-last)/1e9, 0) + 1
+		level = max(level-float64(l.Amount)/quota.Unit*float64(a.In-last)/1e9, 0) + 1
 		last = a.In
-		if over := level - float64(l.Burst)/quota.One; over > worst {
+		if over := level - float64(l.Burst)/quota.Unit; over > worst {
 			worst, what = over, fmt.Sprintf("%s under version %d", a.Dispatcher, a.Version)
 		}
 	}
--- a/lab/rig/harness/jury.go
+++ b/lab/rig/harness/jury.go
@@ -45,10 +45,10 @@
 type juror struct {
 	name   string
 	zone   int
-	w      *outlier.Witness
+	w      *outlier.Reporter
 	next   time.Duration
 	last   time.Duration
-	held   []outlier.Verdict
+	held   []outlier.EjectionNotice
 	got    time.Duration
 	shun   map[int]time.Duration // by its own knowledge, until then
 	trials map[int]uint64        // that it has yet to make, by worker
@@ -60,14 +60,14 @@
 // Run plays it.
 func (j Jury) Run() (out Tried) {
 	rnd := rand.New(rand.NewPCG(j.Seed, 41))
-	l := outlier.NewLedger()
-	s := outlier.Default()
-	l.Set(&s)
+	l := outlier.NewDetector()
+	s := outlier.DefaultSettings()
+	l.Configure(&s)
 	lease := 3 * j.Every
-	name := func(w int) outlier.Life { return outlier.Life{Worker: fmt.Sprint("s-", w), Started: 1} }
+	name := func(w int) outlier.Incarnation { return outlier.Incarnation{Worker: fmt.Sprint("s-", w), Started: 1} }
 	var all []*juror
 	for i := range j.Dispatchers {
-		all = append(all, &juror{name: fmt.Sprint("d", i), zone: i % max(j.Zones, 1), w: outlier.NewWitness(s.HalfLife, 1), shun: map[int]time.Duration{}, trials: map[int]uint64{}, made: map[uint64]bool{},
+		all = append(all, &juror{name: fmt.Sprint("d", i), zone: i % max(j.Zones, 1), w: outlier.NewReporter(s.HalfLife, 1), shun: map[int]time.Duration{}, trials: map[int]uint64{}, made: map[uint64]bool{},
 			next: time.Duration(rnd.Float64() * float64(j.Every))})
 	}
 	bad := func(at time.Duration, zone, w int) bool { return j.Bad != nil && j.Bad(at, zone, w) }
@@ -81,7 +81,7 @@
 	}
 	var began, good time.Duration
 	bytes, seen, news := 0, uint64(0), uint64(0)
-	stands := map[outlier.Life]bool{}
+	stands := map[outlier.Incarnation]bool{}
 	for now := time.Duration(0); now < j.Length; now += juryStep {
 		isBad := false
 		for w := range j.Workers {
@@ -94,7 +94,7 @@
 			good = now
 		}
 		if now%(100*time.Millisecond) == 0 && j.Verdicts {
-			l.Judge(now)
+			l.Evaluate(now)
 		}
 		for i, d := range all {
 			deaf := j.Deaf != nil && j.Deaf(now, i)
@@ -107,29 +107,29 @@
 				if i < j.Liars {
 					said = nil
 					for w := range j.Workers {
-						said = append(said, outlier.Report{Of: name(w), Stamp: uint64(now) + 1, Bad: 1 << 60}, outlier.Report{Of: outlier.Life{Worker: name(w).Worker, Started: 1 << 60}, Stamp: uint64(now) + 1, Bad: 1 << 60, Age: -1 << 60})
+						said = append(said, outlier.Report{Subject: name(w), Sequence: uint64(now) + 1, Failures: 1 << 60}, outlier.Report{Subject: outlier.Incarnation{Worker: name(w).Worker, Started: 1 << 60}, Sequence: uint64(now) + 1, Failures: 1 << 60, Age: -1 << 60})
 					}
 				}
 				bytes += 40 * len(said)
-				l.Hear(now, d.name, d.zone, j.Workers, said)
-				l.Judge(now)
-				held, accused := l.Tell(now, d.name, d.zone)
-				d.w.Pardon(d.held, held)
+				l.AddReports(now, d.name, d.zone, j.Workers, said)
+				l.Evaluate(now)
+				held, accused := l.NoticesFor(now, d.name, d.zone)
+				d.w.Reinstated(d.held, held)
 				d.held, d.got = held, now
 				clear(d.trials)
 				for _, v := range held {
 					if v.Trial != 0 && !d.made[v.Trial] {
 						for w := range j.Workers {
-							if name(w) == v.Of {
+							if name(w) == v.Subject {
 								d.trials[w] = v.Trial
 							}
 						}
 					}
 				}
-				d.w.Accused(accused)
+				d.w.SetSuspects(accused)
 			}
-			if j.Verdicts && !deaf && news != l.No && now-d.got > 2*juryStep { // a watch tells of it
-				d.held = slices.DeleteFunc(l.All(), func(v outlier.Verdict) bool { return v.Zone != outlier.Everywhere && v.Zone != d.zone })
+			if j.Verdicts && !deaf && news != l.Revision && now-d.got > 2*juryStep { // a watch tells of it
+				d.held = slices.DeleteFunc(l.Notices(), func(v outlier.EjectionNotice) bool { return v.Zone != outlier.AllZones && v.Zone != d.zone })
 			}
 			if rnd.Float64() >= j.Rate*juryStep.Seconds() {
 				continue
@@ -139,7 +139,7 @@
 				for t := range d.trials {
 					w = t // one at the most: made with the next job
 				}
-				condemned := slices.ContainsFunc(d.held, func(v outlier.Verdict) bool { return v.Of == name(w) })
+				condemned := slices.ContainsFunc(d.held, func(v outlier.EjectionNotice) bool { return v.Subject == name(w) })
 				trial := d.trials[w]
 				if condemned && trial == 0 || !condemned && d.shun[w] > now {
 					continue
@@ -148,37 +148,37 @@
 					out.Oldest = max(out.Oldest, now-d.got)
 					d.made[trial] = true
 					delete(d.trials, w)
-					d.w.Try(now, name(w), trial)
+					d.w.StartTrial(now, name(w), trial)
 				}
 				fails := bad(now, d.zone, w)
 				if fails {
 					out.Lost++
 				}
 				fails = fails || rnd.Float64() < j.Errors
-				d.w.Saw(now, name(w), !fails, outlier.One)
+				d.w.Observe(now, name(w), !fails, outlier.OneJob)
 				if fails {
 					d.shun[w] = now + 5*time.Second
 				}
 				break
 			}
 		}
-		if news = seen; l.No != seen {
-			seen = l.No
+		if news = seen; l.Revision != seen {
+			seen = l.Revision
 		}
-		out.Most = max(out.Most, len(l.Sentences))
-		for _, s := range l.Sentences {
-			if !stands[s.Of] {
-				stands[s.Of] = true
+		out.Most = max(out.Most, len(l.Ejections))
+		for _, s := range l.Ejections {
+			if !stands[s.Subject] {
+				stands[s.Subject] = true
 				out.Sentences++
 				var w int
-				_, _ = fmt.Sscanf(s.Of.Worker, "s-%d", &w)
-				if n := anyBad(now, w); n == 0 && (good == 0 || now > good+20*time.Second) || s.Zone == outlier.Everywhere && n == 1 && j.Zones > 1 {
+				_, _ = fmt.Sscanf(s.Subject.Worker, "s-%d", &w)
+				if n := anyBad(now, w); n == 0 && (good == 0 || now > good+20*time.Second) || s.Zone == outlier.AllZones && n == 1 && j.Zones > 1 {
 					out.False++
 				}
 			}
 		}
 		for of := range stands {
-			if !slices.ContainsFunc(l.Sentences, func(s *outlier.Sentence) bool { return s.Of == of }) {
+			if !slices.ContainsFunc(l.Ejections, func(s *outlier.Ejection) bool { return s.Subject == of }) {
 				delete(stands, of)
 			}
 		}
@@ -188,7 +188,7 @@
 				for w := range j.Workers {
 					if bad(now, d.zone, w) {
 						of++
-						if d.shun[w] > now || slices.ContainsFunc(d.held, func(v outlier.Verdict) bool { return v.Of == name(w) }) {
+						if d.shun[w] > now || slices.ContainsFunc(d.held, func(v outlier.EjectionNotice) bool { return v.Subject == name(w) }) {
 							know++
 						}
 					}
@@ -201,7 +201,7 @@
 				out.KnowAll = max(now-began, 1)
 			}
 		}
-		if good > 0 && out.Back == 0 && len(l.Sentences) == 0 && !slices.ContainsFunc(all, func(d *juror) bool { return len(d.held) > 0 }) {
+		if good > 0 && out.Back == 0 && len(l.Ejections) == 0 && !slices.ContainsFunc(all, func(d *juror) bool { return len(d.held) > 0 }) {
 			out.Back = max(now-good, 1)
 		}
 	}
--- a/lab/rig/harness/keepers.go
+++ b/lab/rig/harness/keepers.go
@@ -311,7 +311,7 @@
 	}
 	holding := func() (n int) {
 		for _, h := range all {
-			if held, _ := h.Admits(); held.Admits {
+			if held, _ := h.Admits(); held.Allowed {
 				n++
 			}
 		}
--- a/lab/rig/harness/limits.go
+++ b/lab/rig/harness/limits.go
@@ -72,8 +72,8 @@
 	}
 	s, _, err := r.State()
 	check(t, err)
-	if s.Quota.Over != 0 {
-		t.Errorf("%d times more was out than may be", s.Quota.Over)
+	if s.Quota.Overcommits != 0 {
+		t.Errorf("%d times more was out than may be", s.Quota.Overcommits)
 	}
 }
 
--- a/lab/rig/harness/sim.go
+++ b/lab/rig/harness/sim.go
@@ -72,7 +72,7 @@
 }
 
 type simHolder struct {
-	a       *policylease.Accord
+	a       *policylease.Holder
 	name    string
 	still   bool // stopped: it does nothing, and its clock runs on
 	cut     bool
@@ -144,7 +144,7 @@
 		s.boot(k, peers)
 	}
 	for i := range c.Dispatchers {
-		h := &simHolder{name: fmt.Sprintf("d%d", i), at: s.rnd.IntN(c.Keepers), drift: 1 + policylease.Drift*(s.rnd.Float64()-0.5)}
+		h := &simHolder{name: fmt.Sprintf("d%d", i), at: s.rnd.IntN(c.Keepers), drift: 1 + policylease.MaxClockDrift*(s.rnd.Float64()-0.5)}
 		s.holders = append(s.holders, h)
 		s.rise(h)
 		s.in(s.span(0, simLease/4), func() { s.ask(h, h.life) })
@@ -398,7 +398,7 @@
 		return
 	}
 	asked := s.clock(h)
-	hold := h.a.Ask(asked)
+	hold := h.a.NextRequest(asked)
 	s.call(h, statemachine.Command{LeaseRequest: &hold}, func(r statemachine.Result, ok bool) {
 		if h.life != life {
 			return
@@ -408,26 +408,26 @@
 			again(s.span(50*time.Millisecond, 300*time.Millisecond))
 			return
 		}
-		t := h.a.Heard(asked, r)
-		if t.Take != nil {
-			h.a.Took(*t.Take)
+		t := h.a.HandleResult(asked, r)
+		if t.ApplyPolicy != nil {
+			h.a.PolicyApplied(*t.ApplyPolicy)
 		}
-		if t.Weigh != nil {
-			say := h.a.Say(t.Weigh, "")
+		if t.CheckChange != nil {
+			say := h.a.Vote(t.CheckChange, "")
 			s.call(h, statemachine.Command{Vote: &say}, func(_ statemachine.Result, ok bool) {
 				if !ok && h.life == life {
-					h.a.Unsaid()
+					h.a.VoteLost()
 				}
 			})
 		}
 		switch {
-		case t.Again || t.Take != nil || t.Weigh != nil:
+		case t.RequestAgain || t.ApplyPolicy != nil || t.CheckChange != nil:
 			again(5 * time.Millisecond)
 		case r.LeaseDuration == 0: // a watch would tell of what it waits for
 			again(20 * time.Millisecond)
 		default:
 			// The watch wakes it at a change; here it looks a little more often instead.
-			again(s.span(h.a.Every()/4, h.a.Every()/2))
+			again(s.span(h.a.RenewalInterval()/4, h.a.RenewalInterval()/2))
 		}
 	})
 }
@@ -477,22 +477,22 @@
 	if h.still {
 		return
 	}
-	held := h.a.Admits(s.clock(h))
+	held := h.a.Admission(s.clock(h))
 	s.looks[1]++
 	count := &s.phases[s.phase]
 	if s.now < simLease { // all are at their start
 		count = new([2]int)
 	}
 	count[1]++
-	if s.phase == 2 && s.out.Back == 0 && !slices.ContainsFunc(s.holders, func(o *simHolder) bool { return !o.a.Holds(s.clock(o)) }) {
+	if s.phase == 2 && s.out.Back == 0 && !slices.ContainsFunc(s.holders, func(o *simHolder) bool { return !o.a.HoldsLease(s.clock(o)) }) {
 		s.out.Back = s.now - s.since
 	}
-	if !held.Admits {
+	if !held.Allowed {
 		return
 	}
 	count[0]++
 	s.looks[0]++
-	if held.Marked {
+	if held.Unconfirmed {
 		return // by the last it knows, and says so: no lease bounds that
 	}
 	v := held.Version
@@ -511,7 +511,7 @@
 	}
 	if since, ok := s.proposed[v]; ok {
 		for _, o := range s.holders {
-			if !o.still && !o.cut && o.a.Holds(s.clock(o)) && o.a.Policy().Version < v || !o.a.Holds(s.clock(o)) && !o.still && !o.cut {
+			if !o.still && !o.cut && o.a.HoldsLease(s.clock(o)) && o.a.Policy().Version < v || !o.a.HoldsLease(s.clock(o)) && !o.still && !o.cut {
 				return
 			}
 		}
--- a/lab/rig/harness/stage.go
+++ b/lab/rig/harness/stage.go
@@ -307,8 +307,8 @@
 	var flows []template.Template
 	var pools []string
 	if doc, err := policy.Parse([]byte(text)); err == nil { // what is not sound is for the dispatchers to say
-		limits, _ = doc.Limits()
-		judges, starts, flows, pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
+		limits, _ = doc.QuotaLimits()
+		judges, starts, flows, pools = doc.OutlierSettings(), doc.ColdStartSettings(), doc.Templates(), doc.PoolNames()
 	}
 	return transport.Retry(ctx, func(ctx context.Context) error {
 		res, err := r.Client.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: id, Text: []byte(text), Limits: limits, OutlierSettings: judges, ColdStart: starts, Workflows: flows, Pools: pools, BaseVersion: base, Author: "rig", SkipUnresponsive: without}})
--- a/lab/rig/harness/startsim.go
+++ b/lab/rig/harness/startsim.go
@@ -65,8 +65,8 @@
 type coldOne struct {
 	life          int
 	zone          int
-	half          *policylease.Accord
-	desk          *coldstart.Desk
+	half          *policylease.Holder
+	desk          *coldstart.Client
 	has           time.Duration // it has the list since then; 0: not yet
 	fails         int
 	waits, asking bool
@@ -86,7 +86,7 @@
 	}
 	draw := func(most time.Duration) time.Duration { return time.Duration(rnd.Float64() * float64(most)) }
 	state := statemachine.New(statemachine.Config{LeaseDuration: 3 * time.Second, VoteTimeout: 5 * time.Second, OnLeaseLoss: statemachine.RefuseWork, PolicyHistory: 4})
-	settings := &coldstart.Settings{Settings: admission.Settings{Calls: c.Calls, Use: 100 * time.Millisecond}, Relay: c.Relay}
+	settings := &coldstart.Settings{Settings: admission.Settings{CallsPerSecond: c.Calls, TokenWindow: 100 * time.Millisecond}, RelayList: c.Relay}
 	state.Apply(statemachine.Command{Proposal: &statemachine.Proposal{ID: "one", Text: []byte("x"), ColdStart: settings}})
 	entries := make([]relay.Entry, c.Workers)
 	for i := range entries {
@@ -101,7 +101,7 @@
 
 	tell := func(i int, u *relay.Update) { // the list has come to a dispatcher
 		d := all[i]
-		if u = d.desk.News(u); u != nil && d.has == 0 {
+		if u = d.desk.HandleUpdate(u); u != nil && d.has == 0 {
 			d.has = now
 		}
 	}
@@ -110,7 +110,7 @@
 			life := all[i].life
 			at(now+5*time.Millisecond+draw(25*time.Millisecond), func() {
 				if d := all[i]; d.life == life && d.desk != nil {
-					u := state.UpdateFor(1, d.zone, d.desk.Has()).RelayedList
+					u := state.UpdateFor(1, d.zone, d.desk.Watermark()).RelayedList
 					if u != nil {
 						d.bytes += 40 * len(u.Entries)
 					}
@@ -145,8 +145,8 @@
 		}
 		d.asking = true
 		life, asked := d.life, now
-		h := d.half.Ask(now)
-		h.Zone, h.ColdStart = d.zone, d.desk.Want()
+		h := d.half.NextRequest(now)
+		h.Zone, h.ColdStart = d.zone, d.desk.NextRequest()
 		command(statemachine.Command{LeaseRequest: &h}, func(r statemachine.Result, ok bool) {
 			if d.life != life {
 				return
@@ -161,15 +161,15 @@
 				})
 				return
 			}
-			todo := d.half.Heard(asked, r)
-			if todo.Take != nil {
-				d.half.Took(*todo.Take)
-				d.desk.Bind(true)
+			todo := d.half.HandleResult(asked, r)
+			if todo.ApplyPolicy != nil {
+				d.half.PolicyApplied(*todo.ApplyPolicy)
+				d.desk.SetEnabled(true)
 				hold(i)
 				return
 			}
 			if r.LeaseDuration > 0 && r.ColdStart != nil {
-				u, _ := d.desk.Hear(asked, d.half.Until(), r.ColdStart)
+				u, _ := d.desk.HandleResponse(asked, d.half.LeaseExpiry(), r.ColdStart)
 				if u != nil {
 					d.bytes += 40 * len(u.Entries)
 					if d.has == 0 {
@@ -178,7 +178,7 @@
 				}
 				table(i)
 			}
-			due := now + time.Duration(float64(d.half.Every())*(0.8+0.2*rnd.Float64()))
+			due := now + time.Duration(float64(d.half.RenewalInterval())*(0.8+0.2*rnd.Float64()))
 			var look func()
 			look = func() {
 				switch {
@@ -186,10 +186,10 @@
 				case now >= due || d.desk.Urgent():
 					hold(i)
 				default:
-					at(min(due, now+d.half.Every()/4), look)
+					at(min(due, now+d.half.RenewalInterval()/4), look)
 				}
 			}
-			at(now+d.half.Every()/4, look)
+			at(now+d.half.RenewalInterval()/4, look)
 		})
 	}
 	table = func(i int) {
@@ -198,7 +198,7 @@
 			return
 		}
 		life := d.life
-		ok, wait, _ := d.desk.May(true, false)
+		ok, wait, _ := d.desk.MayCall(true, false)
 		if !ok {
 			d.waits = true
 			at(now+max(wait, time.Millisecond), func() {
@@ -221,7 +221,7 @@
 		if n >= c.Calls {
 			out.Failed++
 			d.fails++
-			d.desk.Failed()
+			d.desk.CallFailed()
 			at(now+backoff.AfterFailure(c.Dispatchers, d.fails, rnd.Float64()), func() {
 				if d.waits = false; d.life == life {
 					table(i)
@@ -236,14 +236,14 @@
 			if d.watches = true; d.has == 0 {
 				d.has = now
 			}
-			seat, _ := d.desk.Told()
+			seat, _ := d.desk.CallSucceeded()
 			if seat == 0 {
 				return // it watches from here on
 			}
 			command(statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: fmt.Sprint("d", i), Incarnation: uint64(life), Zone: d.zone, FencingToken: seat,
-				Update: relay.Word{Generation: 1, Whole: true, Entries: entries}}}, func(r statemachine.Result, ok bool) {
+				Update: relay.Publication{Generation: 1, Complete: true, Entries: entries}}}, func(r statemachine.Result, ok bool) {
 				if d.life == life {
-					d.desk.Said(seat, ok && r.Err == "")
+					d.desk.ListPublished(seat, ok && r.Err == "")
 				}
 			})
 		})
@@ -258,7 +258,7 @@
 		if c.Keepers {
 			patience += 10*time.Second + backoff.First(c.Dispatchers, rnd.Float64())
 		}
-		d.desk = coldstart.NewDesk(own, patience)
+		d.desk = coldstart.NewClient(own, patience)
 		all[i] = d
 		if c.Keepers {
 			hold(i)
--- a/lab/rig/harness/verdicts.go
+++ b/lab/rig/harness/verdicts.go
@@ -19,12 +19,12 @@
 const judged = "[verdicts]\nenabled = true\nhearing = \"800ms\"\npace = \"400ms\"\n"
 
 // sentences waits until just so many stand, and returns them.
-func sentences(t T, r *Rig, n int) (all []*outlier.Sentence) {
+func sentences(t T, r *Rig, n int) (all []*outlier.Ejection) {
 	t.Helper()
 	check(t, Until(fmt.Sprintf("%d workers are condemned", n), func() bool {
 		s, _, err := r.State()
 		if err == nil && s.Outliers != nil {
-			all = s.Outliers.Sentences
+			all = s.Outliers.Ejections
 		}
 		return err == nil && len(all) == n
 	}))
@@ -57,7 +57,7 @@
 	began := time.Now()
 	bad.Fail(true)
 	lost := arrivals(bad, func() {
-		if got := sentences(t, r, 1)[0]; got.Of.Worker != bad.ID || got.Zone != outlier.Everywhere || got.Against < 2 {
+		if got := sentences(t, r, 1)[0]; got.Subject.Worker != bad.ID || got.Zone != outlier.AllZones || got.Reporters < 2 {
 			t.Errorf("condemned: %+v", got)
 		}
 	})
@@ -101,7 +101,7 @@
 			r.Link(d.Name, far.ID).Refuse(true)
 		}
 	}
-	if got := sentences(t, r, 1)[0]; got.Zone != 1 || got.Of.Worker != far.ID {
+	if got := sentences(t, r, 1)[0]; got.Zone != 1 || got.Subject.Worker != far.ID {
 		t.Errorf("condemned: %+v", got)
 	}
 	if n := arrivals(far, func() { time.Sleep(2 * time.Second) }); n < 20 {
@@ -123,8 +123,8 @@
 	}
 	sentences(t, r, 3)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if s, _, err := r.State(); err == nil && len(s.Outliers.Sentences) > 3 {
-			t.Fatalf("%d of 6 workers are condemned", len(s.Outliers.Sentences))
+		if s, _, err := r.State(); err == nil && len(s.Outliers.Ejections) > 3 {
+			t.Fatalf("%d of 6 workers are condemned", len(s.Outliers.Ejections))
 		}
 	}
 	// Nobody hears anything. Those condemned are good again, and all others fail: once what was
@@ -135,7 +135,7 @@
 		r.Cut(d.Name, true)
 	}
 	for _, w := range r.Workers {
-		w.Fail(!slices.ContainsFunc(all.Outliers.Sentences, func(s *outlier.Sentence) bool { return s.Of.Worker == w.ID }))
+		w.Fail(!slices.ContainsFunc(all.Outliers.Ejections, func(s *outlier.Ejection) bool { return s.Subject.Worker == w.ID }))
 	}
 	for _, d := range r.Dispatcher {
 		check(t, Until(d.Name+" serves by those condemned, while the keepers are out of reach", func() bool { return r.AskOf(d, "package-file") == 200 }))
@@ -167,7 +167,7 @@
 				hold.WorkerCount = 1 << 40
 				for _, w := range r.Workers {
 					for _, started := range []int64{0, 1 << 60, -1} {
-						hold.OutlierReports = append(hold.OutlierReports, outlier.Report{Of: outlier.Life{Worker: w.ID, Started: started}, Stamp: 1<<60 + uint64(told), Bad: 1 << 60, Good: -1 << 60, Age: -time.Hour})
+						hold.OutlierReports = append(hold.OutlierReports, outlier.Report{Subject: outlier.Incarnation{Worker: w.ID, Started: started}, Sequence: 1<<60 + uint64(told), Failures: 1 << 60, Successes: -1 << 60, Age: -time.Hour})
 					}
 				}
 			}})
@@ -175,15 +175,15 @@
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		s, _, err := r.State()
 		check(t, err)
-		if len(s.Outliers.Sentences) > 0 {
-			t.Fatalf("by one liar's word: %+v", s.Outliers.Sentences[0])
+		if len(s.Outliers.Ejections) > 0 {
+			t.Fatalf("by one liar's word: %+v", s.Outliers.Ejections[0])
 		}
 	}
 	s, _, err := r.State()
 	check(t, err)
 	accused := 0
-	for _, e := range s.Outliers.Cases {
-		if e.Case.Since > 0 {
+	for _, e := range s.Outliers.Records {
+		if e.Observations.SuspectedSince > 0 {
 			accused++
 		}
 	}
@@ -193,7 +193,7 @@
 	// It counts as one: a worker that is really bad is condemned beside it.
 	bad := r.busiest()[0]
 	bad.Fail(true)
-	if got := sentences(t, r, 1)[0]; got.Of.Worker != bad.ID {
+	if got := sentences(t, r, 1)[0]; got.Subject.Worker != bad.ID {
 		t.Errorf("condemned: %+v", got)
 	}
 }
--- a/scheduling/dispatch/dispatcher_test.go
+++ b/scheduling/dispatch/dispatcher_test.go
@@ -1249,14 +1249,14 @@
 		old.Notify(now+ms, Notification{ID: RequestID(i + 1), Worker: 1, Kind: NotificationStarted}, out)
 		old.AttemptEnded(now+601*ms, Outcome{ID: RequestID(i + 1), Worker: 1, Code: OK, Answered: true}, out)
 	}
-	speeds := fleet.From(old.Snapshot())
+	speeds := fleet.Decode(old.Snapshot())
 	if speeds == nil {
 		t.Fatal("a module that has seen jobs has nothing to say")
 	}
 	d := mustNew(t, testSettings(), 2).(*dispatcher)
 	d.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
 	kinds, delay := len(d.kinds), d.startDelay
-	d.Restore(speeds.Module())
+	d.Restore(speeds.Encode())
 	was := old.(*dispatcher)
 	if len(d.kinds) != kinds || d.startDelay != delay || d.meanRun != was.meanRun || d.kinds[1].seen != was.kinds[1].seen || d.stats["safe"].work != was.stats["safe"].work {
 		t.Errorf("%d kinds of %d, delays %v of %v, typical run %v of %v", len(d.kinds), kinds, d.startDelay, delay, d.meanRun, was.meanRun)
