--- a/scheduling/backfill/room_test.go
+++ b/scheduling/backfill/plan_test.go
@@ -50,7 +50,7 @@
 	now := 1000 * ms
 	p.Start(now, 1, 11, 2, sure(time.Second))
 	at, _, _ := p.ShadowTime(now, 1, 99, 3, 4, SlowStart{})
-	if !p.Reserve(now, 1, 99, 3, 4, SlowStart{}, at) {
+	if !p.Reserve(now, 1, 99, 3, 4, at) {
 		t.Fatal("not reserved")
 	}
 	ask := func(job uint64, slots float64, run time.Duration, ramp SlowStart) bool {
@@ -86,7 +86,7 @@
 
 // A run's quantiles, and what is left of one that has run for a while; a cold
 // worker takes longer, less so as it warms.
-func TestLengths(t *testing.T) {
+func TestRunTimes(t *testing.T) {
 	l := RunTime{LogMean: 0, LogStdDev: 0.5}
 	if got := l.Quantile(0.8); !near(got, 1523*ms, 2*ms) {
 		t.Error(got)
@@ -122,7 +122,7 @@
 	p := plan(Conservative)
 	now := time.Second
 	for job := range uint64(3) {
-		p.Reserve(now, job%2, 90+job, 1, 4, SlowStart{}, now)
+		p.Reserve(now, job%2, 90+job, 1, 4, now)
 	}
 	if got := p.RemoveWorker(now, 0); !cmp.Equal(got, []uint64{90, 92}) || p.ReservationOf(90) != nil || p.ReservationOf(91) == nil {
 		t.Error(got)
@@ -131,32 +131,32 @@
 	if len(p.Reservations()) != 0 || !p.MayBackfill(now, 1, 5, 4, 4, sure(time.Hour), SlowStart{}) {
 		t.Error(p.Reservations())
 	}
-	p.Reserve(now, 1, 93, 1, 4, SlowStart{}, now)
+	p.Reserve(now, 1, 93, 1, 4, now)
 	if got := p.Tick(now+p.ReservationTTL, 100); !cmp.Equal(got, []uint64{93}) || p.Expired != 1 {
 		t.Error(got)
 	}
 	p.SetShare(0.5)
 	for job := range uint64(20) {
-		p.Reserve(now, 100+job, 200+job, 1, 4, SlowStart{}, now)
+		p.Reserve(now, 100+job, 200+job, 1, 4, now)
 	}
 	if n := len(p.Reservations()); n != p.MaxReservations/2 {
 		t.Errorf("%d reservations for half of %d", n, p.MaxReservations)
 	}
 	e := plan(Easy)
-	if !e.Reserve(now, 1, 1, 1, 4, SlowStart{}, now) || e.Reserve(now, 2, 2, 1, 4, SlowStart{}, now) {
+	if !e.Reserve(now, 1, 1, 1, 4, now) || e.Reserve(now, 2, 2, 1, 4, now) {
 		t.Error("EASY holds room for one job")
 	}
 }
 
 // Idle time is counted, and past the budget nothing more is reserved until it fades.
-func TestBudget(t *testing.T) {
+func TestIdleBudget(t *testing.T) {
 	s := DefaultSettings()
 	s.IdleBudget = 0.05
 	p := New(s)
 	p.Tick(time.Second, 10)
 	p.Tick(11*time.Second, 10) // 100 slot seconds: 5 may lie idle
 	now := 11 * time.Second
-	p.Reserve(now, 1, 1, 2, 4, SlowStart{}, now)
+	p.Reserve(now, 1, 1, 2, 4, now)
 	now += 3 * time.Second
 	p.Release(now, 1, false)
 	p.Tick(now, 10)
@@ -166,7 +166,7 @@
 	if p.AtLimit() {
 		t.Error("full within the budget")
 	}
-	p.Reserve(now, 1, 2, 2, 4, SlowStart{}, now)
+	p.Reserve(now, 1, 2, 2, 4, now)
 	p.Release(now+time.Second, 2, false)
 	if p.Tick(now+time.Second, 10); !p.AtLimit() {
 		t.Errorf("idle %.3f of the slot time, and not full", p.IdleShare())
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettingsAreValidated(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
 		"mode": func(s *Settings) { s.Mode = "hard" }, "quantile": func(s *Settings) { s.Quantile = 1 }, "most": func(s *Settings) { s.MaxReservations = 0 },
 		"longest": func(s *Settings) { s.ReservationTTL = 0 }, "budget": func(s *Settings) { s.IdleBudget = 0.6 },
@@ -201,7 +201,7 @@
 // of 4: what is reserved and what runs never exceed a worker's slots, every
 // reservation ends, the same calls give the same plan, and where the estimates are
 // right no backfill delays a reservation past its shadow time.
-func TestPlansHold(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 4
 		s := DefaultSettings()
@@ -251,7 +251,7 @@
 				if at != at2 || ok != ok2 {
 					t.Fatal("the same calls give another shadow time")
 				}
-				if ok && p.Reserve(now, 1, job, n, slots, SlowStart{}, at) != twin.Reserve(now, 1, job, n, slots, SlowStart{}, at) {
+				if ok && p.Reserve(now, 1, job, n, slots, at) != twin.Reserve(now, 1, job, n, slots, at) {
 					t.Fatal("the same calls give another reservation")
 				}
 				if ok && len(p.Reservations()) == 1 && p.ReservationOf(job) != nil {
@@ -308,7 +308,7 @@
 				}
 			}
 			for w := range uint64(4) {
-				p.Reserve(now, w, 1e6+w, 2, 4, SlowStart{}, now)
+				p.Reserve(now, w, 1e6+w, 2, 4, now)
 			}
 			b.ReportAllocs()
 			for i := uint64(0); b.Loop(); i++ {
--- /dev/null
+++ b/scheduling/dispatch/attempts_test.go
@@ -0,0 +1,65 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// A refusal requeues the job and the next attempt goes to another worker.
+func TestRejectionRequeues(t *testing.T) {
+	d, out := mustNew(t, testSettings(), 1), &recorder{}
+	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}, out)
+	out.take()
+	d.Arrive(ms, Request{ID: 7, TimeLeft: 5 * time.Second}, out)
+	first := out.take()
+	if len(first) != 1 || first[0].what != "send" {
+		t.Fatalf("got %v, want one send", first)
+	}
+	d.AttemptEnded(2*ms, Outcome{ID: 7, Worker: first[0].worker, Code: Rejected}, out)
+	now := 2 * ms
+	for range 100 {
+		if got := out.take(); len(got) > 0 {
+			if got[0].what != "send" || got[0].worker == first[0].worker {
+				t.Fatalf("after a refusal got %v", got)
+			}
+			return
+		}
+		now += 25 * ms
+		d.Timer(now, 0, out)
+	}
+	t.Fatal("never sent again")
+}
+
+// A connect that fails proves that the job never ran, as where a worker holds all the
+// connections it takes: an unsafe job goes on to another worker, and is never failed for it.
+func TestFailedConnectDoesNotFailAnAtMostOnceRequest(t *testing.T) {
+	s := testSettings()
+	s.DispatcherCount = 40 // as one of many
+	d, out := mustNew(t, s, 3), &recorder{}
+	var list []Worker
+	for id := WorkerID(1); id <= 8; id++ {
+		list = append(list, Worker{ID: id, Weight: 1})
+	}
+	d.UpdateWorkers(0, ListFull, list, out)
+	d.Arrive(0, Request{ID: 1, Class: 2, TimeLeft: 5 * time.Second, Slots: 1}, out)
+	tried, now := map[WorkerID]bool{}, time.Duration(0)
+	for n := range s.MaxAttempts {
+		var sent *action
+		for _, a := range out.take() {
+			if a.what == "send" {
+				sent = &a
+			} else if a.what == "fail" {
+				t.Fatalf("failed after %d connects that failed", n)
+			}
+		}
+		if sent == nil || tried[sent.worker] {
+			t.Fatalf("after %d failed connects: sent %v, tried %v", n, sent, tried)
+		}
+		tried[sent.worker] = true
+		now += 20 * ms
+		d.AttemptEnded(now, Outcome{ID: 1, Attempt: n, Worker: sent.worker, Code: ConnectFailed}, out)
+	}
+	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+		t.Errorf("after the last attempt: %+v, want a refusal", got)
+	}
+}
--- /dev/null
+++ b/scheduling/dispatch/fleet_test.go
@@ -0,0 +1,66 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// Nothing new goes to a worker told to drain, and it is used again when ready.
+func TestDrainingWorkerIsSentNothingNew(t *testing.T) {
+	d, out := mustNew(t, testSettings(), 1), &recorder{}
+	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
+	d.UpdateWorkers(ms, ListDelta, []Worker{{ID: 1, State: Draining}}, out)
+	out.take()
+	d.Arrive(2*ms, Request{ID: 1, TimeLeft: time.Second}, out)
+	for now := 25 * ms; now < 900*ms; now += 25 * ms {
+		d.Timer(now, 0, out)
+	}
+	if got := out.take(); len(got) != 0 {
+		t.Fatalf("acted on a drained fleet: %v", got)
+	}
+	d.UpdateWorkers(901*ms, ListDelta, []Worker{{ID: 1, Weight: 1}}, out)
+	for now := 925 * ms; now < 1100*ms; now += 25 * ms {
+		d.Timer(now, 0, out)
+	}
+	if got := out.take(); len(got) != 1 || (got[0].what != "send" && got[0].what != "reject") {
+		t.Fatalf("got %v, want the job sent or refused", got)
+	}
+}
+
+// A lost subscription is asked for again, with growing pauses under ListRefreshInterval.
+func TestListServiceRecovery(t *testing.T) {
+	s := testSettings()
+	s.MustSubscribe = true
+	d, out := mustNew(t, s, 3), &recorder{}
+	d.UpdateWorkers(0, ListCached, nil, out)
+	if got := out.take(); len(got) != 1 || got[0].what != "subscribe" {
+		t.Fatalf("got %v, want a subscription at once", got)
+	}
+	now := time.Duration(0)
+	for range 10 {
+		failed := now
+		d.UpdateWorkers(now, ListFailed, nil, out)
+		for len(out.take()) == 0 {
+			now += 25 * ms
+			d.Timer(now, 0, out)
+			if now-failed > s.ListRefreshInterval {
+				t.Fatal("did not ask within AskWithin")
+			}
+		}
+	}
+}
+
+// Pricing a new list must rank every worker, not every other one.
+func TestRankIsSortedAfterAList(t *testing.T) {
+	d, out := newDispatcher(testSettings(), 5), &recorder{}
+	var list []Worker
+	for i := range 50 {
+		list = append(list, Worker{ID: WorkerID(i + 1), Zone: i % 3, Kind: i % 2, Weight: float64(1 + i%3)})
+	}
+	d.UpdateWorkers(0, ListCached, list, out)
+	for i, w := range d.fleet.ranked {
+		if w.rankTime <= 0 || w.rankIndex != i || i > 0 && d.fleet.ranked[i-1].rankTime > w.rankTime {
+			t.Fatalf("place %d holds a worker of time %v, place %d", i, w.rankTime, w.rankIndex)
+		}
+	}
+}
--- a/scheduling/dispatch/golden_test.go
+++ b/scheduling/dispatch/golden_test.go
@@ -10,6 +10,6 @@
 // The golden file was written at b99a1ea: what one process has learned is recalled by the next one.
 func TestEncodingOfLearnedFiguresDoesNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "memory",
-		func(value memory) ([]byte, error) { return json.Marshal(value) },
-		func(data []byte, value *memory) error { return json.Unmarshal(data, value) })
+		func(value snapshot) ([]byte, error) { return json.Marshal(value) },
+		func(data []byte, value *snapshot) error { return json.Unmarshal(data, value) })
 }
--- /dev/null
+++ b/scheduling/dispatch/helpers_test.go
@@ -0,0 +1,95 @@
+package dispatch
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// action is one recorded call of the Actions sink.
+type action struct {
+	what    string
+	id      RequestID
+	worker  WorkerID
+	attempt int
+	tag     uint64
+	in      time.Duration
+}
+
+// recorder is an Actions sink that remembers.
+type recorder struct{ actions []action }
+
+func (r *recorder) Send(id RequestID, w WorkerID, within time.Duration) {
+	r.actions = append(r.actions, action{what: "send", id: id, worker: w, in: within})
+}
+
+func (r *recorder) Reject(id RequestID, d time.Duration) {
+	r.actions = append(r.actions, action{what: "reject", id: id, in: d})
+}
+
+func (r *recorder) Fail(id RequestID) { r.actions = append(r.actions, action{what: "fail", id: id}) }
+
+func (r *recorder) Cancel(id RequestID, n int) {
+	r.actions = append(r.actions, action{what: "cancel", id: id, attempt: n})
+}
+
+func (r *recorder) Wake(in time.Duration, tag uint64) {
+	r.actions = append(r.actions, action{what: "wake", in: in, tag: tag})
+}
+
+func (r *recorder) Subscribe() { r.actions = append(r.actions, action{what: "subscribe"}) }
+
+func (r *recorder) Probe(w WorkerID) { r.actions = append(r.actions, action{what: "probe", worker: w}) }
+
+func (r *recorder) Broadcast(msg []byte) { r.actions = append(r.actions, action{what: "broadcast"}) }
+
+func (r *recorder) Log(line string) { r.actions = append(r.actions, action{what: "log " + line}) }
+
+// take returns what was recorded, wakes and logs left out, and empties it.
+func (r *recorder) take() []action {
+	var got []action
+	for _, a := range r.actions {
+		if a.what != "wake" && a.what != "broadcast" && !strings.HasPrefix(a.what, "log") {
+			got = append(got, a)
+		}
+	}
+	r.actions = nil
+	return got
+}
+
+func testSettings() Settings {
+	return Settings{
+		DispatcherIndex: 0, DispatcherCount: 1, MinEventGap: 5 * ms, StartNotifications: true, ProgressInterval: time.Second,
+		MaxAttempts: 4, Hedging: true, Cancellation: true, AnswerSlack: 20 * ms,
+		DrainGrace: 250 * ms, SlowStartShare: 0.3, SlowStartTime: 10 * time.Second, CrashLoadFactor: 3, CrashLoadTime: time.Second,
+		ListRefreshInterval: 10 * time.Second,
+		Classes: []Class{
+			{Name: "safe", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 1, LateValueShare: 0.2, WorkerKind: -1},
+			{Name: "keyed", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 2, LateValueShare: 0.2,
+				Semantics: Deduplicated, DedupScope: ScopeCell, DedupWindow: 3 * time.Second, WorkerKind: -1},
+			{Name: "unsafe", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 5, LateValueShare: 0.2,
+				Semantics: AtMostOnce, WorkerKind: -1},
+		},
+	}
+}
+
+func mustNew(t *testing.T, s Settings, seed uint64) Dispatcher {
+	t.Helper()
+	d, err := New(s, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// sends are those recorded, others left out.
+func (r *recorder) sends() (out []action) {
+	for _, a := range r.take() {
+		if a.what == "send" {
+			out = append(out, a)
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/scheduling/dispatch/requests_test.go
@@ -0,0 +1,69 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// A request whose client waits only briefly is answered at once when nothing
+// can take it: the next look at the held queue would come too late.
+func TestShortLivedRequestIsAnsweredAtOnce(t *testing.T) {
+	d, out := mustNew(t, testSettings(), 1), &recorder{}
+	d.UpdateWorkers(0, ListCached, nil, out)
+	out.take()
+	d.Arrive(ms, Request{ID: 7, TimeLeft: 20 * ms}, out)
+	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+		t.Fatalf("got %v, want a refusal", got)
+	}
+}
+
+// A held request that can no longer be in time and earns nothing late is given
+// up, and told so at once with advice: not kept back to near its deadline, where
+// its client could no longer ask again.
+func TestValuelessRequestIsAnsweredAtOnce(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		late      float64 // share of the worth earned late
+		retry     bool
+		left      time.Duration
+		from, end time.Duration // when the answer is due
+	}{
+		{"first try", 0, false, 5 * time.Second, 100 * ms, 1200 * ms},
+		{"own retry whose time ran at the first try", 0, true, 3 * time.Second, 0, 1},
+		{"late answers earn: kept while they can", 0.2, false, 5 * time.Second, 4800 * ms, 5000 * ms},
+	} {
+		s := testSettings()
+		s.MaxRetryAfter = 2 * time.Second
+		s.Classes[2].LateValueShare = c.late
+		d, out := mustNew(t, s, 1), &recorder{}
+		d.UpdateWorkers(0, ListCached, nil, out) // no worker: nothing can be sent
+		out.take()
+		d.Arrive(ms, Request{ID: 7, Class: 2, TimeLeft: c.left, ClientRetry: c.retry}, out)
+		var got []action
+		now := time.Duration(0)
+		for got = out.take(); len(got) == 0 && now < 6*time.Second; got = out.take() {
+			now += 25 * ms
+			d.Timer(now, 0, out)
+		}
+		if len(got) != 1 || got[0].what != "reject" || now < c.from || now > c.end || got[0].in <= 0 || got[0].in > s.MaxRetryAfter {
+			t.Errorf("%s: at %v got %+v, want one refusal with advice in %v to %v", c.name, now, got, c.from, c.end)
+		}
+	}
+}
+
+// One turned away when its time has passed is answered in the same breath.
+func TestValuelessRequestIsAnsweredAtAnOutcome(t *testing.T) {
+	s := testSettings()
+	s.Classes[2].LateValueShare = 0
+	d, out := mustNew(t, s, 1), &recorder{}
+	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
+	out.take()
+	d.Arrive(ms, Request{ID: 7, Class: 2, TimeLeft: 5 * time.Second}, out)
+	if got := out.take(); len(got) != 1 || got[0].what != "send" {
+		t.Fatalf("got %v, want one send", got)
+	}
+	d.AttemptEnded(3*time.Second, Outcome{ID: 7, Worker: 1, Code: Rejected}, out)
+	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+		t.Errorf("got %v, want one refusal", got)
+	}
+}
--- /dev/null
+++ b/scheduling/dispatch/rules_test.go
@@ -0,0 +1,208 @@
+package dispatch
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+)
+
+// world drives a dispatcher through random events and checks the rules
+// independently of the module: it keeps its own record of every attempt.
+type world struct {
+	t            *testing.T
+	s            Settings
+	rnd          *rand.Rand
+	now          time.Duration
+	d            Dispatcher
+	out          recorder
+	requests     map[RequestID]*worldRequest
+	order        []RequestID
+	state        map[WorkerID]Worker
+	drainedSince map[WorkerID]time.Duration // since when a worker is not to be sent to
+	trace        strings.Builder
+}
+
+type worldRequest struct {
+	request  Request
+	deadline time.Duration
+	answered bool
+	attempts []*worldAttempt
+}
+
+type worldAttempt struct {
+	worker      WorkerID
+	sent        time.Duration
+	outstanding bool
+	mayHaveRun  bool
+}
+
+func (w *world) apply() {
+	for _, a := range w.out.actions {
+		fmt.Fprintf(&w.trace, "%v %v\n", w.now, a)
+		r := w.requests[a.id]
+		switch a.what {
+		case "send":
+			w.checkSend(a, r)
+			r.attempts = append(r.attempts, &worldAttempt{worker: a.worker, sent: w.now, outstanding: true, mayHaveRun: true})
+		case "reject", "fail":
+			if r.answered {
+				w.t.Fatalf("second answer for %d", a.id)
+			}
+			if w.now > r.deadline+w.s.AnswerSlack {
+				w.t.Fatalf("answer for %d came %v late", a.id, w.now-r.deadline)
+			}
+			if c := w.s.Classes[r.request.Class]; a.what == "reject" && c.Semantics != Retryable {
+				for _, at := range r.attempts {
+					if at.mayHaveRun && (c.Semantics != Deduplicated || c.DedupScope != ScopeAll) {
+						w.t.Fatalf("refused %d, which may have run", a.id)
+					}
+				}
+			}
+			r.answered = true
+		}
+	}
+	w.out.actions = nil
+}
+
+func (w *world) checkSend(a action, r *worldRequest) {
+	c := w.s.Classes[r.request.Class]
+	if r.answered || len(r.attempts) >= w.s.MaxAttempts {
+		w.t.Fatalf("attempt after the end of %d", a.id)
+	}
+	if at, bad := w.drainedSince[a.worker]; bad && w.now > at+w.s.DrainGrace {
+		w.t.Fatalf("sent to worker %d, drained or gone since %v", a.worker, at)
+	}
+	var first *worldAttempt
+	for _, at := range r.attempts {
+		if at.outstanding && !w.s.Hedging {
+			w.t.Fatalf("two attempts of %d at once", a.id)
+		}
+		if at.mayHaveRun && first == nil {
+			first = at
+		}
+	}
+	if first == nil {
+		return
+	}
+	switch c.Semantics {
+	case AtMostOnce:
+		w.t.Fatalf("unsafe %d sent again", a.id)
+	case Deduplicated:
+		for _, at := range r.attempts {
+			if at.mayHaveRun && w.state[at.worker].Cell != w.state[a.worker].Cell {
+				w.t.Fatalf("keyed %d left its cell", a.id)
+			}
+		}
+		if w.now > first.sent+c.DedupWindow {
+			w.t.Fatalf("keyed %d sent after its window", a.id)
+		}
+	}
+}
+
+// run plays a random day and returns its actions as text.
+func runWorld(t *testing.T, s Settings, seed uint64) string {
+	w := &world{t: t, s: s, rnd: rand.New(rand.NewPCG(seed, 1)), requests: map[RequestID]*worldRequest{},
+		state: map[WorkerID]Worker{}, drainedSince: map[WorkerID]time.Duration{}}
+	w.d = mustNew(t, s, seed)
+	var list []Worker
+	for i := range 8 {
+		x := Worker{ID: WorkerID(100 + i), Kind: i % 2, Cell: i / 3, Zone: i % 3, Weight: float64(1 + i%2)}
+		list = append(list, x)
+		w.state[x.ID] = x
+	}
+	w.d.UpdateWorkers(0, ListCached, list, &w.out)
+	w.apply()
+	tick := time.Duration(0)
+	for w.now < 20*time.Second {
+		w.now += time.Duration(w.rnd.IntN(8)+1) * ms
+		if w.now >= tick {
+			tick = w.now + tickInterval
+			w.d.Timer(w.now, 0, &w.out)
+			w.apply()
+		}
+		switch p := w.rnd.Float64(); {
+		case p < 0.3 && w.now < 14*time.Second:
+			r := Request{ID: RequestID(len(w.order) + 1), Class: w.rnd.IntN(len(s.Classes)), Slots: float64(w.rnd.IntN(2) + 1),
+				TimeLeft: time.Duration(w.rnd.IntN(4000)+1) * ms}
+			w.order = append(w.order, r.ID)
+			w.requests[r.ID] = &worldRequest{request: r, deadline: w.now + r.TimeLeft}
+			w.d.Arrive(w.now, r, &w.out)
+		case p < 0.31:
+			x := list[w.rnd.IntN(len(list))]
+			x.State = WorkerState(w.rnd.IntN(3))
+			if x.State == Ready {
+				delete(w.drainedSince, x.ID)
+				if w.rnd.IntN(2) == 0 {
+					x.Launched = w.now
+				}
+			} else if _, told := w.drainedSince[x.ID]; !told {
+				w.drainedSince[x.ID] = w.now
+			}
+			w.state[x.ID] = x
+			w.d.UpdateWorkers(w.now, ListDelta, []Worker{x}, &w.out)
+		case p < 0.6 && len(w.order) > 0:
+			w.event(w.order[len(w.order)-1-w.rnd.IntN(min(len(w.order), 30))])
+		}
+		w.apply()
+		for _, id := range w.order { // time-outs cut to the client's deadline
+			r := w.requests[id]
+			for n, at := range r.attempts {
+				if at.outstanding && w.now >= r.deadline {
+					at.outstanding = false
+					w.d.AttemptEnded(w.now, Outcome{ID: id, Attempt: n, Worker: at.worker, Code: TimedOut, Answered: r.answered}, &w.out)
+					w.apply()
+				}
+			}
+			if !r.answered && w.now > r.deadline+s.AnswerSlack {
+				t.Fatalf("request %d was lost", id)
+			}
+		}
+	}
+	for _, id := range w.order {
+		if !w.requests[id].answered {
+			t.Fatalf("request %d has no answer", id)
+		}
+	}
+	return w.trace.String()
+}
+
+func (w *world) event(id RequestID) {
+	r := w.requests[id]
+	for n, at := range r.attempts {
+		if !at.outstanding {
+			continue
+		}
+		switch p := w.rnd.Float64(); {
+		case p < 0.3:
+			w.d.Notify(w.now, Notification{ID: id, Attempt: n, Worker: at.worker, Kind: NotificationKind(w.rnd.IntN(3)), FractionDone: w.rnd.Float64()}, &w.out)
+			continue
+		case p < 0.7:
+			at.outstanding = false
+			o := Outcome{ID: id, Attempt: n, Worker: at.worker, Code: OK, Answered: true}
+			r.answered = true
+			w.d.AttemptEnded(w.now, o, &w.out)
+		default:
+			at.outstanding = false
+			code := []Code{Rejected, Failed, ConnectionLost, ConnectFailed, Unknown, TimedOut}[w.rnd.IntN(6)]
+			at.mayHaveRun = code != Rejected && code != ConnectFailed
+			w.d.AttemptEnded(w.now, Outcome{ID: id, Attempt: n, Worker: at.worker, Code: code, Answered: r.answered}, &w.out)
+		}
+		w.apply()
+	}
+}
+
+func TestRulesUnderRandomEvents(t *testing.T) {
+	for seed := range uint64(40) {
+		s := testSettings()
+		s.Hedging = seed%2 == 0
+		s.StartNotifications = seed%3 != 0
+		if seed%4 == 0 {
+			s.LoadFields = []LoadField{LoadWaiting, LoadFreeSlots}
+		}
+		if got, again := runWorld(t, s, seed), runWorld(t, s, seed); got != again {
+			t.Fatalf("seed %d: same events, other actions", seed)
+		}
+	}
+}
--- a/scheduling/dispatch/dispatcher_steps_test.go
+++ b/scheduling/dispatch/selection_test.go
@@ -5,16 +5,6 @@
 	"time"
 )
 
-// sends are those recorded, others left out.
-func (r *recorder) sends() (out []action) {
-	for _, a := range r.take() {
-		if a.what == "send" {
-			out = append(out, a)
-		}
-	}
-	return out
-}
-
 // A job goes to its pools alone, and one that may have run before only where repeats of it are
 // dropped, while they are.
 func TestPoolsAndEarlierRuns(t *testing.T) {
@@ -48,7 +38,7 @@
 				d.Timer(now, 0, out)
 			}
 			for _, a := range out.sends() {
-				got[a.w] = true
+				got[a.worker] = true
 			}
 		}
 		for w := range got {
@@ -64,7 +54,7 @@
 
 // What is to take only spare room is sent to room that is surely there, never beyond it, and behind
 // all others.
-func TestSpareTakesRoomAlone(t *testing.T) {
+func TestBestEffortTakesSpareCapacityOnly(t *testing.T) {
 	for _, spare := range []bool{true, false} {
 		s := testSettings()
 		s.DispatcherCount = 2 // what others send is not known: jobs are sent past the own share in the end
--- /dev/null
+++ b/scheduling/dispatch/snapshot_test.go
@@ -0,0 +1,58 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"yardflow/internal/fleet/coldstart/speeds"
+)
+
+// A dispatcher that takes over knows what the one before had learned, a worker
+// that restarted between excepted, and nothing of its requests.
+func TestSnapshotIsRestored(t *testing.T) {
+	s, list := testSettings(), []Worker{{ID: 1, Launched: time.Second}, {ID: 2, Kind: 1}}
+	old, out := newDispatcher(s, 1), &recorder{}
+	old.UpdateWorkers(time.Hour, ListFull, list, out)
+	old.Arrive(time.Hour, Request{ID: 1, TimeLeft: time.Minute}, out)
+	for _, w := range old.fleet.workers {
+		w.speed.logSlowness, w.errorShare, w.threshold.theta, w.limit.slots, w.speed.evidence = 0.5, 0.25, 3, 2, 9
+	}
+	old.fleet.kindOf(old.fleet.workers[2]).slots.seen = 3
+	old.speeds.classOf(&s.Classes[0]).logWork = -1
+	next := newDispatcher(s, 2)
+	next.Restore([]byte("no memory"))
+	next.Restore(old.Snapshot())
+	list[0].Launched = 2 * time.Second
+	next.UpdateWorkers(time.Hour, ListCached, list, out)
+	if a, b := next.fleet.workers[1], next.fleet.workers[2]; a.speed.logSlowness != 0 || a.errorShare != 0 || b.speed.logSlowness != 0.5 || b.errorShare < 0.2 || b.limit.slots != 2 || b.speed.evidence != 9 {
+		t.Errorf("restarted %+v, the other %+v", a, b)
+	}
+	if k := next.fleet.kindOf(next.fleet.workers[2]).slots.seen; k != 3 || next.speeds.classes["safe"].logWork != -1 || len(next.requests)+len(next.attempts) != 0 {
+		t.Errorf("%v slots, %+v, %d requests", k, next.speeds.classes["safe"], len(next.requests))
+	}
+}
+
+// Speeds of the fleet come after the first list. They fill in what is not known and leave the rest:
+// start delays, own evidence, and the kinds' numbers.
+func TestSpeedsAreRestoredAfterTheFirstList(t *testing.T) {
+	old, out := mustNew(t, testSettings(), 1), &recorder{}
+	old.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
+	for i := range 30 {
+		now := time.Duration(i+1) * time.Second
+		old.Arrive(now, Request{ID: RequestID(i + 1), TimeLeft: 5 * time.Second}, out)
+		old.Notify(now+ms, Notification{ID: RequestID(i + 1), Worker: 1, Kind: NotificationStarted}, out)
+		old.AttemptEnded(now+601*ms, Outcome{ID: RequestID(i + 1), Worker: 1, Code: OK, Answered: true}, out)
+	}
+	known := speeds.From(old.Snapshot())
+	if known == nil {
+		t.Fatal("a module that has seen jobs has nothing to say")
+	}
+	d := mustNew(t, testSettings(), 2).(*dispatcher)
+	d.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
+	kinds, delay := len(d.fleet.kinds), d.speeds.startDelay
+	d.Restore(known.Module())
+	was := old.(*dispatcher)
+	if len(d.fleet.kinds) != kinds || d.speeds.startDelay != delay || d.speeds.logMeanRun != was.speeds.logMeanRun || d.fleet.kinds[1].evidence != was.fleet.kinds[1].evidence || d.speeds.classes["safe"].logWork != was.speeds.classes["safe"].logWork {
+		t.Errorf("%d kinds of %d, delays %v of %v, typical run %v of %v", len(d.fleet.kinds), kinds, d.speeds.startDelay, delay, d.speeds.logMeanRun, was.speeds.logMeanRun)
+	}
+}
--- /dev/null
+++ b/scheduling/dispatch/speed_test.go
@@ -0,0 +1,30 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// Waiting at the workers must not come to pass for the ordinary start delay.
+func TestStartDelayIsALowQuantile(t *testing.T) {
+	d, out := newDispatcher(testSettings(), 5), &recorder{}
+	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
+	now := time.Duration(0)
+	for id := RequestID(1); id < 400; id++ {
+		d.Arrive(now, Request{ID: id, TimeLeft: time.Second}, out)
+		delay := ms
+		if id%2 == 0 {
+			delay = 25 * ms // waited
+		}
+		for _, a := range out.take() {
+			if a.what == "send" {
+				d.Notify(now+delay, Notification{ID: a.id, Worker: a.worker, Kind: NotificationStarted}, out)
+				d.AttemptEnded(now+100*ms, Outcome{ID: a.id, Worker: a.worker, Code: OK, Answered: true}, out)
+			}
+		}
+		now += 200 * ms
+	}
+	if d.speeds.startDelay[0] > 0.005 {
+		t.Errorf("ordinary start delay %v s, want near the 1 ms of jobs that did not wait", d.speeds.startDelay[0])
+	}
+}
--- a/scheduling/waitestimate/estimate_test.go
+++ b/scheduling/waitestimate/estimate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestWhatIsSeenFadesIntoWhatIsUsual(t *testing.T) {
+func TestObservedWaitDecaysToTheFleetsMean(t *testing.T) {
 	var c FleetWait
 	var w WorkerWait
 	if w.Expected(time.Second, &c) != 0 {
--- a/scheduling/workerpool/pools_test.go
+++ b/scheduling/workerpool/pools_test.go
@@ -7,7 +7,7 @@
 )
 
 // Arcs of equal lengths that begin at even distances cover a circle of any sizes evenly.
-func TestArcsCoverTheCircleEvenly(t *testing.T) {
+func TestArcsCoverTheRingEvenly(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		sizes, all := make([]float64, 1+rnd.IntN(40)), 0.0
@@ -72,7 +72,7 @@
 }
 
 // What few long jobs bring does not turn the shares over; what many bring does, and fades.
-func TestFlow(t *testing.T) {
+func TestRecentWork(t *testing.T) {
 	var short, long RecentWork
 	if long.Estimate() != short.Estimate() {
 		t.Error("before any job the classes are not alike")
