--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -122,11 +122,7 @@
 
 func (d *dispatcher) Notify(now time.Duration, n Notification, out Actions) {
 	d.beginEvent(now, out)
-	r := d.requests[n.ID]
-	if r == nil {
-		return
-	}
-	a := r.attempt(n.Attempt)
+	a := d.outstandingAttempt(n.ID, n.Attempt)
 	if a == nil {
 		return
 	}
@@ -137,13 +133,17 @@
 	case n.Kind == NotificationProgress && n.FractionDone > minProgressShare && n.FractionDone <= 1:
 		// The share done shows the whole run long before the end.
 		if run := (now - a.startedOrSentAt()).Seconds() / n.FractionDone; run > 0 {
-			d.learnRunTime(r, a.worker, run)
+			d.learnRunTime(a.request, a.worker, run)
 		}
 	}
 }
 
-// attempt finds an outstanding attempt by its number; nil: there is none.
-func (r *request) attempt(number int) *attempt {
+// outstandingAttempt finds an attempt that is outstanding; nil: it is not.
+func (d *dispatcher) outstandingAttempt(id RequestID, number int) *attempt {
+	r := d.requests[id]
+	if r == nil {
+		return nil
+	}
 	for _, a := range r.outstanding {
 		if a.number == number {
 			return a
@@ -171,17 +171,13 @@
 	if w := d.fleet.workers[o.Worker]; w != nil {
 		d.recordLoad(w, o.Load, o.Code != Rejected)
 	}
-	r := d.requests[o.ID]
-	if r == nil {
-		return
-	}
-	a := r.attempt(o.Attempt)
+	a := d.outstandingAttempt(o.ID, o.Attempt)
 	if a == nil {
 		return
 	}
 	d.completeAttempt(a, o, out)
 	d.decide(out)
-	if r.queued && d.valueless(r) {
+	if r := a.request; r.queued && d.valueless(r) {
 		d.answerUnserved(r, out) // no capacity at once, and nothing to wait for
 	}
 }
--- a/scheduling/dispatch/attempts_test.go
+++ b/scheduling/dispatch/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A refusal requeues the job and the next attempt goes to another worker.
+// A rejection requeues the job, and the next attempt goes to another worker.
 func TestRejectionRequeues(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}, out)
@@ -20,7 +20,7 @@
 	for range 100 {
 		if got := out.take(); len(got) > 0 {
 			if got[0].what != "send" || got[0].worker == first[0].worker {
-				t.Fatalf("after a refusal got %v", got)
+				t.Fatalf("after a rejection got %v", got)
 			}
 			return
 		}
@@ -30,8 +30,8 @@
 	t.Fatal("never sent again")
 }
 
-// A connect that fails proves that the job never ran, as where a worker holds all the
-// connections it takes: an unsafe job goes on to another worker, and is never failed for it.
+// A connect that fails proves that the job never ran, as where a worker has all the connections it takes:
+// an AtMostOnce request goes on to another worker, and is never failed for it.
 func TestFailedConnectDoesNotFailAnAtMostOnceRequest(t *testing.T) {
 	s := testSettings()
 	s.DispatcherCount = 40 // as one of many
@@ -46,9 +46,10 @@
 	for n := range s.MaxAttempts {
 		var sent *action
 		for _, a := range out.take() {
-			if a.what == "send" {
+			switch a.what {
+			case "send":
 				sent = &a
-			} else if a.what == "fail" {
+			case "fail":
 				t.Fatalf("failed after %d connects that failed", n)
 			}
 		}
@@ -60,6 +61,6 @@
 		d.AttemptEnded(now, Outcome{ID: 1, Attempt: n, Worker: sent.worker, Code: ConnectFailed}, out)
 	}
 	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
-		t.Errorf("after the last attempt: %+v, want a refusal", got)
+		t.Errorf("after the last attempt: %+v, want a rejection", got)
 	}
 }
--- a/scheduling/dispatch/dispatcher_test.go
+++ b/scheduling/dispatch/dispatcher_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// New settings bind open requests, but for their class: it goes on as it was,
-// though its name is gone, and what was learned of a class stays with the name.
+// New settings hold for open requests, but for their class: it goes on as it was though its name was
+// removed, and what was learned of a class stays with the name.
 func TestReconfigure(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 3
@@ -71,7 +71,7 @@
 	if got := d.requests[0].class; got.Name != "a" || got.Semantics != Retryable {
 		t.Errorf("an open request is of class %+v now", got)
 	}
-	d.Arrive(2*time.Second, Request{ID: 9, Class: 0, ResolvedClass: &s.Classes[0], TimeLeft: time.Minute}, r) // read before, told after
+	d.Arrive(2*time.Second, Request{ID: 9, Class: 0, ResolvedClass: &s.Classes[0], TimeLeft: time.Minute}, r) // read before the new settings, handed in after them
 	d.Arrive(2*time.Second, Request{ID: 10, Class: 0, TimeLeft: time.Minute}, r)
 	if a, b := d.requests[9].class.Name, d.requests[10]; a != "a" || b.class.Name != "b" || b.stats.evidence != 9 {
 		t.Errorf("classes %s and %+v, learned %+v", a, b.class, b.stats)
@@ -79,6 +79,6 @@
 	w := d.requests[0].outstanding[0].worker.ID
 	d.AttemptEnded(3*time.Second, Outcome{ID: 0, Worker: w, Code: Rejected}, r)
 	if d.requests[0] != nil {
-		t.Error("a request whose attempts are used up is still held")
+		t.Error("a request whose attempts are used up is still known")
 	}
 }
--- a/scheduling/dispatch/example_test.go
+++ b/scheduling/dispatch/example_test.go
@@ -7,8 +7,8 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// host is a scheduler's side of the library: it carries out what the
-// dispatcher decides. This one only tells what it was asked to do.
+// host is a process's side of the module: it carries out what the dispatcher
+// decides. This one only prints what it is asked to do.
 type host struct{ sent []dispatch.WorkerID }
 
 func (h *host) Send(id dispatch.RequestID, w dispatch.WorkerID, _ time.Duration) {
@@ -24,8 +24,8 @@
 func (h *host) Broadcast([]byte)                              {}
 func (h *host) Log(line string)                               {}
 
-// A scheduler embeds a Dispatcher, carries one job through a refusal to its
-// answer, and never needs the wire.
+// A process embeds a Dispatcher and carries one job through a rejection to its
+// answer, without any network.
 func Example() {
 	d, err := dispatch.New(dispatch.Settings{
 		DispatcherCount: 1, MaxAttempts: 3, StartNotifications: true, MustSubscribe: true, ListRefreshInterval: 10 * time.Second,
@@ -41,7 +41,7 @@
 	d.UpdateWorkers(now, dispatch.ListCached, []dispatch.Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}, h)
 	d.Arrive(now, dispatch.Request{ID: 7, TimeLeft: 5 * time.Second, Slots: 1}, h)
 
-	// The worker is full: the job returns to the held queue and goes elsewhere.
+	// The worker is full: the job returns to the queue and goes elsewhere.
 	now += time.Millisecond
 	d.AttemptEnded(now, dispatch.Outcome{ID: 7, Attempt: 0, Worker: h.sent[0], Code: dispatch.Rejected}, h)
 	for len(h.sent) == 1 {
--- a/scheduling/dispatch/fleet_test.go
+++ b/scheduling/dispatch/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nothing new goes to a worker told to drain, and it is used again when ready.
+// Nothing new goes to a draining worker, and it is used again when ready.
 func TestDrainingWorkerIsSentNothingNew(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
@@ -23,11 +23,11 @@
 		d.Timer(now, 0, out)
 	}
 	if got := out.take(); len(got) != 1 || (got[0].what != "send" && got[0].what != "reject") {
-		t.Fatalf("got %v, want the job sent or refused", got)
+		t.Fatalf("got %v, want the job sent or rejected", got)
 	}
 }
 
-// A lost subscription is asked for again, with growing pauses under ListRefreshInterval.
+// A lost subscription is asked for again, with a backoff under ListRefreshInterval.
 func TestListServiceRecovery(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
@@ -44,13 +44,13 @@
 			now += 25 * ms
 			d.Timer(now, 0, out)
 			if now-failed > s.ListRefreshInterval {
-				t.Fatal("did not ask within AskWithin")
+				t.Fatal("did not ask within ListRefreshInterval")
 			}
 		}
 	}
 }
 
-// Pricing a new list must rank every worker, not every other one.
+// A new list must rank every worker, not every other one.
 func TestRankIsSortedAfterAList(t *testing.T) {
 	d, out := newDispatcher(testSettings(), 5), &recorder{}
 	var list []Worker
@@ -60,7 +60,7 @@
 	d.UpdateWorkers(0, ListCached, list, out)
 	for i, w := range d.fleet.ranked {
 		if w.rankTime <= 0 || w.rankIndex != i || i > 0 && d.fleet.ranked[i-1].rankTime > w.rankTime {
-			t.Fatalf("place %d holds a worker of time %v, place %d", i, w.rankTime, w.rankIndex)
+			t.Fatalf("rank %d is a worker of time %v, rank %d", i, w.rankTime, w.rankIndex)
 		}
 	}
 }
--- a/scheduling/dispatch/golden_test.go
+++ b/scheduling/dispatch/golden_test.go
@@ -7,7 +7,7 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden file was written at b99a1ea: what one process has learned is recalled by the next one.
+// The golden file was written at b99a1ea: what one process has learned is restored by the next one.
 func TestEncodingOfLearnedFiguresDoesNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "memory",
 		func(value snapshot) ([]byte, error) { return json.Marshal(value) },
--- a/scheduling/dispatch/helpers_test.go
+++ b/scheduling/dispatch/helpers_test.go
@@ -18,7 +18,7 @@
 	in      time.Duration
 }
 
-// recorder is an Actions sink that remembers.
+// recorder is an Actions sink that records.
 type recorder struct{ actions []action }
 
 func (r *recorder) Send(id RequestID, w WorkerID, within time.Duration) {
@@ -47,7 +47,7 @@
 
 func (r *recorder) Log(line string) { r.actions = append(r.actions, action{what: "log " + line}) }
 
-// take returns what was recorded, wakes and logs left out, and empties it.
+// take returns what was recorded, without wakes, broadcasts and logs, and empties it.
 func (r *recorder) take() []action {
 	var got []action
 	for _, a := range r.actions {
@@ -84,7 +84,7 @@
 	return d
 }
 
-// sends are those recorded, others left out.
+// sends returns the sends among what was recorded.
 func (r *recorder) sends() (out []action) {
 	for _, a := range r.take() {
 		if a.what == "send" {
--- a/scheduling/dispatch/loadreport_test.go
+++ b/scheduling/dispatch/loadreport_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The first report that tells of far more free slots than were known counts at once where
-// all is known: a day's first seconds went with half of the slots unused.
+// The first report of far more free slots than were known counts at once where all usage is known:
+// otherwise half of the slots went unused in a day's first seconds.
 func TestClearReportOfMoreSlotsCountsAtOnce(t *testing.T) {
 	s := testSettings()
 	s.LoadFields = []LoadField{LoadFreeSlots}
@@ -20,8 +20,8 @@
 	}
 }
 
-// A kind's slots must be learned from reports on a large fleet too: sightings
-// that fade once a worker instead of once a kind never add up.
+// A kind's slots must be learned from reports on a large fleet too: sightings that decay once a worker
+// instead of once a kind never add up.
 func TestKindSlotsAreLearnedOnALargeFleet(t *testing.T) {
 	s := testSettings()
 	s.LoadFields = []LoadField{LoadFreeSlots}
@@ -40,8 +40,7 @@
 	}
 }
 
-// A report that is cut short, too long or absurd is none: it tells nothing, and what
-// is known stays.
+// A report that is cut short, too long or impossible is ignored, and what is known stays.
 func TestImpossibleLoadReportsAreIgnored(t *testing.T) {
 	s := testSettings()
 	s.LoadFields = []LoadField{LoadErrorRate, LoadFreeSlots}
@@ -54,6 +53,6 @@
 	}
 	w := d.fleet.workers[1]
 	if w.report.free != 3 || w.report.meanFree != 3 || w.errorShare != 0 || !w.report.known {
-		t.Errorf("after absurd reports: free %v, mean %v, errors %v", w.report.free, w.report.meanFree, w.errorShare)
+		t.Errorf("after impossible reports: free %v, mean %v, errors %v", w.report.free, w.report.meanFree, w.errorShare)
 	}
 }
--- a/scheduling/dispatch/lottery_test.go
+++ b/scheduling/dispatch/lottery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Where queues stand everywhere, a worker that has just started has none: it is
-// used as far as the slow-start budget allows, not kept for when the others are worse.
+// Where queues stand at all workers, one that has just started has none: it is used as far as the
+// slow-start budget allows, not kept for when the others are worse.
 func TestRestartedWorkerHasNoQueue(t *testing.T) {
 	s := testSettings()
 	s.DispatcherCount, s.SlowStartShare, s.Classes[0].LatencyTarget = 4, 0.9, 5*time.Second
--- a/scheduling/dispatch/overload_test.go
+++ b/scheduling/dispatch/overload_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Under overload forced sends thin out, and come back once they succeed.
+// Under overload sends beyond known capacity thin out, and come back once they succeed.
 func TestOvercommittedSendsArePaced(t *testing.T) {
 	d := newDispatcher(testSettings(), 5)
 	waste := func() { d.settleOvercommit(&attempt{overcommitted: true}, true) }
@@ -14,22 +14,22 @@
 	}
 	top := d.overcommit.gapSeconds
 	if waste(); d.overcommit.gapSeconds != top || top < 0.2 {
-		t.Fatalf("pause %v s after 200 wasted attempts, %v after one more", top, d.overcommit.gapSeconds)
+		t.Fatalf("gap %v s after 200 wasted attempts, %v after one more", top, d.overcommit.gapSeconds)
 	}
 	for range 20 {
 		d.settleOvercommit(&attempt{overcommitted: true}, false)
 	}
 	if d.overcommit.gapSeconds > 0.001 {
-		t.Errorf("pause still %v s after 20 that found room", d.overcommit.gapSeconds)
+		t.Errorf("gap still %v s after 20 that found capacity", d.overcommit.gapSeconds)
 	}
 	d.settleOvercommit(&attempt{}, true)
 	if d.overcommit.gapSeconds > 0.001 {
-		t.Error("an attempt with counted room changed the pause")
+		t.Error("an attempt with known capacity changed the gap")
 	}
 }
 
-// Where jobs wait longer than they can everywhere, part of them is given up at once, as
-// many as it takes; none is while waits are short.
+// Where jobs wait longer than they can at all workers, load is shed: part of them is given up at once, as
+// many as it takes, and none while waits are short.
 func TestLoadIsShedWhereWaitsAreHopeless(t *testing.T) {
 	for _, c := range []struct {
 		wait        time.Duration
@@ -39,7 +39,7 @@
 		s.DispatcherCount, s.Classes[0].LateValueShare, s.MaxRetryAfter = 40, 0, time.Second
 		d, out := mustNew(t, s, 5), &recorder{}
 		d.UpdateWorkers(0, ListFull, []Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Weight: 1}}, out)
-		refused, now := 0, time.Duration(0)
+		rejected, now := 0, time.Duration(0)
 		for id := RequestID(1); id <= 120; id++ {
 			d.Arrive(now, Request{ID: id, TimeLeft: 8 * time.Second, Slots: 1}, out)
 			for _, a := range out.take() {
@@ -47,19 +47,19 @@
 					d.Notify(now+c.wait, Notification{ID: id, Worker: a.worker, Kind: NotificationStarted}, out)
 					d.AttemptEnded(now+c.wait+300*ms, Outcome{ID: id, Worker: a.worker, Answered: true}, out)
 				} else if a.what == "reject" && id > 60 {
-					refused++
+					rejected++
 				}
 			}
 			now += c.wait + 400*ms
 		}
-		if refused < c.least || refused > c.most {
-			t.Errorf("waits of %v: %d of 60 given up, want %d to %d", c.wait, refused, c.least, c.most)
+		if rejected < c.least || rejected > c.most {
+			t.Errorf("waits of %v: %d of 60 given up, want %d to %d", c.wait, rejected, c.least, c.most)
 		}
 	}
 }
 
-// While most of the fleet is cold, those that are turned away are told to come back over the time
-// in which it warms, not as one wave; with a warm fleet all are told the same.
+// While most of the fleet warms up, rejected clients are advised to come back over the time which that
+// takes, not as one wave; with a warm fleet all get the same advice.
 func TestRetryAfterIsSpreadWhileTheFleetWarmsUp(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		s := testSettings()
@@ -81,7 +81,7 @@
 			}
 		}
 		if n < 30 || most > s.MaxRetryAfter || cold != (most-least > 2*time.Second) {
-			t.Errorf("cold %t: %d turned away, to come back in %v to %v", cold, n, least, most)
+			t.Errorf("cold %t: %d rejected, to come back in %v to %v", cold, n, least, most)
 		}
 	}
 }
--- a/scheduling/dispatch/peers_test.go
+++ b/scheduling/dispatch/peers_test.go
@@ -6,8 +6,8 @@
 	"yardflow/coordination/gossip"
 )
 
-// New settings under which dispatchers talk no more, or are too many to: what they said last does
-// not fill their workers for good.
+// New settings under which dispatchers may not broadcast any more, or are too many to: what they broadcast
+// last does not fill their workers for good.
 func TestPeerUsageEndsWithBroadcasts(t *testing.T) {
 	for name, change := range map[string]func(*Settings){"not allowed": func(s *Settings) { s.Peers = false },
 		"too many": func(s *Settings) { s.DispatcherCount = 1000 }} {
@@ -18,11 +18,11 @@
 		other := gossip.New(1, 2, 9)
 		d.PeerMessage(ms, 1, other.NextMessage(ms, []gossip.Usage{{WorkerHash: d.fleet.workers[1].gossipHash, Slots: 1}}), out)
 		if d.fleet.workers[1].usage.peerSlots != 1 {
-			t.Fatalf("%s: %v slots were told of", name, d.fleet.workers[1].usage.peerSlots)
+			t.Fatalf("%s: %v slots were broadcast", name, d.fleet.workers[1].usage.peerSlots)
 		}
 		change(&s)
 		if d.Reconfigure(2*ms, s, out); d.fleet.workers[1].usage.peerSlots != 0 {
-			t.Errorf("%s: %v slots count as taken", name, d.fleet.workers[1].usage.peerSlots)
+			t.Errorf("%s: %v slots count as used", name, d.fleet.workers[1].usage.peerSlots)
 		}
 	}
 }
--- a/scheduling/dispatch/reclaim_test.go
+++ b/scheduling/dispatch/reclaim_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Where a job called off stays in its worker's queue, each one taken back is work for nobody and
-// makes more late: a fleet took back a fifth of its sends, and fell to half of what chance serves.
-// So many and no more are, however long all of them wait.
+// Where a cancelled job stays in its worker's queue, each one reclaimed is work for nobody and makes more
+// late: a fleet reclaimed a fifth of its sends, and fell to half of what random choice serves. So many and no more
+// are reclaimed, however long all of them wait.
 func TestReclaimingHasABudget(t *testing.T) {
 	s := testSettings()
 	s.DispatcherCount, s.FIFOWorkers, s.MaxAttempts = 40, true, 50
@@ -36,12 +36,12 @@
 		}
 	}
 	if most := int(maxReclaims + reclaimShare*jobs); back < 2 || back > most {
-		t.Errorf("%d of %d jobs are taken back, want 2 to %d", back, jobs, most)
+		t.Errorf("%d of %d jobs are reclaimed, want 2 to %d", back, jobs, most)
 	}
 }
 
-// One of many dispatchers finds a queue by standing in it. What may be repeated is taken
-// back from there and sent to another worker that drops a repeat; an unsafe job stays.
+// One of many dispatchers finds a queue by standing in it. What may be retried is reclaimed from there and
+// sent to another worker that drops a repeat; an AtMostOnce request stays.
 func TestUnstartedRetryableJobsAreReclaimed(t *testing.T) {
 	for class, want := range map[int]string{1: "cancel", 2: ""} {
 		s := testSettings()
@@ -64,7 +64,7 @@
 		}
 		d.AttemptEnded(now, Outcome{ID: 1, Worker: first.worker, Code: Cancelled}, out)
 		var to WorkerID
-		for range 200 { // held until a worker of the cell may be tried
+		for range 200 { // queued until a worker of the cell may be used
 			for _, a := range out.take() {
 				if a.what == "send" {
 					to = a.worker
--- a/scheduling/dispatch/requests_test.go
+++ b/scheduling/dispatch/requests_test.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// A request whose client waits only briefly is answered at once when nothing
-// can take it: the next look at the held queue would come too late.
+// A request whose client waits only briefly is answered at once when no worker can take it: the next look
+// at the queue would come too late.
 func TestShortLivedRequestIsAnsweredAtOnce(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, nil, out)
 	out.take()
 	d.Arrive(ms, Request{ID: 7, TimeLeft: 20 * ms}, out)
 	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
-		t.Fatalf("got %v, want a refusal", got)
+		t.Fatalf("got %v, want a rejection", got)
 	}
 }
 
-// A held request that can no longer be in time and earns nothing late is given
-// up, and told so at once with advice: not kept back to near its deadline, where
-// its client could no longer ask again.
+// A queued request that can no longer be on time and has no value late is rejected at once with advice:
+// not held to near its deadline, where its client could no longer ask again.
 func TestValuelessRequestIsAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		late      float64 // share of the worth earned late
+		late      float64 // part of the value that a late answer has
 		retry     bool
 		left      time.Duration
 		from, end time.Duration // when the answer is due
@@ -46,12 +45,12 @@
 			d.Timer(now, 0, out)
 		}
 		if len(got) != 1 || got[0].what != "reject" || now < c.from || now > c.end || got[0].in <= 0 || got[0].in > s.MaxRetryAfter {
-			t.Errorf("%s: at %v got %+v, want one refusal with advice in %v to %v", c.name, now, got, c.from, c.end)
+			t.Errorf("%s: at %v got %+v, want one rejection with advice in %v to %v", c.name, now, got, c.from, c.end)
 		}
 	}
 }
 
-// One turned away when its time has passed is answered in the same breath.
+// One that a worker rejects when its time has passed is answered within the same event.
 func TestValuelessRequestIsAnsweredAtAnOutcome(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].LateValueShare = 0
@@ -64,6 +63,6 @@
 	}
 	d.AttemptEnded(3*time.Second, Outcome{ID: 7, Worker: 1, Code: Rejected}, out)
 	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
-		t.Errorf("got %v, want one refusal", got)
+		t.Errorf("got %v, want one rejection", got)
 	}
 }
--- a/scheduling/dispatch/rules_test.go
+++ b/scheduling/dispatch/rules_test.go
@@ -19,6 +19,7 @@
 	out          recorder
 	requests     map[RequestID]*worldRequest
 	order        []RequestID
+	list         []Worker // as the dispatcher had it at first
 	state        map[WorkerID]Worker
 	drainedSince map[WorkerID]time.Duration // since when a worker is not to be sent to
 	trace        strings.Builder
@@ -56,7 +57,7 @@
 			if c := w.s.Classes[r.request.Class]; a.what == "reject" && c.Semantics != Retryable {
 				for _, at := range r.attempts {
 					if at.mayHaveRun && (c.Semantics != Deduplicated || c.DedupScope != ScopeAll) {
-						w.t.Fatalf("refused %d, which may have run", a.id)
+						w.t.Fatalf("rejected %d, which may have run", a.id)
 					}
 				}
 			}
@@ -72,7 +73,7 @@
 		w.t.Fatalf("attempt after the end of %d", a.id)
 	}
 	if at, bad := w.drainedSince[a.worker]; bad && w.now > at+w.s.DrainGrace {
-		w.t.Fatalf("sent to worker %d, drained or gone since %v", a.worker, at)
+		w.t.Fatalf("sent to worker %d, drained or removed since %v", a.worker, at)
 	}
 	var first *worldAttempt
 	for _, at := range r.attempts {
@@ -101,19 +102,24 @@
 	}
 }
 
-// run plays a random day and returns its actions as text.
-func runWorld(t *testing.T, s Settings, seed uint64) string {
+// newWorld makes a world of eight workers that its dispatcher knows.
+func newWorld(t *testing.T, s Settings, seed uint64) *world {
 	w := &world{t: t, s: s, rnd: rand.New(rand.NewPCG(seed, 1)), requests: map[RequestID]*worldRequest{},
 		state: map[WorkerID]Worker{}, drainedSince: map[WorkerID]time.Duration{}}
 	w.d = mustNew(t, s, seed)
-	var list []Worker
 	for i := range 8 {
 		x := Worker{ID: WorkerID(100 + i), Kind: i % 2, Cell: i / 3, Zone: i % 3, Weight: float64(1 + i%2)}
-		list = append(list, x)
+		w.list = append(w.list, x)
 		w.state[x.ID] = x
 	}
-	w.d.UpdateWorkers(0, ListCached, list, &w.out)
+	w.d.UpdateWorkers(0, ListCached, w.list, &w.out)
 	w.apply()
+	return w
+}
+
+// runWorld simulates a random day and returns its actions as text.
+func runWorld(t *testing.T, s Settings, seed uint64) string {
+	w := newWorld(t, s, seed)
 	tick := time.Duration(0)
 	for w.now < 20*time.Second {
 		w.now += time.Duration(w.rnd.IntN(8)+1) * ms
@@ -124,41 +130,14 @@
 		}
 		switch p := w.rnd.Float64(); {
 		case p < 0.3 && w.now < 14*time.Second:
-			r := Request{ID: RequestID(len(w.order) + 1), Class: w.rnd.IntN(len(s.Classes)), Slots: float64(w.rnd.IntN(2) + 1),
-				TimeLeft: time.Duration(w.rnd.IntN(4000)+1) * ms}
-			w.order = append(w.order, r.ID)
-			w.requests[r.ID] = &worldRequest{request: r, deadline: w.now + r.TimeLeft}
-			w.d.Arrive(w.now, r, &w.out)
+			w.arrive()
 		case p < 0.31:
-			x := list[w.rnd.IntN(len(list))]
-			x.State = WorkerState(w.rnd.IntN(3))
-			if x.State == Ready {
-				delete(w.drainedSince, x.ID)
-				if w.rnd.IntN(2) == 0 {
-					x.Launched = w.now
-				}
-			} else if _, told := w.drainedSince[x.ID]; !told {
-				w.drainedSince[x.ID] = w.now
-			}
-			w.state[x.ID] = x
-			w.d.UpdateWorkers(w.now, ListDelta, []Worker{x}, &w.out)
+			w.changeWorker()
 		case p < 0.6 && len(w.order) > 0:
 			w.event(w.order[len(w.order)-1-w.rnd.IntN(min(len(w.order), 30))])
 		}
 		w.apply()
-		for _, id := range w.order { // time-outs cut to the client's deadline
-			r := w.requests[id]
-			for n, at := range r.attempts {
-				if at.outstanding && w.now >= r.deadline {
-					at.outstanding = false
-					w.d.AttemptEnded(w.now, Outcome{ID: id, Attempt: n, Worker: at.worker, Code: TimedOut, Answered: r.answered}, &w.out)
-					w.apply()
-				}
-			}
-			if !r.answered && w.now > r.deadline+s.AnswerSlack {
-				t.Fatalf("request %d was lost", id)
-			}
-		}
+		w.timeOutAttempts()
 	}
 	for _, id := range w.order {
 		if !w.requests[id].answered {
@@ -168,6 +147,47 @@
 	return w.trace.String()
 }
 
+func (w *world) arrive() {
+	r := Request{ID: RequestID(len(w.order) + 1), Class: w.rnd.IntN(len(w.s.Classes)), Slots: float64(w.rnd.IntN(2) + 1),
+		TimeLeft: time.Duration(w.rnd.IntN(4000)+1) * ms}
+	w.order = append(w.order, r.ID)
+	w.requests[r.ID] = &worldRequest{request: r, deadline: w.now + r.TimeLeft}
+	w.d.Arrive(w.now, r, &w.out)
+}
+
+// changeWorker drains, removes, readies or restarts a worker.
+func (w *world) changeWorker() {
+	x := w.list[w.rnd.IntN(len(w.list))]
+	x.State = WorkerState(w.rnd.IntN(3))
+	if x.State == Ready {
+		delete(w.drainedSince, x.ID)
+		if w.rnd.IntN(2) == 0 {
+			x.Launched = w.now
+		}
+	} else if _, drained := w.drainedSince[x.ID]; !drained {
+		w.drainedSince[x.ID] = w.now
+	}
+	w.state[x.ID] = x
+	w.d.UpdateWorkers(w.now, ListDelta, []Worker{x}, &w.out)
+}
+
+// timeOutAttempts ends attempts at their clients' deadlines, and checks that each request has its answer then.
+func (w *world) timeOutAttempts() {
+	for _, id := range w.order {
+		r := w.requests[id]
+		for n, at := range r.attempts {
+			if at.outstanding && w.now >= r.deadline {
+				at.outstanding = false
+				w.d.AttemptEnded(w.now, Outcome{ID: id, Attempt: n, Worker: at.worker, Code: TimedOut, Answered: r.answered}, &w.out)
+				w.apply()
+			}
+		}
+		if !r.answered && w.now > r.deadline+w.s.AnswerSlack {
+			w.t.Fatalf("request %d was lost", id)
+		}
+	}
+}
+
 func (w *world) event(id RequestID) {
 	r := w.requests[id]
 	for n, at := range r.attempts {
--- a/scheduling/dispatch/selection_test.go
+++ b/scheduling/dispatch/selection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A job goes to its pools alone, and one that may have run before only where repeats of it are
-// dropped, while they are.
+// A job goes to its pools alone, and one that may have run before only where and while repeats of it are
+// dropped.
 func TestPoolsAndEarlierRuns(t *testing.T) {
 	workers := []Worker{{ID: 1, Weight: 1, Cell: 1, Pools: 1}, {ID: 2, Weight: 1, Cell: 2, Pools: 2}, {ID: 3, Weight: 1, Cell: 3, Pools: 3}}
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 			d, out := mustNew(t, testSettings(), seed), &recorder{}
 			d.UpdateWorkers(0, ListCached, workers, out)
 			now := ms
-			for id := range RequestID(4) { // some find no room at the first one's
+			for id := range RequestID(4) { // some find no capacity at the first one's
 				q := c.q
 				q.ID, q.TimeLeft = id+1, 2*time.Second
 				d.Arrive(now, q, out)
@@ -52,16 +52,15 @@
 	}
 }
 
-// What is to take only spare room is sent to room that is surely there, never beyond it, and behind
-// all others.
+// A BestEffort request is sent to capacity that is surely there, never beyond it, and behind all others.
 func TestBestEffortTakesSpareCapacityOnly(t *testing.T) {
-	for _, spare := range []bool{true, false} {
+	for _, bestEffort := range []bool{true, false} {
 		s := testSettings()
-		s.DispatcherCount = 2 // what others send is not known: jobs are sent past the own share in the end
+		s.DispatcherCount = 2 // what others send is not known: jobs are sent beyond the own share in the end
 		d, out := mustNew(t, s, 1), &recorder{}
 		d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 4}, {ID: 2, Weight: 4}}, out)
 		for id := range RequestID(40) {
-			d.Arrive(ms, Request{ID: id + 1, TimeLeft: 5 * time.Second, BestEffort: spare}, out)
+			d.Arrive(ms, Request{ID: id + 1, TimeLeft: 5 * time.Second, BestEffort: bestEffort}, out)
 		}
 		now := ms
 		for range 100 {
@@ -69,14 +68,14 @@
 			d.Timer(now, 0, out)
 		}
 		held := len(out.sends())
-		t.Logf("spare %t: %d of 40 jobs were sent to 2 workers, of which half is the own share", spare, held)
-		if spare && (held == 0 || held > 4) || !spare && held <= 4 {
-			t.Errorf("spare %t: %d of 40 jobs were sent", spare, held)
+		t.Logf("best effort %t: %d of 40 jobs were sent to 2 workers, of which half is the own share", bestEffort, held)
+		if bestEffort && (held == 0 || held > 4) || !bestEffort && held <= 4 {
+			t.Errorf("best effort %t: %d of 40 jobs were sent", bestEffort, held)
 		}
-		if !spare {
+		if !bestEffort {
 			continue
 		}
-		// One of a client comes after 32 that wait: the next slot that comes free is its.
+		// A client's request comes after 32 that wait: it gets the next slot that comes free.
 		d.Arrive(now, Request{ID: 100, TimeLeft: 5 * time.Second}, out)
 		sent := out.sends()
 		for id := RequestID(1); id <= 8 && len(sent) == 0; id++ {
--- a/scheduling/dispatch/shares_test.go
+++ b/scheduling/dispatch/shares_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// With many dispatchers the slot limits of one add up to its share of the
-// fleet, not to a slot everywhere.
+// With many dispatchers the home shares of one add up to its share of the fleet, not to a slot
+// everywhere.
 func TestHomeSharesDivideTheFleet(t *testing.T) {
 	const n = 40
 	var list []Worker
--- a/scheduling/dispatch/slowstart_test.go
+++ b/scheduling/dispatch/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The owner of a cold worker may use its whole part of the budget, others none:
-// an even split among all dispatchers left new workers idle through their ramp.
+// The owner of a warming worker may use its whole part of the budget, others none: an even split among all
+// dispatchers left new workers idle through their warm-up.
 func TestWarmingWorkerIsUsedByItsOwner(t *testing.T) {
 	const n = 20
 	users := 0
@@ -34,20 +34,20 @@
 			users++
 		}
 		if cold.home.share == 0 && sent > 0 {
-			t.Errorf("dispatcher %d owns nothing of the cold worker and sent %d jobs", me, sent)
+			t.Errorf("dispatcher %d owns nothing of the warming worker and sent %d jobs", me, sent)
 		}
 		if cold.home.share == 1 && sent < 15 {
 			t.Errorf("the owner sent %d jobs in 5 s", sent)
 		}
 	}
 	if users == 0 {
-		t.Error("nobody used the cold worker")
+		t.Error("nobody used the warming worker")
 	}
 }
 
-// A worker that comes back cold, as one called back by hand does, is of use to each of few
-// dispatchers, also to those whose own share of the workers it is not in: its home may have
-// taken it out, or be down. It was left unused through its ramp, and nothing else was there.
+// A worker that comes back and warms up, as one that operators reinstate does, is of use to each of few
+// dispatchers, also to those whose own share of the workers it is not in: the one whose home it is may
+// have ejected it, or be down. It was left unused through its warm-up, with no other worker there.
 func TestReinstatedWorkerIsUsedByAll(t *testing.T) {
 	const workers = 6
 	for _, talk := range []bool{false, true} {
@@ -80,7 +80,7 @@
 						}
 					}
 					if sent == 0 {
-						t.Errorf("dispatcher %d of %d, talk %v: worker %d was sent nothing in 3 s", me, n, talk, back+1)
+						t.Errorf("dispatcher %d of %d, broadcasts %v: worker %d was sent nothing in 3 s", me, n, talk, back+1)
 					}
 				}
 			}
@@ -90,7 +90,7 @@
 
 // The slow-start budget holds for all dispatchers together, one or many.
 func TestSlowStartBudget(t *testing.T) {
-	const life = 5 * time.Second // of the worker, the first time
+	const restartAfter = 5 * time.Second // its start
 	for _, n := range []int{1, 2, 4, 5, 20, 30, 250, 300} {
 		var sent []time.Duration
 		for me := range n {
@@ -100,8 +100,8 @@
 			start := time.Hour
 			d.UpdateWorkers(start, ListCached, []Worker{{ID: 1, Weight: 1, Launched: start}}, out)
 			id, running := RequestID(0), map[time.Duration]action{}
-			for now := start; now < start+life+8*time.Second; now += 25 * ms {
-				if now == start+life { // it comes cold a second time
+			for now := start; now < start+restartAfter+8*time.Second; now += 25 * ms {
+				if now == start+restartAfter { // it restarts
 					d.UpdateWorkers(now, ListDelta, []Worker{{ID: 1, Weight: 1, Launched: now}}, out)
 				}
 				id++
@@ -121,7 +121,7 @@
 			}
 		}
 		s := testSettings()
-		for from := time.Duration(0); from < life+7*time.Second; from += 100 * ms {
+		for from := time.Duration(0); from < restartAfter+7*time.Second; from += 100 * ms {
 			work := 0.0
 			for _, at := range sent {
 				if at >= from && at < from+s.CrashLoadTime {
@@ -129,8 +129,8 @@
 				}
 			}
 			age := from
-			if from+s.CrashLoadTime > life { // what was sent to its last life counts for nothing there
-				age = max(from-life, 0)
+			if from+s.CrashLoadTime > restartAfter { // what was sent to its former incarnation does not count
+				age = max(from-restartAfter, 0)
 			}
 			share := s.SlowStartShare + (1-s.SlowStartShare)*age.Seconds()/s.SlowStartTime.Seconds()
 			if limit := s.CrashLoadFactor * share * s.CrashLoadTime.Seconds(); work > limit {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Each of 40 dispatchers sends a cold worker by the part that the fleet has granted it. All parts
-// come to one, so all together send it no more than it bears, and one without a part nothing.
+// Each of 40 dispatchers sends to a warming worker by the part that the fleet has granted it. All parts come
+// to one, so all together send it no more than it bears, and one without a part nothing.
 func TestWarmingWorkerIsSentByGrantedParts(t *testing.T) {
 	const n = 40
 	s := testSettings()
@@ -178,7 +178,7 @@
 		}
 	}
 	slices.Sort(sent)
-	run := 0.2 // what a job is taken to run where none was seen
+	run := 0.2 // seconds that a job is taken to run where none was seen
 	for i, at := range sent {
 		bears := s.CrashLoadFactor * (s.SlowStartShare + (1-s.SlowStartShare)*(at+s.CrashLoadTime/2-launched).Seconds()/s.SlowStartTime.Seconds()) * s.CrashLoadTime.Seconds() / run
 		if got, _ := slices.BinarySearch(sent[i:], at+s.CrashLoadTime); float64(got) > bears+3*math.Sqrt(bears)+3 {
--- a/scheduling/dispatch/snapshot_test.go
+++ b/scheduling/dispatch/snapshot_test.go
@@ -7,8 +7,8 @@
 	"yardflow/internal/fleet/coldstart/speeds"
 )
 
-// A dispatcher that takes over knows what the one before had learned, a worker
-// that restarted between excepted, and nothing of its requests.
+// A dispatcher that takes over knows what the one before had learned, but for a worker that restarted in
+// between, and nothing of its requests.
 func TestSnapshotIsRestored(t *testing.T) {
 	s, list := testSettings(), []Worker{{ID: 1, Launched: time.Second}, {ID: 2, Kind: 1}}
 	old, out := newDispatcher(s, 1), &recorder{}
@@ -32,8 +32,8 @@
 	}
 }
 
-// Speeds of the fleet come after the first list. They fill in what is not known and leave the rest:
-// start delays, own evidence, and the kinds' numbers.
+// Speeds of the fleet may come after the first list. They fill in what is not known and leave the rest:
+// start delays, own evidence, and the numbering of kinds.
 func TestSpeedsAreRestoredAfterTheFirstList(t *testing.T) {
 	old, out := mustNew(t, testSettings(), 1), &recorder{}
 	old.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
--- a/scheduling/dispatch/speed_test.go
+++ b/scheduling/dispatch/speed_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Waiting at the workers must not come to pass for the ordinary start delay.
+// Waiting at the workers must not be taken for the ordinary start delay.
 func TestStartDelayIsALowQuantile(t *testing.T) {
 	d, out := newDispatcher(testSettings(), 5), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
--- a/scheduling/waitestimate/estimate_test.go
+++ b/scheduling/waitestimate/estimate_test.go
@@ -25,9 +25,9 @@
 		}
 	}
 	soon := 10*time.Second + DecayTime/5
-	w.ObserveAtLeast(soon, 1, &c) // a job sent later that waits less: the earlier word stands
+	w.ObserveAtLeast(soon, 1, &c) // a job sent later that waits less: the earlier observation stands
 	if got := w.Expected(soon, &c); got < 1.5 {
-		t.Errorf("a shorter wait that is not over yet has taken a longer one's place: %v", got)
+		t.Errorf("a shorter wait that has not ended yet has replaced a longer one: %v", got)
 	}
 	w.ObserveAtLeast(soon, 4, &c)
 	if got := w.Expected(soon, &c); got != 4 {
--- a/scheduling/workerpool/pools_test.go
+++ b/scheduling/workerpool/pools_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Arcs of equal lengths that begin at even distances cover a circle of any sizes evenly.
+// Arcs of equal lengths that begin at even distances cover a ring of any sizes evenly.
 func TestArcsCoverTheRingEvenly(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -38,40 +38,40 @@
 		}
 	}
 	if len(ArcCoverage(nil, 0, 1)) != 0 {
-		t.Error("an empty circle")
+		t.Error("an empty ring")
 	}
 }
 
-// Pools have the shares asked for, and a share that moves by so much moves no more spots.
+// Pools have the shares asked for, and a share that changes by so much moves no more positions.
 func TestPools(t *testing.T) {
 	was, now := []float64{3, 1, 4}, []float64{3, 1.4, 4}
 	count, moved := [3]int{}, 0
-	const spots = 10000
-	for i := range spots {
-		spot := (float64(i) + 0.5) / spots
-		pool := PoolAt(spot, was)
+	const positions = 10000
+	for i := range positions {
+		position := (float64(i) + 0.5) / positions
+		pool := PoolAt(position, was)
 		count[pool]++
-		if PoolAt(spot, now) != pool {
+		if PoolAt(position, now) != pool {
 			moved++
 		}
 	}
 	for i, share := range was {
-		if math.Abs(float64(count[i])/spots-share/8) > 0.001 {
-			t.Errorf("pool %d has %d of %d spots, want %.3f", i, count[i], spots, share/8)
+		if math.Abs(float64(count[i])/positions-share/8) > 0.001 {
+			t.Errorf("pool %d has %d of %d positions, want %.3f", i, count[i], positions, share/8)
 		}
 	}
-	if moved > spots*6/100 || moved == 0 {
-		t.Errorf("%d of %d spots moved", moved, spots)
+	if moved > positions*6/100 || moved == 0 {
+		t.Errorf("%d of %d positions moved", moved, positions)
 	}
 	if PoolAt(1, was) != 2 || PoolAt(0, []float64{1}) != 0 {
-		t.Error("the ends")
+		t.Error("the last position, and a single pool")
 	}
 	if SharesChanged(was, []float64{6, 2, 8}) || !SharesChanged(was, []float64{1}) || !SharesChanged([]float64{1, 1}, []float64{1, 1.3}) || SharesChanged([]float64{1, 1}, []float64{1, 1.1}) {
-		t.Error("what has moved")
+		t.Error("which shares have changed")
 	}
 }
 
-// What few long jobs bring does not turn the shares over; what many bring does, and fades.
+// The work of a few long jobs does not turn the shares over; that of many does, and decays.
 func TestRecentWork(t *testing.T) {
 	var short, long RecentWork
 	if long.Estimate() != short.Estimate() {
