--- a/scheduling/dispatch/actorcritic.go
+++ b/scheduling/dispatch/actorcritic.go
@@ -5,26 +5,30 @@
 	"time"
 )
 
-// ACHQ's parameters (sections 4.1 and 4.2 of the paper, Algorithm 1), which leaves their values open.
-// All came with the module; steps are relative, so that they hold at any load and fleet size.
+// ACHQ's parameters (Algorithm 1 of the paper). Its simulations have sigma 1, alpha and beta 1e-3 and zeta
+// 1e-2 for one fixed system; here the steps are relative to costs and features, so that they hold at any load
+// and fleet size.
 const (
 	// sharpness is sigma of the soft threshold, per queued request: from 12% to 88% within one
 	// request on either side. A larger one is nearer to a hard threshold and gives the actor less gradient.
 	sharpness = 2.0
-	// actorStep is alpha, per unit of mean cost.
+	// actorStep is alpha, in queued requests per unit of mean cost: under criticStep, since the actor must
+	// move more slowly than the critic that judges it (the two time scales of section 4.1).
 	actorStep = 0.02
 	// criticStep is beta, per squared length of the features: the critic corrects a twentieth of its
 	// error a step. It would diverge from 2 on.
 	criticStep = 0.05
-	// averageStep is zeta: average cost and step length are taken over some 100 steps.
+	// averageStep is zeta, the paper's: average cost and step length are taken over some 100 steps. With
+	// more, they follow single bursts.
 	averageStep = 0.01
 	// queueScale is l_M, in requests: queues beyond it look alike to the critic, and thresholds end there.
 	queueScale = 64
 	// maxTDError bounds the temporal-difference error, in mean costs (one is added): a gap or a burst
 	// must not throw the learner.
 	maxTDError = 5.0
-	// learnedThresholdUpdates is how many updates a threshold takes before it counts as learned; up to
-	// there refreshEstimates sets it by the ratio of service rates.
+	// learnedThresholdUpdates is how many updates a threshold takes before it counts as learned. Up to there
+	// each refresh sets it by the ratio of service rates, the paper's baseline RSRT, which waits too often
+	// rather than too seldom.
 	learnedThresholdUpdates = 5
 )
 
--- a/scheduling/dispatch/dispatch.go
+++ b/scheduling/dispatch/dispatch.go
@@ -29,16 +29,19 @@
 //	reclaim.go       attempts that stand still, reclaimed and sent elsewhere
 //	queue.go         the queue of requests that wait, and its deadlines
 //	selection.go     which worker a request goes to; capacity
+//	overcommit.go    sends beyond known capacity, and their pacing
 //	actorcritic.go   ACHQ's learner of the soft thresholds
 //	lottery.go       weighted random choice where dispatchers outnumber workers
 //	shares.go        each dispatcher's own share of the workers; pools of classes
 //	fleet.go         workers, as listed and ranked; following the worker list
-//	speed.go         speed estimates
+//	speed.go         estimates of run times and speeds
+//	ranking.go       workers ranked by expected time
 //	loadreport.go    workers' load reports; slots per worker
 //	slotlimit.go     the slot limit per worker, in the manner of TCP's window
 //	health.go        failures, late and lost attempts, probation
 //	slowstart.go     the budget of a worker that warms up
-//	overload.go      pacing beyond known capacity, load shedding, quotas
+//	overload.go      load shedding, and when rejected clients are to come back
+//	quota.go         tenants' quotas
 //	reservations.go  slots reserved for large jobs (package backfill)
 //	peers.go         usage that dispatchers broadcast to each other
 //	snapshot.go      what was learned, for the process that takes over
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -16,7 +16,8 @@
 	// refreshInterval is the time between two refreshes of estimates, shares and thresholds. Decays
 	// are stated per refresh, so another value changes how fast all of them forget.
 	refreshInterval = time.Second
-	// logInterval is the least time between two log lines; lines within it are dropped.
+	// logInterval is the least time between two log lines; lines within it are dropped. With less, a fault
+	// that all workers share fills the operators' log.
 	logInterval = 10 * time.Second
 	// randomStream keeps this module's draws apart from others of the same seed.
 	randomStream = 0x6c696e6e65746c69
--- a/scheduling/dispatch/fleet.go
+++ b/scheduling/dispatch/fleet.go
@@ -23,9 +23,9 @@
 type worker struct {
 	Worker
 	listed, crossZone bool
-	listVersion       uint64 // of the last list that held it
-	rankTime          float64
-	rankIndex         int
+	listVersion       uint64  // of the last list that held it
+	rankTime          float64 // seconds that a job is taken to need there, with all penalties
+	rankIndex         int     // in fleetState.ranked
 
 	ringPosition uint64  // on the ring of home shares
 	poolPosition float64 // among the pools, 0 to 1
--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -14,23 +14,28 @@
 	failureWeight = 0.15
 	// connectionLossWeight is that of a connection lost while in use, which is mostly the connection's fault.
 	connectionLossWeight = 0.07
-	// errorShareGrowth is the factor on the share at each further failure.
+	// errorShareGrowth is the factor on the share at each further failure: four failures in a row of a worker
+	// that was good bring it over loggedErrorShare. With more, fewer failures, which may be chance, do.
 	errorShareGrowth = 1.5
-	// successDecay is what is left of it after a success.
+	// successDecay is what is left of the share after a success: a third after three.
 	successDecay = 0.7
-	// distrustErrorShare is the share above which AtMostOnce requests stay away and the slot limit shrinks.
+	// distrustErrorShare is the share above which AtMostOnce requests stay away and the slot limit shrinks:
+	// one failure is over it, one connection lost is not. Lower, and a single lost connection takes a
+	// worker's slots away.
 	distrustErrorShare = 0.1
-	// loggedErrorShare is the share above which a log line tells of the worker.
+	// loggedErrorShare is the share above which operators are told of the worker.
 	loggedErrorShare = 0.75
 )
 
 // Late and lost attempts.
 const (
 	// lateStartFactor is how many typical start delays an attempt may wait before its start counts as late,
-	// with two event gaps and lateStartSlackSeconds added.
+	// with two event gaps and lateStartSlackSeconds added. With less, delays of the network shrink limits;
+	// with more, jobs wait at workers before they do.
 	lateStartFactor       = 3
 	lateStartSlackSeconds = 0.01
-	// overdueRuns is the number of expected runs past which an attempt is overdue.
+	// overdueRuns is the number of expected runs past which an attempt is overdue. Sizes are long-tailed:
+	// with less, long jobs are held against their workers.
 	overdueRuns = 3.0
 	// lostRuns is the multiple of that past which one is presumed lost while later ones succeed: twelve
 	// expected runs. At six long jobs were caught too, and their slots were given out twice.
@@ -38,7 +43,7 @@
 	// overtakeSlack is how long connecting may delay a job against one sent after it, where workers
 	// serve first in, first out. An attempt that is overtaken by more is presumed lost.
 	overtakeSlack = 400 * time.Millisecond
-	// latenessStep is the least rise (ln) of a worker's lateness that is worth a new rank.
+	// latenessStep is the least rise (ln) of a worker's lateness that is worth the time of a new rank.
 	latenessStep = 0.1
 )
 
--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -16,11 +16,13 @@
 }
 
 const (
-	// meanFreeStep is what one report moves the mean of free slots by: a memory of some ten reports.
+	// meanFreeStep is what one report moves the mean of free slots by: a memory of some ten reports. With
+	// more, the mean is no better known than the latest report that fades into it.
 	meanFreeStep = 0.1
-	// maxLoadFigure is up to which a figure of a report can be one; beyond it the report is ignored.
+	// maxLoadFigure bounds the figures of a report, of either sign; with one beyond it the report is ignored.
 	maxLoadFigure = 1e6
-	// reportedErrorWeight is how much the error rate that a report tells of counts against own attempts.
+	// reportedErrorWeight is what a reported share of errors counts, against 1 for one of own attempts: part
+	// of the errors are the jobs' own.
 	reportedErrorWeight = 0.5
 )
 
--- a/scheduling/dispatch/lottery.go
+++ b/scheduling/dispatch/lottery.go
@@ -11,8 +11,8 @@
 	// lotterySpeedPower is the power of a worker's speed in the odds of that draw: a little more than in
 	// proportion. A larger one sends the fast workers more than their slots bear.
 	lotterySpeedPower = 1.3
-	// lotteryOwnJobsWait is the wait that own jobs in all slots of a worker stand for: own jobs
-	// keep apart from each other.
+	// lotteryOwnJobsWait is the wait that own jobs in all slots of a worker stand for: own jobs spread over
+	// workers. With less, several of them stand in one queue that this dispatcher knows to be short.
 	lotteryOwnJobsWait = 3.0
 	// lotteryAwayWait is the penalty of a worker that is no home: for as long a wait a job stays with
 	// the few workers whose queues this dispatcher knows.
--- a/scheduling/dispatch/requests.go
+++ b/scheduling/dispatch/requests.go
@@ -7,7 +7,8 @@
 
 // holdShare is the part of a request's slack (the time until its latestStart) for which it may be
 // held for a faster worker or for known capacity. After it, the request is sent beyond what
-// capacity is known, as the overcommit pacer allows; more would leave too little for a second attempt.
+// capacity is known, as the overcommit pacer allows; with more, too little
+// is left for a second attempt.
 const holdShare = 0.25
 
 // request is one job from its arrival until it is answered and no attempt of it is outstanding.
@@ -50,7 +51,7 @@
 	}
 }
 
-// newRequest works out by when a request has to start and what it is worth.
+// newRequest works out by when a request has to start, and its place in the queue.
 func (d *dispatcher) newRequest(q Request) *request {
 	q.Slots = max(q.Slots, 1)
 	if q.ResolvedClass == nil {
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -1,14 +1,6 @@
 package dispatch
 
-import (
-	"math"
-	"slices"
-)
-
-// nearEqual is how far apart (ln of time) two workers count as equally fast: a queued request does not
-// wait for a worker that is faster by less, and dispatchers rank workers that near in orders of their own,
-// so that not all release to the same one at the same moment. A larger value gives up speed for spread.
-const nearEqual = 0.25
+import "slices"
 
 // serveQueue takes ACHQ's decisions at an arrival or completion: the head of the queue goes to the
 // fastest worker with capacity, at once if that is the fastest overall, else with the probability of
@@ -123,45 +115,3 @@
 
 // spareSlots is how many of those its own jobs leave free.
 func (d *dispatcher) spareSlots(w *worker) float64 { return d.usableSlots(w) - w.usage.slots }
-
-// guessWeight is how many times worse a wait that is only guessed counts than the same time of a known
-// slow run. A smaller one has jobs join queues at fast workers on old reports.
-const guessWeight = 8.0
-
-// guessWorker picks, for a request that can be held no longer, the worker where it should end first
-// by what is known, with capacity or not; nil where none may be sent it.
-func (d *dispatcher) guessWorker(r *request) *worker {
-	var best *worker
-	least := math.Inf(1)
-	for _, w := range d.fleet.ranked {
-		if w.rankTime >= least {
-			break // none behind can end sooner
-		}
-		if !d.eligible(w, r) || !d.slowStartAllows(w, r) || !d.mayBackfill(w, r) {
-			continue
-		}
-		wait := d.guessedWait(w, r)
-		if wait > 0 && r.demoted {
-			continue
-		}
-		if t := w.rankTime + wait; t < least {
-			best, least = w, t
-		}
-	}
-	return best
-}
-
-// guessedWait is the time, in seconds, that r is taken to wait for capacity at w. A report fades into the
-// worker's average, and a worker in backoff counts as busy.
-func (d *dispatcher) guessedWait(w *worker, r *request) float64 {
-	run := d.speeds.meanRun.Seconds()
-	free := max(w.limit.slots, 1) - w.usage.busy()
-	if w.report.known {
-		fade := max(1-(d.now-w.report.at).Seconds()/(2*run), 0)
-		free = w.report.meanFree - w.usage.slots + (w.report.free-w.report.meanFree)*fade
-	}
-	if d.now < w.limit.backoffUntil {
-		free = min(free, 0)
-	}
-	return guessWeight * max(r.Slots-free, 0) * run / d.fleet.kindSlots(w)
-}
--- a/scheduling/dispatch/slotlimit.go
+++ b/scheduling/dispatch/slotlimit.go
@@ -10,13 +10,15 @@
 // least. It goes beyond the slots that the worker's kind was seen to have by trial alone.
 const (
 	// rejectionBackoffs is how often the backoff after a rejection or late start doubles: to 8 mean runs.
+	// With more, a worker that has free slots again is left out for longer.
 	rejectionBackoffs = 3
 	// failureBackoffs is the same after failures. With 6 (64 runs) a worker that was well again was left
 	// out for 13.8 s.
 	failureBackoffs = 3
 	// kindBackoffs is the same for trying a whole kind beyond the slots it was seen to have: to 256 runs.
 	kindBackoffs = 8
-	// unusedReturn is how many slots beyond the own share are given back per refresh where they are not used.
+	// unusedReturn is how many slots beyond the own share are given back per refresh where they are not used,
+	// so that other dispatchers can have them. With more, each short lull costs trials anew.
 	unusedReturn = 0.5
 )
 
@@ -75,7 +77,8 @@
 	// slotSightings is how often more slots than known must be seen for one more to count: reports are
 	// noisy, and a start may be heard of before the end that made room for it.
 	slotSightings = 4
-	// sightingDecay is what is left of the sightings after each refresh.
+	// sightingDecay is what is left of the sightings after each refresh: slotSightings must come within some
+	// ten seconds, so that noise alone never adds up.
 	sightingDecay = 0.9
 	// clearSightingFactor is how many times the known slots a report must tell of to count at once: well
 	// beyond any noise. Without it half of the slots went unused in a day's first seconds.
--- a/scheduling/dispatch/slowstart.go
+++ b/scheduling/dispatch/slowstart.go
@@ -6,7 +6,9 @@
 // Settings.SlowStartTime. All dispatchers together must stay below Settings.CrashLoadFactor times what
 // it has at the moment, over Settings.CrashLoadTime.
 const (
-	// slowStartSafety is the part of that budget that is used, over all dispatchers.
+	// slowStartSafety is the part of that budget that is used, over all dispatchers: jobs' sizes are
+	// estimates, and a worker that crashes costs all that runs there. With more, long jobs that come together
+	// overload it.
 	slowStartSafety = 0.3
 	// sparseSlowStartFactor is what all parts come to in a sparse fleet: over 1, since some of the
 	// dispatchers whose home a worker is have no job for it.
--- a/scheduling/dispatch/speed.go
+++ b/scheduling/dispatch/speed.go
@@ -11,23 +11,30 @@
 // is split into the class's work, the kind's slowness and the worker's own, each of which moves by
 // its part of the residual, the more slowly the more evidence there is.
 const (
-	// maxResidual bounds (ln) what one run tells of speed, so that a long tail cannot blur it: 4.5 times.
+	// maxResidual bounds (ln) what one run tells of speed: what ran over 4.5 times longer than expected
+	// counts as 4.5 times, so that a long tail cannot blur a speed. With less, a worker that has become
+	// much slower is believed late.
 	maxResidual = 1.5
-	// maxEvidence is how many runs the figures of a class or kind are taken over at the most.
+	// maxEvidence is how many runs the figures of a class or kind are taken over at the most. With more, a
+	// change of the work is followed late; with fewer, the figures follow single runs.
 	maxEvidence = 200
-	// leastRunSeconds is the shortest run that is told apart.
+	// leastRunSeconds is the shortest run that is told apart: a shorter one counts as this, since 0 has no
+	// logarithm.
 	leastRunSeconds = 1e-4
-	// kindEvidence and varianceEvidence count as runs seen before the first one.
+	// kindEvidence and varianceEvidence count as runs seen before the first one, so that it does not decide
+	// alone.
 	kindEvidence, varianceEvidence = 3, 3
-	// meanRunStep is what one run moves the mean run by: a memory of some 100 runs.
+	// meanRunStep is what one run moves the (ln) mean run by: a memory of some 100 runs of all classes.
 	meanRunStep = 0.01
-	// initialMeanRunSeconds is what a job is taken to run before any was seen.
+	// initialMeanRunSeconds is what a job is taken to run before any was seen. Pauses and margins that are
+	// counted in mean runs begin with it; some 100 runs correct it.
 	initialMeanRunSeconds = 0.2
-	// unknownLogVariance is the variance of ln run times that is taken until jobs have shown theirs.
+	// unknownLogVariance is the variance of ln run times that is taken until jobs have shown theirs: a
+	// standard deviation of 1.65 times.
 	unknownLogVariance = 0.25
 )
 
-// evidenceWeight is how fast a worker's own slowness is learned.
+// evidenceWeight is how fast a worker's own slowness is learned. A smaller prior or most follows single runs.
 type evidenceWeight struct {
 	prior float64 // counts as runs seen before the first one
 	most  float64 // runs that it is taken over at the most
@@ -140,7 +147,7 @@
 // ordinary delay, and stop seeing it just when every worker is full.
 const (
 	startDelayStep   = 0.2  // part of the way that a shorter delay moves it down
-	startDelayGrowth = 1.02 // factor by which a longer one moves it up
+	startDelayGrowth = 1.02 // factor by which a longer one moves it up: 35 such starts double it
 )
 
 // learnStartDelay takes in the time from an attempt's send to the notification of its start, in seconds.
@@ -161,86 +168,3 @@
 	}
 	return &d.speeds.startDelay[0]
 }
-
-// Rank, by expected time with penalties. Each is in ln of the time.
-const (
-	// awayPenalty is what a worker wholly outside the own share loses.
-	awayPenalty = 0.5
-	// errorSlowness is what a worker whose every attempt fails loses: 20 times.
-	errorSlowness = 3
-	// crossZoneWeight is the price of crossing zones, in mean latency targets for a price of one value.
-	crossZoneWeight = 4.0
-)
-
-// updateRankTime works out the time a job is taken to need at w with all penalties, the measure of rank.
-func (d *dispatcher) updateRankTime(w *worker) {
-	slowness := d.fleet.kindOf(w).logSlowness
-	w.rankTime = math.Exp(d.speeds.logMeanRun + slowness + w.speed.logSlowness + w.speed.logLateness)
-	if w.crossZone {
-		w.rankTime += d.speeds.crossZoneSeconds
-	}
-	penalty := nearEqual*w.tieBreak + awayPenalty*(1-w.home.share) + errorSlowness*w.errorShare
-	w.rankTime *= math.Exp(penalty) / d.warmUpShare(w)
-}
-
-// rerank puts w to the rank it has by what is known now.
-func (d *dispatcher) rerank(w *worker) {
-	if !w.listed {
-		return
-	}
-	d.updateRankTime(w)
-	d.fleet.rerank(w)
-}
-
-// Decay of what is held against a worker, per refresh.
-const (
-	errorShareDecay = 0.9 // to 1/e in 10 s
-	latenessDecay   = 0.8 // a job still overdue raises it again
-)
-
-// refreshEstimates ages what is known, ranks all workers anew and sets thresholds that have not learned yet.
-func (d *dispatcher) refreshEstimates() {
-	d.refreshAt = d.now + refreshInterval
-	d.partitionWorkers()
-	d.fleet.decaySightings()
-	d.speeds.crossZoneSeconds = d.speeds.startDelay[1] +
-		crossZoneWeight*d.CrossZoneCost*d.totalLatencyTarget()/float64(len(d.Classes))
-	for _, w := range d.fleet.ranked {
-		w.errorShare *= errorShareDecay
-		w.speed.logLateness *= latenessDecay
-		w.limit.returnUnused(d.homeSlots(w), w.usage.busy())
-		d.updateRankTime(w)
-	}
-	d.fleet.sort()
-	d.summariseFleet()
-}
-
-// totalLatencyTarget adds up the classes' targets for a job of the mean run, in seconds.
-func (d *dispatcher) totalLatencyTarget() float64 {
-	sum := 0.0
-	for i := range d.Classes {
-		sum += d.Classes[i].LatencyTarget.Seconds() + d.Classes[i].Stretch*d.speeds.meanRun.Seconds()
-	}
-	return sum
-}
-
-// summariseFleet adds up the ranked workers, and sets the thresholds that have not learned yet: the
-// paper's ratio of service rates (those of faster workers over its own), less the jobs' own run, for this
-// dispatcher's share.
-func (d *dispatcher) summariseFleet() {
-	rates, slots, slowness, missing := 0.0, 0.0, 0.0, 0.0
-	for _, w := range d.fleet.ranked {
-		n, mu := d.fleet.kindSlots(w), 1/w.rankTime
-		if w.threshold.updates < learnedThresholdUpdates {
-			w.threshold.theta = min(max(rates/mu-slots, 0)/float64(d.DispatcherCount), queueScale)
-		}
-		rates += n * mu
-		slots += n
-		slowness += n * (d.fleet.kindOf(w).logSlowness + w.speed.logSlowness)
-		missing += n * (1 - d.warmUpShare(w))
-	}
-	d.fleet.slots = slots
-	if slots > 0 {
-		d.speeds.logFleetSlowness, d.fleet.warmingShare = slowness/slots, missing/slots
-	}
-}
