--- a/scheduling/dispatch/dispatch.go
+++ b/scheduling/dispatch/dispatch.go
@@ -105,10 +105,10 @@
 	// SetReservationShare limits what may be reserved to a part of the settings' bounds, over 0
 	// to 1, where several processes reserve side by side.
 	SetReservationShare(part float64)
-	// SetWorkerLimits limits the jobs outstanding at any one worker (0: by capacity alone; under 0:
-	// none may be sent), and what a warming one is sent to a part of what it bears, 0 to 1 (under
-	// 0: the fleet grants no parts, and the dispatcher's own share of the worker counts).
-	SetWorkerLimits(now time.Duration, most int, cold float64, out Actions)
+	// SetWorkerLimits limits the jobs outstanding at any one worker (jobsPerWorker; 0: by capacity alone;
+	// under 0: none may be sent), and what a warming one is sent to a part of what it bears, 0 to 1
+	// (slowStartPart; under 0: the fleet grants no parts, and the own share of the worker counts).
+	SetWorkerLimits(now time.Duration, jobsPerWorker int, slowStartPart float64, out Actions)
 	// Timer answers a Wake.
 	Timer(now time.Duration, tag uint64, out Actions)
 }
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -133,9 +133,11 @@
 	d.configureReservations()
 }
 
-func (d *dispatcher) SetWorkerLimits(now time.Duration, most int, cold float64, out Actions) {
+func (d *dispatcher) SetWorkerLimits(
+	now time.Duration, jobsPerWorker int, slowStartPart float64, out Actions,
+) {
 	d.beginEvent(now, out)
-	d.granted = grantedLimits{jobsPerWorker: most, slowStartPart: cold}
+	d.granted = grantedLimits{jobsPerWorker: jobsPerWorker, slowStartPart: slowStartPart}
 	d.decide(out)
 }
 
--- a/scheduling/dispatch/settings.go
+++ b/scheduling/dispatch/settings.go
@@ -40,8 +40,8 @@
 	DedupScope     DedupScope
 	DedupWindow    time.Duration // for how long workers drop repeats, for Deduplicated
 	WorkerKind     int           // the one kind of worker that runs it, or -1 for any
-	Priority       int
-	Stream         bool
+	Priority       int           // as configured; no decision goes by it
+	Stream         bool          // as configured; no decision goes by it
 }
 
 // Tenant is a customer with a quota.
@@ -83,13 +83,13 @@
 
 	MaxAttempts   int           // of one request, the first among them
 	Hedging       bool          // two attempts of one request may be outstanding at once
-	Cancellation  bool          // a cancelled attempt leaves its worker's queue
-	Probes        bool          // workers answer load probes
+	Cancellation  bool          // attempts may be cancelled; their workers may still run them
+	Probes        bool          // workers answer load probes; no decision sends any
 	Peers         bool          // dispatchers may broadcast to each other
 	MaxRetryAfter time.Duration // longest advice when to come back; 0: clients take none
 	AnswerSlack   time.Duration // an answer may come so long after the deadline
 
-	DrainGrace          time.Duration // nothing new to a draining worker after this
+	DrainGrace          time.Duration // for which a draining worker may be sent to; not used here
 	ListRefreshInterval time.Duration // ask the list service at least this often
 	SlowStartShare      float64       // a started worker has at least this share of its capacity
 	SlowStartTime       time.Duration // and all of it after this time
@@ -98,10 +98,10 @@
 
 	CrossZoneCost   float64            // price of one attempt crossing zones, in mean values of a request
 	PeerMessageCost float64            // price of a whole message (256 bytes) at each receiver, in requests
-	WastedWorkCost  float64            // price of work that served nothing, in values of a request
+	WastedWorkCost  float64            // price of work that served nothing, in values; no decision goes by it
 	Backfill        *backfill.Settings // bounds of reservations for large jobs; nil: none are made
 
-	LateCost float64 // price of ending unserved after the target, in values of a request
+	LateCost float64 // price of ending unserved after the target, in values; no decision goes by it
 }
 
 // Validate reports settings no dispatcher can act on: no class, no dispatcher
