--- a/scheduling/job/fuzz_test.go
+++ b/scheduling/job/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzRequest hands arbitrary bodies to what reads a job: a valid one can be walked whole, and its size is bounded.
+// FuzzRequest decodes arbitrary bodies: every step of a valid request can be visited, and its size is within the limits.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(`{"Spec":"s","Steps":[{"Count":2,"Cpu":500},{"Count":1,"DependsOn":[0],"Gang":true}],"Repeat":3,"FirstRunMs":9,"IntervalMs":5}`))
 	f.Add([]byte(`{"Steps":[{"Count":9223372036854775807},{"Count":1,"DependsOn":[-1]}]}`))
@@ -35,7 +35,7 @@
 	})
 }
 
-// FuzzName takes arbitrary names of tasks apart; a name that can be read is the one that is written.
+// FuzzName parses arbitrary names of tasks: a name that parses is written the same way again.
 func FuzzName(f *testing.F) {
 	f.Add("5c0e7a21d94b36f8.0.1.17")
 	f.Add("...")
