--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -167,7 +167,7 @@
 	answer, body := w.call("/-/run-stop", stopBody{stop.Task, stop.Run, stop.FencingToken}, orderWithin)
 	w.dispatcher.do(func() {
 		if !w.closed {
-			w.agent.HandleStopOutcome(w.dispatcher.now(), stop.Task, stop.Run, answer, body.ClockMs)
+			w.agent.HandleStopOutcome(w.dispatcher.now(), answer, body.ClockMs)
 		}
 	})
 }
--- a/scheduling/job/job_test.go
+++ b/scheduling/job/job_test.go
@@ -12,16 +12,16 @@
 		t.Error("a plain job counts as invalid")
 	}
 	for name, change := range map[string]func(*Request){
-		"no steps":               func(r *Request) { r.Steps = nil },
-		"a step without tasks":   func(r *Request) { r.Steps[0].Count = 0 },
-		"too many tasks":         func(r *Request) { r.Steps[0].Count = maxTasks },
-		"depends on itself":      func(r *Request) { r.Steps[1].DependsOn = []int{1} },
-		"depends on a step below 0":        func(r *Request) { r.Steps[1].DependsOn = []int{-1} },
-		"a negative demand":   func(r *Request) { r.Steps[0].CPU = -1 },
-		"estimate below 0":       func(r *Request) { r.Steps[0].EstimateMs = -1 },
+		"no steps":                        func(r *Request) { r.Steps = nil },
+		"a step without tasks":            func(r *Request) { r.Steps[0].Count = 0 },
+		"too many tasks":                  func(r *Request) { r.Steps[0].Count = maxTasks },
+		"depends on itself":               func(r *Request) { r.Steps[1].DependsOn = []int{1} },
+		"depends on a step below 0":       func(r *Request) { r.Steps[1].DependsOn = []int{-1} },
+		"a negative demand":               func(r *Request) { r.Steps[0].CPU = -1 },
+		"estimate below 0":                func(r *Request) { r.Steps[0].EstimateMs = -1 },
 		"more repetitions than the limit": func(r *Request) { r.Repeat = maxRepetitions + 1 },
-		"repetitions below 0":          func(r *Request) { r.Repeat = -1 },
-		"a spec beyond the limit":            func(r *Request) { r.Spec = string(make([]byte, MaxSpecBytes+1)) },
+		"repetitions below 0":             func(r *Request) { r.Repeat = -1 },
+		"a spec beyond the limit":         func(r *Request) { r.Spec = string(make([]byte, MaxSpecBytes+1)) },
 	} {
 		if valid(change) {
 			t.Errorf("%s: counts as valid", name)
--- a/scheduling/taskrun/taskrun.go
+++ b/scheduling/taskrun/taskrun.go
@@ -10,8 +10,8 @@
 // EndReason is how a run has ended.
 type EndReason uint8
 
-// The reasons for which a run ends. Those up to Alone are reported by workers in these words (the page on the protocol, field Ended); the
-// others are found out by the worker's owner and never sent by a worker.
+// The reasons for which a run ends. Those up to GangIncomplete are reported by workers, under the names below (the
+// protocol's field Ended); the owner of the worker concludes the others, and no worker sends them.
 const (
 	Done EndReason = iota
 	Failed
@@ -20,7 +20,7 @@
 	GangBroken     // a member of its gang ended
 	GangIncomplete // members of its gang did not start in time
 	NotStarted     // it has not run, and never will
-	Lost           // its worker is gone, or no longer knows of it
+	Lost           // its worker has ended, was silent beyond its lease, or no longer knows of the run
 )
 
 var endReasonNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "not-started", "lost"}
@@ -41,7 +41,7 @@
 	return Stopped
 }
 
-// Ended says that a run is over. It is idempotent: repeated, or about a run that is no longer placed, it changes nothing.
+// Ended reports that a run has ended. It is idempotent: repeated, or about a run that is no longer placed, it changes nothing.
 type Ended struct {
 	Worker     string      `cbor:"1,keyasint"`
 	Job        string      `cbor:"2,keyasint"`
@@ -49,7 +49,7 @@
 	Run        uint64      `cbor:"4,keyasint"`
 	Reason     EndReason   `cbor:"5,keyasint"`
 	Checkpoint string      `cbor:"6,keyasint,omitempty"` // the newest one, where the worker reports it with the end
-	// Token is the fencing token of the owner that found the end out, where the worker has not reported it.
+	// Token is the fencing token of the owner that concluded the end, where the worker has not reported it.
 	Token uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Placement says to the owner of a worker what is to run there. It is a desired state: the state machine creates it when
-// a task is placed, and it exists until the run is over.
+// a task is placed, and it exists until the run has ended.
 type Placement struct {
 	Worker     string `cbor:"1,keyasint"`
 	Task       string `cbor:"2,keyasint"` // its name on the wire
--- /dev/null
+++ b/scheduling/worker/harness_test.go
@@ -0,0 +1,162 @@
+package worker
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"yardflow/scheduling/taskrun"
+
+	"github.com/sebdah/goldie/v2"
+)
+
+// harness drives one owner against a simulated worker, and records a timeline with a column for each.
+type harness struct {
+	t               *testing.T
+	owner           *Owner
+	now             time.Duration
+	reports         []EndReport
+	starts          []StartCommand
+	stops           []StopCommand
+	polls           []Poll
+	incarnationEnds int // how often the end of the incarnation was reported
+	lines           []string
+}
+
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, owner: NewOwner(0, "w1", 5, 6000)}
+	h.tick(0)
+	return h
+}
+
+// afterStartCommand returns a harness in which the start of task a is in flight.
+func afterStartCommand(t *testing.T) *harness {
+	h := newHarness(t)
+	h.establishContact()
+	h.place(taskA, 1, true)
+	return h
+}
+
+// afterStartOutcome returns a harness in which the start of task a had that outcome.
+func afterStartOutcome(t *testing.T, answer Outcome) *harness {
+	h := afterStartCommand(t)
+	h.answerStart(answer)
+	return h
+}
+
+func (h *harness) record(column int, format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
+	if column == 1 {
+		text = strings.Repeat(" ", 44) + "| " + text
+	}
+	h.lines = append(h.lines, fmt.Sprintf("%6d ms  %s", h.now.Milliseconds(), text))
+}
+
+// takeActions collects the actions that the owner wants done.
+func (h *harness) takeActions() {
+	calls := h.owner.TakeActions()
+	for _, poll := range calls.Polls {
+		h.record(0, "poll %d, token %d, renews %v, acknowledges %d", poll.Sequence, poll.FencingToken&0xff, poll.LeaseUntilMs > 0, poll.AcknowledgedEnd)
+	}
+	for _, start := range calls.Starts {
+		h.record(0, "start %s run %d, token %d", start.Task[14:16], start.Run, start.FencingToken&0xff)
+	}
+	for _, stop := range calls.Stops {
+		h.record(0, "stop %s run %d", stop.Task[14:16], stop.Run)
+	}
+	for _, report := range calls.Reports {
+		h.record(0, "reports %s run %d %v", report.Ended.Job[14:16], report.Ended.Run, report.Ended.Reason)
+	}
+	if calls.IncarnationEnded {
+		h.incarnationEnds++
+		h.record(0, "its incarnation has ended")
+	}
+	h.polls = append(h.polls, calls.Polls...)
+	h.starts = append(h.starts, calls.Starts...)
+	h.stops = append(h.stops, calls.Stops...)
+	h.reports = append(h.reports, calls.Reports...)
+}
+
+func (h *harness) tick(after time.Duration) {
+	h.now += after
+	h.owner.Tick(h.now, true)
+	h.takeActions()
+}
+
+func (h *harness) clockMs() int64 { return 1000 + h.now.Milliseconds() }
+
+func (h *harness) nextPoll() Poll {
+	h.t.Helper()
+	if len(h.polls) == 0 {
+		h.t.Fatal("no poll is in flight")
+	}
+	poll := h.polls[0]
+	h.polls = h.polls[1:]
+	return poll
+}
+
+// answerPoll lets the worker answer the oldest poll with these lists.
+func (h *harness) answerPoll(lists PollAnswer) Poll {
+	h.t.Helper()
+	poll := h.nextPoll()
+	lists.ClockMs = h.clockMs()
+	h.record(1, "answers poll %d: %d running, %d ended", poll.Sequence, len(lists.Running), len(lists.Ended))
+	h.owner.HandlePollOutcome(h.now, poll, Accepted, lists)
+	h.takeActions()
+	return poll
+}
+
+func (h *harness) losePoll() {
+	h.t.Helper()
+	poll := h.nextPoll()
+	h.record(1, "no answer to poll %d", poll.Sequence)
+	h.owner.HandlePollOutcome(h.now, poll, Unanswered, PollAnswer{})
+	h.takeActions()
+}
+
+func (h *harness) nextStart() StartCommand {
+	h.t.Helper()
+	if len(h.starts) == 0 {
+		h.t.Fatal("nothing was started")
+	}
+	start := h.starts[0]
+	h.starts = h.starts[1:]
+	return start
+}
+
+func (h *harness) answerStart(answer Outcome) StartCommand {
+	h.t.Helper()
+	start := h.nextStart()
+	h.record(1, "answers start of %s: %d", start.Task[14:16], answer)
+	h.owner.HandleStartOutcome(h.now, start.Task, start.Run, answer, h.clockMs())
+	h.takeActions()
+	return start
+}
+
+func (h *harness) place(task string, run uint64, undispatched bool) {
+	h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: task, Run: run, Undispatched: undispatched, EstimateMs: 1000})
+	h.takeActions()
+}
+
+// establishContact lets the first poll under the token be answered.
+func (h *harness) establishContact() {
+	h.t.Helper()
+	h.answerPoll(PollAnswer{})
+}
+
+func (h *harness) wantReports(want ...string) {
+	h.t.Helper()
+	got := []string{}
+	for _, report := range h.reports {
+		got = append(got, report.Ended.Job[14:16]+" "+report.Ended.Reason.String())
+	}
+	if strings.Join(got, ", ") != strings.Join(want, ", ") {
+		h.t.Errorf("reported %v, want %v", got, want)
+	}
+}
+
+func (h *harness) golden() {
+	h.t.Helper()
+	goldie.New(h.t).Assert(h.t, h.t.Name(), []byte(strings.Join(h.lines, "\n")+"\n"))
+}
