--- a/internal/dispatcher/updates.go
+++ b/internal/dispatcher/updates.go
@@ -91,7 +91,7 @@
 
 func (d *Dispatcher) setWorker(now time.Duration, worker *statemachine.Worker) {
 	d.workers[worker.ID] = worker
-	d.placer(worker.Service).SetWorker(worker.ID, worker.Service, worker.Labels, worker.Capacity, worker.Used, worker.Unschedulable())
+	d.placer(worker.Service).SetWorker(worker.ID, worker.Labels, worker.Capacity, worker.Used, worker.Unschedulable())
 	mine := d.owned[worker.ID]
 	owns := worker.Owner == d.uplink.session && d.uplink.session != 0 && !worker.Ended
 	if mine != nil && (!owns || worker.Token != mine.agent.Token()) {
--- /dev/null
+++ b/scheduling/placement/feasibility.go
@@ -0,0 +1,62 @@
+package placement
+
+import (
+	"time"
+
+	"yardflow/scheduling/job"
+)
+
+// eligible reports whether the worker could ever run a task of the step, however much of it is in use.
+func eligible(worker *workerState, step *job.Step) bool {
+	return !worker.draining && worker.hasLabel(step.RequiredLabel) && worker.capacity.Covers(step.Demand())
+}
+
+// feasible reports whether an eligible worker can take a task of the unit now. Remote says that it is away from the task's
+// data; headroom is the part of the service that the unit has to leave free.
+func (s *Scheduler) feasible(now time.Duration, unit *Unit, worker *workerState, remote bool, headroom float64) bool {
+	step := unit.Step()
+	if now < worker.backoffUntil || worker.id == unit.avoid && now-unit.EnqueuedAt < initialBackoff ||
+		!s.fits(worker, step.Demand(), headroom) || remote && !s.fits(worker, step.Demand(), max(headroom, remoteHeadroom)) {
+		return false
+	}
+	most := step.AntiAffinity
+	return most <= 0 || unit.Job.CountPlacedAt(unit.StepKey, worker.id) < most
+}
+
+// fits reports whether the demand fits at the worker, and leaves the headroom free of the service as a whole. A large task
+// may fill one worker where others have enough free; an idle worker may always be filled.
+func (s *Scheduler) fits(worker *workerState, demand job.Resources, headroom float64) bool {
+	if !worker.available().Covers(demand) {
+		return false
+	}
+	if headroom == 0 || worker.used.Plus(worker.reserved) == (job.Resources{}) {
+		return true
+	}
+	taken := dominantShare(demand, worker.capacity) * float64(worker.capacity.CPU)
+	return s.freeCPU-taken >= headroom*s.totalCPU
+}
+
+// countFreeCPU adds up what is free of the service at the beginning of a cycle, in thousandths of cores: of each worker
+// such a part of its processors as is free of the resource of which it has least left.
+func (s *Scheduler) countFreeCPU(now time.Duration) {
+	s.freeCPU, s.totalCPU = 0, 0
+	for _, worker := range s.workerList {
+		if worker.draining || now < worker.backoffUntil {
+			continue
+		}
+		s.totalCPU += float64(worker.capacity.CPU)
+		s.freeCPU += worker.freeCPU()
+	}
+}
+
+// dominantShare returns the part of a worker that the amount takes, by the resource of which it takes most (as dominant
+// resource fairness defines it).
+func dominantShare(amount, capacity job.Resources) float64 {
+	part := 0.0
+	for _, pair := range [3][2]int64{{amount.CPU, capacity.CPU}, {amount.MemoryMB, capacity.MemoryMB}, {amount.GPU, capacity.GPU}} {
+		if pair[1] > 0 {
+			part = max(part, float64(pair[0])/float64(pair[1]))
+		}
+	}
+	return part
+}
--- /dev/null
+++ b/scheduling/placement/scheduler_test.go
@@ -0,0 +1,296 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"yardflow/scheduling/job"
+)
+
+// newTestScheduler returns a scheduler of idle workers in racks of three; every third worker is of kind b.
+func newTestScheduler(workers int) *Scheduler {
+	s := New(3, 1)
+	for i := range workers {
+		kind := "a"
+		if i%3 == 2 {
+			kind = "b"
+		}
+		s.SetWorker(fmt.Sprintf("w%04d", i), []string{kind, fmt.Sprint("r", i/3)},
+			job.Resources{CPU: 8000, MemoryMB: 8000, GPU: 2}, job.Resources{}, false)
+	}
+	return s
+}
+
+var lastJobNumber = 0
+
+func newUnit(priority int, step job.Step) *Unit {
+	lastJobNumber++
+	indices := []int{0}
+	if step.Gang {
+		for index := 1; index < step.Count; index++ {
+			indices = append(indices, index)
+		}
+	}
+	j := &job.Job{ID: fmt.Sprintf("%016x", lastJobNumber), Priority: priority, Request: job.Request{Steps: []job.Step{step}}}
+	return &Unit{Job: j, TaskIndices: indices}
+}
+
+func useUp(s *Scheduler, id string) {
+	s.SetUsed(id, job.Resources{CPU: 8000, MemoryMB: 8000, GPU: 2})
+}
+
+func TestFastestFeasibleWorkerIsTaken(t *testing.T) {
+	s := newTestScheduler(6)
+	for range 200 {
+		s.ObserveRuntime("w0004", 500*time.Millisecond, time.Second) // twice as fast as the others
+	}
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1000}))
+	decisions := s.Schedule(time.Second)
+	if len(decisions) != 1 || decisions[0].Workers[0] != "w0004" {
+		t.Errorf("decided %v", decisions)
+	}
+}
+
+func TestQueueOrderIsPriorityThenDeadline(t *testing.T) {
+	s := newTestScheduler(1)
+	late, early, urgent := newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(0, job.Step{Count: 1, CPU: 8000})
+	late.Deadline, early.Deadline, urgent.Deadline = 9*time.Second, time.Second, 99*time.Second
+	for _, u := range []*Unit{late, early, urgent} {
+		s.Enqueue(u)
+	}
+	for _, want := range []*Unit{urgent, early, late} {
+		decisions := s.Schedule(time.Second)
+		if len(decisions) != 1 || decisions[0].Unit != want {
+			t.Fatalf("decided %v", decisions)
+		}
+		s.ReleaseReservation(decisions[0].Workers[0], decisions[0].Unit.Step().Demand())
+	}
+}
+
+func TestUnplaceableUnitDoesNotBlockTheQueue(t *testing.T) {
+	s := newTestScheduler(2)
+	for range 90 {
+		s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "no such label"}))
+	}
+	last := newUnit(0, job.Step{Count: 1, CPU: 1000})
+	last.Deadline = time.Hour
+	s.Enqueue(last)
+	if decisions := s.Schedule(time.Second); len(decisions) != 1 || decisions[0].Unit != last {
+		t.Errorf("decided %v", decisions)
+	}
+}
+
+func TestReservedCapacityIsNotGivenTwice(t *testing.T) {
+	s := newTestScheduler(1)
+	for range 3 {
+		s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 3000}))
+	}
+	if decisions := s.Schedule(time.Second); len(decisions) != 2 {
+		t.Errorf("%d units on a worker with the capacity for two", len(decisions))
+	}
+}
+
+func TestLabelsDrainingAndAntiAffinityFilterWorkers(t *testing.T) {
+	s := newTestScheduler(3)
+	s.SetWorker("w0000", []string{"a", "r0"}, job.Resources{CPU: 8000, MemoryMB: 8000}, job.Resources{}, true)
+	u := newUnit(0, job.Step{Count: 2, CPU: 1, RequiredLabel: "a", AntiAffinity: 1})
+	s.Enqueue(u)
+	decisions := s.Schedule(time.Second)
+	if len(decisions) != 1 || decisions[0].Workers[0] != "w0001" {
+		t.Fatalf("decided %v", decisions)
+	}
+	u.Job.EnsureTask(job.TaskKey{}).Worker = "w0001"
+	s.Enqueue(&Unit{Job: u.Job, TaskIndices: []int{1}})
+	if decisions := s.Schedule(time.Second); len(decisions) != 0 {
+		t.Errorf("two tasks in spite of anti-affinity: %v", decisions)
+	}
+}
+
+func TestWorkWaitsForItsRackButNotForever(t *testing.T) {
+	s := newTestScheduler(6)
+	for i := range 3 {
+		useUp(s, fmt.Sprintf("w%04d", i))
+	}
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1000, Affinity: "r0"}))
+	if decisions := s.Schedule(100 * time.Millisecond); len(decisions) != 0 {
+		t.Errorf("left its rack at once: %v", decisions)
+	}
+	if decisions := s.Schedule(2100 * time.Millisecond); len(decisions) != 1 {
+		t.Error("waits for longer than the work takes elsewhere")
+	}
+}
+
+func TestGangIsPlacedInOneRack(t *testing.T) {
+	s := newTestScheduler(6)
+	useUp(s, "w0000")
+	s.Enqueue(newUnit(1, job.Step{Count: 6, CPU: 1000, GPU: 1, Gang: true, SameRack: true, EstimateMs: 1000}))
+	decisions := s.Schedule(time.Second)
+	if len(decisions) != 1 || len(decisions[0].Workers) != 6 {
+		t.Fatalf("decided %v", decisions)
+	}
+	for _, id := range decisions[0].Workers {
+		if s.workers[id].rack != "r1" {
+			t.Errorf("a member at %s, in another rack", id)
+		}
+	}
+}
+
+func TestGangIsPlacedAsAWholeOrNotAtAll(t *testing.T) {
+	s := newTestScheduler(1)
+	s.Enqueue(newUnit(1, job.Step{Count: 3, CPU: 4000, Gang: true}))
+	if decisions := s.Schedule(time.Second); len(decisions) != 0 {
+		t.Errorf("decided %v", decisions)
+	}
+	if available := s.workers["w0000"].available(); available.CPU != 8000 {
+		t.Errorf("a gang that does not fit keeps a reservation: %v", available)
+	}
+}
+
+func TestFaultyWorkerBacksOffAndRecovers(t *testing.T) {
+	s := newTestScheduler(1)
+	s.RecordFault(time.Second, "w0000", 0.6)
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000}))
+	if decisions := s.Schedule(1100 * time.Millisecond); len(decisions) != 0 {
+		t.Error("a worker gets work right after a fault")
+	}
+	if decisions := s.Schedule(2 * time.Second); len(decisions) != 1 {
+		t.Error("a worker never gets work again")
+	}
+	if rate := s.workers["w0000"].faults.rate(30 * time.Second); rate > 0.01 {
+		t.Errorf("its rate of faults after 30 s: %v", rate)
+	}
+}
+
+func TestUrgentTasksFindTheHeadroomFree(t *testing.T) {
+	s := newTestScheduler(1)
+	for i := range 40 { // half of the work is urgent, so headroom is kept for it
+		u := newUnit(i%2, job.Step{Count: 1, CPU: 100, EstimateMs: 100})
+		s.Enqueue(u)
+	}
+	for _, decision := range s.Schedule(time.Millisecond) {
+		s.ReleaseReservation(decision.Workers[0], decision.Unit.Step().Demand())
+	}
+	for range 8 {
+		s.Enqueue(newUnit(1, job.Step{Count: 1, CPU: 1000, EstimateMs: 1}))
+	}
+	placed := len(s.Schedule(2 * time.Millisecond))
+	if placed == 0 || placed >= 8 {
+		t.Errorf("%d of 8 tasks of lower priority placed", placed)
+	}
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1}))
+	if decisions := s.Schedule(3 * time.Millisecond); len(decisions) != 1 || decisions[0].Unit.Job.Priority != 0 {
+		t.Error("the urgent one is not placed")
+	}
+}
+
+// TestHeadroomCountsOverTheServiceNotAWorker: a large task may fill one worker where others have enough free.
+func TestHeadroomCountsOverTheServiceNotAWorker(t *testing.T) {
+	s := newTestScheduler(3)
+	s.urgent.urgentWork, s.urgent.allWork = 1e9, 2e9
+	s.SetUsed("w0000", job.Resources{CPU: 1000, MemoryMB: 1000})
+	s.SetUsed("w0001", job.Resources{CPU: 4000, MemoryMB: 4000})
+	s.SetUsed("w0002", job.Resources{CPU: 4000, MemoryMB: 4000})
+	s.Enqueue(newUnit(1, job.Step{Count: 1, CPU: 7000, EstimateMs: 1000}))
+	if decisions := s.Schedule(time.Second); len(decisions) != 1 || decisions[0].Workers[0] != "w0000" {
+		t.Fatalf("decided %v", decisions)
+	}
+	s.ReleaseReservation("w0000", job.Resources{CPU: 7000})
+	s.SetUsed("w0000", job.Resources{CPU: 8000, MemoryMB: 8000})
+	s.SetUsed("w0002", job.Resources{CPU: 7000, MemoryMB: 7000})
+	s.Enqueue(newUnit(1, job.Step{Count: 1, CPU: 4000, EstimateMs: 1000}))
+	if decisions := s.Schedule(1100 * time.Millisecond); len(decisions) != 0 {
+		t.Errorf("took the headroom of urgent tasks: %v", decisions)
+	}
+}
+
+func TestAlternativesAreAsGoodAsTheChosenWorker(t *testing.T) {
+	s := newTestScheduler(9)
+	for range 200 {
+		s.ObserveRuntime("w0000", 2*time.Second, time.Second) // slower than the others
+	}
+	useUp(s, "w0001")
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "a"}))
+	decisions := s.Schedule(time.Second)
+	if len(decisions) != 1 || len(decisions[0].Alternatives) != maxAlternatives {
+		t.Fatalf("decided %+v", decisions)
+	}
+	seen := map[string]bool{decisions[0].Workers[0]: true, "w0000": true, "w0001": true}
+	for _, other := range decisions[0].Alternatives {
+		if seen[other] || s.workers[other].kind != "a" {
+			t.Errorf("%s is named beside %s", other, decisions[0].Workers[0])
+		}
+		seen[other] = true
+	}
+}
+
+// TestLateUnitsGoBehindThoseInTime: under overload a unit that will be late makes way for one that can still meet its
+// objective, whichever came first.
+func TestLateUnitsGoBehindThoseInTime(t *testing.T) {
+	s := newTestScheduler(1)
+	add := func(deadline, remaining time.Duration) *Unit {
+		u := newUnit(1, job.Step{Count: 1, CPU: 8000, EstimateMs: remaining.Milliseconds()})
+		u.Deadline, u.CriticalPath = deadline, remaining
+		s.Enqueue(u)
+		return u
+	}
+	useUp(s, "w0000")
+	becomesLate, inTime, late := add(4*time.Second, 2*time.Second), add(9*time.Second, 2*time.Second), add(time.Second, 4*time.Second)
+	s.Schedule(time.Second)
+	for i, want := range []*Unit{becomesLate, inTime, late} {
+		if s.queue[i] != want {
+			t.Fatalf("position %d before anything became late: %v", i, s.queue[i].Deadline)
+		}
+	}
+	s.Schedule(3100 * time.Millisecond)
+	for i, want := range []*Unit{inTime, late, becomesLate} {
+		if s.queue[i] != want {
+			t.Errorf("position %d: deadline %v", i, s.queue[i].Deadline)
+		}
+	}
+}
+
+func TestStepsWiderThanAQuarterOfTheServiceRunInWaves(t *testing.T) {
+	s := newTestScheduler(8)
+	for count, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 8: 4} {
+		if got := s.Waves(&job.Step{Count: count, CPU: 8000}); got != want {
+			t.Errorf("%d whole workers of 8: %d waves, want %d", count, got, want)
+		}
+	}
+	if got := s.Waves(&job.Step{Count: 3, RequiredLabel: "no such label"}); got != 1 {
+		t.Errorf("%d waves where no worker is eligible", got)
+	}
+}
+
+func TestDiagnosisCountsWorkersByReason(t *testing.T) {
+	s := newTestScheduler(3)
+	useUp(s, "w0000")
+	s.RecordFault(9*time.Second, "w0001", 0.9)
+	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "a"}))
+	s.Schedule(9 * time.Second)
+	list := s.ExplainWaiting(9*time.Second, time.Second)
+	if len(list) != 1 || list[0].Exhausted != 1 || list[0].BackedOff != 1 || list[0].Infeasible != 1 {
+		t.Errorf("diagnosed %+v", list)
+	}
+}
+
+// BenchmarkSchedule measures a cycle with one decision, by the number of workers, most of which are full.
+func BenchmarkSchedule(b *testing.B) {
+	for _, workers := range []int{50, 350, 2500} {
+		b.Run(fmt.Sprint(workers), func(b *testing.B) {
+			s := newTestScheduler(workers)
+			for i := range workers - 5 {
+				s.SetUsed(fmt.Sprintf("w%04d", i), job.Resources{CPU: 7500})
+			}
+			step := job.Step{Count: 1, CPU: 1000, EstimateMs: 1000}
+			now := time.Duration(0)
+			for b.Loop() {
+				now += time.Millisecond
+				s.Enqueue(newUnit(0, step))
+				for _, decision := range s.Schedule(now) {
+					s.ReleaseReservation(decision.Workers[0], step.Demand())
+				}
+			}
+		})
+	}
+}
