--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,118 +1,128 @@
-// Package dispatcher runs a dispatcher of the system: it takes jobs in from
-// clients, decides by ACHQ where their tasks go, and owns a share of the workers.
+// Package dispatcher is the data plane process of the system. A dispatcher takes jobs in from clients, schedules the tasks
+// of the jobs that it owns, and owns a share of the workers, to which it sends the runs that are placed there. One of all
+// dispatchers reads the platform's list of instances besides.
+//
+// It keeps nothing of its own: whatever it learns goes to the control machines as commands over one connection, the uplink,
+// and what it knows comes back as updates. It never assumes that a command has been carried out before its outcome has
+// come, and it answers a client that something was not kept only where nothing was sent.
+//
+// All state belongs to one goroutine, the event loop of Run. Others (clients' calls, calls to workers, the uplink's reader)
+// hand it functions and end once the loop has ended.
 package dispatcher
 
 import (
 	"math/rand/v2"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/control/configuration"
-	"yardflow/internal/control/protocol"
 	"yardflow/internal/control/statemachine"
 	"yardflow/internal/platform/settings"
-	"yardflow/scheduling/job"
 	"yardflow/scheduling/placement"
 	"yardflow/scheduling/wallclock"
 )
 
-// tickEvery is the pace at which timers are looked at.
-const tickEvery = 100 * time.Millisecond
-
-// renewWithout is how long holds are renewed without the control machines. The next owner of a worker that
-// it can't reach counts on this bound.
-const renewWithout = 20 * time.Second
+const (
+	// tickInterval is the pace at which time-outs are looked at.
+	tickInterval = 100 * time.Millisecond
+	// eventsBuffer is how many events may wait for the loop before those who post them wait.
+	eventsBuffer = 4096
+	// renewWithoutControl is how long workers' leases are renewed without a connection to the control machines. The next
+	// owner of a worker that it can't reach counts on this bound.
+	renewWithoutControl = 20 * time.Second
+)
 
-// Dispatcher is one dispatcher. All its state belongs to one goroutine, to which others hand functions.
+// Dispatcher is one dispatcher. New makes it; Run or Serve runs it once.
 type Dispatcher struct {
-	settings *settings.Settings
-	logger   zerolog.Logger
-	network  frame.Network
-	began    time.Time
-	clock    wallclock.Clock // the time of day
-	inbox    chan func()
-
-	uplink   *uplink
-	sessions []statemachine.SessionID
-	config   atomic.Pointer[configuration.Configuration]
-	body     []byte // the newest configuration told, of version bodyVersion; it is read by the next flush
-
-	bodyVersion int64
-	workers     map[string]*statemachine.Worker
-	placers     map[string]*placement.Scheduler // by service
-	jobs        map[string]*ownedJob
-	dirty       map[string]bool // jobs to look through for ready tasks
-	owned       map[string]*ownedWorker
-	reader      *reader
-	finals      map[string]job.State // states of jobs that were over when they were read
-	stopping    atomic.Bool
-	attached    atomic.Bool
-	lostAt      atomic.Int64
-
-	begun       map[string]bool // jobs of which a first task began here, to be told
-	begunToldAt time.Duration
-	explainedAt time.Duration
-	ended       chan struct{} // closed once the engine has ended
-	hurried     chan struct{} // closed when calls have to be answered, whatever their outcome
+	settings  *settings.Settings
+	logger    zerolog.Logger
+	network   frame.Network
+	startedAt time.Time
+
+	// These are safe for concurrent use.
+	events    chan func()
+	loopEnded chan struct{} // closed once the event loop has ended
+	answerNow chan struct{} // closed when clients' calls have to be answered, whatever the outcome
+	config    configInForce // written by the event loop alone
+	readiness readiness
+
+	// The rest belongs to the event loop.
+	clock         wallclock.Clock // the time of day
+	uplink        *uplink
+	instances     *instanceReader
+	sessions      []statemachine.SessionID // open ones of all dispatchers, the oldest first
+	workers       map[string]*statemachine.Worker
+	ownedWorkers  map[string]*ownedWorker
+	schedulers    map[string]*placement.Scheduler // by service
+	diagnosedAt   time.Duration
+	jobs          map[string]*ownedJob
+	jobsToEnqueue map[string]bool // jobs that may have tasks that are ready
+	terminal      terminalStates
+	startedJobs   startedJobs
 }
 
 // New returns a dispatcher that is not running yet.
 func New(s *settings.Settings, network frame.Network, logger zerolog.Logger) *Dispatcher {
 	d := &Dispatcher{
-		settings: s,
-		logger:   logger,
-		network:  network,
-		ended:    make(chan struct{}),
-		hurried:  make(chan struct{}),
-		began:    time.Now(),
-		inbox:    make(chan func(), 4096),
-		workers:  map[string]*statemachine.Worker{},
-		placers:  map[string]*placement.Scheduler{},
-		jobs:     map[string]*ownedJob{},
-		dirty:    map[string]bool{},
-		owned:    map[string]*ownedWorker{},
-		finals:   map[string]job.State{},
-		begun:    map[string]bool{},
+		settings:      s,
+		logger:        logger,
+		network:       network,
+		startedAt:     time.Now(),
+		events:        make(chan func(), eventsBuffer),
+		loopEnded:     make(chan struct{}),
+		answerNow:     make(chan struct{}),
+		workers:       map[string]*statemachine.Worker{},
+		ownedWorkers:  map[string]*ownedWorker{},
+		schedulers:    map[string]*placement.Scheduler{},
+		jobs:          map[string]*ownedJob{},
+		jobsToEnqueue: map[string]bool{},
+		terminal:      terminalStates{},
+		startedJobs:   startedJobs{ids: map[string]bool{}},
 	}
-	d.uplink = newUplink(d, rand.Uint64()>>1|1)
-	d.uplink.controls = s.Seeds
-	d.reader = newReader(d)
+	d.uplink = newUplink(d, newIncarnation())
+	d.uplink.controlAddresses = s.Seeds
+	d.instances = newInstanceReader(d)
 	return d
 }
 
-func (d *Dispatcher) now() time.Duration { return time.Since(d.began) }
+// newIncarnation returns a random number, never 0, that tells this process from others of the same node.
+func newIncarnation() uint64 { return rand.Uint64()>>1 | 1 }
+
+// now returns the time on the dispatcher's steady clock.
+func (d *Dispatcher) now() time.Duration { return time.Since(d.startedAt) }
+
+// wallMs returns the filtered time of day, in ms since 1970.
+func (d *Dispatcher) wallMs(now time.Duration) int64 { return d.clock.Now(now, time.Now()).UnixMilli() }
 
-// do hands a function to the engine.
-func (d *Dispatcher) do(f func()) {
+// post hands a function to the event loop. Once the loop has ended, it drops the function.
+func (d *Dispatcher) post(f func()) {
 	select {
-	case d.inbox <- f:
-	case <-d.ended:
+	case d.events <- f:
+	case <-d.loopEnded:
 	}
 }
 
-func (d *Dispatcher) isEnded() bool {
+func (d *Dispatcher) hasEnded() bool {
 	select {
-	case <-d.ended:
+	case <-d.loopEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-// Run carries the engine until stop is closed.
+// Run is the event loop. It returns once stop is closed; the uplink and calls to workers end soon after by themselves.
 func (d *Dispatcher) Run(stop <-chan struct{}) {
 	defer d.close()
 	go d.uplink.run()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case f := <-d.inbox:
+		case f := <-d.events:
 			f()
-			d.drain()
+			d.runPosted()
 		case <-ticker.C:
 			d.tick()
 		case <-stop:
@@ -122,19 +132,11 @@
 	}
 }
 
-// close ends what belongs to the engine.
-func (d *Dispatcher) close() {
-	close(d.ended)
-	for _, worker := range d.owned {
-		worker.close()
-	}
-	d.reader.client.CloseIdleConnections()
-}
-
-func (d *Dispatcher) drain() {
-	for range cap(d.inbox) {
+// runPosted runs the events that have gathered, so that one flush serves them all.
+func (d *Dispatcher) runPosted() {
+	for range cap(d.events) {
 		select {
-		case f := <-d.inbox:
+		case f := <-d.events:
 			f()
 		default:
 			return
@@ -142,83 +144,38 @@
 	}
 }
 
-func (d *Dispatcher) tick() {
-	now := d.now()
-	d.reader.tick(now)
-	mayRenew := d.uplink.attached || now-d.uplink.lostAt < renewWithout
-	for _, worker := range d.owned {
-		worker.agent.Tick(now, mayRenew)
+// close tells all other goroutines to end, and closes what the dispatcher has opened.
+func (d *Dispatcher) close() {
+	close(d.loopEnded)
+	for _, worker := range d.ownedWorkers {
+		worker.close()
 	}
-	d.dueJobs(now)
-	d.tellBegun(now)
-	d.explain(now)
+	d.instances.client.CloseIdleConnections()
 }
 
-// explainAfter is how long a task waits until a debug log says why.
-const explainAfter = 2 * time.Second
-
-// explain logs at debug level which tasks have waited for long, and why.
-func (d *Dispatcher) explain(now time.Duration) {
-	if d.logger.GetLevel() > zerolog.DebugLevel || now-d.explainedAt < explainAfter {
-		return
-	}
-	d.explainedAt = now
-	for service, placer := range d.placers {
-		for _, waiting := range placer.ExplainWaiting(now, explainAfter) {
-			d.logger.Debug().Str("service", service).Interface("waiting", waiting).Msg("no place")
-		}
+// tick lets time-outs take effect.
+func (d *Dispatcher) tick() {
+	now := d.now()
+	d.instances.tick(now)
+	mayRenew := d.uplink.attached || now-d.uplink.detachedAt < renewWithoutControl
+	for _, worker := range d.ownedWorkers {
+		worker.owner.Tick(now, mayRenew)
 	}
+	d.enqueueDueJobs(now)
+	d.reportStartedJobs(now)
+	d.logDiagnoses(now)
 }
 
-// flush lets whatever the event made possible follow.
+// flush does what the events before it made possible: it schedules, carries out the workers' actions, and sends the
+// commands that have gathered. Each of them may add to what the next one does.
 func (d *Dispatcher) flush() {
 	now := d.now()
-	d.readConfig()
+	d.applyConfig()
 	d.enqueueReady(now)
-	d.decide(now)
-	for _, worker := range d.owned {
+	d.schedule(now)
+	for _, worker := range d.ownedWorkers {
 		worker.flush(now)
 	}
 	d.uplink.flush(now)
-	d.attached.Store(d.uplink.attached)
-	d.lostAt.Store(int64(d.uplink.lostAt))
-}
-
-// attempt is one attempt to open the session at a control machine.
-type attempt struct {
-	address string // "": none is known
-	hello   protocol.SessionRequest
-}
-
-// nextControl returns the control machine to dial next: those in the own zone can't be told from
-// others by address, so the order is a fixed one that differs between dispatchers.
-func (d *Dispatcher) nextControl(count int) attempt {
-	answer := make(chan attempt, 1)
-	d.do(func() {
-		hello := d.uplink.hello
-		hello.ConfigVersion = d.bodyVersion
-		list := append([]string{}, d.uplink.controls...)
-		if count%5 == 4 || len(list) == 0 {
-			list = d.freshSeeds()
-		}
-		if len(list) == 0 {
-			answer <- attempt{}
-			return
-		}
-		answer <- attempt{list[(int(hello.Incarnation%1024)+count)%len(list)], hello}
-	})
-	select {
-	case next := <-answer:
-		return next
-	case <-d.ended:
-		return attempt{}
-	}
-}
-
-// freshSeeds reads the seeds from the settings file, which may have changed without a signal.
-func (d *Dispatcher) freshSeeds() []string {
-	if fresh := reload(); fresh != nil {
-		d.settings.Seeds = fresh.Seeds
-	}
-	return d.settings.Seeds
+	d.readiness.setConnection(d.uplink.attached, d.uplink.detachedAt)
 }
--- /dev/null
+++ b/internal/dispatcher/ownedworker.go
@@ -0,0 +1,137 @@
+package dispatcher
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"yardflow/internal/control/statemachine"
+	"yardflow/scheduling/taskrun"
+	"yardflow/scheduling/worker"
+)
+
+// ownedWorker is a worker that this dispatcher owns: its owner's state machine, and the connections to it. It belongs to
+// the event loop; each call to the worker has a goroutine of its own, which ends with the call's time-out at the latest.
+type ownedWorker struct {
+	dispatcher *Dispatcher
+	id         string
+	service    string
+	url        string
+	owner      *worker.Owner
+	client     *http.Client
+	transport  *http.Transport
+	closed     bool // no longer owned under this token: outcomes that still come are dropped
+}
+
+func newOwnedWorker(d *Dispatcher, known *statemachine.Worker) *ownedWorker {
+	transport := &http.Transport{
+		DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
+			return d.network.Dial(address, connectTimeout)
+		},
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+	}
+	return &ownedWorker{dispatcher: d, id: known.ID, service: known.Service, url: "http://" + known.Address,
+		owner:  worker.NewOwner(d.now(), known.ID, known.Token, d.settings.Bounds.HoldMaxMs),
+		client: &http.Client{Transport: transport}, transport: transport}
+}
+
+// close ends the ownership. Calls in flight go on, and their outcomes are dropped.
+func (w *ownedWorker) close() {
+	w.closed = true
+	w.transport.CloseIdleConnections()
+}
+
+// flush carries the owner's actions out.
+func (w *ownedWorker) flush(now time.Duration) {
+	d := w.dispatcher
+	actions := w.owner.TakeActions()
+	for _, poll := range actions.Polls {
+		go w.poll(poll)
+	}
+	for _, start := range actions.Starts {
+		go w.start(start)
+	}
+	for _, stop := range actions.Stops {
+		go w.stop(stop)
+	}
+	for _, report := range actions.Reports {
+		w.reportEnd(report)
+	}
+	for i := range actions.Checkpoints {
+		d.uplink.submit(&statemachine.Command{Checkpoint: &actions.Checkpoints[i]}, func(statemachine.Result) {})
+	}
+	for _, id := range actions.StartedJobs {
+		d.startedJobs.ids[id] = true
+	}
+	if actions.IncarnationEnded {
+		w.reportIncarnationEnded()
+	}
+	for _, weight := range actions.FaultWeights {
+		d.scheduler(w.service).RecordFault(now, w.id, weight)
+	}
+}
+
+func (w *ownedWorker) reportIncarnationEnded() {
+	w.dispatcher.logger.Info().Str("worker", w.id).Uint64("token", w.owner.Token()).
+		Msg("another incarnation answers at the worker's address")
+	ended := &statemachine.WorkerEnded{Worker: w.id, Token: w.owner.Token()}
+	w.dispatcher.uplink.submit(&statemachine.Command{WorkerEnded: ended}, func(statemachine.Result) {})
+}
+
+// reportEnd reports the end of a run. The worker learns that it may forget the end only once the report is committed.
+func (w *ownedWorker) reportEnd(report worker.EndReport) {
+	d, ended := w.dispatcher, report.Ended
+	if ended.Reason == taskrun.Lost {
+		d.logger.Info().Str("worker", w.id).Str("task", ended.Task.Name(ended.Job)).Uint64("run", ended.Run).
+			Uint64("token", ended.Token).Stringer("evidence", report.Evidence).Msg("run declared lost")
+	}
+	d.logger.Debug().Str("worker", w.id).Str("task", ended.Task.Name(ended.Job)).Uint64("run", ended.Run).
+		Stringer("how", ended.Reason).Msg("end told")
+	if ended.Reason.ReportedByWorker() {
+		delete(d.startedJobs.ids, ended.Job) // the end itself shows that the job has started
+	}
+	d.uplink.submit(&statemachine.Command{RunEnded: &ended}, func(result statemachine.Result) {
+		if result.Code == statemachine.OK && report.Number > 0 && !w.closed {
+			w.owner.AcknowledgeEnd(d.now(), report.Number)
+		}
+	})
+}
+
+// poll, start and stop make a call and hand its outcome to the owner.
+
+func (w *ownedWorker) poll(poll worker.Poll) {
+	timeout := time.Duration(poll.WaitMs)*time.Millisecond + pollMargin
+	outcome, body := w.call(pollPath, pollBody{poll.LeaseUntilMs, poll.FencingToken, poll.AcknowledgedEnd, poll.WaitMs}, timeout)
+	answer := worker.PollAnswer{ClockMs: body.ClockMs}
+	if outcome == worker.Accepted {
+		answer.Running = decodeRunning(body.Running)
+		answer.Ended = decodeEnded(body.Ended)
+	}
+	w.handle(func(now time.Duration) { w.owner.HandlePollOutcome(now, poll, outcome, answer) })
+}
+
+func (w *ownedWorker) start(start worker.StartCommand) {
+	sentAt := w.dispatcher.now()
+	outcome, body := w.call(startPath, startBody{start.Task, start.Run, start.Spec, start.LeaseUntilMs,
+		start.FencingToken, start.Checkpoint}, commandTimeout)
+	w.dispatcher.logger.Debug().Str("task", start.Task).Uint64("run", start.Run).Str("worker", w.id).
+		Stringer("answer", outcome).Dur("took", w.dispatcher.now()-sentAt).Msg("order")
+	w.handle(func(now time.Duration) { w.owner.HandleStartOutcome(now, start.Task, start.Run, outcome, body.ClockMs) })
+}
+
+func (w *ownedWorker) stop(stop worker.StopCommand) {
+	outcome, body := w.call(stopPath, stopBody{stop.Task, stop.Run, stop.FencingToken}, commandTimeout)
+	w.handle(func(now time.Duration) { w.owner.HandleStopOutcome(now, outcome, body.ClockMs) })
+}
+
+// handle lets the event loop take in an outcome, unless the worker is no longer owned.
+func (w *ownedWorker) handle(outcome func(now time.Duration)) {
+	w.dispatcher.post(func() {
+		if !w.closed {
+			outcome(w.dispatcher.now())
+		}
+	})
+}
--- /dev/null
+++ b/internal/dispatcher/queueing.go
@@ -0,0 +1,121 @@
+package dispatcher
+
+import (
+	"time"
+
+	"yardflow/scheduling/job"
+	"yardflow/scheduling/placement"
+)
+
+// enqueueReady puts tasks that are ready into their schedulers' queues, of all jobs that may have some.
+func (d *Dispatcher) enqueueReady(now time.Duration) {
+	for id := range d.jobsToEnqueue {
+		delete(d.jobsToEnqueue, id)
+		if owned := d.jobs[id]; owned != nil && !owned.State.Terminal() {
+			d.enqueueJob(now, owned)
+		}
+	}
+}
+
+// enqueueDueJobs looks for jobs whose next repetition is due.
+func (d *Dispatcher) enqueueDueJobs(now time.Duration) {
+	wall := d.wallMs(now)
+	for id, owned := range d.jobs {
+		if owned.nextDueMs > 0 && owned.nextDueMs <= wall {
+			d.jobsToEnqueue[id] = true
+		}
+	}
+}
+
+func (d *Dispatcher) enqueueJob(now time.Duration, owned *ownedJob) {
+	wall := d.wallMs(now)
+	owned.nextDueMs = 0
+	for repetition := range owned.Request.Repetitions() {
+		if due := owned.Request.DueMs(repetition); due > wall {
+			owned.nextDueMs = due
+			return
+		}
+		for step := range owned.Request.Steps {
+			key := job.StepKey{Repetition: repetition, Step: step}
+			if owned.DoneTasks[key] < owned.Request.Steps[step].Count && owned.DependenciesDone(key) {
+				d.enqueueStep(now, owned, key)
+			}
+		}
+	}
+}
+
+// enqueueStep enqueues the tasks of a step that are neither done, nor placed, nor enqueued: each as a unit, and those of a
+// gang as one unit, once all of them are ready.
+func (d *Dispatcher) enqueueStep(now time.Duration, owned *ownedJob, key job.StepKey) {
+	step := &owned.Request.Steps[key.Step]
+	ready := []int{}
+	for index := range step.Count {
+		taskKey := job.TaskKey{Repetition: key.Repetition, Step: key.Step, Index: index}
+		task := owned.Tasks[taskKey]
+		if owned.enqueued[taskKey] || task != nil && (task.Done || task.Worker != "") {
+			continue
+		}
+		ready = append(ready, index)
+	}
+	if step.Gang {
+		if len(ready) == step.Count {
+			d.enqueueUnit(now, owned, key, ready)
+		}
+		return
+	}
+	for i := range ready {
+		d.enqueueUnit(now, owned, key, ready[i:i+1])
+	}
+}
+
+func (d *Dispatcher) enqueueUnit(now time.Duration, owned *ownedJob, key job.StepKey, indices []int) {
+	paths := criticalPaths(&owned.Request, d.scheduler(owned.Service).Waves)
+	start := owned.repetitionStart(now, d.wallMs(now), key.Repetition)
+	unit := &placement.Unit{Job: owned.Job, StepKey: key, TaskIndices: indices, EnqueuedAt: now,
+		Deadline: owned.deadline(start, paths), CriticalPath: paths[key.Step]}
+	for _, index := range indices {
+		taskKey := job.TaskKey{Repetition: key.Repetition, Step: key.Step, Index: index}
+		owned.enqueued[taskKey] = true
+		if task := owned.Tasks[taskKey]; task != nil && task.LastFailedWorker != "" {
+			unit.AvoidWorker(task.LastFailedWorker)
+		}
+	}
+	d.scheduler(owned.Service).Enqueue(unit)
+	step := unit.Step()
+	d.logger.Debug().Str("job", owned.ID).Int("repeat", key.Repetition).Int("step", key.Step).Ints("tasks", indices).Int("priority", owned.Priority).
+		Int64("cpu", step.CPU).Int64("mem", step.MemoryMB).Int64("estimate", step.EstimateMs).Str("near", step.Affinity).
+		Str("requires", step.RequiredLabel).Bool("gang", step.Gang).Dur("left", unit.Deadline-now).Msg("queued")
+}
+
+// criticalPaths returns for each step how long the longest chain of steps takes that begins with it, by the client's
+// estimates. Waves returns how many times over a step runs that is wider than its share of the workers.
+func criticalPaths(request *job.Request, waves func(*job.Step) int) []time.Duration {
+	longest := make([]time.Duration, len(request.Steps))
+	for i := len(request.Steps) - 1; i >= 0; i-- {
+		step := &request.Steps[i]
+		longest[i] += time.Duration(step.EstimateMs) * time.Millisecond * time.Duration(waves(step))
+		for _, earlier := range step.DependsOn {
+			longest[earlier] = max(longest[earlier], longest[i])
+		}
+	}
+	return longest
+}
+
+// repetitionStart returns when a repetition of the job started or will start, on the dispatcher's clock: when it is due,
+// or for a job that starts at once, when this dispatcher took it up.
+func (j *ownedJob) repetitionStart(now time.Duration, wallMs int64, repetition int) time.Duration {
+	if due := j.Request.DueMs(repetition); due > 0 {
+		return now + time.Duration(due-wallMs)*time.Millisecond
+	}
+	return j.ownedSince
+}
+
+// deadline returns when the objective of a repetition is missed that started at the given time: after the job's stretch
+// times the critical path, and its target latency.
+func (j *ownedJob) deadline(start time.Duration, paths []time.Duration) time.Duration {
+	longest := time.Duration(0)
+	for _, path := range paths {
+		longest = max(longest, path)
+	}
+	return start + time.Duration(j.Stretch*float64(longest)) + time.Duration(j.TargetLatencyMs)*time.Millisecond
+}
--- a/internal/dispatcher/serve.go
+++ b/internal/dispatcher/serve.go
@@ -2,90 +2,113 @@
 
 import (
 	"context"
+	"net"
 	"net/http"
-	"os"
 	"time"
 
 	"github.com/juju/errors"
 
 	"yardflow/internal/control/protocol"
-	"yardflow/internal/platform/settings"
 )
 
-// Spans of a stop in order.
+// Bounds of a graceful shutdown, which has to end before the platform sends SIGKILL.
 const (
-	leaveAfter = 2200 * time.Millisecond // the platform notices within two checks, a second apart
-	usualGrace = 6 * time.Second         // until SIGKILL, where the settings don't tell it
-	stopMargin = 800 * time.Millisecond  // before SIGKILL, the process has ended
-	leastDrain = 500 * time.Millisecond
-	lastWords  = 300 * time.Millisecond // before the connections end, calls without an outcome are answered
-	idleAfter  = 60 * time.Second
-	headWithin = 10 * time.Second
+	// deregisterDelay is how long clients' new connections are still served: the platform notices by two readiness checks,
+	// a second apart.
+	deregisterDelay = 2200 * time.Millisecond
+	// defaultGrace is the time from SIGTERM to SIGKILL where the settings don't give it.
+	defaultGrace = 6 * time.Second
+	// killMargin is how long before SIGKILL the process has ended.
+	killMargin      = 800 * time.Millisecond
+	minDrainTimeout = 500 * time.Millisecond
+	// lastAnswers is how long before the end of the drain calls without an outcome are answered.
+	lastAnswers = 300 * time.Millisecond
+	// goodbyeDelay is for the last message to leave.
+	goodbyeDelay = 100 * time.Millisecond
 )
 
-func settingsPath() string { return os.Getenv(settings.PathVariable) }
+// Bounds of clients' connections.
+const (
+	idleTimeout   = 60 * time.Second
+	headerTimeout = 10 * time.Second
+)
 
-// Serve serves clients and the platform's checks until stop is closed, and then ends in order.
+// Serve serves clients and readiness checks until stop is closed, and then shuts down gracefully. Its error is that of an
+// address that can't be listened on.
 func (d *Dispatcher) Serve(stop <-chan struct{}) error {
 	front, err := d.network.Listen(d.settings.Listen.Front)
 	if err != nil {
 		return errors.Annotate(err, "Listen.Front")
 	}
-	clients := &http.Server{Handler: d, IdleTimeout: idleAfter, ReadHeaderTimeout: headWithin}
-	go clients.Serve(front)
+	clients := &http.Server{Handler: d, IdleTimeout: idleTimeout, ReadHeaderTimeout: headerTimeout}
+	go d.serveUntilClosed(clients, front)
 	if d.settings.Listen.Ready != "" {
-		ready, err := d.network.Listen(d.settings.Listen.Ready)
+		listener, err := d.network.Listen(d.settings.Listen.Ready)
 		if err != nil {
 			return errors.Annotate(err, "Listen.Ready")
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /-/readiness", d.ServeReadiness)
-		go (&http.Server{Handler: mux, IdleTimeout: idleAfter}).Serve(ready)
+		checks := &http.Server{Handler: mux, IdleTimeout: idleTimeout}
+		defer func() { _ = checks.Close() }() // it closes connections without calls: there is nothing to report
+		go d.serveUntilClosed(checks, listener)
 	}
-	engineStop := make(chan struct{})
-	go d.Run(engineStop)
+	loopStop := make(chan struct{})
+	go d.Run(loopStop)
 	<-stop
-	d.logger.Info().Msg("stopping in order")
-	d.stopping.Store(true)
-	clients.SetKeepAlivesEnabled(false)
-	time.Sleep(leaveAfter)
-	d.drainCalls(clients)
-	d.leave()
-	close(engineStop)
+	d.shutDown(clients)
+	close(loopStop)
 	return nil
 }
 
-// drainCalls lets the calls under way end. Those that wait for an outcome until the last are told that there is none
-// yet: no call that was read is cut off.
-func (d *Dispatcher) drainCalls(clients *http.Server) {
-	within := d.drainWithin()
-	hurry := time.AfterFunc(within-lastWords, func() { close(d.hurried) })
+// serveUntilClosed serves HTTP until the server is closed.
+func (d *Dispatcher) serveUntilClosed(server *http.Server, listener net.Listener) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		d.logger.Error().Err(err).Str("address", listener.Addr().String()).Msg("listener failed")
+	}
+}
+
+// shutDown stops taking new calls, waits for those in flight, and ends the session.
+func (d *Dispatcher) shutDown(clients *http.Server) {
+	d.logger.Info().Msg("graceful shutdown")
+	d.readiness.shuttingDown.Store(true)
+	clients.SetKeepAlivesEnabled(false)
+	time.Sleep(deregisterDelay)
+	d.drainClients(clients)
+	d.endSession()
+}
+
+// drainClients waits for the calls in flight. Those that still have no outcome shortly before the end are answered that
+// there is none yet: no call that was read is cut off.
+func (d *Dispatcher) drainClients(clients *http.Server) {
+	within := d.drainTimeout()
+	hurry := time.AfterFunc(within-lastAnswers, func() { close(d.answerNow) })
 	defer hurry.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	if err := clients.Shutdown(ctx); err != nil {
-		d.logger.Warn().Err(err).Msg("calls are cut off: they had no answer in the time until SIGKILL")
+		d.logger.Warn().Err(err).Msg("calls cut off: not answered within the grace period")
 	}
 }
 
-// drainWithin returns how long calls may still take behind leaveAfter.
-func (d *Dispatcher) drainWithin() time.Duration {
-	grace := usualGrace
+// drainTimeout returns how long calls may still take after deregisterDelay.
+func (d *Dispatcher) drainTimeout() time.Duration {
+	grace := defaultGrace
 	if d.settings.Bounds.GraceS > 0 {
 		grace = time.Duration(d.settings.Bounds.GraceS * float64(time.Second))
 	}
-	return max(grace-leaveAfter-stopMargin, leastDrain)
+	return max(grace-deregisterDelay-killMargin, minDrainTimeout)
 }
 
-// leave ends the session, so that others take over at once.
-func (d *Dispatcher) leave() {
+// endSession tells the control machines that this process ends, so that others take over its jobs and workers at once.
+func (d *Dispatcher) endSession() {
 	done := make(chan struct{})
-	d.do(func() {
+	d.post(func() {
 		if d.uplink.conn != nil {
 			d.uplink.conn.Send(protocol.Encode(protocol.DispatcherMessage{ShuttingDown: true}))
 		}
 		close(done)
 	})
 	<-done
-	time.Sleep(100 * time.Millisecond) // for the message to leave
+	time.Sleep(goodbyeDelay)
 }
--- a/internal/dispatcher/uplink.go
+++ b/internal/dispatcher/uplink.go
@@ -1,6 +1,7 @@
 package dispatcher
 
 import (
+	"os"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -11,240 +12,249 @@
 	"yardflow/internal/platform/settings"
 )
 
-// Spans of the connection with the control machines.
+// Bounds of the connection to a control machine.
 const (
-	dialWithin   = 250 * time.Millisecond
-	downSilence  = 600 * time.Millisecond // heartbeats come every 200 ms
-	heartbeat    = 250 * time.Millisecond
-	redialPause  = 60 * time.Millisecond
-	redialMost   = 150 * time.Millisecond
-	attachWithin = 900 * time.Millisecond
+	dialTimeout = 250 * time.Millisecond
+	// attachTimeout is how long the first message of a connection may take: the snapshot that opens the session.
+	attachTimeout = 900 * time.Millisecond
+	// receiveTimeout ends a connection on which nothing comes. Heartbeats come every 200 ms.
+	receiveTimeout    = 600 * time.Millisecond
+	heartbeatInterval = 250 * time.Millisecond
+	// The pause between attempts to connect grows from minRedialPause by half each time, up to maxRedialPause.
+	minRedialPause = 60 * time.Millisecond
+	maxRedialPause = 150 * time.Millisecond
+	// seedsEvery is how often, in attempts, the seeds of the settings file are tried instead of the known addresses: these
+	// may all be out of date.
+	seedsEvery = 5
+	// acknowledgeBytes is after how many received bytes the control machine is told so beside heartbeats: it stops sending
+	// what is not urgent while 96 kB are unacknowledged.
+	acknowledgeBytes = 24 << 10
 )
 
-// acknowledgeEvery is after how many bytes the control machine is told that they have come, beside heartbeats.
-const acknowledgeEvery = 24 << 10
-
-// pendingCommand is a command without an outcome. It goes out again on each new connection.
-type pendingCommand struct {
-	command *statemachine.Command
-	done    func(statemachine.Result)
-}
-
-// uplink keeps one connection to a control machine. Its state belongs to the engine.
+// uplink keeps one connection to a control machine, and a session over it. Its state belongs to the event loop; the
+// goroutines of run only read and write connections, and end once the loop has ended.
 type uplink struct {
-	dispatcher *Dispatcher
-	settings   *settings.Settings
-	logger     zerolog.Logger
-	hello      protocol.SessionRequest
+	dispatcher     *Dispatcher
+	settings       *settings.Settings
+	logger         zerolog.Logger
+	sessionRequest protocol.SessionRequest
 
-	conn     *frame.Conn
-	attached bool
-	session  statemachine.SessionID
-	lostAt   time.Duration
-	sentAt   time.Duration
-	controls []string
-	nextTag  uint64
-	pending  map[uint64]*pendingCommand
-	order    []uint64 // tags of pending, in order
-	outgoing []uint64 // tags of commands to be sent
+	conn             *frame.Conn // nil: none with an open session
+	attached         bool        // the session is open over conn
+	session          statemachine.SessionID
+	detachedAt       time.Duration
+	sentAt           time.Duration
+	controlAddresses []string
+	commands         commandQueue
 
-	received     uint64 // bytes of messages taken in on the connection
-	acknowledged uint64 // of these, bytes of which the control machine was told
+	receivedBytes     uint64 // of messages taken in on conn
+	acknowledgedBytes uint64 // of these, those that the control machine was told of
 }
 
-func newUplink(d *Dispatcher, life uint64) *uplink {
-	return &uplink{dispatcher: d, settings: d.settings, logger: d.logger, pending: map[uint64]*pendingCommand{},
-		hello: protocol.SessionRequest{Node: d.settings.Node, Zone: d.settings.Zone, Incarnation: life, AcknowledgesBytes: true}}
+func newUplink(d *Dispatcher, incarnation uint64) *uplink {
+	return &uplink{dispatcher: d, settings: d.settings, logger: d.logger,
+		commands: commandQueue{pending: map[uint64]*pendingCommand{}},
+		sessionRequest: protocol.SessionRequest{Node: d.settings.Node, Zone: d.settings.Zone, Incarnation: incarnation,
+			AcknowledgesBytes: true}}
 }
 
-// submit sends a command; done is called by the engine with its outcome. Every command is one
-// that may be carried out twice.
+// submit sends a command and returns its tag; the event loop calls done with its outcome. The command may be carried out
+// twice, so it has to be idempotent.
 func (u *uplink) submit(command *statemachine.Command, done func(statemachine.Result)) uint64 {
-	u.nextTag++
-	u.pending[u.nextTag] = &pendingCommand{command, done}
-	u.order = append(u.order, u.nextTag)
-	u.outgoing = append(u.outgoing, u.nextTag)
-	return u.nextTag
-}
-
-// forget gives up waiting for a command's outcome. It is not sent again, and a copy of it that is still on its
-// way is refused by the state once it knows.
-func (u *uplink) forget(tag uint64) { delete(u.pending, tag) }
-
-// settled returns the number up to which no command waits for its outcome.
-func (u *uplink) settled() uint64 {
-	for len(u.order) > 0 && u.pending[u.order[0]] == nil {
-		u.order = u.order[1:]
-	}
-	if len(u.order) == 0 {
-		return u.nextTag
-	}
-	return u.order[0] - 1
+	return u.commands.add(command, done)
 }
 
-// encode writes a command with the fences of the present session.
-func (u *uplink) encode(tag uint64, command *statemachine.Command, settled uint64) protocol.TaggedCommand {
-	if !command.IsRead() {
-		command.Session, command.Sequence, command.AcknowledgedThrough = u.session, tag, settled
-	}
-	return protocol.TaggedCommand{Tag: tag, Command: protocol.Encode(command)}
-}
+// abandon no longer waits for a command's outcome. The command is not sent again, and a copy that is still on its way is
+// rejected by the replicated state once it has seen a later AcknowledgedThrough.
+func (u *uplink) abandon(tag uint64) { delete(u.commands.pending, tag) }
 
-// flush sends what has gathered.
+// flush sends what has gathered: commands, acknowledgements, or a heartbeat where one is due.
 func (u *uplink) flush(now time.Duration) {
 	if !u.attached || u.conn == nil {
-		u.outgoing = nil // they go out with the next connection
+		u.commands.outgoing = nil // all pending ones are sent with the next connection
 		return
 	}
-	owesAcknowledgement := u.received-u.acknowledged >= acknowledgeEvery
-	if len(u.outgoing) == 0 && !owesAcknowledgement && now-u.sentAt < heartbeat {
+	owesAcknowledgement := u.receivedBytes-u.acknowledgedBytes >= acknowledgeBytes
+	if len(u.commands.outgoing) == 0 && !owesAcknowledgement && now-u.sentAt < heartbeatInterval {
 		return
 	}
-	u.sentAt, u.acknowledged = now, u.received
-	up := protocol.DispatcherMessage{ConfigVersion: u.dispatcher.configInForce(), ReceivedBytes: u.received}
-	settled := u.settled()
-	for _, tag := range u.outgoing {
-		if waiting := u.pending[tag]; waiting != nil {
-			up.Commands = append(up.Commands, u.encode(tag, waiting.command, settled))
-		}
-	}
-	u.outgoing = nil
-	u.conn.Send(protocol.Encode(up))
+	u.sentAt, u.acknowledgedBytes = now, u.receivedBytes
+	u.conn.Send(protocol.Encode(protocol.DispatcherMessage{ConfigVersion: u.dispatcher.config.version(),
+		ReceivedBytes: u.receivedBytes, Commands: u.commands.takeOutgoing(u.session)}))
 }
 
-// run dials control machines, one after the other, for as long as the process lives.
+// dialTarget is a control machine to connect to, and the request to open the session there.
+type dialTarget struct {
+	address string // "": none is known
+	request protocol.SessionRequest
+}
+
+// run connects to control machines, one after the other, until the event loop has ended.
 func (u *uplink) run() {
-	pause := redialPause
-	for attempt := 0; !u.dispatcher.isEnded(); attempt++ {
-		next := u.dispatcher.nextControl(attempt)
-		if next.address != "" && u.serve(next) {
-			pause = redialPause
+	pause := minRedialPause
+	for attempt := 0; !u.dispatcher.hasEnded(); attempt++ {
+		target := u.nextTarget(attempt)
+		if target.address != "" && u.serve(target) {
+			pause = minRedialPause
 			continue
 		}
 		select {
 		case <-time.After(pause):
-		case <-u.dispatcher.ended:
+		case <-u.dispatcher.loopEnded:
+		}
+		pause = min(pause*3/2, maxRedialPause)
+	}
+}
+
+// nextTarget returns the control machine to dial next. Those of the own zone can't be told from others by address, so the
+// order is a fixed one that differs between dispatchers.
+func (u *uplink) nextTarget(attempt int) dialTarget {
+	d := u.dispatcher
+	answer := make(chan dialTarget, 1)
+	d.post(func() {
+		request := u.sessionRequest
+		request.ConfigVersion = d.config.bodyVersion
+		addresses := append([]string{}, u.controlAddresses...)
+		if attempt%seedsEvery == seedsEvery-1 || len(addresses) == 0 {
+			addresses = d.reloadSeeds()
+		}
+		if len(addresses) == 0 {
+			answer <- dialTarget{}
+			return
 		}
-		pause = min(pause*3/2, redialMost)
+		answer <- dialTarget{addresses[(int(request.Incarnation%1024)+attempt)%len(addresses)], request}
+	})
+	select {
+	case target := <-answer:
+		return target
+	case <-d.loopEnded:
+		return dialTarget{}
 	}
 }
 
-// serve carries one connection to its end, and reports whether it was of use.
-func (u *uplink) serve(next attempt) bool {
-	conn, err := frame.Dial(u.dispatcher.network, next.address, protocol.DispatcherPath, dialWithin)
+// reloadSeeds reads the seeds from the settings file, which may have changed without a signal. Where the file can't be
+// read, those read before stay.
+func (d *Dispatcher) reloadSeeds() []string {
+	if fresh, err := settings.Load(os.Getenv(settings.PathVariable)); err == nil {
+		d.settings.Seeds = fresh.Seeds
+	}
+	return d.settings.Seeds
+}
+
+// serve carries one connection to its end, and reports whether a session was open over it.
+func (u *uplink) serve(target dialTarget) bool {
+	conn, err := frame.Dial(u.dispatcher.network, target.address, protocol.DispatcherPath, dialTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	conn.Send(protocol.Encode(protocol.DispatcherMessage{SessionRequest: &next.hello}))
-	stop := make(chan struct{})
-	defer close(stop)
-	go beat(conn, stop)
-	go func() {
-		select {
-		case <-u.dispatcher.ended:
-			conn.Close()
-		case <-stop:
-		}
-	}()
-	within, useful, received := attachWithin, false, uint64(0)
+	conn.Send(protocol.Encode(protocol.DispatcherMessage{SessionRequest: &target.request}))
+	ended := make(chan struct{})
+	defer close(ended)
+	go u.keepAlive(conn, ended)
+	opened := u.receiveAll(conn)
+	u.dispatcher.post(func() { u.detach(conn) })
+	return opened
+}
+
+// receiveAll hands the messages of a connection to the event loop until the connection ends, and reports whether a session
+// was open over it.
+func (u *uplink) receiveAll(conn *frame.Conn) (opened bool) {
+	timeout, received := attachTimeout, uint64(0)
 	for {
-		data, err := conn.Receive(within)
+		data, err := conn.Receive(timeout)
 		if err != nil {
-			break
+			return opened
 		}
-		down := &protocol.ControlMessage{}
-		if !protocol.Decode(data, down) {
-			break
+		message := &protocol.ControlMessage{}
+		if !protocol.Decode(data, message) {
+			return opened
 		}
-		if down.Rejected {
-			u.dispatcher.do(func() { u.learnControls(down.ControlAddresses) })
-			break
+		if message.Rejected {
+			u.dispatcher.post(func() { u.learnControlAddresses(message.ControlAddresses) })
+			return opened
 		}
-		if down.Session != 0 {
-			useful, within = true, downSilence
+		if message.Session != 0 {
+			opened, timeout = true, receiveTimeout
 		}
 		received += uint64(len(data))
-		sofar := received // the engine reads it while this goroutine counts on
-		u.dispatcher.do(func() { u.receive(conn, down, sofar) })
+		soFar := received // the event loop reads it while this goroutine counts on
+		u.dispatcher.post(func() { u.receive(conn, message, soFar) })
 	}
-	u.dispatcher.do(func() { u.lost(conn) })
-	return useful
 }
 
-// beat keeps the connection alive until the session is attached and beyond.
-func beat(conn *frame.Conn, stop <-chan struct{}) {
-	ticker := time.NewTicker(heartbeat)
+// keepAlive sends heartbeats, also before the session is open, until the connection has ended. It closes the connection
+// where the event loop has ended.
+func (u *uplink) keepAlive(conn *frame.Conn, ended <-chan struct{}) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	empty := protocol.Encode(protocol.DispatcherMessage{})
 	for {
 		select {
 		case <-ticker.C:
 			conn.Send(empty)
-		case <-stop:
+		case <-u.dispatcher.loopEnded:
+			conn.Close()
+			return
+		case <-ended:
 			return
 		}
 	}
 }
 
-// receive takes in a message, with which so many bytes have come on its connection.
-func (u *uplink) receive(conn *frame.Conn, down *protocol.ControlMessage, received uint64) {
-	u.learnControls(down.ControlAddresses)
-	if down.Session != 0 {
-		u.attach(conn, down.Session)
+// receive takes in a message, after which so many bytes have come on its connection. Messages of a former connection are
+// dropped: the session's snapshot on the new one has what they say, and pending commands were sent again.
+func (u *uplink) receive(conn *frame.Conn, message *protocol.ControlMessage, receivedBytes uint64) {
+	u.learnControlAddresses(message.ControlAddresses)
+	if message.Session != 0 {
+		u.attach(conn, message.Session)
 	}
 	if u.conn != conn {
 		return
 	}
-	u.received = received
-	u.dispatcher.receiveUpdates(down)
-	for _, outcome := range down.Outcomes {
+	u.receivedBytes = receivedBytes
+	u.dispatcher.receiveUpdates(message)
+	for _, outcome := range message.Outcomes {
 		u.receiveOutcome(outcome)
 	}
 }
 
+// receiveOutcome takes in a command's outcome. A command that the session's end has overtaken stays pending and is sent
+// again under the next session.
 func (u *uplink) receiveOutcome(outcome protocol.Outcome) {
-	waiting := u.pending[outcome.Tag]
+	waiting := u.commands.pending[outcome.Tag]
 	switch {
 	case waiting == nil:
 	case outcome.Result.Code == statemachine.Stale:
-		u.reconnect() // the session is over; the command goes out again under the next one
+		u.reconnect()
 	default:
-		delete(u.pending, outcome.Tag)
+		delete(u.commands.pending, outcome.Tag)
 		waiting.done(outcome.Result)
 	}
 }
 
 func (u *uplink) attach(conn *frame.Conn, session statemachine.SessionID) {
 	if u.session != session {
-		u.logger.Info().Uint64("session", session).Msg("session open")
+		u.logger.Info().Uint64("session", session).Msg("session opened")
 	}
 	u.conn, u.attached, u.session = conn, true, session
-	u.received, u.acknowledged = 0, 0
-	u.outgoing = nil
-	order := u.order[:0]
-	for _, tag := range u.order {
-		if waiting := u.pending[tag]; waiting != nil {
-			order = append(order, tag)
-			u.outgoing = append(u.outgoing, tag)
-		}
-	}
-	u.order = order
+	u.receivedBytes, u.acknowledgedBytes = 0, 0
+	u.commands.resendAll()
 }
 
-func (u *uplink) lost(conn *frame.Conn) {
+func (u *uplink) detach(conn *frame.Conn) {
 	if u.conn == conn {
-		u.conn, u.attached, u.lostAt = nil, false, u.dispatcher.now()
+		u.conn, u.attached, u.detachedAt = nil, false, u.dispatcher.now()
 	}
 }
 
-func (u *uplink) learnControls(controls []string) {
-	if len(controls) > 0 {
-		u.controls = controls
+func (u *uplink) learnControlAddresses(addresses []string) {
+	if len(addresses) > 0 {
+		u.controlAddresses = addresses
 	}
 }
 
-// reconnect gives the present connection up, so that another one opens the session anew.
+// reconnect ends the present connection, so that the next one opens the session anew.
 func (u *uplink) reconnect() {
 	if u.conn != nil {
 		u.conn.Close()
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -58,7 +58,7 @@
 	{"writers", "every member of the chain has to sync before a commit", []edit{
 		{"coordination/view/view.go", "func copies(least, electors int) int { return max(least, electors-electors/2) }", "func copies(int, int) int { return 0 }"}}},
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
-		{"internal/dispatcher/intake.go", "\t\td.expectJob(d.now(), submitted)\n", ""}}},
+		{"internal/dispatcher/clients.go", "\t\td.addProvisionalJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
 		{"internal/control/server/head.go", "s.logBytes > max(logLeast, logSnapshots*s.snapshotBytes) || s.freeSegments", "s.freeSegments"}}},
 	{"sent-away", "a machine outside the chain lets dispatchers wait for half a second", []edit{
--- a/lab/soak/play/client.go
+++ b/lab/soak/play/client.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// handIn sends a job until it is taken. One that has no clear answer is sent again, as long as the soak goes on.
+// submitProvisional sends a job until it is taken. One that has no clear answer is sent again, as long as the soak goes on.
 func (c *caller) handIn(id, body string) bool {
 	unclear := false
 	for !c.soak.ending() || unclear {
