--- a/internal/dispatcher/instances.go
+++ b/internal/dispatcher/instances.go
@@ -162,7 +162,7 @@
 	}
 	r.reports++
 	d.logger.Info().Uint64("reading", r.reports).Int("listed", len(entries)).Strs("changed", changedIDs(command)).
-		Strs("gone", command.Removed).Msg("instance list changed")
+		Strs("removed", command.Removed).Msg("instance list changed")
 	command.Sequence = r.reports
 	d.uplink.submit(&statemachine.Command{InstancesChanged: command}, func(statemachine.Result) {})
 }
--- a/internal/dispatcher/uplink_test.go
+++ b/internal/dispatcher/uplink_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestOutcomeOfAFormerConnectionIsIgnored keeps that an answer which another connection brings, also one of another
+// TestOutcomeOfAFormerConnectionIsIgnored keeps that an outcome which another connection brings, also one of another
 // incarnation of the control machine, is not taken for one of this connection.
 func TestOutcomeOfAFormerConnectionIsIgnored(t *testing.T) {
 	u := newStopped().uplink
@@ -57,11 +57,11 @@
 	u.attach(present, 7)
 	u.receive(former, &protocol.ControlMessage{Outcomes: []protocol.Outcome{{Tag: tag, Result: statemachine.Result{Code: statemachine.NotFound}}}}, 0)
 	if answered || u.commands.pending[tag] == nil {
-		t.Error("an answer of a former connection is taken")
+		t.Error("an outcome of a former connection is accepted")
 	}
 	u.receive(present, &protocol.ControlMessage{Outcomes: []protocol.Outcome{{Tag: tag}, {Tag: tag + 1}, {Tag: tag}}}, 0)
 	if !answered {
-		t.Error("the answer is not taken")
+		t.Error("the outcome is not accepted")
 	}
 }
 
@@ -89,13 +89,13 @@
 func TestAbandonedCommandIsNotSentAgain(t *testing.T) {
 	u := newStopped().uplink
 	u.attach(&frame.Conn{}, 7)
-	given := u.submit(cancelCommand("a"), func(statemachine.Result) {})
-	kept := u.submit(cancelCommand("b"), func(statemachine.Result) {})
+	abandoned := u.submit(cancelCommand("a"), func(statemachine.Result) {})
+	retained := u.submit(cancelCommand("b"), func(statemachine.Result) {})
 	u.sentCommands(t)
-	u.abandon(given)
+	u.abandon(abandoned)
 	u.attach(&frame.Conn{}, 7)
 	sent := u.sentCommands(t)
-	if sent[given] != nil || sent[kept] == nil || sent[kept].AcknowledgedThrough < given {
+	if sent[abandoned] != nil || sent[retained] == nil || sent[retained].AcknowledgedThrough < abandoned {
 		t.Errorf("sent again: %+v", sent)
 	}
 }
--- a/scheduling/achq/achq.go
+++ b/scheduling/achq/achq.go
@@ -12,8 +12,8 @@
 
 import "math"
 
-// Constants of the learner. The step sizes are made independent of the yard: of the scale of costs (the actor's) and of
-// the number of workers (the critic's).
+// Constants of the learner. The actor's step size is independent of the scale of costs, the critic's of the number of
+// workers.
 const (
 	ThresholdSharpness = 2.0  // sigma: how steeply the probability rises around the threshold, per queued task
 	ActorStepSize      = 0.02 // alpha, per unit of average cost
--- a/scheduling/placement/gang.go
+++ b/scheduling/placement/gang.go
@@ -8,7 +8,7 @@
 	"yardflow/scheduling/job"
 )
 
-// findGang returns workers for all members of a gang, or nil: a gang is placed whole or not at all. Where the step wants
+// findGang returns workers for all members of a gang, or nil: a gang is placed as a whole or not at all. Where the step wants
 // one rack, or has its data in one, that rack comes first; a placement over several racks is slower, and slower says what
 // to decide by.
 func (s *Scheduler) findGang(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
--- a/scheduling/taskrun/taskrun.go
+++ b/scheduling/taskrun/taskrun.go
@@ -28,7 +28,7 @@
 // String returns the reason's name on the wire.
 func (r EndReason) String() string { return endReasonNames[r] }
 
-// ReportedByWorker tells whether a worker itself may report the reason.
+// ReportedByWorker reports whether a worker itself may report the reason.
 func (r EndReason) ReportedByWorker() bool { return r <= GangIncomplete }
 
 // ParseEndReason reads the reason that a worker reports; unknown names count as Stopped.
--- a/scheduling/worker/drain.go
+++ b/scheduling/worker/drain.go
@@ -11,7 +11,7 @@
 	overrunFactor = 1.25
 )
 
-// Drain records that the worker drains, and leaves with all that still runs there once the remaining time is over. Only
+// Drain records that the worker drains, and leaves with all that still runs there once the remaining time has passed. Only
 // the first call counts.
 func (o *Owner) Drain(now, remaining time.Duration) {
 	if o.departureAt == 0 {
--- a/scheduling/worker/ends.go
+++ b/scheduling/worker/ends.go
@@ -12,7 +12,7 @@
 	// maxEndsPerAnswer is how many ends a worker lists at most, by the protocol: a full list does not show what it lacks.
 	maxEndsPerAnswer = 500
 	// idleAcknowledgeDelay is how long an idle worker waits for the acknowledgement of its last ends, so that one poll
-	// acknowledges several. A busy one is told by the next poll anyway.
+	// acknowledges several. A busy one is polled anyway.
 	idleAcknowledgeDelay = 800 * time.Millisecond
 )
 
