--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -11,70 +11,68 @@
 
 	"yardflow/coordination/chain"
 	"yardflow/coordination/segment"
+	"yardflow/internal/control/protocol"
 )
 
-// diskJob is one thing to make durable; done is called by the engine afterwards.
-type diskJob struct {
-	entries   []chain.Entry
-	committed uint64 // up to where entries are known to be committed
-	meta      []byte
-	snapshot  *segment.Snapshot
-	reset     bool // the snapshot comes from elsewhere: the log before it is void
-	done      func()
-}
-
-// retryAfter is how long a refused write waits until it is tried again.
-const retryAfter = 200 * time.Millisecond
+// diskRetryInterval is how long a rejected write, or opening the disk, waits until it is retried.
+const diskRetryInterval = 200 * time.Millisecond
 
-// disk owns the store: one goroutine carries out what waits, with one sync for all of it.
-type disk struct {
-	store  *segment.Store
-	logger zerolog.Logger
-	finish func(jobs []diskJob, freeSegments int) // hands finished jobs to the engine
-	// troubled is called when the disk begins to refuse writes.
-	troubled func()
-
-	mu      sync.Mutex
-	queue   []diskJob
-	wake    chan struct{}
-	end     chan struct{}
-	closing sync.Once
-	busy    atomic.Int64 // since when the present batch has been written, ns on the steady clock; 0: idle
-	started time.Time
-	refuses atomic.Bool  // the last write was refused
-	slowAt  atomic.Int64 // when a batch last took long, ns on the steady clock; 0: never
-}
-
-// Bounds of a disk that others had better do without.
+// Limits beyond which a disk counts as unhealthy: the chain had better do without this member.
 const (
-	stallAfter = 400 * time.Millisecond // for one batch
-	slowBatch  = 200 * time.Millisecond // a sound disk takes a tenth of that
-	slowFor    = 2 * time.Second        // after a slow batch; probes show whether it goes on
+	// stallTimeout is how long one batch may take while it is being written.
+	stallTimeout = 400 * time.Millisecond
+	// slowBatchThreshold is how long a finished batch without a snapshot may have taken. A healthy disk takes a tenth of
+	// that.
+	slowBatchThreshold = 200 * time.Millisecond
+	// slowDiskQuarantine is how long a disk counts as unhealthy after a slow batch; probes show whether it is still slow.
+	slowDiskQuarantine = 2 * time.Second
 )
 
-// sick reports whether the disk refuses writes, hangs or is slow.
-func (d *disk) sick() bool {
-	if d.refuses.Load() || d.stalledFor() > stallAfter {
-		return true
-	}
-	at := d.slowAt.Load()
-	return at > 0 && time.Since(d.started)-time.Duration(at) < slowFor
+// diskWrite is one thing to make durable: log entries, metadata or a snapshot.
+type diskWrite struct {
+	entries     []chain.Entry
+	commitIndex uint64 // up to where entries were known to be committed
+	metadata    []byte
+	snapshot    *segment.Snapshot
+	replacesLog bool   // the snapshot comes from another member: the log before it is void
+	onDurable   func() // called by the engine once the write is synced; nil: nobody waits for it
 }
 
-// close ends the disk's goroutine once it has carried out what it is at.
-func (d *disk) close() { d.closing.Do(func() { close(d.end) }) }
-
-func (d *disk) idle() bool { return d.busy.Load() == 0 }
+// disk owns the store. One goroutine, which newDisk starts and close ends, takes all writes that wait as one batch, with
+// one sync of the log for all of them.
+type disk struct {
+	store      *segment.Store
+	logger     zerolog.Logger
+	onDone     func(writes []diskWrite, freeSegments int) // hands writes that are durable to the engine
+	onRejected func()                                     // called when the disk begins to reject writes
+
+	mu        sync.Mutex
+	queue     []diskWrite
+	wake      chan struct{}
+	stopped   chan struct{}
+	closeOnce sync.Once
+
+	openedAt       time.Time    // zero of the times below
+	batchStartedAt atomic.Int64 // when the batch that is being written was begun, ns; 0: the disk is idle
+	lastSlowAt     atomic.Int64 // when a batch was last found slow, ns; 0: never
+	rejects        atomic.Bool  // the last write was rejected
+}
 
-func newDisk(store *segment.Store, logger zerolog.Logger, finish func([]diskJob, int), troubled func()) *disk {
-	d := &disk{store: store, logger: logger, finish: finish, troubled: troubled, wake: make(chan struct{}, 1), end: make(chan struct{}), started: time.Now()}
+// newDisk returns a disk whose goroutine runs until close.
+func newDisk(store *segment.Store, logger zerolog.Logger, onDone func([]diskWrite, int), onRejected func()) *disk {
+	d := &disk{store: store, logger: logger, onDone: onDone, onRejected: onRejected, wake: make(chan struct{}, 1),
+		stopped: make(chan struct{}), openedAt: time.Now()}
 	go d.run()
 	return d
 }
 
-func (d *disk) add(job diskJob) {
+// close lets the disk's goroutine end once the write that it is at is done; what waits is lost. It may be called again.
+func (d *disk) close() { d.closeOnce.Do(func() { close(d.stopped) }) }
+
+// enqueue adds a write to the next batch.
+func (d *disk) enqueue(write diskWrite) {
 	d.mu.Lock()
-	d.queue = append(d.queue, job)
+	d.queue = append(d.queue, write)
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -82,103 +80,147 @@
 	}
 }
 
-// stalledFor returns how long the disk has made no progress with what it was given.
+// isUnhealthy reports whether the disk rejects writes, hangs or is slow.
+func (d *disk) isUnhealthy() bool {
+	if d.rejects.Load() || d.stalledFor() > stallTimeout {
+		return true
+	}
+	slowAt := d.lastSlowAt.Load()
+	return slowAt > 0 && time.Since(d.openedAt)-time.Duration(slowAt) < slowDiskQuarantine
+}
+
+func (d *disk) isIdle() bool { return d.batchStartedAt.Load() == 0 }
+
+// stalledFor returns how long the present batch has been written; 0: the disk is idle.
 func (d *disk) stalledFor() time.Duration {
-	since := d.busy.Load()
-	if since == 0 {
+	startedAt := d.batchStartedAt.Load()
+	if startedAt == 0 {
 		return 0
 	}
-	return time.Since(d.started) - time.Duration(since)
+	return time.Since(d.openedAt) - time.Duration(startedAt)
 }
 
+// clock returns the time since the disk was opened, plus 1 ns: it is never 0, which stands for "never".
+func (d *disk) clock() int64 { return int64(time.Since(d.openedAt)) + 1 }
+
+// run writes batches until the disk is closed.
 func (d *disk) run() {
 	for {
 		select {
 		case <-d.wake:
-		case <-d.end:
+		case <-d.stopped:
 			return
 		}
-		d.mu.Lock()
-		batch := d.queue
-		d.queue = nil
-		d.mu.Unlock()
-		if len(batch) == 0 {
-			continue
+		if batch := d.takeBatch(); len(batch) > 0 {
+			d.writeTimed(batch)
+			d.onDone(batch, d.store.FreeSegments())
 		}
-		d.busy.Store(int64(time.Since(d.started)) + 1)
-		d.carryOut(batch)
-		if d.stalledFor() > slowBatch && !hasSnapshot(batch) {
-			d.slowAt.Store(int64(time.Since(d.started)) + 1)
-		}
-		d.busy.Store(0)
-		d.finish(batch, d.store.FreeSegments())
 	}
 }
 
-func hasSnapshot(batch []diskJob) bool {
-	return slices.ContainsFunc(batch, func(job diskJob) bool { return job.snapshot != nil })
+func (d *disk) takeBatch() []diskWrite {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	batch := d.queue
+	d.queue = nil
+	return batch
 }
 
-func (d *disk) carryOut(batch []diskJob) {
-	var entries []segment.Record
-	for _, job := range batch {
-		for _, entry := range job.entries {
-			entries = append(entries, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
-				CommitIndex: job.committed, Data: entry.Data})
-		}
-		if job.snapshot == nil {
-			continue
+// writeTimed writes a batch and notes whether that was slow. A batch with a snapshot may take long at a healthy disk.
+func (d *disk) writeTimed(batch []diskWrite) {
+	d.batchStartedAt.Store(d.clock())
+	d.writeBatch(batch)
+	if d.stalledFor() > slowBatchThreshold && !hasSnapshot(batch) {
+		d.lastSlowAt.Store(d.clock())
+	}
+	d.batchStartedAt.Store(0)
+}
+
+func hasSnapshot(batch []diskWrite) bool {
+	return slices.ContainsFunc(batch, func(write diskWrite) bool { return write.snapshot != nil })
+}
+
+// writeBatch writes entries and snapshots in their order, and then the newest metadata: that has what all before it have.
+func (d *disk) writeBatch(batch []diskWrite) {
+	var records []segment.Record
+	for _, write := range batch {
+		for _, entry := range write.entries {
+			records = append(records, segment.Record{Index: entry.Index, Epoch: entry.Epoch,
+				CommitIndex: write.commitIndex, Data: entry.Data})
 		}
-		d.log(entries)
-		entries = nil
-		snapshot := *job.snapshot
-		if job.reset {
-			d.insist("snapshot", func() error { return d.store.InstallSnapshot(snapshot) })
-		} else {
-			d.insist("snapshot", func() error { return d.store.SaveSnapshot(snapshot) })
+		if write.snapshot != nil {
+			d.appendLog(records)
+			records = nil
+			d.writeSnapshot(*write.snapshot, write.replacesLog)
 		}
 	}
-	d.log(entries)
+	d.appendLog(records)
 	for i := len(batch) - 1; i >= 0; i-- {
-		if batch[i].meta != nil { // the newest holds what all before it hold
-			meta := batch[i].meta
-			d.insist("metadata", func() error { return d.store.SaveMetadata(meta) })
+		if metadata := batch[i].metadata; metadata != nil {
+			d.retryUntilWritten("metadata", func() error { return d.store.SaveMetadata(metadata) })
 			break
 		}
 	}
 }
 
-func (d *disk) log(entries []segment.Record) {
-	if len(entries) == 0 {
+func (d *disk) writeSnapshot(snapshot segment.Snapshot, replacesLog bool) {
+	save := d.store.SaveSnapshot
+	if replacesLog {
+		save = d.store.InstallSnapshot
+	}
+	d.retryUntilWritten("snapshot", func() error { return save(snapshot) })
+}
+
+func (d *disk) appendLog(records []segment.Record) {
+	if len(records) == 0 {
 		return
 	}
-	d.insist("log", func() error {
-		if err := d.store.Append(entries); err != nil {
+	d.retryUntilWritten("log", func() error {
+		if err := d.store.Append(records); err != nil {
 			return errors.Trace(err)
 		}
 		return errors.Trace(d.store.Sync())
 	})
 }
 
-// insist repeats what the disk refuses until it does it: a full or failing disk keeps this member
-// out of the chain, and nothing is acknowledged meanwhile.
-func (d *disk) insist(what string, write func() error) {
+// retryUntilWritten retries a write until the disk takes it, or is closed: a full or failing disk keeps this member out
+// of the chain, and nothing is acknowledged meanwhile.
+func (d *disk) retryUntilWritten(what string, write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
 		if err == nil {
-			d.refuses.Store(false)
+			d.rejects.Store(false)
 			return
 		}
-		if !d.refuses.Swap(true) {
-			d.troubled()
+		if !d.rejects.Swap(true) {
+			d.onRejected()
 		}
 		if attempt == 0 {
 			d.logger.Error().Err(err).Str("what", what).Msg("the disk refuses a write; free space or replace it")
 		}
 		select {
-		case <-time.After(retryAfter):
-		case <-d.end:
+		case <-time.After(diskRetryInterval):
+		case <-d.stopped:
 			return
 		}
 	}
 }
+
+// writesDone takes in that writes are durable. It is called by the disk's goroutine.
+func (s *Server) writesDone(writes []diskWrite, freeSegments int) {
+	s.do(func() {
+		s.snapshots.freeSegments = freeSegments
+		for _, write := range writes {
+			if write.onDurable != nil {
+				write.onDurable()
+			}
+		}
+	})
+}
+
+// probeDisk writes to an unhealthy disk that is idle, to see whether it still is slow.
+func (s *Server) probeDisk() {
+	if s.disk.isUnhealthy() && s.disk.isIdle() {
+		s.disk.enqueue(diskWrite{metadata: protocol.Encode(s.membership.consensus.HardState())})
+	}
+}
--- /dev/null
+++ b/internal/control/server/membership_test.go
@@ -0,0 +1,89 @@
+package server
+
+import (
+	"slices"
+	"testing"
+
+	"yardflow/coordination/view"
+)
+
+// serverInView returns an idle server that has learned of a view with three other electors and, as wanted, itself in the
+// chain and among the electors.
+func serverInView(t *testing.T, member, elector bool) *Server {
+	t.Helper()
+	s := newIdleServer(t)
+	v := view.View{Epoch: 4}
+	for id := view.MemberID(1); id <= 3; id++ {
+		other := view.Member{ID: id, Address: "core-other:" + string(rune('0'+id))}
+		v.Chain, v.Electors = append(v.Chain, other), append(v.Electors, other)
+	}
+	if member {
+		v.Chain = append(v.Chain, s.membership.self())
+	}
+	if elector {
+		v.Electors = append(v.Electors, s.membership.self())
+	}
+	s.membership.consensus.Receive(1, &view.Message{Decided: &v})
+	return s
+}
+
+// A machine outside the chain redirects dispatchers at once to where they are served; one that has its position lets them
+// wait, since a view with it may follow within milliseconds.
+func TestMachineOutsideTheChainRedirectsDispatchers(t *testing.T) {
+	for name, c := range map[string]struct {
+		member, elector bool
+		outside         bool
+	}{
+		"a newcomer with an empty disk":       {false, false, true},
+		"an elector that is not in the chain": {false, true, true},
+		"a member that has just restarted":    {true, true, false},
+		"a member of a chain, but no elector": {true, false, false},
+	} {
+		s := serverInView(t, c.member, c.elector)
+		if got := s.membership.isOutsideChain(); got != c.outside {
+			t.Errorf("%s: outside the chain: %v", name, got)
+		}
+		want := []string{"core-other:1", "core-other:2", "core-other:3"}
+		if addresses := s.membership.serviceAddresses(); c.outside && !slices.Equal(addresses, want) {
+			t.Errorf("%s: dispatchers are redirected to %v", name, addresses)
+		}
+	}
+}
+
+// Before the first view everybody waits for it, except at a machine with an empty disk that joins a running system.
+func TestDispatchersWaitForTheFirstView(t *testing.T) {
+	s := newIdleServer(t)
+	if !s.membership.isOutsideChain() {
+		t.Error("a machine with an empty disk does not count as outside the chain")
+	}
+	s.membership.consensus = view.NewConsensus(view.HardState{Self: s.membership.self(), InitialMember: true})
+	if s.membership.isOutsideChain() {
+		t.Error("a machine of the first start counts as outside the chain")
+	}
+}
+
+// The log of a view that leaves a member out always names a reason.
+func TestExclusionReason(t *testing.T) {
+	member := view.Member{ID: 1, Address: "core-other:1"}
+	newcomer := view.Member{ID: 9, Address: member.Address}
+	for name, c := range map[string]struct {
+		heard   bool
+		leaving bool
+		desired view.View
+		want    string
+	}{
+		"a member that was never heard":                   {false, false, view.View{Electors: []view.Member{member}}, "never heard"},
+		"a member that has announced a graceful shutdown": {true, true, view.View{Electors: []view.Member{member}}, "is shutting down"},
+		"a member whose disk was replaced":                {true, false, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
+		"a member left out for no reason of its own":      {true, false, view.View{Electors: []view.Member{member}}, "not in the desired view"},
+	} {
+		s := serverInView(t, true, true)
+		if c.heard {
+			s.membership.detector.ReceiveHeartbeat(0, view.Heartbeat{From: member, Leaving: c.leaving,
+				HeardFrom: []view.MemberID{s.membership.self().ID}})
+		}
+		if got := s.membership.exclusionReason(0, &c.desired, member); got != c.want {
+			t.Errorf("%s: %q, want %q", name, got, c.want)
+		}
+	}
+}
--- a/internal/fleet/workflow/simulation/keepers.go
+++ b/internal/fleet/workflow/simulation/keepers.go
@@ -18,18 +18,18 @@
 		return
 	}
 	p.no++
-	t := statemachine.Tick{Passed: p.now - p.told, Seen: p.s.Grants, Lead: p.lead, No: p.no}
+	t := statemachine.Tick{Elapsed: p.now - p.told, GrantsSeen: p.s.GrantCount, LeaderTerm: p.lead, Number: p.no}
 	p.told = p.now
 	if p.stormy() && p.rnd.IntN(100) == 0 {
 		return // its word is lost
 	}
 	apply := func() {
-		if p.now >= p.still && p.lead == t.Lead && t.No > p.last {
-			p.last = t.No
+		if p.now >= p.still && p.lead == t.LeaderTerm && t.Number > p.last {
+			p.last = t.Number
 			p.apply(statemachine.Command{Tick: &t})
 		}
 	}
-	if t.No == 1 {
+	if t.Number == 1 {
 		p.last = 0
 	}
 	if p.now < p.stalled { // it reads its clock, and is not heard for a while
@@ -64,7 +64,7 @@
 	}
 	switch {
 	case err != nil:
-	case p.plant != None: // planted faults are in one state alone
+	case p.plant != NoFault: // planted faults are in one state alone
 		p.s = other
 	default:
 		p.s, p.twin = other, p.s
@@ -72,10 +72,10 @@
 	if err != nil {
 		p.wrong("%v", err)
 	}
-	if p.plant == Unremembered {
-		for _, f := range p.s.Flows.Flows {
+	if p.plant == ForgetIntentsInSnapshot {
+		for _, f := range p.s.Workflows.Workflows {
 			if f.Tree != nil {
-				f.Tree.Each(func(_ expansion.Ref, r *expansion.Run) { r.Marked, r.Turn = 0, 0 })
+				f.Tree.ForEachStep(func(_ expansion.StepRef, r *expansion.StepRun) { r.PossiblyExecutedAt, r.IntentSequence = 0, 0 })
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 	if form == "course" {
 		in["titles"] = expansion.Input{Count: titles}
 	}
-	r := p.apply(statemachine.Command{Flow: &claims.Command{Submit: &claims.Submit{Key: key, Template: form, Inputs: in}}})
-	if r.Flow == nil {
+	r := p.apply(statemachine.Command{Workflow: &claims.Command{Submit: &claims.Submission{Key: key, Template: form, Inputs: in}}})
+	if r.Workflow == nil {
 		p.after(100*time.Millisecond, func() { p.submit(key, titles) })
 	}
 }
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -22,7 +22,7 @@
 	headroomFile  = "scheduling/placement/headroom.go"
 	speedFile     = "scheduling/placement/speed.go"
 	faultsFile    = "scheduling/placement/faults.go"
-	dispatchers   = "internal/control/server/dispatchers.go"
+	memberFile    = "internal/control/server/membership.go"
 )
 
 // mechanisms lists what is believed in. Each edit's old text stands once in its file, which a test keeps.
@@ -54,13 +54,13 @@
 	{"avoid-last", "a task may go back at once to the worker at which it failed", []edit{
 		{unitFile, "func (u *Unit) AvoidWorker(worker string) { u.avoid = worker }", "func (u *Unit) AvoidWorker(string) { u.avoid = \"\" }"}}},
 	{"thinning", "every figure of a worker's use is told", []edit{
-		{"internal/control/server/outbox.go", "if former, waits := o.uses[added.worker]; waits {", "if former, waits := o.uses[added.worker]; waits && former == 0 && o.first > former {"}}},
+		{"internal/control/server/outbox.go", "if former, waits := o.newestUsage[added.worker]; waits {", "if former, waits := o.newestUsage[added.worker]; waits && former == 0 && o.firstPosition > former {"}}},
 	{"writers", "every member of the chain has to sync before a commit", []edit{
-		{"coordination/view/view.go", "func copies(least, electors int) int { return max(least, electors-electors/2) }", "func copies(int, int) int { return 0 }"}}},
+		{"coordination/view/view.go", "func replicationFactor(minimum, electors int) int { return max(minimum, electors-electors/2) }", "func replicationFactor(int, int) int { return 0 }"}}},
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
 		{"internal/dispatcher/clients.go", "\t\td.addProvisionalJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
-		{"internal/control/server/head.go", "s.logBytes > max(logLeast, logSnapshots*s.snapshotBytes) || s.freeSegments", "s.freeSegments"}}},
+		{"internal/control/server/snapshots.go", "s.logBytes > max(minLogBytes, logToSnapshotRatio*s.newestBytes) || s.freeSegments", "s.freeSegments"}}},
 	{"sent-away", "a machine outside the chain lets dispatchers wait for half a second", []edit{
-		{dispatchers, "return !s.register.IsInitialMember() && s.register.View()", "return s.began.IsZero() && s.register.View()"}}},
+		{memberFile, "return !m.consensus.IsInitialMember() && m.view()", "return m.detector == nil && m.view()"}}},
 }
--- a/lab/rig/stage/scenarios.go
+++ b/lab/rig/harness/scenarios.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios: each is what several real processes go through, and what must
 // and must not come of it. Tests play them in CI, and go run ./lab/rig by hand. What must never
@@ -146,7 +146,7 @@
 	}))
 }
 
-func changed(t T, r *Rig, id string, stage statemachine.Stage) *statemachine.Change {
+func changed(t T, r *Rig, id string, stage statemachine.Stage) *statemachine.PolicyChange {
 	t.Helper()
 	c, err := r.Change(id, stage)
 	check(t, err)
--- a/lab/rig/stage/sim.go
+++ b/lab/rig/harness/sim.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the simulation: keepers on the raft library and hundreds of dispatchers' halves
 // in virtual time, with messages that are late, lost and doubled, keepers that crash and come
@@ -31,7 +31,7 @@
 	Seed        uint64
 	Keepers     int
 	Dispatchers int
-	Fence       statemachine.Fence
+	Fence       statemachine.LeaseLossMode
 	Length      time.Duration // with faults; half as much again without, to come to rest in
 	Lost        float64       // share of messages
 	Doubled     float64
@@ -72,7 +72,7 @@
 }
 
 type simHolder struct {
-	a       *policylease.Accord
+	a       *policylease.Holder
 	name    string
 	still   bool // stopped: it does nothing, and its clock runs on
 	cut     bool
@@ -144,7 +144,7 @@
 		s.boot(k, peers)
 	}
 	for i := range c.Dispatchers {
-		h := &simHolder{name: fmt.Sprintf("d%d", i), at: s.rnd.IntN(c.Keepers), drift: 1 + policylease.Drift*(s.rnd.Float64()-0.5)}
+		h := &simHolder{name: fmt.Sprintf("d%d", i), at: s.rnd.IntN(c.Keepers), drift: 1 + policylease.MaxClockDrift*(s.rnd.Float64()-0.5)}
 		s.holders = append(s.holders, h)
 		s.rise(h)
 		s.in(s.span(0, simLease/4), func() { s.ask(h, h.life) })
@@ -193,10 +193,10 @@
 	if ch := best.state.Change; ch != nil && ch.Stage < statemachine.InForce {
 		s.out.Hanging = true
 	}
-	s.out.InForce = best.state.InForce().Version
+	s.out.InForce = best.state.CurrentPolicy().Version
 	for _, k := range s.keepers {
-		if k.state.InForce().Version != s.out.InForce || k.state.InForce().Digest != best.state.InForce().Digest {
-			s.broken("keepers %d and %d are left with versions %d and %d", k.id, best.id, k.state.InForce().Version, s.out.InForce)
+		if k.state.CurrentPolicy().Version != s.out.InForce || k.state.CurrentPolicy().Digest != best.state.CurrentPolicy().Digest {
+			s.broken("keepers %d and %d are left with versions %d and %d", k.id, best.id, k.state.CurrentPolicy().Version, s.out.InForce)
 		}
 	}
 	share := func(n [2]int) float64 { return float64(n[0]) / float64(max(n[1], 1)) }
@@ -244,9 +244,9 @@
 	k.epoch++
 	k.up, k.waiting = true, map[uint64]func(statemachine.Result){}
 	k.term, k.heard, k.patient = 0, s.now, s.span(10*simTick, 20*simTick)
-	k.state = statemachine.New(statemachine.Config{Lease: simLease, Answer: 3 * time.Second, Fence: s.Fence, Keep: 8})
+	k.state = statemachine.New(statemachine.Config{LeaseDuration: simLease, VoteTimeout: 3 * time.Second, OnLeaseLoss: s.Fence, PolicyHistory: 8})
 	node, err := raft.NewRawNode(&raft.Config{ID: k.id, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: k.store,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, PreVote: true, Logger: consensus.Quiet{}})
+		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, PreVote: true, Logger: consensus.DiscardLogger{}})
 	if err != nil {
 		panic(err)
 	}
@@ -269,7 +269,7 @@
 			s.tell(k, st.GetTerm())
 		} else if k.term = 0; s.now-k.heard > k.patient {
 			k.heard, k.patient = s.now, s.span(10*simTick, 20*simTick)
-			k.node.Campaign()
+			_ = k.node.Campaign()
 		}
 		s.ready(k)
 		s.in(simTick, tick)
@@ -281,7 +281,7 @@
 // tell is quorum's tellTime.
 func (s *sim) tell(k *simKeeper, term uint64) {
 	if k.term == term {
-		s.entry(k, statemachine.Command{Tick: &statemachine.Tick{Passed: s.now - k.told, Seen: k.state.Grants}}, nil)
+		s.entry(k, statemachine.Command{Tick: &statemachine.Tick{Elapsed: s.now - k.told, GrantsSeen: k.state.GrantCount}}, nil)
 	}
 	k.term, k.told = term, s.now
 }
@@ -305,9 +305,9 @@
 	for k.up && k.node.HasReady() {
 		rd := k.node.Ready()
 		if !raft.IsEmptyHardState(rd.HardState) {
-			k.store.SetHardState(rd.HardState)
+			_ = k.store.SetHardState(rd.HardState)
 		}
-		k.store.Append(rd.Entries)
+		_ = k.store.Append(rd.Entries)
 		for _, m := range rd.Messages {
 			s.post(m)
 		}
@@ -335,7 +335,7 @@
 		if t := got.GetType(); t == raftpb.MessageType_MsgHeartbeat || t == raftpb.MessageType_MsgApp {
 			to.heard = s.now
 		}
-		to.node.Step(got)
+		_ = to.node.Step(got)
 		s.ready(to)
 	})
 }
@@ -357,7 +357,7 @@
 		panic(err)
 	}
 	r := k.state.Apply(cmd)
-	fmt.Fprint(s.record, s.now, k.id, e.GetIndex(), r.Err, r.Revision, r.InForce)
+	fmt.Fprint(s.record, s.now, k.id, e.GetIndex(), r.Err, r.Revision, r.CurrentVersion)
 	if n := binary.LittleEndian.Uint64(e.GetData()); k.waiting[n] != nil {
 		done := k.waiting[n]
 		delete(k.waiting, n)
@@ -398,8 +398,8 @@
 		return
 	}
 	asked := s.clock(h)
-	hold := h.a.Ask(asked)
-	s.call(h, statemachine.Command{Hold: &hold}, func(r statemachine.Result, ok bool) {
+	hold := h.a.NextRequest(asked)
+	s.call(h, statemachine.Command{LeaseRequest: &hold}, func(r statemachine.Result, ok bool) {
 		if h.life != life {
 			return
 		}
@@ -408,26 +408,26 @@
 			again(s.span(50*time.Millisecond, 300*time.Millisecond))
 			return
 		}
-		t := h.a.Heard(asked, r)
-		if t.Take != nil {
-			h.a.Took(*t.Take)
+		t := h.a.HandleResult(asked, r)
+		if t.ApplyPolicy != nil {
+			h.a.PolicyApplied(*t.ApplyPolicy)
 		}
-		if t.Weigh != nil {
-			say := h.a.Say(t.Weigh, "")
-			s.call(h, statemachine.Command{Say: &say}, func(_ statemachine.Result, ok bool) {
+		if t.CheckChange != nil {
+			say := h.a.Vote(t.CheckChange, "")
+			s.call(h, statemachine.Command{Vote: &say}, func(_ statemachine.Result, ok bool) {
 				if !ok && h.life == life {
-					h.a.Unsaid()
+					h.a.VoteLost()
 				}
 			})
 		}
 		switch {
-		case t.Again || t.Take != nil || t.Weigh != nil:
+		case t.RequestAgain || t.ApplyPolicy != nil || t.CheckChange != nil:
 			again(5 * time.Millisecond)
-		case r.Lease == 0: // a watch would tell of what it waits for
+		case r.LeaseDuration == 0: // a watch would tell of what it waits for
 			again(20 * time.Millisecond)
 		default:
 			// The watch wakes it at a change; here it looks a little more often instead.
-			again(s.span(h.a.Every()/4, h.a.Every()/2))
+			again(s.span(h.a.RenewalInterval()/4, h.a.RenewalInterval()/2))
 		}
 	})
 }
@@ -477,22 +477,22 @@
 	if h.still {
 		return
 	}
-	held := h.a.Admits(s.clock(h))
+	held := h.a.Admission(s.clock(h))
 	s.looks[1]++
 	count := &s.phases[s.phase]
 	if s.now < simLease { // all are at their start
 		count = new([2]int)
 	}
 	count[1]++
-	if s.phase == 2 && s.out.Back == 0 && !slices.ContainsFunc(s.holders, func(o *simHolder) bool { return !o.a.Holds(s.clock(o)) }) {
+	if s.phase == 2 && s.out.Back == 0 && !slices.ContainsFunc(s.holders, func(o *simHolder) bool { return !o.a.HoldsLease(s.clock(o)) }) {
 		s.out.Back = s.now - s.since
 	}
-	if !held.Admits {
+	if !held.Allowed {
 		return
 	}
 	count[0]++
 	s.looks[0]++
-	if held.Marked {
+	if held.Unconfirmed {
 		return // by the last it knows, and says so: no lease bounds that
 	}
 	v := held.Version
@@ -504,14 +504,14 @@
 	for later, at := range s.first { // the greatest, whatever the order
 		if later > v && at < s.now {
 			s.out.Overlap = max(s.out.Overlap, s.now-at)
-			if s.Fence == statemachine.Refuse {
+			if s.Fence == statemachine.RefuseWork {
 				s.broken("%s admits under %d, %v after another did under %d", h.name, v, s.now-at, later)
 			}
 		}
 	}
 	if since, ok := s.proposed[v]; ok {
 		for _, o := range s.holders {
-			if !o.still && !o.cut && o.a.Holds(s.clock(o)) && o.a.Policy().Version < v || !o.a.Holds(s.clock(o)) && !o.still && !o.cut {
+			if !o.still && !o.cut && o.a.HoldsLease(s.clock(o)) && o.a.Policy().Version < v || !o.a.HoldsLease(s.clock(o)) && !o.still && !o.cut {
 				return
 			}
 		}
@@ -528,10 +528,10 @@
 	if !k.up || s.now > s.Length*9/8 {
 		return
 	}
-	base := k.state.InForce().Version
+	base := k.state.CurrentPolicy().Version
 	s.serial++
-	p := &statemachine.Propose{ID: fmt.Sprint("c", s.serial), Text: fmt.Appendf(nil, "attempts = %d\n", s.serial), Base: base, Who: "sim", WithoutSilent: s.rnd.IntN(2) == 0}
-	s.entry(k, statemachine.Command{Propose: p}, func(r statemachine.Result) {
+	p := &statemachine.Proposal{ID: fmt.Sprint("c", s.serial), Text: fmt.Appendf(nil, "attempts = %d\n", s.serial), BaseVersion: base, Author: "sim", SkipUnresponsive: s.rnd.IntN(2) == 0}
+	s.entry(k, statemachine.Command{Proposal: p}, func(r statemachine.Result) {
 		if r.Err == "" {
 			s.proposed[base+1] = s.now
 		}
--- a/lab/rig/stage/stage.go
+++ b/lab/rig/harness/stage.go
@@ -1,10 +1,10 @@
-// Package stage starts the real programs, keepers and dispatchers, with stand-ins for all else on
+// Package harness starts the real programs, keepers and dispatchers, with stand-ins for all else on
 // loopback, leads every link between them through a relay of its own, and injects faults into
 // relays and processes. What dispatchers write of each admission is the history that it judges.
 //
 // Ports are the kernel's. It must never touch a process that it has not started, and nothing
 // that it says may hang on how long something took but by a wide limit.
-package stage
+package harness
 
 import (
 	"cmp"
@@ -70,7 +70,7 @@
 		cmd := exec.Command("go", append([]string{"build"}, args...)...)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
-			return fmt.Errorf("%v: %s", err, out)
+			return fmt.Errorf("%w: %s", err, out)
 		}
 	}
 	return nil
@@ -290,7 +290,7 @@
 func (r *Rig) State() (s *statemachine.State, leader uint64, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), Patience)
 	defer stop()
-	err = transport.Tries(ctx, func(ctx context.Context) error {
+	err = transport.Retry(ctx, func(ctx context.Context) error {
 		s, leader, err = r.Client.State(ctx)
 		return err
 	})
@@ -307,11 +307,11 @@
 	var flows []template.Template
 	var pools []string
 	if doc, err := policy.Parse([]byte(text)); err == nil { // what is not sound is for the dispatchers to say
-		limits, _ = doc.Limits()
-		judges, starts, flows, pools = doc.Judges(), doc.Starts(), doc.Flows(), doc.Pools()
+		limits, _ = doc.QuotaLimits()
+		judges, starts, flows, pools = doc.OutlierSettings(), doc.ColdStartSettings(), doc.Templates(), doc.PoolNames()
 	}
-	return transport.Tries(ctx, func(ctx context.Context) error {
-		res, err := r.Client.Do(ctx, statemachine.Command{Propose: &statemachine.Propose{ID: id, Text: []byte(text), Limits: limits, Judges: judges, Start: starts, Flows: flows, Pools: pools, Base: base, Who: "rig", WithoutSilent: without}})
+	return transport.Retry(ctx, func(ctx context.Context) error {
+		res, err := r.Client.Do(ctx, statemachine.Command{Proposal: &statemachine.Proposal{ID: id, Text: []byte(text), Limits: limits, OutlierSettings: judges, ColdStart: starts, Workflows: flows, Pools: pools, BaseVersion: base, Author: "rig", SkipUnresponsive: without}})
 		if err == nil && res.Err != "" {
 			return errors.New(res.Err)
 		}
@@ -320,8 +320,8 @@
 }
 
 // Change waits until a change has come to a stage, or to an end.
-func (r *Rig) Change(id string, stage statemachine.Stage) (*statemachine.Change, error) {
-	var last *statemachine.Change
+func (r *Rig) Change(id string, stage statemachine.Stage) (*statemachine.PolicyChange, error) {
+	var last *statemachine.PolicyChange
 	err := Until(fmt.Sprintf("change %s %v", id, stage), func() bool {
 		s, _, err := r.State()
 		if err != nil || s.Change == nil || s.Change.ID != id {
