--- a/internal/control/server/operator_status.go
+++ b/internal/control/server/operator_status.go
@@ -31,7 +31,7 @@
 	UnfinishedJobs       int   `json:"Open"`
 	DiskStalledMs        int64 `json:"StalledMs"`  // how long the present batch of writes has taken
 	ConnectedDispatchers int   `json:"Dispatched"` // dispatchers connected here
-	Behind               int   `json:"Behind"`     // of these, dispatchers that have not acknowledged the configuration in force
+	DispatchersBehind    int   `json:"Behind"`     // of these, dispatchers that have not acknowledged the configuration in force
 
 	LogDiverged bool `json:"Diverged,omitempty"` // another member's log contradicts what is committed here
 }
@@ -64,7 +64,7 @@
 	}
 	for d := range s.dispatchers.attached {
 		if d.ackedConfig < fsm.ConfigVersion {
-			status.Behind++
+			status.DispatchersBehind++
 		}
 	}
 	return status
@@ -120,7 +120,7 @@
 		{"yardflow_jobs_open", int64(status.UnfinishedJobs)},
 		{"yardflow_disk_stalled_ms", status.DiskStalledMs},
 		{"yardflow_dispatchers_connected", int64(status.ConnectedDispatchers)},
-		{"yardflow_dispatchers_behind", int64(status.Behind)},
+		{"yardflow_dispatchers_behind", int64(status.DispatchersBehind)},
 	}
 	for _, metric := range metrics {
 		io.WriteString(w, metric.name+" "+strconv.FormatInt(metric.value, 10)+"\n")
--- a/internal/control/statemachine/clock.go
+++ b/internal/control/statemachine/clock.go
@@ -29,7 +29,7 @@
 func (f *FSM) forgetJobs() {
 	for _, id := range sortedKeys(f.Jobs) {
 		j := f.Jobs[id]
-		if !j.State.Terminal() || !f.retentionOver(j.EndedAge) || hasPlacedTasks(j) {
+		if !j.State.Terminal() || !f.retentionOver(j.EndedAtTick) || hasPlacedTasks(j) {
 			continue
 		}
 		delete(f.Jobs, id)
--- a/internal/control/statemachine/jobs.go
+++ b/internal/control/statemachine/jobs.go
@@ -43,7 +43,7 @@
 // finishJob makes a job terminal and stops the runs that it still has.
 func (f *FSM) finishJob(j *job.Job, state job.State) {
 	f.markStarted(j)
-	j.State, j.EndedAge = state, f.ClockTicks
+	j.State, j.EndedAtTick = state, f.ClockTicks
 	for _, key := range j.SortedTaskKeys() {
 		f.stopTask(j, key)
 	}
--- a/internal/testing/emulator/slowlink_test.go
+++ b/internal/testing/emulator/slowlink_test.go
@@ -64,7 +64,7 @@
 		if code != http.StatusOK || json.Unmarshal([]byte(body), &status) != nil {
 			return -1
 		}
-		count += status.Behind
+		count += status.DispatchersBehind
 	}
 	return count
 }
--- a/scheduling/job/job.go
+++ b/scheduling/job/job.go
@@ -46,7 +46,7 @@
 	GangFailures    map[StepKey]int   `cbor:"13,keyasint,omitempty"` // runs of a gang that ended failed
 	// LastFailedGangRun is the newest failed run counted, in snapshots of versions before GangFailedRuns.
 	LastFailedGangRun map[StepKey]uint64 `cbor:"14,keyasint,omitempty"`
-	EndedAge          uint64             `cbor:"15,keyasint,omitempty"` // tick of the replicated clock at which the job ended
+	EndedAtTick       uint64             `cbor:"15,keyasint,omitempty"` // tick of the replicated clock at which the job ended
 	Sequence          uint64             `cbor:"16,keyasint,omitempty"` // position in the order of acceptance
 	Started           bool               `cbor:"17,keyasint,omitempty"` // a task is known to have started, or the job has ended
 	// GangFailedRuns are the numbers of the runs that GangFailures counts.
