--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -430,7 +430,7 @@
 	case "sends the end":
 		_, err := io.WriteString(d.conn, "0\r\n\r\n")
 		s.must(err)
-		s.node.lines.Settle() // the connection is free again
+		s.node.lines.AwaitDrained() // the connection is free again
 	case "closes ":
 		d.conn.Close()
 	case "sees close":
--- a/cmd/yardflow/main.go
+++ b/cmd/yardflow/main.go
@@ -122,9 +122,9 @@
 			log.Printf("reload: the sources stay as they were: %v", err)
 		}
 	}
-	n.lines.Retune()
+	n.lines.Reconfigure()
 	if next.Discovery != "" { // a fixed list of workers has none
-		n.table.Follow(next.Discovery)
+		n.table.SwitchSource(next.Discovery)
 	}
 	log.Printf("reload: discovery at %s; classes %v, %d attempts", next.Discovery, next.Classes, next.Module.MaxAttempts)
 }
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -44,10 +44,10 @@
 	live        *config.Live   // in force
 	longest     time.Duration  // longest deadline of any request that may be open
 	broker      *broker.Broker
-	table       *httpfront.Table
+	table       *httpfront.ServerTable
 	sources     *sources.Sources
-	guard       *httpfront.Guard
-	reader      *httpfront.Reader
+	guard       *httpfront.ConnLimiter
+	reader      *httpfront.RequestReader
 	lines       *httpfront.WorkerConns
 	front       *httpfront.Frontend
 	mu          sync.Mutex
@@ -55,8 +55,8 @@
 	listeners   []*httpfront.Listener
 	console     *console.Console
 	limitMemory func(bytes int64)
-	bans        *hotrestart.Bans
-	peers       *hotrestart.Peers
+	bans        *hotrestart.BanList
+	peers       *hotrestart.Siblings
 	holder      *transport.LeaseSession // of the policy agreed on with keepers; nil: none is
 	release     func()                  // gives its lease back
 	base        *config.Config          // in force, before the policy; reloads' and the policy's, under policyMu
@@ -69,7 +69,7 @@
 	verdicts    []outlier.EjectionNotice // that hold here; the holder's alone
 	stale       *time.Timer              // ends them
 	policy      policy.Document
-	talk        *datagram.Link        // with the other dispatchers; nil: they don't talk
+	talk        *datagram.Conn        // with the other dispatchers; nil: they don't talk
 	flows       *workflowsteps.Runner // of workflows' steps; nil: no keepers
 	serving     atomic.Bool
 
@@ -88,7 +88,7 @@
 	// Before anything grows: from here on a process that runs already keeps to its
 	// half. It knows a newer list than the configuration's.
 	var state []byte
-	n.peers, state = hotrestart.Meet(dir, cfg.Name, logLine)
+	n.peers, state = hotrestart.Join(dir, cfg.Name, logLine)
 	var before inheritance
 	if len(state) > 0 {
 		if err := json.Unmarshal(state, &before); err != nil {
@@ -101,21 +101,21 @@
 		n.cfg = cfg
 	}
 	n.live, n.longest, n.base = config.NewLive(cfg), longest(cfg), cfg
-	limitMemory(n.memory(1 + n.peers.Others()))
+	limitMemory(n.memory(1 + n.peers.Count()))
 	var err error
 	if n.broker, err = broker.New(cfg.Module, cfg.Seed, contracts(cfg), logLine); err != nil {
 		return nil, err
 	}
 	if cfg.Trace {
-		n.broker.Trace(logLine)
+		n.broker.SetTrace(logLine)
 	}
 	if cfg.Talks() {
-		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.Heard, n.peers.TellSaid); err != nil {
+		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.ReceivePeerMessage, n.peers.ForwardPeerMessage); err != nil {
 			return nil, err
 		}
-		n.broker.Peers(n.talk.Tell)
+		n.broker.SetBroadcast(n.talk.Broadcast)
 	}
-	if n.bans, err = hotrestart.OpenBans(dir, cfg.Name); err != nil {
+	if n.bans, err = hotrestart.OpenBanList(dir, cfg.Name); err != nil {
 		return nil, err
 	}
 	// The console comes first: whoever asks while the rest starts gets a no.
@@ -127,12 +127,12 @@
 		n.console, n.consoleAddr = console.New(l, door{n}), l.Addr()
 		go n.console.Serve()
 	}
-	banned, err := n.bans.Read()
+	banned, err := n.bans.Reload()
 	if err != nil {
 		return nil, err
 	}
-	hooks := sources.Hooks{Log: logLine, Moved: func(addr string) { n.lines.Part(addr) }}
-	clients, workers := n.sockets(1 + n.peers.Others())
+	hooks := sources.Hooks{Log: logLine, Moved: func(addr string) { n.lines.RetireConnections(addr) }}
+	clients, workers := n.sockets(1 + n.peers.Count())
 	n.lines = httpfront.NewWorkerConns(n.live, workers)
 	if n.sources, err = sources.New(n.live, n.broker, hooks); err != nil {
 		return nil, err
@@ -143,17 +143,17 @@
 		}
 	}
 	n.sources.Ban(banned)
-	n.broker.ShareRoom(1 / float64(1+n.peers.Others()))
+	n.broker.SetReservationShare(1 / float64(1+n.peers.Count()))
 	if len(before.Learned) > 0 {
-		n.broker.Recall(before.Learned)
+		n.broker.Restore(before.Learned)
 	}
-	if n.table, err = httpfront.NewTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
+	if n.table, err = httpfront.NewServerTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
 		return nil, err
 	}
-	n.guard = httpfront.NewGuard(clients)
-	n.reader = httpfront.NewReader(n.live, n.guard)
+	n.guard = httpfront.NewConnLimiter(clients)
+	n.reader = httpfront.NewRequestReader(n.live, n.guard)
 	n.front = httpfront.NewFrontend(n.broker, n.lines, n.reader)
-	n.front.AwaitStart(n.table.Started)
+	n.front.SetReadiness(n.table.Ready)
 	if len(cfg.Keepers.Addresses) > 0 {
 		n.hold(cfg, dir)
 	}
@@ -163,12 +163,12 @@
 	}
 	n.addr = n.serve(l, n.front.Server())
 	if cfg.SSE.Enabled {
-		server := n.front.Serve(ssefront.New(n.live, n.broker, n.lines, n.reader).Session)
+		server := n.front.NewServer(ssefront.New(n.live, n.broker, n.lines, n.reader).ServeHTTP)
 		l, err := net.Listen("tcp", cfg.SSE.Listen)
 		switch {
 		case err == nil:
 			n.sseAddr = n.serve(l, server)
-		case errors.Is(err, syscall.EADDRINUSE) && n.peers.Others() > 0:
+		case errors.Is(err, syscall.EADDRINUSE) && n.peers.Count() > 0:
 			// The process before has the port until it stops. That must not stop an
 			// upgrade: the first front is up, this one follows.
 			log.Printf("event streams: %v; taken over once it is free", err)
@@ -183,7 +183,7 @@
 	n.sources.Follow()
 	n.serving.Store(true)
 	// The name in dir goes over last: a process that failed before is not met.
-	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, Shared: n.share, Bans: n.rereadBans, Said: n.broker.Heard}); err != nil {
+	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, SiblingsChanged: n.share, BansChanged: n.rereadBans, PeerMessage: n.broker.ReceivePeerMessage}); err != nil {
 		log.Printf("the next process can't meet this one: %v", err)
 	}
 	return n, nil
@@ -197,7 +197,7 @@
 }
 
 func (n *node) inheritance() []byte {
-	text, err := json.Marshal(inheritance{n.table.State(), n.broker.Memory(300 * time.Millisecond), n.sources.State()})
+	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(300 * time.Millisecond), n.sources.State()})
 	if err != nil {
 		log.Printf("the next process gets nothing from this one: %v", err)
 	}
--- a/internal/discovery/relayedlist/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -25,7 +25,7 @@
 
 // Table is the dispatcher's list.
 type Table interface {
-	Relayed(generation uint64, whole bool, list []membership.Worker) bool
+	ApplyRelayed(generation uint64, whole bool, list []membership.Worker) bool
 }
 
 // Carrier is one dispatcher's.
@@ -52,20 +52,20 @@
 
 // Told hands on what the table was told, if this dispatcher reads for its zone. The table calls
 // it while it takes a word in, so it returns at once.
-func (c *Carrier) Told(t httpfront.Told) {
+func (c *Carrier) Told(t httpfront.ListUpdate) {
 	seat, whole := c.desk.CallSucceeded()
 	if seat == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next != nil || whole || t.Afresh {
+	if c.next != nil || whole || t.NewSource {
 		// Whatever waits is told with it, as a whole: it was not taken in yet.
-		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.Afresh || c.next != nil && c.next.NewSource, Entries: entries(t.All())}
+		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.NewSource || c.next != nil && c.next.NewSource, Entries: entries(t.WholeList())}
 	} else {
 		c.next = &relay.Publication{Generation: t.Generation, Entries: entries(t.Changed)}
 	}
-	c.seat, c.all = seat, t.All
+	c.seat, c.all = seat, t.WholeList
 	c.wake()
 }
 
@@ -129,7 +129,7 @@
 	if u == nil {
 		return
 	}
-	if !c.table.Relayed(u.Generation, u.Complete, workers(u.Entries)) {
+	if !c.table.ApplyRelayed(u.Generation, u.Complete, workers(u.Entries)) {
 		c.desk.ResetList()
 	}
 }
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -71,7 +71,7 @@
 	}
 	s := &Sources{live: live, broker: b, hooks: hooks, book: book, shown: map[string]membership.Entry{},
 		names: map[string]*follower{}, held: map[string]bool{}}
-	b.Observe(s.heard)
+	b.SetOutcomeObserver(s.heard)
 	return s, nil
 }
 
@@ -161,7 +161,7 @@
 	defer s.mu.Unlock()
 	if form == dispatch.ListFailed {
 		s.book.Silent(time.Now(), membership.Roster, true)
-		s.broker.List(form, nil)
+		s.broker.UpdateWorkers(form, nil)
 		return
 	}
 	whole := form == dispatch.ListFull || form == dispatch.ListCached
@@ -300,7 +300,7 @@
 	if form != dispatch.ListOverride || len(out) > 0 {
 		s.told = now
 		s.times++
-		s.broker.List(form, out)
+		s.broker.UpdateWorkers(form, out)
 	}
 	for _, addr := range moved {
 		s.hooks.Moved(addr)
@@ -320,7 +320,7 @@
 // places and holds bans itself.
 func (s *Sources) worker(e membership.Entry) broker.Worker {
 	cfg := s.live.Get()
-	w := broker.Worker{ID: e.ID, Addr: e.Addr, Cell: e.Cell, Weight: e.Weight, Started: e.Started,
+	w := broker.Worker{ID: e.ID, Addr: e.Addr, Cell: e.Cell, Weight: e.Weight, StartedAt: e.Started,
 		Zone: slices.Index(cfg.Zones, e.Zone), Kind: slices.Index(cfg.Kinds, e.Kind), State: dispatch.Draining}
 	if e.Told == membership.Serving {
 		w.State = dispatch.Ready
@@ -342,7 +342,7 @@
 func (s *Sources) ban(ids []string) {
 	all := slices.Concat(s.bans, ids)
 	slices.Sort(all)
-	for _, addr := range s.broker.Ban(slices.Compact(all)) {
+	for _, addr := range s.broker.SetBanned(slices.Compact(all)) {
 		s.hooks.Moved(addr)
 	}
 }
@@ -360,7 +360,7 @@
 	if !s.watch.Load() {
 		return
 	}
-	answered := code == broker.OK || code == broker.Failed || code == broker.Full || code == broker.Rejected
+	answered := code == broker.OK || code == broker.Failed || code == broker.Rejected || code == broker.BadRequest
 	if !answered && code != broker.ConnectFailed {
 		return // it tells nothing of whether the worker can be reached
 	}
--- a/internal/gateway/httpfront/platform_test.go
+++ b/internal/gateway/httpfront/platform_test.go
@@ -52,17 +52,17 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a send to a draining worker") }))
 	defer server.Close()
 	w := broker.Worker{ID: "s", Addr: server.Listener.Addr().String()}
-	b.List(dispatch.ListFull, []broker.Worker{w})
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{w})
 	lines := NewWorkerConns(config.NewLive(cfg), 8)
 	dial := lines.transport.DialContext
 	lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		w.State = dispatch.Draining
-		b.List(dispatch.ListDelta, []broker.Worker{w})
+		b.UpdateWorkers(dispatch.ListDelta, []broker.Worker{w})
 		return dial(ctx, network, addr)
 	}
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{}, body: []byte("x"),
 		Request: broker.Request{Slots: 1, Deadline: time.Now().Add(500 * time.Millisecond)}}
-	if got := b.Serve(t.Context(), s.Request, lines.Do(s)); got.Verdict != broker.Refused {
+	if got := b.Serve(t.Context(), s.Request, lines.AttemptFunc(s)); got.Kind != broker.AnswerRejected {
 		t.Errorf("got %+v, want a refusal: nothing has run", got)
 	}
 	if n := lines.held; n != 0 {
@@ -90,7 +90,7 @@
 				conn.Close()
 			}
 		}()
-		b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+		b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
 		lines := NewWorkerConns(config.NewLive(cfg), 8)
 		var conn net.Conn
 		dial := lines.transport.DialContext
@@ -102,8 +102,8 @@
 		s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
 			Request: broker.Request{Slots: 1, Deadline: time.Now().Add(1500 * time.Millisecond)}}
 		b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-			o := lines.Do(s)(ctx, a)
-			if _, err := conn.(*workerConn).Conn.Write([]byte("x")); o.Code != broker.TimedOut && o.Code != broker.Broken || !errors.Is(err, net.ErrClosed) {
+			o := lines.AttemptFunc(s)(ctx, a)
+			if _, err := conn.(*workerConn).Conn.Write([]byte("x")); o.Code != broker.TimedOut && o.Code != broker.ConnectionLost || !errors.Is(err, net.ErrClosed) {
 				t.Errorf("%s: told %+v while a write gives %v", name, o, err)
 			}
 			return o
@@ -157,19 +157,19 @@
 func TestNoSocketLeft(t *testing.T) {
 	cfg := testConfig()
 	b := testBroker(t, cfg)
-	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
 	lines := NewWorkerConns(config.NewLive(cfg), 1)
 	lines.take()
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
 		Request: broker.Request{Slots: 1, Deadline: time.Now().Add(300 * time.Millisecond)}}
 	got := b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		o := lines.Do(s)(ctx, a)
-		if o.Code != broker.NeverSent {
+		o := lines.AttemptFunc(s)(ctx, a)
+		if o.Code != broker.NotSent {
 			t.Errorf("got %+v", o)
 		}
 		return o
 	})
-	if got.Verdict != broker.Refused {
+	if got.Kind != broker.AnswerRejected {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -323,17 +323,17 @@
 			}()
 		}
 	}()
-	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
 	lines := NewWorkerConns(config.NewLive(cfg), 16)
 	for i, c := range []struct {
 		class, conn int
 		code        broker.Code
-	}{{0, 0, broker.OK}, {0, 0, broker.Dropped}, {0, 1, broker.OK}, {1, 2, broker.OK}, {1, 2, broker.OK}, {0, 3, broker.OK}} {
+	}{{0, 0, broker.OK}, {0, 0, broker.StaleConnection}, {0, 1, broker.OK}, {1, 2, broker.OK}, {1, 2, broker.OK}, {0, 3, broker.OK}} {
 		s := &JobRequest{cfg: cfg, ID: fmt.Sprint("r", i), method: "POST", uri: "/x", header: http.Header{}, body: []byte("x"),
 			Request: broker.Request{Class: c.class, Slots: 1, Deadline: time.Now().Add(5 * time.Second)}}
 		b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-			o := lines.Do(s)(ctx, a)
-			lines.Settle()
+			o := lines.AttemptFunc(s)(ctx, a)
+			lines.AwaitDrained()
 			if n := <-served; n != c.conn || o.Code != c.code {
 				t.Errorf("session %d: connection %d, code %d, want %d and %d", i, n, o.Code, c.conn, c.code)
 			}
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -58,9 +58,9 @@
 	return kept, once
 }
 
-// Retune takes up the settings in force. Connections kept under the old ones may
+// Reconfigure takes up the settings in force. Connections kept under the old ones may
 // be closed by their loan workers sooner than was known: they are not used again.
-func (l *WorkerConns) Retune() {
+func (l *WorkerConns) Reconfigure() {
 	l.mu.Lock()
 	old := l.transport
 	if old.IdleConnTimeout != l.live.Get().IdleClose*3/4 {
@@ -85,17 +85,17 @@
 	return l.transport
 }
 
-// CloseIdle closes the connections that carry nothing.
-func (l *WorkerConns) CloseIdle() {
+// CloseIdleConnections closes the connections that carry nothing.
+func (l *WorkerConns) CloseIdleConnections() {
 	l.mu.Lock()
 	t := l.transport
 	l.mu.Unlock()
 	t.CloseIdleConnections()
 }
 
-// Settle waits until answers that have ended are read to their end. Others may end
+// AwaitDrained waits until answers that have ended are read to their end. Others may end
 // meanwhile, which a WaitGroup does not allow.
-func (l *WorkerConns) Settle() {
+func (l *WorkerConns) AwaitDrained() {
 	for {
 		l.mu.Lock()
 		n := l.finishing
@@ -120,7 +120,7 @@
 	l.max = sockets
 	l.mu.Unlock()
 	if less {
-		l.CloseIdle()
+		l.CloseIdleConnections()
 	}
 }
 
@@ -147,10 +147,10 @@
 	release func()
 }
 
-// Part closes the kept connections to a loan worker that was taken out: it is
+// RetireConnections closes the kept connections to a loan worker that was taken out: it is
 // restarted meanwhile, and what is written to one from before may be lost. One
 // that carries a dispatch is closed after it.
-func (l *WorkerConns) Part(addr string) {
+func (l *WorkerConns) RetireConnections(addr string) {
 	l.mu.Lock()
 	var idle []*workerConn
 	for c := range l.open {
@@ -194,7 +194,7 @@
 
 func (l *WorkerConns) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !l.take() {
-		l.CloseIdle()
+		l.CloseIdleConnections()
 		if !l.take() {
 			return nil, errSockets
 		}
--- a/internal/gateway/workflowsteps/flows.go
+++ b/internal/gateway/workflowsteps/flows.go
@@ -34,7 +34,7 @@
 	Dispatcher      string
 	Incarnation     uint64
 	CallCoordinator func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) // one call of one keeper, bounded
-	AdmissionGate   httpfront.Gate                                                                 // whether new work is admitted now
+	AdmissionGate   httpfront.AdmissionGate                                                        // whether new work is admitted now
 	Now             func() time.Duration                                                           // the clock that stays are told by
 	Log             func(line string)
 	Settings        *config.Live
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	r.bound, r.pools = workflows, pools
 	r.mu.Unlock()
-	r.b.Pools(pools)
+	r.b.SetPools(pools)
 	signal(r.want)
 }
 
@@ -156,7 +156,7 @@
 // claim asks for more steps once, and tells whether to ask on at once.
 func (r *Runner) claim(ctx context.Context) bool {
 	s := r.b.Stats()
-	any, serving := r.b.Serving()
+	any, serving := r.b.ReadyPools()
 	_, _, admits := r.h.AdmissionGate()
 	r.mu.Lock()
 	held, doubts := r.hand.HeldSteps(), r.hand.NeedsResync()
--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -67,33 +67,33 @@
 	case !admits || t.Pool != "" && bit == 0:
 		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: time.Second}
 	}
-	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Overdue, Pools: bit, Policy: version, Admitted: at,
+	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, WorkflowStep: true, BestEffort: !t.Overdue, Pools: bit, PolicyVersion: version, AdmittedAt: at,
 		Deadline: time.Now().Add(c.Deadline)}
 	if c.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
 		left := t.RepeatWindowLeft - (r.h.Now() - told)
 		if left <= 0 {
 			return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "the time is over in which it may be repeated"}
 		}
-		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}, max(c.DedupWindow-left, 0)
+		q.EarlierWorker, q.EarlierRunAge = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}, max(c.DedupWindow-left, 0)
 		q.Deadline = time.Now().Add(min(c.Deadline, left))
 	}
 	body, err := json.Marshal(job{t.Workflow, t.Step, t.ItemValues, t.Results, t.FanOutCounts})
 	if err != nil {
 		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: err.Error()}
 	}
-	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.ClaimNumber) }}
+	j := httpfront.InternalJob{ID: fmt.Sprintf("%s#%d", key(t), t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, MaySend: func() bool { return r.may(o, t.ClaimNumber) }}
 	if c.Semantics == dispatch.Deduplicated {
-		j.Key = key(t)
+		j.IdempotencyKey = key(t)
 	}
-	s := httpfront.NewJob(cfg, j, q)
-	do := r.h.Workers.Do(s)
+	s := httpfront.NewInternalRequest(cfg, j, q)
+	do := r.h.Workers.AttemptFunc(s)
 	var last *broker.Outcome // of the one try that may have run
 	answer := r.b.Serve(ctx, q, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		if last != nil || !a.In(t.Pool) || !r.mark(ctx, t, c, a) {
-			return broker.Outcome{Code: broker.NeverSent}
+		if last != nil || !a.InPool(t.Pool) || !r.mark(ctx, t, c, a) {
+			return broker.Outcome{Code: broker.NotSent}
 		}
 		out := do(ctx, a)
-		if out.Ran() {
+		if out.MayHaveRun() {
 			last = &out
 			o.stop() // another try is another claim's: the ledger counts them
 		} else {
@@ -111,14 +111,14 @@
 	e := claims.StepEnd{Repeatable: c.Semantics != dispatch.AtMostOnce}
 	switch {
 	case last == nil:
-		e.Outcome, e.RetryAfter = claims.OutcomeRequeue, max(answer.ComeBack, pause)
+		e.Outcome, e.RetryAfter = claims.OutcomeRequeue, max(answer.RetryAfter, pause)
 	case last.Code == broker.OK && t.ResultUsed && len(last.Result) > template.MaxResultBytes:
 		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(last.Result), Limit: template.MaxResultBytes})
 	case last.Code == broker.OK:
 		if e.Outcome = claims.OutcomeDone; t.ResultUsed {
 			e.Result = last.Result
 		}
-	case last.Code == broker.Rejected:
+	case last.Code == broker.BadRequest:
 		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, "the worker found it unusable"
 	case last.Code == broker.Failed:
 		e.Outcome, e.Reason = claims.OutcomeFailed, "the worker says that it has failed"
--- a/lab/rig/harness/coldstart.go
+++ b/lab/rig/harness/coldstart.go
@@ -393,7 +393,7 @@
 	n  int
 }
 
-func (p *paper) Relayed(_ uint64, whole bool, list []membership.Worker) bool {
+func (p *paper) ApplyRelayed(_ uint64, whole bool, list []membership.Worker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.n += len(list); whole {
@@ -502,8 +502,8 @@
 		for _, e := range reply.Instances {
 			list = append(list, membership.Worker{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight})
 		}
-		p.Relayed(reply.Generation, true, list)
-		carrier.Told(httpfront.Told{Generation: reply.Generation, Changed: list, All: func() []membership.Worker { return list }})
+		p.ApplyRelayed(reply.Generation, true, list)
+		carrier.Told(httpfront.ListUpdate{Generation: reply.Generation, Changed: list, WholeList: func() []membership.Worker { return list }})
 		return
 	}
 }
