--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -49,7 +49,7 @@
 	Trace        bool     // write a line for all that comes in and is decided
 	Notices      []string // what an operator should know of how it was read
 
-	file any // the file as read, by key
+	raw any // the file as read, by key
 }
 
 // InForce is the configuration in force: one snapshot for all parts, swapped whole.
@@ -116,7 +116,7 @@
 			return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 		}
 	}
-	if err := c.parse(text); err != nil {
+	if err := c.parseFile(text); err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
 	// The variables stand above the file: they are what the platform listens by.
@@ -132,16 +132,16 @@
 			return nil, fmt.Errorf("%s: missing", v.key)
 		}
 	}
-	if err := address("NODE_LISTEN", c.Listen); err != nil {
+	if err := checkAddress("NODE_LISTEN", c.Listen); err != nil {
 		return nil, err
 	}
 	if c.Discovery != "" {
-		if err := address("NODE_DISCOVERY", c.Discovery); err != nil {
+		if err := checkAddress("NODE_DISCOVERY", c.Discovery); err != nil {
 			return nil, err
 		}
 	}
 	if c.Console != "" {
-		if err := address("NODE_CONSOLE", c.Console); err != nil {
+		if err := checkAddress("NODE_CONSOLE", c.Console); err != nil {
 			return nil, err
 		}
 	}
@@ -181,11 +181,11 @@
 // discovery, and the sources of loan workers. The error names a key that next lacks and c's file has: a key left
 // out is a fault in the file, and no default may stand in for it.
 func (c *Config) Reloaded(next *Config) (*Config, error) {
-	if key := missing(c.file, next.file, ""); key != "" {
+	if key := missingKey(c.raw, next.raw, ""); key != "" {
 		return nil, fmt.Errorf("NODE_CONFIG: %s: missing", key)
 	}
 	own := *c
-	own.file, own.Discovery = next.file, next.Discovery
+	own.raw, own.Discovery = next.raw, next.Discovery
 	own.Membership, own.SRV, own.Notices = next.Membership, next.SRV, next.Notices
 	own.Dispatch, own.ConnectTimeout, own.IdleTimeout = next.Dispatch, next.ConnectTimeout, next.IdleTimeout
 	own.Dispatch.Peers = own.Dispatch.Peers && c.PeersEnabled() // the socket is opened at a start
@@ -198,14 +198,14 @@
 	return c.PeerListen != "" && (c.PeersBroadcast != "" || len(c.Peers) > 0)
 }
 
-// optional keys may come and go: those for a start alone, and the one that the
+// optionalKeys keys may come and go: those for a start alone, and the one that the
 // protocol says may be absent.
-var optional = []string{"known", "seed", "console", "settings.Classes[].AimStretch"}
+var optionalKeys = []string{"known", "seed", "console", "settings.Classes[].AimStretch"}
 
-// missing names a key that old has and next lacks, or has as another kind of
+// missingKey names a key that old has and next lacks, or has as another kind of
 // value. Entries of a list are alike: what all of the old have, all of the next
 // must have.
-func missing(old, next any, path string) string {
+func missingKey(old, next any, path string) string {
 	if reflect.TypeOf(old) != reflect.TypeOf(next) {
 		return path
 	}
@@ -213,24 +213,24 @@
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(old)) {
 			at := strings.TrimPrefix(path+"."+key, ".")
-			if slices.Contains(optional, at) {
+			if slices.Contains(optionalKeys, at) {
 				continue
 			}
 			value, ok := next.(map[string]any)[key]
 			if !ok {
 				return at
 			}
-			if key := missing(old[key], value, at); key != "" {
+			if key := missingKey(old[key], value, at); key != "" {
 				return key
 			}
 		}
 	case []any:
-		common := alike(old)
+		common := commonKeys(old)
 		if common == nil {
 			return ""
 		}
 		for _, entry := range next.([]any) {
-			if key := missing(common, entry, path+"[]"); key != "" {
+			if key := missingKey(common, entry, path+"[]"); key != "" {
 				return key
 			}
 		}
@@ -238,8 +238,8 @@
 	return ""
 }
 
-// alike is what all entries of a list have; nil if they aren't objects.
-func alike(list []any) any {
+// commonKeys is what all entries of a list have; nil if they aren't objects.
+func commonKeys(list []any) any {
 	var common map[string]any
 	for _, entry := range list {
 		entry, ok := entry.(map[string]any)
@@ -277,7 +277,7 @@
 	return keys
 }
 
-func address(key, s string) error {
+func checkAddress(key, s string) error {
 	if _, port, err := net.SplitHostPort(s); err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	} else if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && key == "NODE_DISCOVERY" {
@@ -286,7 +286,7 @@
 	return nil
 }
 
-func (c *Config) parse(text []byte) error {
+func (c *Config) parseFile(text []byte) error {
 	var in struct {
 		Name, Listen, Discovery, Console, Seed string
 		PeerListen                             string `json:"peer_listen"`
@@ -298,7 +298,7 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, &c.file); err != nil {
+	if err := json.Unmarshal(text, &c.raw); err != nil {
 		return err
 	}
 	c.Name, c.Listen, c.Discovery, c.Console, c.KnownList, c.Limits = in.Name, in.Listen, in.Discovery, in.Console, in.Known, in.Limits
@@ -311,7 +311,7 @@
 				return fmt.Errorf("peers, peers_all: %q: expected an address and a port", a)
 			}
 		}
-		if err := address("peer_listen", c.PeerListen); err != nil {
+		if err := checkAddress("peer_listen", c.PeerListen); err != nil {
 			return err
 		}
 	}
@@ -342,7 +342,7 @@
 	case len(in.Settings) == 0:
 		return errors.New("settings: missing")
 	}
-	if err := c.settings(in.Settings); err != nil {
+	if err := c.parseNames(in.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	// Allowed and without a way, dispatchers would take each other's silence for absence.
@@ -350,8 +350,8 @@
 	return nil
 }
 
-// settings reads the names and times that only a real dispatcher needs.
-func (c *Config) settings(text []byte) error {
+// parseNames reads the names and times that only a real dispatcher needs.
+func (c *Config) parseNames(text []byte) error {
 	var err error
 	if c.Dispatch, err = ParseSettings(text); err != nil {
 		return err
@@ -423,24 +423,24 @@
 	s := &c.SSE
 	switch {
 	case s.MaxEventBytes < 256 || s.MaxEventBytes > 1<<20:
-		return wrong(at+"max_event_bytes", "%d is not in 256 to 1048576", s.MaxEventBytes)
+		return keyErrorf(at+"max_event_bytes", "%d is not in 256 to 1048576", s.MaxEventBytes)
 	case s.BufferEvents < 1 || s.BufferEvents > 1024:
-		return wrong(at+"buffer_events", "%d is not in 1 to 1024", s.BufferEvents)
+		return keyErrorf(at+"buffer_events", "%d is not in 1 to 1024", s.BufferEvents)
 	case s.WriteTimeout.Duration <= 0:
-		return wrong(at+"write_timeout", "must be over 0")
+		return keyErrorf(at+"write_timeout", "must be over 0")
 	case s.Heartbeat.Duration <= 0:
-		return wrong(at+"heartbeat", "must be over 0")
+		return keyErrorf(at+"heartbeat", "must be over 0")
 	case !s.Enabled:
 		return nil
 	}
-	if err := address("listen", s.Listen); err != nil {
-		return wrong(at+"listen", "%s", strings.TrimPrefix(err.Error(), "listen: "))
+	if err := checkAddress("listen", s.Listen); err != nil {
+		return keyErrorf(at+"listen", "%s", strings.TrimPrefix(err.Error(), "listen: "))
 	}
 	if err := c.ValidateContracts(at, s.Contracts); err != nil {
 		return err
 	}
 	if len(s.Contracts) == 0 {
-		return wrong(at+"contract", "at least one is needed")
+		return keyErrorf(at+"contract", "at least one is needed")
 	}
 	return nil
 }
@@ -452,23 +452,23 @@
 		key := func(name string) string { return fmt.Sprintf("%scontract[%d].%s", at, i, name) }
 		switch {
 		case k.Team == "":
-			return wrong(key("team"), "missing")
+			return keyErrorf(key("team"), "missing")
 		case seen[k.Team]:
-			return wrong(key("team"), "%q comes twice", k.Team)
+			return keyErrorf(key("team"), "%q comes twice", k.Team)
 		case len(c.Tenants) > 0 && !slices.Contains(c.Tenants, k.Tenant):
-			return wrong(key("tenant"), "unknown tenant %q", k.Tenant)
+			return keyErrorf(key("tenant"), "unknown tenant %q", k.Tenant)
 		case len(k.Classes) == 0:
-			return wrong(key("classes"), "missing")
+			return keyErrorf(key("classes"), "missing")
 		case k.Rate <= 0:
-			return wrong(key("rate"), "must be over 0")
+			return keyErrorf(key("rate"), "must be over 0")
 		case k.Burst < 1:
-			return wrong(key("burst"), "must be 1 or more")
+			return keyErrorf(key("burst"), "must be 1 or more")
 		case k.MaxOpen < 1:
-			return wrong(key("max_open"), "must be 1 or more")
+			return keyErrorf(key("max_open"), "must be 1 or more")
 		}
 		for _, name := range k.Classes {
 			if !slices.Contains(c.Classes, name) {
-				return wrong(key("classes"), "unknown class %q", name)
+				return keyErrorf(key("classes"), "unknown class %q", name)
 			}
 		}
 		seen[k.Team] = true
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := json.Marshal(first.file)
+	whole, err := json.Marshal(first.raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 					continue // for a start alone
 				}
 				delete(v, key)
-				text, _ := json.Marshal(first.file)
+				text, _ := json.Marshal(first.raw)
 				v[key] = value
 				cuts++
 				// Either check may find it first; both name the last part of its path.
@@ -223,7 +223,7 @@
 			}
 		}
 	}
-	cut(first.file, "")
+	cut(first.raw, "")
 	if cuts < 60 {
 		t.Errorf("only %d keys were cut", cuts)
 	}
--- a/internal/platform/config/operator.go
+++ b/internal/platform/config/operator.go
@@ -73,13 +73,13 @@
 	OnLeaseLoss string   `toml:"fence"`
 }
 
-// operator is the file's form.
-type operator struct {
-	Keepers    Coordinators `toml:"keepers"`
-	SSE        *SSE         `toml:"sse"`
-	Membership *Membership  `toml:"membership"`
-	Room       Backfill     `toml:"room"`
-	Log        struct {
+// operatorFile is the file's form.
+type operatorFile struct {
+	Coordinators Coordinators `toml:"keepers"`
+	SSE          *SSE         `toml:"sse"`
+	Membership   *Membership  `toml:"membership"`
+	Backfill     Backfill     `toml:"room"`
+	Log          struct {
 		Trace bool `toml:"trace"`
 	} `toml:"log"`
 	Source struct {
@@ -87,15 +87,17 @@
 	} `toml:"source"`
 }
 
-// fault is what is wrong with one key.
-type fault struct{ key, what string }
+// keyError is what is wrong with one key.
+type keyError struct{ key, problem string }
 
-func (f *fault) Error() string { return f.key + ": " + f.what }
+func (f *keyError) Error() string { return f.key + ": " + f.problem }
 
-func wrong(key, format string, args ...any) error { return &fault{key, fmt.Sprintf(format, args...)} }
+func keyErrorf(key, format string, args ...any) error {
+	return &keyError{key, fmt.Sprintf(format, args...)}
+}
 
-// oldSSE is the second front's file from before there was this one.
-const oldSSE = "sse.toml"
+// legacySSEFile is the second front's file from before there was this one.
+const legacySSEFile = "sse.toml"
 
 // DefaultMembership is how sources are merged where the file says nothing.
 func DefaultMembership() Membership {
@@ -114,17 +116,17 @@
 	c.SSE = defaultSSE()
 	c.Membership = DefaultMembership()
 	d := backfill.DefaultSettings()
-	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Backfill{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
+	in := operatorFile{SSE: &SSE{}, Membership: &c.Membership, Backfill: Backfill{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
 		Longest: Duration{d.ReservationTTL}, Budget: d.IdleBudget, SmallWait: Duration{d.MaxJobDelay}, Large: d.LargeRuns}}
 	*in.SSE = c.SSE
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = c.decode(text, &in, func() error {
-			c.SSE, c.SRV, c.Trace, c.Coordinators = *in.SSE, in.Source.SRV, in.Log.Trace, in.Keepers
-			if err := c.checkKeepers(); err != nil {
+		err = c.decodeTOML(text, &in, func() error {
+			c.SSE, c.SRV, c.Trace, c.Coordinators = *in.SSE, in.Source.SRV, in.Log.Trace, in.Coordinators
+			if err := c.checkCoordinators(); err != nil {
 				return err
 			}
-			if err := c.holdRoom(in.Room); err != nil {
+			if err := c.applyBackfill(in.Backfill); err != nil {
 				return err
 			}
 			return c.checkOperator()
@@ -135,32 +137,32 @@
 	if err != nil {
 		return fmt.Errorf("%s:%w", path, err)
 	}
-	return c.loadOldSSE(filepath.Join(filepath.Dir(path), oldSSE), hasSection(text, "sse"))
+	return c.loadLegacySSE(filepath.Join(filepath.Dir(path), legacySSEFile), hasSection(text, "sse"))
 }
 
-func (c *Config) checkKeepers() error {
+func (c *Config) checkCoordinators() error {
 	k := &c.Coordinators
 	if len(k.Addresses) == 0 {
 		return nil
 	}
 	if k.Fleet == "" {
-		return wrong("keepers.fleet", "missing; expected the name in the keepers' files")
+		return keyErrorf("keepers.fleet", "missing; expected the name in the keepers' files")
 	}
 	for i, a := range k.Addresses {
-		if err := address("address", a); err != nil {
-			return wrong(fmt.Sprintf("keepers.addresses[%d]", i), "%q; expected host:port", a)
+		if err := checkAddress("address", a); err != nil {
+			return keyErrorf(fmt.Sprintf("keepers.addresses[%d]", i), "%q; expected host:port", a)
 		}
 	}
 	if k.OnLeaseLoss == "" {
 		k.OnLeaseLoss = "refuse"
 	}
 	if k.OnLeaseLoss != "refuse" && k.OnLeaseLoss != "last" {
-		return wrong("keepers.fence", "%q; expected \"refuse\" or \"last\", as in the keepers' files", k.OnLeaseLoss)
+		return keyErrorf("keepers.fence", "%q; expected \"refuse\" or \"last\", as in the keepers' files", k.OnLeaseLoss)
 	}
 	return nil
 }
 
-func (c *Config) loadOldSSE(path string, replaced bool) error {
+func (c *Config) loadLegacySSE(path string, replaced bool) error {
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -172,7 +174,7 @@
 		return nil
 	}
 	s := defaultSSE()
-	err = c.decode(text, &s, func() error {
+	err = c.decodeTOML(text, &s, func() error {
 		c.SSE = s
 		return c.ValidateSSE("")
 	})
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// decode reads a file's text into to, then checks it. The error begins with the line.
-func (c *Config) decode(text []byte, to any, check func() error) error {
+// decodeTOML reads a file's text into to, then checks it. The error begins with the line.
+func (c *Config) decodeTOML(text []byte, to any, check func() error) error {
 	lines := IndexKeys(text)
 	in := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	err := in.Decode(to)
@@ -198,14 +200,14 @@
 		line, _ := one.Position()
 		key := strings.Join(one.Key(), ".")
 		if key == "" {
-			key = lines.at(line)
+			key = lines.keyAt(line)
 		}
 		return fmt.Errorf("%d: %s: %s", line, key, strings.TrimPrefix(one.Error(), "toml: "))
 	case err != nil:
 		return fmt.Errorf(" %w", err)
 	}
 	err = check()
-	var f *fault
+	var f *keyError
 	if errors.As(err, &f) {
 		return fmt.Errorf("%d: %w", lines.Line(f.key), err)
 	}
@@ -273,8 +275,8 @@
 	return slices.ContainsFunc(x, func(k keyLine) bool { return k.key == key })
 }
 
-// at is the last key that begins on a line or before it.
-func (x KeyIndex) at(line int) (key string) {
+// keyAt is the last key that begins on a line or before it.
+func (x KeyIndex) keyAt(line int) (key string) {
 	for _, k := range x {
 		if k.line <= line {
 			key = k.key
@@ -292,8 +294,8 @@
 	return false
 }
 
-// soundName tells whether a source may be called so: it stands in one-line answers.
-func soundName(s string) bool {
+// validSourceName tells whether a source may be called so: it stands in one-line answers.
+func validSourceName(s string) bool {
 	return s != "" && len(s) <= 63 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") == ""
 }
 
@@ -305,14 +307,14 @@
 	m := &c.Membership
 	switch r := membership.MergeRule(m.Rule); {
 	case r != membership.RuleRosterVetoes && r != membership.RuleAny && r != membership.RuleAll:
-		return wrong("membership.rule", "%q; expected %q, %q or %q", m.Rule, membership.RuleRosterVetoes, membership.RuleAny, membership.RuleAll)
+		return keyErrorf("membership.rule", "%q; expected %q, %q or %q", m.Rule, membership.RuleRosterVetoes, membership.RuleAny, membership.RuleAll)
 	case m.FailureThreshold < 1 || m.FailureThreshold > 100:
-		return wrong("membership.fail_after", "%d; expected 1 to 100 connects", m.FailureThreshold)
+		return keyErrorf("membership.fail_after", "%d; expected 1 to 100 connects", m.FailureThreshold)
 	case m.FailbackDelay.Duration < 0 || m.FailbackDelay.Duration > time.Hour:
-		return wrong("membership.backup_settle", "%v; expected 0s to 1h", m.FailbackDelay)
+		return keyErrorf("membership.backup_settle", "%v; expected 0s to 1h", m.FailbackDelay)
 	// With a drain's word underway for so long, 500 ms must still hold.
 	case m.PublishInterval.Duration < 10*time.Millisecond || m.PublishInterval.Duration > 400*time.Millisecond:
-		return wrong("membership.tell_every", "%v; expected 10ms to 400ms", m.PublishInterval)
+		return keyErrorf("membership.tell_every", "%v; expected 10ms to 400ms", m.PublishInterval)
 	}
 	seen := map[string]bool{membership.RosterSource: true}
 	for i := range c.SRV {
@@ -323,13 +325,13 @@
 	return nil
 }
 
-// holdRoom checks [room], on or off, and hands it to the module where it is on.
-func (c *Config) holdRoom(in Backfill) error {
+// applyBackfill checks [room], on or off, and hands it to the module where it is on.
+func (c *Config) applyBackfill(in Backfill) error {
 	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, MaxReservations: in.Most, ReservationTTL: in.Longest.Duration,
 		IdleBudget: in.Budget, MaxJobDelay: in.SmallWait.Duration, LargeRuns: in.Large}
 	if err := s.Validate(); err != nil {
 		key, what, _ := strings.Cut(err.Error(), ": ")
-		return wrong("room."+key, "%s", what)
+		return keyErrorf("room."+key, "%s", what)
 	}
 	if in.Enabled {
 		c.Dispatch.Backfill = &s
@@ -337,18 +339,18 @@
 	return nil
 }
 
-func orDefault(d *Duration, v time.Duration) {
+func setDefault(d *Duration, v time.Duration) {
 	if d.Duration == 0 {
 		d.Duration = v
 	}
 }
 
 func (c *Config) checkSRV(s *SRV, at string, seen map[string]bool) error {
-	orDefault(&s.Timeout, 400*time.Millisecond)
-	orDefault(&s.MinTTL, time.Second)
-	orDefault(&s.MaxTTL, time.Hour)
-	orDefault(&s.StaleTTL, time.Hour)
-	orDefault(&s.ShrinkHoldTime, 30*time.Second)
+	setDefault(&s.Timeout, 400*time.Millisecond)
+	setDefault(&s.MinTTL, time.Second)
+	setDefault(&s.MaxTTL, time.Hour)
+	setDefault(&s.StaleTTL, time.Hour)
+	setDefault(&s.ShrinkHoldTime, 30*time.Second)
 	if s.ShrinkThreshold == nil {
 		s.ShrinkThreshold = new(0.5)
 	}
@@ -368,39 +370,39 @@
 	}
 	span := func(key string, d Duration, least, most time.Duration) error {
 		if d.Duration < least || d.Duration > most {
-			return wrong(at+key, "%v; expected %v to %v", d, least, most)
+			return keyErrorf(at+key, "%v; expected %v to %v", d, least, most)
 		}
 		return nil
 	}
 	name, valid := dns.IsDomainName(s.Service)
 	switch {
-	case !soundName(s.Name):
-		return wrong(at+"name", "%q; expected letters, digits, '.', '_' or '-', 63 at most", s.Name)
+	case !validSourceName(s.Name):
+		return keyErrorf(at+"name", "%q; expected letters, digits, '.', '_' or '-', 63 at most", s.Name)
 	case seen[s.Name]:
-		return wrong(at+"name", "%q is another source's name already", s.Name)
+		return keyErrorf(at+"name", "%q is another source's name already", s.Name)
 	case !valid || name < 2 || !strings.HasPrefix(s.Service, "_"):
-		return wrong(at+"service", "%q; expected a full name such as _loans._tcp.example.cz", s.Service)
+		return keyErrorf(at+"service", "%q; expected a full name such as _loans._tcp.example.cz", s.Service)
 	case len(s.Servers) == 0:
-		return wrong(at+"servers", "missing; expected at least one address such as 10.0.0.53:53")
+		return keyErrorf(at+"servers", "missing; expected at least one address such as 10.0.0.53:53")
 	case len(c.Zones) > 0 && !slices.Contains(c.Zones, s.Zone):
-		return wrong(at+"zone", "%q; expected one of %q", s.Zone, c.Zones)
+		return keyErrorf(at+"zone", "%q; expected one of %q", s.Zone, c.Zones)
 	case len(c.Kinds) > 0 && !slices.Contains(c.Kinds, s.Kind):
-		return wrong(at+"kind", "%q; expected one of %q", s.Kind, c.Kinds)
+		return keyErrorf(at+"kind", "%q; expected one of %q", s.Kind, c.Kinds)
 	case s.Identity != string(membership.ByHostPort) && s.Identity != string(membership.ByLabel):
-		return wrong(at+"identity", "%q; expected %q or %q", s.Identity, membership.ByHostPort, membership.ByLabel)
-	case families[s.Addresses] == nil:
-		return wrong(at+"addresses", "%q; expected \"any\", \"ipv4\" or \"ipv6\"", s.Addresses)
+		return keyErrorf(at+"identity", "%q; expected %q or %q", s.Identity, membership.ByHostPort, membership.ByLabel)
+	case addressTypes[s.Addresses] == nil:
+		return keyErrorf(at+"addresses", "%q; expected \"any\", \"ipv4\" or \"ipv6\"", s.Addresses)
 	case s.AfterStale != "drain" && s.AfterStale != "keep":
-		return wrong(at+"after_stale", "%q; expected \"drain\" or \"keep\"", s.AfterStale)
+		return keyErrorf(at+"after_stale", "%q; expected \"drain\" or \"keep\"", s.AfterStale)
 	case *s.ShrinkThreshold <= 0 || *s.ShrinkThreshold > 1:
-		return wrong(at+"shrink_part", "%v; expected over 0 and up to 1", *s.ShrinkThreshold)
+		return keyErrorf(at+"shrink_part", "%v; expected over 0 and up to 1", *s.ShrinkThreshold)
 	case s.MaxRecords < 1 || s.MaxRecords > 1<<16:
-		return wrong(at+"max_records", "%d; expected 1 to 65536", s.MaxRecords)
+		return keyErrorf(at+"max_records", "%d; expected 1 to 65536", s.MaxRecords)
 	}
 	seen[s.Name] = true
 	for i, text := range s.Servers {
 		if a, err := netip.ParseAddrPort(text); err != nil || a.Port() == 0 {
-			return wrong(at+"servers", "[%d] is %q; expected an IP address and a port such as 10.0.0.53:53", i, text)
+			return keyErrorf(at+"servers", "[%d] is %q; expected an IP address and a port such as 10.0.0.53:53", i, text)
 		}
 	}
 	return errors.Join(span("timeout", s.Timeout, 10*time.Millisecond, 10*time.Second), span("floor", s.MinTTL, 100*time.Millisecond, time.Hour),
@@ -408,12 +410,12 @@
 		span("shrink_hold", s.ShrinkHoldTime, 0, time.Hour))
 }
 
-var families = map[string][]uint16{"any": {dns.TypeA, dns.TypeAAAA}, "ipv4": {dns.TypeA}, "ipv6": {dns.TypeAAAA}}
+var addressTypes = map[string][]uint16{"any": {dns.TypeA, dns.TypeAAAA}, "ipv4": {dns.TypeA}, "ipv6": {dns.TypeAAAA}}
 
 // ResolverConfig is the source as its resolver is told of it.
 func (s *SRV) ResolverConfig() srv.Config {
 	out := srv.Config{Service: dns.Fqdn(s.Service), Timeout: s.Timeout.Duration, MinTTL: s.MinTTL.Duration, MaxTTL: s.MaxTTL.Duration,
-		StaleTTL: s.StaleTTL.Duration, AddressTypes: families[s.Addresses], MaxRecords: s.MaxRecords}
+		StaleTTL: s.StaleTTL.Duration, AddressTypes: addressTypes[s.Addresses], MaxRecords: s.MaxRecords}
 	for _, text := range s.Servers {
 		out.Servers = append(out.Servers, netip.MustParseAddrPort(text))
 	}
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -11,8 +11,8 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// settings mirrors the keys of the start message that bear on decisions.
-type settings struct {
+// settingsFile mirrors the keys of the start message that bear on decisions.
+type settingsFile struct {
 	Balancers, MyNumber, Zone int
 	CountedBy, RegistryMode   string
 	OverShareWorth, RoundMs   float64
@@ -54,7 +54,7 @@
 }
 
 func ParseSettings(text []byte) (dispatch.Settings, error) {
-	var in settings
+	var in settingsFile
 	var out dispatch.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return out, err
--- a/internal/platform/console/console.go
+++ b/internal/platform/console/console.go
@@ -21,10 +21,10 @@
 const MaxSockets = maxCallers + 2
 
 const (
-	maxLine    = 512
-	maxCallers = 8               // at once; past it the one silent longest makes room
-	lineWithin = 5 * time.Second // a line must be whole by then
-	lingers    = 500 * time.Millisecond
+	maxLine       = 512
+	maxCallers    = 8               // at once; past it the one silent longest makes room
+	lineTimeout   = 5 * time.Second // a line must be whole by then
+	lingerTimeout = 500 * time.Millisecond
 )
 
 // Operations is what operators may ask for. An error is a no, and says why.
@@ -40,20 +40,20 @@
 
 // Console answers callers on one listener.
 type Console struct {
-	door Operations
-	l    net.Listener
+	operations Operations
+	listener   net.Listener
 
 	mu      sync.Mutex
 	callers []net.Conn // the oldest first
 }
 
 // New makes a console; Serve answers until Close.
-func New(l net.Listener, d Operations) *Console { return &Console{l: l, door: d} }
+func New(l net.Listener, d Operations) *Console { return &Console{listener: l, operations: d} }
 
 // Serve takes callers until the listener is closed.
 func (c *Console) Serve() error {
 	for {
-		conn, err := c.l.Accept()
+		conn, err := c.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -63,13 +63,13 @@
 			continue
 		}
 		c.admit(conn)
-		go c.serve(conn)
+		go c.handle(conn)
 	}
 }
 
 // Close ends the door and its callers.
 func (c *Console) Close() {
-	c.l.Close()
+	c.listener.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.callers {
@@ -88,7 +88,7 @@
 	c.callers = append(c.callers, conn)
 }
 
-func (c *Console) leave(conn net.Conn) {
+func (c *Console) release(conn net.Conn) {
 	conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,9 +100,9 @@
 	}
 }
 
-func (c *Console) serve(conn net.Conn) {
-	defer c.leave(conn)
-	conn.SetDeadline(time.Now().Add(lineWithin))
+func (c *Console) handle(conn net.Conn) {
+	defer c.release(conn)
+	conn.SetDeadline(time.Now().Add(lineTimeout))
 	line, err := readLine(conn)
 	answer := "SUCCESS"
 	switch text, err := "", err; {
@@ -111,13 +111,13 @@
 	case err != nil:
 		return // nobody asked anything, or it took too long
 	default:
-		if text, err = c.call(line); err != nil {
+		if text, err = c.execute(line); err != nil {
 			answer = "FAILURE " + oneLine.Replace(err.Error())
 		} else if text != "" {
 			answer += " " + text
 		}
 	}
-	conn.SetDeadline(time.Now().Add(lingers))
+	conn.SetDeadline(time.Now().Add(lingerTimeout))
 	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 }
 
-func (c *Console) call(line string) (string, error) {
+func (c *Console) execute(line string) (string, error) {
 	word := strings.Fields(line)
 	if len(word) == 0 {
 		return "", errors.New("no call; readyz, exclude ID, include ID, sources, worker ID, room and policy are known")
@@ -165,12 +165,12 @@
 		if len(word) != 1 {
 			return "", errors.New(word[0] + " takes nothing more")
 		}
-		ask := c.door.DescribeSources
+		ask := c.operations.DescribeSources
 		switch word[0] {
 		case "room":
-			ask = c.door.DescribeReservations
+			ask = c.operations.DescribeReservations
 		case "policy":
-			ask = c.door.DescribePolicy
+			ask = c.operations.DescribePolicy
 		}
 		text, err := ask()
 		return oneLine.Replace(text), err
@@ -178,17 +178,17 @@
 		if len(word) != 2 {
 			return "", errors.New("worker takes one id")
 		}
-		text, err := c.door.DescribeWorker(word[1])
+		text, err := c.operations.DescribeWorker(word[1])
 		return oneLine.Replace(text), err
 	case "readyz":
 		if len(word) != 1 {
 			return "", errors.New("readyz takes nothing more")
 		}
-		return "ready", c.door.Ready()
+		return "ready", c.operations.Ready()
 	case "exclude":
-		do = c.door.Exclude
+		do = c.operations.Exclude
 	case "include":
-		do = c.door.Include
+		do = c.operations.Include
 	default:
 		return "", errors.New("unknown call; readyz, exclude ID, include ID, sources, worker ID, room and policy are known")
 	}
--- a/internal/platform/haproxy/haproxy.go
+++ b/internal/platform/haproxy/haproxy.go
@@ -29,16 +29,16 @@
 	return fmt.Sprintf("line %d: %s: %s", n.Line, n.Directive, n.Reason)
 }
 
-// line is one directive with its words.
-type line struct {
-	n     int
+// directive is one directive with its words.
+type directive struct {
+	line  int
 	words []string
 }
 
 type section struct {
 	kind, name string
 	line       int
-	body       []line
+	body       []directive
 }
 
 type server struct {
@@ -46,29 +46,29 @@
 	weight, maxconn float64
 	disabled        bool
 	backup          bool
-	resting         bool   // its weight is 0
-	unlike          string // why it can't be spoken to as we speak; empty: it can
+	zeroWeight      bool   // its weight is 0
+	incompatible    string // why it can't be spoken to as we speak; empty: it can
 }
 
 // proxy is a frontend, a backend or both, with the defaults it stands under.
 type proxy struct {
 	section
-	timeouts map[string]time.Duration
-	maxconn  int
-	retries  int
-	again    bool // retries what may have run
-	binds    []string
-	servers  []server
-	base     server // default-server
-	uses     string // default_backend
+	timeouts         map[string]time.Duration
+	maxconn          int
+	retries          int
+	retriesAfterSend bool // retries what may have run
+	binds            []string
+	servers          []server
+	defaultServer    server // default-server
+	defaultBackend   string // default_backend
 }
 
 type importer struct {
-	notes    []Diagnostic
-	maxconn  int // global
-	defaults proxy
-	named    map[string]proxy
-	proxies  []*proxy
+	diagnostics   []Diagnostic
+	maxconn       int // global
+	defaults      proxy
+	namedDefaults map[string]proxy
+	proxies       []*proxy
 }
 
 // Import reads a configuration and returns ours as JSON, with what did not carry
@@ -78,16 +78,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	im := &importer{named: map[string]proxy{}}
+	im := &importer{namedDefaults: map[string]proxy{}}
 	im.defaults.reset()
 	for _, s := range sections {
 		if err := im.section(s); err != nil {
 			return nil, nil, err
 		}
 	}
-	out, err := im.config()
-	slices.SortStableFunc(im.notes, func(a, b Diagnostic) int { return a.Line - b.Line })
-	return out, im.notes, err
+	out, err := im.build()
+	slices.SortStableFunc(im.diagnostics, func(a, b Diagnostic) int { return a.Line - b.Line })
+	return out, im.diagnostics, err
 }
 
 func (p *proxy) reset() { p.timeouts, p.retries = map[string]time.Duration{}, 3 }
@@ -116,9 +116,9 @@
 				return nil, fmt.Errorf("line %d: %s: a name is missing", n, s.kind)
 			}
 			if s.kind == "defaults" && len(words) > 3 && words[2] == "from" {
-				s.body = append(s.body, line{n, words[2:4]})
+				s.body = append(s.body, directive{n, words[2:4]})
 			} else if len(words) > 2 {
-				s.body = append(s.body, line{n, words[2:]})
+				s.body = append(s.body, directive{n, words[2:]})
 			}
 			out = append(out, s)
 		default:
@@ -126,7 +126,7 @@
 				return nil, fmt.Errorf("line %d: %s: outside any section", n, words[0])
 			}
 			last := &out[len(out)-1]
-			last.body = append(last.body, line{n, words})
+			last.body = append(last.body, directive{n, words})
 		}
 	}
 	return out, in.Err()
@@ -175,8 +175,8 @@
 	return words, nil
 }
 
-func (im *importer) note(l line, why string) {
-	im.notes = append(im.notes, Diagnostic{l.n, strings.Join(l.words[:min(len(l.words), 2)], " "), why})
+func (im *importer) report(l directive, why string) {
+	im.diagnostics = append(im.diagnostics, Diagnostic{l.line, strings.Join(l.words[:min(len(l.words), 2)], " "), why})
 }
 
 func (im *importer) section(s section) error {
@@ -184,11 +184,11 @@
 	case "global":
 		for _, l := range s.body {
 			if l.words[0] != "maxconn" {
-				im.note(l, "process settings are the platform's")
+				im.report(l, "process settings are the platform's")
 				continue
 			}
 			var err error
-			if im.maxconn, err = number(l, 1); err != nil {
+			if im.maxconn, err = integerArgument(l, 1); err != nil {
 				return err
 			}
 		}
@@ -196,8 +196,8 @@
 	case "defaults":
 		d := proxy{section: s}
 		d.reset()
-		if len(s.body) > 0 && s.body[0].n == s.line && s.body[0].words[0] == "from" {
-			from, ok := im.named[s.body[0].words[1]]
+		if len(s.body) > 0 && s.body[0].line == s.line && s.body[0].words[0] == "from" {
+			from, ok := im.namedDefaults[s.body[0].words[1]]
 			if !ok {
 				return fmt.Errorf("line %d: from: unknown defaults %q", s.line, s.body[0].words[1])
 			}
@@ -209,29 +209,29 @@
 		}
 		im.defaults = d
 		if s.name != "" {
-			im.named[s.name] = d
+			im.namedDefaults[s.name] = d
 		}
 		return nil
 	case "frontend", "backend", "listen":
 		p := im.defaults.copy()
 		p.section = s
-		if len(s.body) > 0 && s.body[0].n == s.line {
+		if len(s.body) > 0 && s.body[0].line == s.line {
 			if w := s.body[0].words; len(w) == 2 && w[0] == "from" {
-				from, ok := im.named[w[1]]
+				from, ok := im.namedDefaults[w[1]]
 				if !ok {
 					return fmt.Errorf("line %d: from: unknown defaults %q", s.line, w[1])
 				}
 				p = from.copy()
 				p.section = s
 			} else {
-				im.note(s.body[0], "not understood behind the section's name")
+				im.report(s.body[0], "not understood behind the section's name")
 			}
 			p.body = p.body[1:]
 		}
 		im.proxies = append(im.proxies, &p)
 		return im.directives(&p)
 	}
-	im.note(line{s.line, []string{s.kind, s.name}}, "sections of this kind have no counterpart")
+	im.report(directive{s.line, []string{s.kind, s.name}}, "sections of this kind have no counterpart")
 	return nil
 }
 
@@ -245,8 +245,8 @@
 	return q
 }
 
-// why tells of directives that are understood and have no place here.
-var why = map[string]string{
+// reasonsNotCarried tells of directives that are understood and have no place here.
+var reasonsNotCarried = map[string]string{
 	"balance":     "the dispatcher's own decisions take its place",
 	"acl":         "a request's class is named by its X-Priority-Class header",
 	"use_backend": "a request's class is named by its X-Priority-Class header",
@@ -267,38 +267,38 @@
 		switch w[0] {
 		case "mode":
 			if len(w) < 2 || w[1] != "http" {
-				im.note(l, "only http is served")
+				im.report(l, "only http is served")
 			}
 		case "timeout":
 			err = im.timeout(p, l)
 		case "maxconn":
-			p.maxconn, err = number(l, 1)
+			p.maxconn, err = integerArgument(l, 1)
 		case "retries":
-			p.retries, err = number(l, 0)
+			p.retries, err = integerArgument(l, 0)
 		case "retry-on":
 			im.retryOn(p, l)
 		case "bind":
 			err = im.bind(p, l)
 		case "default_backend":
 			if len(w) < 2 {
-				return fmt.Errorf("line %d: default_backend: a name is missing", l.n)
+				return fmt.Errorf("line %d: default_backend: a name is missing", l.line)
 			}
-			p.uses = w[1]
+			p.defaultBackend = w[1]
 		case "default-server":
-			err = im.params(&p.base, l, w[1:])
+			err = im.serverParams(&p.defaultServer, l, w[1:])
 		case "server":
 			err = im.server(p, l)
 		case "option":
 			if len(w) > 1 && (w[1] == "redispatch" || w[1] == "http-keep-alive") {
 				continue // the way it is here
 			}
-			im.note(l, why["option"])
+			im.report(l, reasonsNotCarried["option"])
 		default:
-			text := why[w[0]]
+			text := reasonsNotCarried[w[0]]
 			if text == "" {
 				text = "no counterpart"
 			}
-			im.note(l, text)
+			im.report(l, text)
 		}
 		if err != nil {
 			return err
@@ -307,13 +307,13 @@
 	return nil
 }
 
-func number(l line, least int) (int, error) {
+func integerArgument(l directive, least int) (int, error) {
 	if len(l.words) < 2 {
-		return 0, fmt.Errorf("line %d: %s: a number is missing", l.n, l.words[0])
+		return 0, fmt.Errorf("line %d: %s: a number is missing", l.line, l.words[0])
 	}
 	n, err := strconv.Atoi(l.words[1])
 	if err != nil || n < least {
-		return 0, fmt.Errorf("line %d: %s: %q is not a number of %d or more", l.n, l.words[0], l.words[1], least)
+		return 0, fmt.Errorf("line %d: %s: %q is not a number of %d or more", l.line, l.words[0], l.words[1], least)
 	}
 	return n, nil
 }
@@ -324,9 +324,9 @@
 }{{"us", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute},
 	{"h", time.Hour}, {"d", 24 * time.Hour}, {"", time.Millisecond}}
 
-func (im *importer) timeout(p *proxy, l line) error {
+func (im *importer) timeout(p *proxy, l directive) error {
 	if len(l.words) < 3 {
-		return fmt.Errorf("line %d: timeout: its name or time is missing", l.n)
+		return fmt.Errorf("line %d: timeout: its name or time is missing", l.line)
 	}
 	name, text := l.words[1], l.words[2]
 	for _, u := range units {
@@ -336,44 +336,44 @@
 			case "connect", "server":
 				p.timeouts[name] = time.Duration(n) * u.unit
 			case "http-keep-alive":
-				im.note(l, "clients' idle connections are kept while sockets last")
+				im.report(l, "clients' idle connections are kept while sockets last")
 			case "client", "queue", "http-request", "tunnel", "check", "client-fin", "server-fin", "tarpit":
-				im.note(l, "a client's own deadline comes with its request (X-Timeout)")
+				im.report(l, "a client's own deadline comes with its request (X-Timeout)")
 			default:
-				im.note(l, "no counterpart")
+				im.report(l, "no counterpart")
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("line %d: timeout %s: %q is not a time", l.n, name, text)
+	return fmt.Errorf("line %d: timeout %s: %q is not a time", l.line, name, text)
 }
 
 // retryOn: what HAProxy would repeat after the request may have run is, here,
 // said of the class.
-func (im *importer) retryOn(p *proxy, l line) {
+func (im *importer) retryOn(p *proxy, l directive) {
 	for _, on := range l.words[1:] {
 		switch on {
 		case "conn-failure", "none":
 		case "all-retryable-errors", "empty-response", "response-timeout", "junk-response":
-			p.again = true
+			p.retriesAfterSend = true
 		default:
-			im.note(l, "on "+on+": a loan worker's error is repeated only by the class's semantics")
+			im.report(l, "on "+on+": a loan worker's error is repeated only by the class's semantics")
 		}
 	}
 }
 
-func (im *importer) bind(p *proxy, l line) error {
+func (im *importer) bind(p *proxy, l directive) error {
 	if len(l.words) < 2 {
-		return fmt.Errorf("line %d: bind: an address is missing", l.n)
+		return fmt.Errorf("line %d: bind: an address is missing", l.line)
 	}
 	for part := range strings.SplitSeq(l.words[1], ",") {
 		host, port, err := net.SplitHostPort(part)
 		if err != nil || host == "unix" || host == "fd" || strings.HasPrefix(part, "/") {
-			im.note(l, "only TCP addresses with one port are served")
+			im.report(l, "only TCP addresses with one port are served")
 			continue
 		}
 		if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			im.note(l, "only TCP addresses with one port are served")
+			im.report(l, "only TCP addresses with one port are served")
 			continue
 		}
 		host = strings.TrimPrefix(strings.TrimPrefix(host, "ipv4@"), "ipv6@")
@@ -382,36 +382,36 @@
 		}
 		p.binds = append(p.binds, net.JoinHostPort(host, port))
 		if len(p.binds) == 2 {
-			im.note(l, "one address is served; the first counts")
+			im.report(l, "one address is served; the first counts")
 		}
 	}
 	if len(l.words) > 2 {
-		im.note(line{l.n, []string{"bind", l.words[2]}}, "options of an address have no counterpart; HTTP on plain TCP is served")
+		im.report(directive{l.line, []string{"bind", l.words[2]}}, "options of an address have no counterpart; HTTP on plain TCP is served")
 	}
 	return nil
 }
 
-func (im *importer) server(p *proxy, l line) error {
+func (im *importer) server(p *proxy, l directive) error {
 	if len(l.words) < 3 {
-		return fmt.Errorf("line %d: server: its name or address is missing", l.n)
+		return fmt.Errorf("line %d: server: its name or address is missing", l.line)
 	}
 	addr, ok := address(l.words[2])
 	if !ok {
-		im.note(l, "left out: an address and a port are needed")
+		im.report(l, "left out: an address and a port are needed")
 		return nil
 	}
-	s := p.base
+	s := p.defaultServer
 	s.name, s.addr = l.words[1], addr
 	if slices.ContainsFunc(p.servers, func(o server) bool { return o.name == s.name }) {
-		return fmt.Errorf("line %d: server %s: the name comes twice", l.n, s.name)
+		return fmt.Errorf("line %d: server %s: the name comes twice", l.line, s.name)
 	}
-	if err := im.params(&s, l, l.words[3:]); err != nil {
+	if err := im.serverParams(&s, l, l.words[3:]); err != nil {
 		return err
 	}
-	if s.unlike != "" {
+	if s.incompatible != "" {
 		// Taken over without it, jobs would go out in plain text, or to a server that
 		// reads them as something else.
-		im.note(l, "left out: "+s.unlike)
+		im.report(l, "left out: "+s.incompatible)
 		return nil
 	}
 	p.servers = append(p.servers, s)
@@ -431,20 +431,20 @@
 
 // HAProxy's parameters of a server (its configuration manual, 5.2, up to 3.3) that
 // have no counterpart: those that take a value, and those that stand alone.
-var valued = words(`addr agent-addr agent-inter agent-port agent-send alpn ca-file cc check-alpn check-pool-conn-name
+var paramsWithValue = wordSet(`addr agent-addr agent-inter agent-port agent-send alpn ca-file cc check-alpn check-pool-conn-name
 	check-proto check-sni ciphers ciphersuites client-sigalgs cookie crl-file crt curves downinter error-limit fall
 	fastinter guid hash-key healthcheck id idle-ping init-addr init-state inter interface ktls log-bufsize log-proto
 	max-reuse maxqueue minconn namespace npn observe on-error on-marked-down on-marked-up pool-conn-name pool-low-conn
 	pool-max-conn pool-purge-delay port proxy-v2-options redir resolve-net resolve-opts resolve-prefer resolvers rise
 	shard sigalgs slowstart sni source ssl-max-ver ssl-min-ver tcp-md5sig tcp-ut track usesrc verify verifyhost ws`)
 
-var alone = words(`agent-check allow-0rtt check check-reuse-pool check-send-proxy check-sni-auto check-ssl
+var paramsWithoutValue = wordSet(`agent-check allow-0rtt check check-reuse-pool check-send-proxy check-sni-auto check-ssl
 	check-via-socks4 force-sslv3 force-tlsv10 force-tlsv11 force-tlsv12 force-tlsv13 no-agent-check no-allow-0rtt
 	no-check no-check-reuse-pool no-check-send-proxy no-check-sni-auto no-check-ssl no-renegotiate no-sni-auto
 	no-ssl-reuse no-sslv3 no-strict-maxconn no-tfo no-tls-tickets no-tlsv10 no-tlsv11 no-tlsv12 no-tlsv13 no-verifyhost
 	non-stick renegotiate sni-auto ssl-reuse stick strict-maxconn tfo tls-tickets`)
 
-func words(text string) map[string]bool {
+func wordSet(text string) map[string]bool {
 	out := map[string]bool{}
 	for _, w := range strings.Fields(text) {
 		out[w] = true
@@ -458,23 +458,23 @@
 	overSOCKS = "it is reached through a SOCKS proxy"
 )
 
-func (im *importer) params(s *server, l line, words []string) error {
+func (im *importer) serverParams(s *server, l directive, words []string) error {
 	for i := 0; i < len(words); i++ {
-		part := line{l.n, []string{l.words[0], words[i]}}
+		part := directive{l.line, []string{l.words[0], words[i]}}
 		switch name := words[i]; name {
 		case "weight", "maxconn":
-			n, err := number(line{l.n, words[i:]}, 0)
+			n, err := integerArgument(directive{l.line, words[i:]}, 0)
 			if err != nil {
 				return err
 			}
 			if i++; name == "weight" {
-				s.weight, s.resting = float64(n), n == 0
-				if s.resting {
-					im.note(part, "of 0: gets nothing new, as if it drained")
+				s.weight, s.zeroWeight = float64(n), n == 0
+				if s.zeroWeight {
+					im.report(part, "of 0: gets nothing new, as if it drained")
 				}
 			} else {
 				s.maxconn = float64(n)
-				im.note(part, "taken as the relative size; the bound itself is learned")
+				im.report(part, "taken as the relative size; the bound itself is learned")
 			}
 		case "disabled":
 			s.disabled = true
@@ -482,38 +482,38 @@
 			s.disabled = false
 		case "backup":
 			s.backup = true
-			im.note(part, "of worse priority: used while no other server of the backend can serve; several are used together")
+			im.report(part, "of worse priority: used while no other server of the backend can serve; several are used together")
 		case "no-backup":
 			s.backup = false
 		case "ssl":
-			s.unlike = overTLS
+			s.incompatible = overTLS
 		case "send-proxy", "send-proxy-v2", "send-proxy-v2-ssl", "send-proxy-v2-ssl-cn":
-			s.unlike = overProxy
+			s.incompatible = overProxy
 		case "no-ssl", "no-send-proxy", "no-send-proxy-v2", "no-send-proxy-v2-ssl", "no-send-proxy-v2-ssl-cn":
-			if (name == "no-ssl") == (s.unlike == overTLS) {
-				s.unlike = ""
+			if (name == "no-ssl") == (s.incompatible == overTLS) {
+				s.incompatible = ""
 			}
 		case "socks4", "proto":
 			if i++; i == len(words) {
-				return fmt.Errorf("line %d: %s: its value is missing", l.n, name)
+				return fmt.Errorf("line %d: %s: its value is missing", l.line, name)
 			}
 			if name == "socks4" {
-				s.unlike = overSOCKS
+				s.incompatible = overSOCKS
 			} else if words[i] != "h1" {
-				s.unlike = "it speaks " + words[i] + ", and loan workers are spoken to in HTTP/1.1 here"
+				s.incompatible = "it speaks " + words[i] + ", and loan workers are spoken to in HTTP/1.1 here"
 			}
 		default:
-			takes := valued[name] || strings.HasPrefix(name, "set-proxy-v2-tlv-fmt")
+			takes := paramsWithValue[name] || strings.HasPrefix(name, "set-proxy-v2-tlv-fmt")
 			switch {
 			case takes && i+1 == len(words):
-				return fmt.Errorf("line %d: %s: its value is missing", l.n, name)
+				return fmt.Errorf("line %d: %s: its value is missing", l.line, name)
 			case takes:
 				i++
-				im.note(part, "no counterpart for this parameter")
-			case alone[name]:
-				im.note(part, "no counterpart for this parameter")
+				im.report(part, "no counterpart for this parameter")
+			case paramsWithoutValue[name]:
+				im.report(part, "no counterpart for this parameter")
 			default:
-				im.note(part, "not a parameter of a server that is known here; taken as one without a value")
+				im.report(part, "not a parameter of a server that is known here; taken as one without a value")
 			}
 		}
 	}
@@ -522,9 +522,9 @@
 
 type object = map[string]any
 
-// config words what was read as our configuration. A backend is a class, and
+// build words what was read as our configuration. A backend is a class, and
 // its servers are a kind of machine of their own: that class runs there alone.
-func (im *importer) config() ([]byte, error) {
+func (im *importer) build() ([]byte, error) {
 	var classes, instances []object
 	var kinds []string
 	var kind []int
@@ -532,38 +532,38 @@
 	connect, attempts, sockets := time.Duration(0), 1, 0
 	listen := ""
 	for _, p := range im.proxies {
-		head := line{p.line, []string{p.kind, p.name}}
+		head := directive{p.line, []string{p.kind, p.name}}
 		if p.kind != "backend" {
 			switch {
 			case len(p.binds) == 0:
-				im.note(head, "it binds no address that can be served")
+				im.report(head, "it binds no address that can be served")
 			case listen != "":
-				im.note(head, "one frontend is served; the first counts")
+				im.report(head, "one frontend is served; the first counts")
 			default:
 				listen = p.binds[0]
 				// A client's socket, one to a worker, and the reserve.
 				sockets = max(sockets, p.maxconn)
 			}
-			if p.uses != "" && !slices.ContainsFunc(im.proxies, func(o *proxy) bool { return o.kind != "frontend" && o.name == p.uses }) {
-				return nil, fmt.Errorf("line %d: %s %s: unknown default_backend %q", p.line, p.kind, p.name, p.uses)
+			if p.defaultBackend != "" && !slices.ContainsFunc(im.proxies, func(o *proxy) bool { return o.kind != "frontend" && o.name == p.defaultBackend }) {
+				return nil, fmt.Errorf("line %d: %s %s: unknown default_backend %q", p.line, p.kind, p.name, p.defaultBackend)
 			}
 			if p.kind == "frontend" {
 				continue
 			}
 		}
 		if len(p.servers) == 0 {
-			im.note(head, "left out: it has no server that carries over")
+			im.report(head, "left out: it has no server that carries over")
 			continue
 		}
 		deadline := p.timeouts["server"]
 		if deadline == 0 {
 			deadline = 30 * time.Second
-			im.note(head, "no timeout server: 30 s are taken as the deadline")
+			im.report(head, "no timeout server: 30 s are taken as the deadline")
 		}
 		connect = max(connect, p.timeouts["connect"])
 		attempts = max(attempts, p.retries+1)
 		semantics := "fragile"
-		if p.again {
+		if p.retriesAfterSend {
 			semantics = "retryable"
 		}
 		classes = append(classes, object{"Name": p.name, "Semantics": semantics, "DeadlineMs": deadline.Milliseconds(),
@@ -577,7 +577,7 @@
 				weight = s.maxconn
 			}
 			state := "SERVING"
-			if s.disabled || s.resting {
+			if s.disabled || s.zeroWeight {
 				state = "DRAINING"
 			}
 			instance := object{"instanceId": p.name + "/" + s.name, "hostPort": s.addr, "zone": "local",
--- a/internal/platform/invariant/invariant.go
+++ b/internal/platform/invariant/invariant.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	mu     sync.Mutex
-	broken = map[string]int{}
+	mu         sync.Mutex
+	violations = map[string]int{}
 )
 
 // Check tells whether ok holds; where it does not, name is counted, or a debug
@@ -21,8 +21,8 @@
 		return true
 	}
 	mu.Lock()
-	broken[name]++
-	n := broken[name]
+	violations[name]++
+	n := violations[name]
 	mu.Unlock()
 	if n&(n-1) == 0 { // the 1st, 2nd, 4th, ...: a killed process leaves no other count
 		log.Printf("invariant broken %d times: %s", n, name)
@@ -37,8 +37,8 @@
 func Violations() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
-	out := make(map[string]int, len(broken))
-	for k, v := range broken {
+	out := make(map[string]int, len(violations))
+	for k, v := range violations {
 		out[k] = v
 	}
 	return out
