--- a/internal/discovery/backoff/cadence.go
+++ b/internal/discovery/backoff/cadence.go
@@ -26,34 +26,34 @@
 const (
 	// FewDispatchers is how many dispatchers need not wait for each other.
 	FewDispatchers = 6
-	// part is what one dispatcher's first call may take of the service. An old list is
+	// timePerDispatcher is what one dispatcher's first call may take of the service. An old list is
 	// all that a dispatcher knows until then, so it is not much.
-	part = 75 * time.Millisecond
-	// longest is the most that the dispatchers' calls are spread over.
-	longest = 7 * time.Second
-	// firstLongest is that for first calls: nothing new is sent until their end.
-	firstLongest = 3 * time.Second
-	// backedOff bounds doubling after one and two failures. From the third on the service is
+	timePerDispatcher = 75 * time.Millisecond
+	// maxSpread is the most that the dispatchers' calls are spread over.
+	maxSpread = 7 * time.Second
+	// maxFirstSpread is that for first calls: nothing new is sent until their end.
+	maxFirstSpread = 3 * time.Second
+	// earlyRetryLimit bounds doubling after one and two failures. From the third on the service is
 	// not late but overbooked: at 300 dispatchers and 5 calls a second pauses of 15 s kept it so
-	// for good (288 without a list after a minute), so they double up to givenUp.
-	backedOff = 15 * time.Second
-	givenUp   = 2 * time.Minute
+	// for good (288 without a list after a minute), so they double up to retryLimit.
+	earlyRetryLimit = 15 * time.Second
+	retryLimit      = 2 * time.Minute
 )
 
-// base is the pause that the dispatchers need to have their calls one after the other.
-func base(dispatchers int) time.Duration {
-	return min(time.Duration(max(dispatchers-FewDispatchers, 0))*part, longest)
+// spreadTime is the pause that the dispatchers need to have their calls one after the other.
+func spreadTime(dispatchers int) time.Duration {
+	return min(time.Duration(max(dispatchers-FewDispatchers, 0))*timePerDispatcher, maxSpread)
 }
 
 // BeforeFirstCall is the pause before the first call after a start, draw being uniform in [0, 1):
 // many may have started together. 0 to 3 s; none for few.
 func BeforeFirstCall(dispatchers int, draw float64) time.Duration {
-	return time.Duration(draw * float64(min(base(dispatchers), firstLongest)))
+	return time.Duration(draw * float64(min(spreadTime(dispatchers), maxFirstSpread)))
 }
 
-// turn is what a call is reckoned to take where nothing is known of the service, and the
+// assumedCallTime is what a call is reckoned to take where nothing is known of the service, and the
 // least that is left for one before its word is due.
-const turn = 1500 * time.Millisecond
+const assumedCallTime = 1500 * time.Millisecond
 
 // BeforeFirstCallWithin is the pause before the first call where its word is due in so long, as after a
 // move of the service: drawn over what a call's own time leaves of that. seen is how long
@@ -62,7 +62,7 @@
 	if dispatchers <= FewDispatchers {
 		return 0
 	}
-	return time.Duration(draw * float64(min(base(dispatchers), max(left-max(turn, 2*seen), 0))))
+	return time.Duration(draw * float64(min(spreadTime(dispatchers), max(left-max(assumedCallTime, 2*seen), 0))))
 }
 
 // MaxDeadlineRetries is how many calls after a failure are made by the time their word is due, where
@@ -82,20 +82,20 @@
 func BeforeRetryWithin(dispatchers, n int, left, took time.Duration, draw float64) time.Duration {
 	most := max(left-took*5/4, left/8)
 	if dispatchers <= FewDispatchers {
-		return min(time.Duration((0.5+draw)*float64(firstAgain<<min(n, 4))), most)
+		return min(time.Duration((0.5+draw)*float64(firstRetryStep<<min(n, 4))), most)
 	}
-	return time.Duration(draw * float64(min(base(dispatchers), most)))
+	return time.Duration(draw * float64(min(spreadTime(dispatchers), most)))
 }
 
-// firstAgain is half of the mean pause after the first failure where dispatchers are few.
-const firstAgain = 50 * time.Millisecond
+// firstRetryStep is half of the mean pause after the first failure where dispatchers are few.
+const firstRetryStep = 50 * time.Millisecond
 
 // BeforeRetry is the pause after so many failed calls in a row (1 or more), draw being
 // uniform in [0, 1), where none is due by a stated time. 0 to 21 s, from the third on to 168 s;
 // none for few, since the module has waited its own time then.
 func BeforeRetry(dispatchers, failed int, draw float64) time.Duration {
-	most := min(backedOff<<min(max(failed-2, 0), 8), givenUp)
-	return time.Duration((0.6 + 0.8*draw) * float64(min(base(dispatchers)<<min(failed, 8), most)))
+	most := min(earlyRetryLimit<<min(max(failed-2, 0), 8), retryLimit)
+	return time.Duration((0.6 + 0.8*draw) * float64(min(spreadTime(dispatchers)<<min(failed, 8), most)))
 }
 
 // LongPollTimeout is how long a watch may wait at the service before it is to end with nothing, draw being
@@ -106,14 +106,14 @@
 // together are not begun anew together.
 func LongPollTimeout(dispatchers, strain int, draw float64) time.Duration {
 	if dispatchers <= FewDispatchers {
-		return shortest
+		return minPollTimeout
 	}
-	wait := shortest << min(max(strain, 0), MaxStrain)
+	wait := minPollTimeout << min(max(strain, 0), MaxStrain)
 	return wait - time.Duration(draw*float64(wait)/4)
 }
 
 const (
-	shortest = 4 * time.Second
+	minPollTimeout = 4 * time.Second
 	// MaxStrain bounds the doubling: 16 s, so that a silence is over by the time at which all
 	// that is listed counts as told in any case.
 	MaxStrain = 2
@@ -123,5 +123,5 @@
 // in [0, 1) and left the time until what it missed is due: within half of it, since the call has
 // to be answered by then.
 func BeforeReplacingWatch(dispatchers int, left time.Duration, draw float64) time.Duration {
-	return time.Duration(draw * float64(min(base(dispatchers), left/2)))
+	return time.Duration(draw * float64(min(spreadTime(dispatchers), left/2)))
 }
--- a/internal/discovery/membership/golden_test.go
+++ b/internal/discovery/membership/golden_test.go
@@ -10,6 +10,6 @@
 // The golden file was written at b99a1ea: a process hands its members to the one that takes over from it.
 func TestEncodingOfSavedMembersDoesNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "saved",
-		func(value map[string]saved) ([]byte, error) { return json.Marshal(value) },
-		func(data []byte, value *map[string]saved) error { return json.Unmarshal(data, value) })
+		func(value map[string]savedSource) ([]byte, error) { return json.Marshal(value) },
+		func(data []byte, value *map[string]savedSource) error { return json.Unmarshal(data, value) })
 }
--- a/internal/discovery/membership/membership_test.go
+++ b/internal/discovery/membership/membership_test.go
@@ -17,8 +17,8 @@
 	return zero.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// shop has a roster, a list by label and one by host:port.
-func shop(rule MergeRule) Config {
+// shopConfig has a roster, a list by label and one by host:port.
+func shopConfig(rule MergeRule) Config {
 	names := Source{StaleTTL: 60 * time.Second, ShrinkThreshold: 0.5, ShrinkHoldTime: 30 * time.Second, InferStart: true}
 	byLabel, byAddr := names, names
 	byLabel.Name, byLabel.Identity = "label", ByLabel
@@ -27,7 +27,7 @@
 		Sources: []Source{{Name: RosterSource, Identity: ByID}, byLabel, byAddr}}
 }
 
-func book(t interface{ Fatal(...any) }, cfg Config) *Catalog {
+func newCatalog(t interface{ Fatal(...any) }, cfg Config) *Catalog {
 	b, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -35,6 +35,20 @@
 	return b
 }
 
+// mustUpdate applies a report in which every entry has a name.
+func mustUpdate(t interface{ Fatal(...any) }, c *Catalog, now time.Time, source string, complete bool, workers []Worker) {
+	if err := c.Update(now, source, complete, workers); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// updateIfConfigured applies a report, which fails where a reload took the source out, and only there.
+func updateIfConfigured(t interface{ Fatal(...any) }, c *Catalog, now time.Time, source string, complete bool, workers []Worker) {
+	if err := c.Update(now, source, complete, workers); (err != nil) != (c.byName[source] == nil) {
+		t.Fatal(source, err)
+	}
+}
+
 func serving(ids ...string) (out []Worker) {
 	for _, id := range ids {
 		out = append(out, Worker{ID: id, Addr: id + ":1"})
@@ -42,8 +56,8 @@
 	return out
 }
 
-// named are SRV names x.z at x:1, with a lifetime of 10 s from the moment.
-func named(now time.Time, names ...string) (out []Worker) {
+// srvWorkers are SRV names x.z at x:1, with a lifetime of 10 s from the moment.
+func srvWorkers(now time.Time, names ...string) (out []Worker) {
 	for _, n := range names {
 		out = append(out, Worker{Target: n + ".z", Addr: n + ":1", ExpiresAt: now.Add(10 * time.Second)})
 	}
@@ -58,113 +72,113 @@
 	return strings.Join(out, ", ")
 }
 
-// script plays facts against a book and checks the list after each.
-type script struct {
-	t *testing.T
-	b *Catalog
+// scenario applies reports to a catalog and checks the list after each.
+type scenario struct {
+	t       *testing.T
+	catalog *Catalog
 }
 
-func (s script) list(sec float64, want string) List {
+func (s scenario) wantList(sec float64, want string) List {
 	s.t.Helper()
-	l := s.b.Merge(at(sec))
+	l := s.catalog.Merge(at(sec))
 	if got := show(l); got != want {
 		s.t.Fatalf("at %v s: %s; want %s\n%+v", sec, got, want, l)
 	}
 	return l
 }
 
-func (s script) tell(sec float64, source string, whole bool, w ...Worker) {
+func (s scenario) update(sec float64, source string, complete bool, w ...Worker) {
 	s.t.Helper()
-	if err := s.b.Update(at(sec), source, whole, w); err != nil {
+	if err := s.catalog.Update(at(sec), source, complete, w); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s script) reason(sec float64, name, part string) {
+func (s scenario) wantReason(sec float64, name, part string) {
 	s.t.Helper()
-	l := s.b.Merge(at(sec))
+	l := s.catalog.Merge(at(sec))
 	if e, ok := l.Find(name); !ok || !strings.Contains(e.Reason, part) {
 		s.t.Errorf("%s is listed as %+v; want %q as the reason", name, e, part)
 	}
 }
 
-// The roster's drain wins over a name with lifetime left, and over the name told
-// anew, until the roster itself takes it back or tells of a later start.
-func TestDrainWinsAndStaysWon(t *testing.T) {
+// The roster's drain overrides a name with lifetime left, and the name reported
+// again, until the roster itself lifts it or reports a later start.
+func TestDrainOverridesNamesUntilItsSourceLiftsIt(t *testing.T) {
 	for _, rule := range []MergeRule{RuleRosterVetoes, RuleAny} {
-		s := script{t, book(t, shop(rule))}
-		s.tell(0, RosterSource, true, serving("a", "b")...)
-		s.tell(0, "label", true, named(at(0), "a", "b", "c")...)
-		s.list(0, "a serving, b serving, c serving")
-		s.tell(1, RosterSource, false, Worker{ID: "a", Addr: "a:1", State: Draining})
-		s.list(1, "a draining, b serving, c serving")
-		s.tell(2, "label", true, named(at(2), "a", "b", "c")...)
-		s.list(2, "a draining, b serving, c serving")
-		s.reason(2, "a", "roster: draining since 08:00:01")
-		s.tell(3, RosterSource, false, Worker{ID: "a", State: Removed}, Worker{ID: "b", State: Removed})
-		s.tell(4, "label", true, named(at(4), "a", "b", "c")...)
-		s.list(4, "a draining, b draining, c serving")
-		s.reason(4, "a", "roster: gone since 08:00:03")
-		s.tell(5, RosterSource, false, Worker{ID: "a", Addr: "a:1", StartedAt: at(4.5)})
-		l := s.list(5, "a serving, b draining, c serving")
+		s := scenario{t, newCatalog(t, shopConfig(rule))}
+		s.update(0, RosterSource, true, serving("a", "b")...)
+		s.update(0, "label", true, srvWorkers(at(0), "a", "b", "c")...)
+		s.wantList(0, "a serving, b serving, c serving")
+		s.update(1, RosterSource, false, Worker{ID: "a", Addr: "a:1", State: Draining})
+		s.wantList(1, "a draining, b serving, c serving")
+		s.update(2, "label", true, srvWorkers(at(2), "a", "b", "c")...)
+		s.wantList(2, "a draining, b serving, c serving")
+		s.wantReason(2, "a", "roster: draining since 08:00:01")
+		s.update(3, RosterSource, false, Worker{ID: "a", State: Removed}, Worker{ID: "b", State: Removed})
+		s.update(4, "label", true, srvWorkers(at(4), "a", "b", "c")...)
+		s.wantList(4, "a draining, b draining, c serving")
+		s.wantReason(4, "a", "roster: gone since 08:00:03")
+		s.update(5, RosterSource, false, Worker{ID: "a", Addr: "a:1", StartedAt: at(4.5)})
+		l := s.wantList(5, "a serving, b draining, c serving")
 		if e, _ := l.Find("a"); !e.StartedAt.Equal(at(4.5)) {
 			t.Error("started", e.StartedAt)
 		}
-		s.tell(6, RosterSource, true) // absent from a whole list: removed
-		s.list(6, "a draining, b draining, c serving")
+		s.update(6, RosterSource, true) // absent from a complete list: removed
+		s.wantList(6, "a draining, b draining, c serving")
 	}
 }
 
 // By host:port a worker has the roster's id; the veto finds it by its address.
 func TestIdentityByHostPort(t *testing.T) {
-	s := script{t, book(t, shop(RuleRosterVetoes))}
-	s.tell(0, "addr", true, named(at(0), "x", "y")...)
-	s.list(0, "x:1 serving, y:1 serving")
-	s.tell(1, RosterSource, true, Worker{ID: "s-1", Addr: "x:1"})
-	s.list(1, "s-1 serving, y:1 serving")
-	s.tell(2, RosterSource, false, Worker{ID: "s-1", State: Removed}) // without its address
-	s.list(2, "s-1 draining, y:1 serving")
-	s.tell(3, "addr", true, named(at(3), "x", "y")...)
-	s.list(3, "s-1 draining, y:1 serving")
-	s.tell(4, RosterSource, false, Worker{ID: "s-2", Addr: "x:1"}) // another has the address now
-	s.list(4, "s-2 serving, y:1 serving")
-	s.b.SetBanned([]string{"x:1", "y.z"}) // any of its names will do
-	s.list(4, "s-2 draining, y:1 draining")
-	s.reason(4, "y:1", "operator: called out")
+	s := scenario{t, newCatalog(t, shopConfig(RuleRosterVetoes))}
+	s.update(0, "addr", true, srvWorkers(at(0), "x", "y")...)
+	s.wantList(0, "x:1 serving, y:1 serving")
+	s.update(1, RosterSource, true, Worker{ID: "s-1", Addr: "x:1"})
+	s.wantList(1, "s-1 serving, y:1 serving")
+	s.update(2, RosterSource, false, Worker{ID: "s-1", State: Removed}) // without its address
+	s.wantList(2, "s-1 draining, y:1 serving")
+	s.update(3, "addr", true, srvWorkers(at(3), "x", "y")...)
+	s.wantList(3, "s-1 draining, y:1 serving")
+	s.update(4, RosterSource, false, Worker{ID: "s-2", Addr: "x:1"}) // another has the address now
+	s.wantList(4, "s-2 serving, y:1 serving")
+	s.catalog.SetBanned([]string{"x:1", "y.z"}) // any of its names will do
+	s.wantList(4, "s-2 draining, y:1 draining")
+	s.wantReason(4, "y:1", "operator: called out")
 }
 
 // One worker at two addresses is one; two workers with one id are a fault, and the
 // first keeps the place until it leaves.
-func TestOneIdIsOneWorker(t *testing.T) {
-	s := script{t, book(t, shop(RuleRosterVetoes))}
-	s.tell(0, RosterSource, true, Worker{ID: "a", Addr: "net1:1"})
-	s.tell(0, "label", true, Worker{Target: "a.z", Addr: "net2:1"})
-	if l := s.list(0, "a serving"); l.Entries[0].Addr != "net1:1" || len(l.Faults) > 0 {
+func TestOneIDIsOneWorker(t *testing.T) {
+	s := scenario{t, newCatalog(t, shopConfig(RuleRosterVetoes))}
+	s.update(0, RosterSource, true, Worker{ID: "a", Addr: "net1:1"})
+	s.update(0, "label", true, Worker{Target: "a.z", Addr: "net2:1"})
+	if l := s.wantList(0, "a serving"); l.Entries[0].Addr != "net1:1" || len(l.Faults) > 0 {
 		t.Errorf("%+v", l)
 	}
-	s.tell(1, RosterSource, true)
-	s.tell(1, "addr", true, Worker{Target: "a.z", Addr: "net2:1"}) // in two lists, known by name here and by address there
-	if l := s.list(1, "a draining"); len(l.Faults) > 0 {
+	s.update(1, RosterSource, true)
+	s.update(1, "addr", true, Worker{Target: "a.z", Addr: "net2:1"}) // in two lists, known by name here and by address there
+	if l := s.wantList(1, "a draining"); len(l.Faults) > 0 {
 		t.Errorf("%+v", l)
 	}
-	cfg := shop(RuleRosterVetoes)
+	cfg := shopConfig(RuleRosterVetoes)
 	cfg.Sources = append(cfg.Sources, Source{Name: "label2", Identity: ByLabel})
-	s.b = book(t, cfg)
-	s.tell(0, "label", true, named(at(0), "a")...)
-	s.tell(1, "label2", true, Worker{Target: "a.other", Addr: "elsewhere:1"}, Worker{Target: "b.other", Addr: "b:1"})
-	l := s.list(1, "a serving, b serving")
+	s.catalog = newCatalog(t, cfg)
+	s.update(0, "label", true, srvWorkers(at(0), "a")...)
+	s.update(1, "label2", true, Worker{Target: "a.other", Addr: "elsewhere:1"}, Worker{Target: "b.other", Addr: "b:1"})
+	l := s.wantList(1, "a serving, b serving")
 	if e, _ := l.Find("a"); e.Addr != "a:1" || len(l.Faults) != 1 || !strings.Contains(l.Faults[0], "a.other at elsewhere:1 (label2) claims it beside a.z at a:1 (label)") {
 		t.Errorf("%+v", l)
 	}
-	s.tell(2, "label", true, Worker{Target: "c.z", Addr: "c:1"}, Worker{Target: "d.z", Addr: "d:1"}) // of one, none: held
-	l = s.list(2, "a serving, b serving, c serving, d serving")
-	l = s.list(33, "a serving, b serving, c serving, d serving")
+	s.update(2, "label", true, Worker{Target: "c.z", Addr: "c:1"}, Worker{Target: "d.z", Addr: "d:1"}) // of one, none: retained
+	l = s.wantList(2, "a serving, b serving, c serving, d serving")
+	l = s.wantList(33, "a serving, b serving, c serving, d serving")
 	if e, _ := l.Find("a"); e.Addr != "elsewhere:1" || len(l.Faults) > 0 {
 		t.Errorf("%+v", l)
 	}
 	// The roster knows whose an address is; a label that says otherwise is not listed.
-	s.tell(34, RosterSource, true, Worker{ID: "r", Addr: "c:1"})
-	if l = s.list(34, "a serving, b serving, d serving, r serving"); len(l.Faults) != 1 {
+	s.update(34, RosterSource, true, Worker{ID: "r", Addr: "c:1"})
+	if l = s.wantList(34, "a serving, b serving, d serving, r serving"); len(l.Faults) != 1 {
 		t.Error(l.Faults)
 	}
 }
@@ -172,63 +186,63 @@
 // While the resolver is silent names hold past their lifetime, up to the stated
 // time; back again, they have not newly started. One that a later list names, or
 // that is reached elsewhere, has.
-func TestSilenceAndStarts(t *testing.T) {
+func TestStaleEntriesAndInferredStarts(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		cfg := shop(RuleRosterVetoes)
+		cfg := shopConfig(RuleRosterVetoes)
 		cfg.Sources[1].KeepStale = keep
-		s := script{t, book(t, cfg)}
-		s.tell(0, RosterSource, true, serving("a")...)
-		s.tell(0, "label", true, named(at(0), "a", "b")...)
-		s.b.SetUnresponsive(at(9), "label", true)
-		if l := s.list(22, "a serving, b serving"); !l.NextChange.Equal(at(70)) {
+		s := scenario{t, newCatalog(t, cfg)}
+		s.update(0, RosterSource, true, serving("a")...)
+		s.update(0, "label", true, srvWorkers(at(0), "a", "b")...)
+		s.catalog.SetUnresponsive(at(9), "label", true)
+		if l := s.wantList(22, "a serving, b serving"); !l.NextChange.Equal(at(70)) {
 			t.Error("looks again at", l.NextChange)
 		}
-		s.reason(22, "b", "label: lapsed 12s ago, kept: resolver silent")
-		s.tell(30, RosterSource, false, Worker{ID: "a", State: Draining}) // the roster's word still wins
-		s.list(30, "a draining, b serving")
+		s.wantReason(22, "b", "label: lapsed 12s ago, kept: resolver silent")
+		s.update(30, RosterSource, false, Worker{ID: "a", State: Draining}) // the roster's word still wins
+		s.wantList(30, "a draining, b serving")
 		end := map[bool]string{false: "a draining, b draining", true: "a draining, b serving"}[keep]
-		s.list(71, end)
-		s.tell(80, "label", true, named(at(80), "a", "b", "c")...)
-		l := s.list(80, "a draining, b serving, c serving")
+		s.wantList(71, end)
+		s.update(80, "label", true, srvWorkers(at(80), "a", "b", "c")...)
+		l := s.wantList(80, "a draining, b serving, c serving")
 		for name, want := range map[string]time.Time{"b": {}, "c": at(80)} {
 			if e, _ := l.Find(name); !e.StartedAt.Equal(want) {
 				t.Errorf("%s started %v, want %v", name, e.StartedAt, want)
 			}
 		}
-		s.tell(81, "label", true, Worker{Target: "b.z", Addr: "b2:1"}, named(at(81), "c")[0], named(at(81), "a")[0])
-		if e, _ := s.list(81, "a draining, b serving, c serving").Find("b"); e.Addr != "b2:1" || !e.StartedAt.Equal(at(81)) {
+		s.update(81, "label", true, Worker{Target: "b.z", Addr: "b2:1"}, srvWorkers(at(81), "c")[0], srvWorkers(at(81), "a")[0])
+		if e, _ := s.wantList(81, "a draining, b serving, c serving").Find("b"); e.Addr != "b2:1" || !e.StartedAt.Equal(at(81)) {
 			t.Errorf("%+v", e)
 		}
 	}
 }
 
-// A list that shrinks too much at once is held while its workers answer; the
+// What a list lacks that shrinks too much at once is retained while its workers answer; the
 // roster's shrink never is.
-func TestShrinkIsHeld(t *testing.T) {
-	s := script{t, book(t, shop(RuleRosterVetoes))}
-	s.tell(0, RosterSource, true, serving("a")...)
-	s.tell(0, "label", true, named(at(0), "a", "b", "c", "d")...)
-	s.tell(1, "label", true, named(at(1), "a", "b", "c")...) // a quarter: believed
-	s.list(1, "a serving, b serving, c serving")
-	s.tell(2, "label", true) // nothing: not believed
-	if l := s.list(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(32)) {
+func TestWorkersMissingAfterSuddenShrinkAreRetained(t *testing.T) {
+	s := scenario{t, newCatalog(t, shopConfig(RuleRosterVetoes))}
+	s.update(0, RosterSource, true, serving("a")...)
+	s.update(0, "label", true, srvWorkers(at(0), "a", "b", "c", "d")...)
+	s.update(1, "label", true, srvWorkers(at(1), "a", "b", "c")...) // a quarter: believed
+	s.wantList(1, "a serving, b serving, c serving")
+	s.update(2, "label", true) // nothing: not believed
+	if l := s.wantList(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(32)) {
 		t.Error("looks again at", l.NextChange)
 	}
-	s.reason(2, "b", "held")
+	s.wantReason(2, "b", "held")
 	for range 3 {
-		s.b.ObserveConnect(at(2.5), "b", false)
-	}
-	s.list(3, "a serving, c serving") // b answers no more
-	s.tell(4, RosterSource, false, Worker{ID: "a", State: Removed})
-	s.list(4, "a draining, c serving")
-	s.tell(10, "label", true) // still nothing: the hold runs on from its first moment
-	s.list(31, "a draining, c serving")
-	s.list(32, "")
-	s.tell(33, "label", true, named(at(33), "c")...)
-	s.list(33, "c serving")
-	s.tell(34, "label", true)
-	s.tell(35, "label", true, named(at(35), "c")...) // the zone file is mended: not newly started
-	if e, _ := s.list(70, "c serving").Find("c"); !e.StartedAt.Equal(at(33)) {
+		s.catalog.ObserveConnect(at(2.5), "b", false)
+	}
+	s.wantList(3, "a serving, c serving") // b answers no more
+	s.update(4, RosterSource, false, Worker{ID: "a", State: Removed})
+	s.wantList(4, "a draining, c serving")
+	s.update(10, "label", true) // still nothing: the hold runs on from its first moment
+	s.wantList(31, "a draining, c serving")
+	s.wantList(32, "")
+	s.update(33, "label", true, srvWorkers(at(33), "c")...)
+	s.wantList(33, "c serving")
+	s.update(34, "label", true)
+	s.update(35, "label", true, srvWorkers(at(35), "c")...) // the zone file is mended: not newly started
+	if e, _ := s.wantList(70, "c serving").Find("c"); !e.StartedAt.Equal(at(33)) {
 		t.Error("started", e.StartedAt)
 	}
 }
@@ -236,48 +250,48 @@
 // A worse priority is listed only while no better one can serve, and for a while
 // after; a worker that fails connects stays listed, so that it can show it answers.
 func TestPriorities(t *testing.T) {
-	s := script{t, book(t, shop(RuleRosterVetoes))}
-	list := named(at(0), "a", "b", "c")
+	s := scenario{t, newCatalog(t, shopConfig(RuleRosterVetoes))}
+	list := srvWorkers(at(0), "a", "b", "c")
 	list[2].Priority = 1
-	s.tell(0, "label", true, list...)
-	s.list(0, "a serving, b serving, c draining")
-	s.reason(0, "c", "standby: priority 1")
+	s.update(0, "label", true, list...)
+	s.wantList(0, "a serving, b serving, c draining")
+	s.wantReason(0, "c", "standby: priority 1")
 	for _, id := range []string{"a", "b"} {
 		for range 3 {
-			s.b.ObserveConnect(at(0.5), id, false)
+			s.catalog.ObserveConnect(at(0.5), id, false)
 		}
 	}
-	s.list(1, "a serving, b serving, c serving")
-	if !s.b.ObserveConnect(at(2), "b", true) {
+	s.wantList(1, "a serving, b serving, c serving")
+	if !s.catalog.ObserveConnect(at(2), "b", true) {
 		t.Error("b's answer changes nothing")
 	}
-	if l := s.list(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(10)) && !l.NextChange.Equal(at(12)) {
+	if l := s.wantList(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(10)) && !l.NextChange.Equal(at(12)) {
 		t.Error("looks again at", l.NextChange)
 	}
-	s.list(12, "a serving, b serving, c draining")
+	s.wantList(12, "a serving, b serving, c draining")
 	// One failed connect and nothing since is enough, after a while; an answer ends it.
-	s.b.ObserveConnect(at(13), "b", false)
-	if l := s.list(13.9, "a serving, b serving, c draining"); !l.NextChange.Equal(at(14)) {
+	s.catalog.ObserveConnect(at(13), "b", false)
+	if l := s.wantList(13.9, "a serving, b serving, c draining"); !l.NextChange.Equal(at(14)) {
 		t.Error("looks again at", l.NextChange)
 	}
-	s.list(14, "a serving, b serving, c serving")
-	s.b.ObserveConnect(at(15), "b", true)
-	s.list(15, "a serving, b serving, c serving")
-	s.list(25, "a serving, b serving, c draining")
-	s.b.SetBanned([]string{"a", "b"}) // taken out by whatever word: not able to serve
-	s.list(26, "a draining, b draining, c serving")
+	s.wantList(14, "a serving, b serving, c serving")
+	s.catalog.ObserveConnect(at(15), "b", true)
+	s.wantList(15, "a serving, b serving, c serving")
+	s.wantList(25, "a serving, b serving, c draining")
+	s.catalog.SetBanned([]string{"a", "b"}) // taken out by whatever word: not able to serve
+	s.wantList(26, "a draining, b draining, c serving")
 }
 
 func TestRuleAll(t *testing.T) {
-	s := script{t, book(t, shop(RuleAll))}
-	s.tell(0, RosterSource, true, serving("a", "b")...)
-	s.list(0, "a serving, b serving") // nobody else has told anything
-	s.tell(1, "label", true, named(at(1), "a", "c")...)
-	s.list(1, "a serving, b draining, c draining")
-	s.reason(1, "c", "roster: does not name it")
+	s := scenario{t, newCatalog(t, shopConfig(RuleAll))}
+	s.update(0, RosterSource, true, serving("a", "b")...)
+	s.wantList(0, "a serving, b serving") // nobody else has reported anything
+	s.update(1, "label", true, srvWorkers(at(1), "a", "c")...)
+	s.wantList(1, "a serving, b draining, c draining")
+	s.wantReason(1, "c", "roster: does not name it")
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestConfigIsValidated(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"rule":                 func(c *Config) { c.Rule = "most" },
 		"fail_after":           func(c *Config) { c.FailureThreshold = 0 },
@@ -288,13 +302,13 @@
 		"must not be negative": func(c *Config) { c.Sources[1].StaleTTL = -1 },
 		"shrink_part":          func(c *Config) { c.Sources[1].ShrinkThreshold = 2 },
 	} {
-		cfg := shop(RuleAny)
+		cfg := shopConfig(RuleAny)
 		spoil(&cfg)
 		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q in it", err, want)
 		}
 	}
-	b := book(t, shop(RuleAny))
+	b := newCatalog(t, shopConfig(RuleAny))
 	if err := b.Update(zero, "nobody", true, nil); err == nil {
 		t.Error("an unknown source is heard")
 	}
@@ -308,99 +322,99 @@
 
 // Tombstones are bounded, and those that still matter are the last to go.
 func TestTombstonesAreBounded(t *testing.T) {
-	b := book(t, shop(RuleRosterVetoes))
-	b.Update(zero, RosterSource, true, serving("kept"))
-	b.Update(zero, "label", true, named(zero, "kept"))
-	b.Update(zero, RosterSource, true, nil)
+	b := newCatalog(t, shopConfig(RuleRosterVetoes))
+	mustUpdate(t, b, zero, RosterSource, true, serving("kept"))
+	mustUpdate(t, b, zero, "label", true, srvWorkers(zero, "kept"))
+	mustUpdate(t, b, zero, RosterSource, true, nil)
 	for i := range maxTombstones + 100 {
 		id := fmt.Sprint("w", i)
-		b.Update(at(float64(i)), RosterSource, false, serving(id))
-		b.Update(at(float64(i)), RosterSource, false, []Worker{{ID: id, State: Removed}})
+		mustUpdate(t, b, at(float64(i)), RosterSource, false, serving(id))
+		mustUpdate(t, b, at(float64(i)), RosterSource, false, []Worker{{ID: id, State: Removed}})
 	}
-	if n := len(b.by[RosterSource].records); n > maxTombstones || n != b.by[RosterSource].empty {
-		t.Errorf("%d records, %d counted", n, b.by[RosterSource].empty)
+	if n := len(b.byName[RosterSource].records); n > maxTombstones || n != b.byName[RosterSource].tombstones {
+		t.Errorf("%d records, %d counted", n, b.byName[RosterSource].tombstones)
 	}
-	b.Update(at(1e5), "label", true, named(at(1e5), "kept"))
+	mustUpdate(t, b, at(1e5), "label", true, srvWorkers(at(1e5), "kept"))
 	if got := show(b.Merge(at(1e5))); got != "kept draining" {
 		t.Error(got)
 	}
 }
 
-// fact is one thing told at a moment: to a book that stands for several copies.
-type fact struct {
+// report is what one source, an operator or a connect reports at a moment; applied to two instances of Catalog, which have to agree.
+type report struct {
 	source string // whose order must be kept; a ban's is the operator's
-	do     func(*Catalog)
+	apply  func(*Catalog)
 }
 
 // Random interleavings of sources, drains, bans, lapses, reloads and upgrades:
 // no list has a vetoed or banned worker as ready, no id comes twice, and it is the
-// same list in whatever order facts of one moment came from different sources.
+// same list in whatever order reports of one moment came from different sources.
 func TestNoVetoedWorkerIsReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := rapid.SampledFrom([]MergeRule{RuleRosterVetoes, RuleAny, RuleAll}).Draw(t, "rule")
-		cfg := shop(rule)
+		cfg := shopConfig(rule)
 		cfg.Sources[1].KeepStale = rapid.Bool().Draw(t, "keep")
-		one, two := book(t, cfg), book(t, cfg)
+		one, two := newCatalog(t, cfg), newCatalog(t, cfg)
 		hosts := []string{"a", "b", "c", "d"}
-		// What must hold, kept apart from the book: the roster's last word by id.
+		// The reference, kept apart from the catalog: the roster's last report by id.
 		said, banned := map[string]State{}, map[string]bool{}
 		now := zero
 		for range rapid.IntRange(1, 25).Draw(t, "moments") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 5, 11, 40, 90}).Draw(t, "step")) * time.Second)
-			var facts []fact
+			var reports []report
 			for range rapid.IntRange(1, 5).Draw(t, "facts") {
 				source := rapid.SampledFrom([]string{RosterSource, "label", "addr", "operator", "answers"}).Draw(t, "source")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(hosts), 0, 4, rapid.ID).Draw(t, "some")
 				switch source {
 				case RosterSource:
-					whole := rapid.Bool().Draw(t, "whole")
+					complete := rapid.Bool().Draw(t, "whole")
 					var list []Worker
-					if whole {
+					if complete {
 						for id := range said {
 							said[id] = Removed
 						}
 					}
 					for _, id := range some {
 						w := Worker{ID: id, Addr: id + ":1", State: State(rapid.IntRange(0, 2).Draw(t, "state"))}
-						if w.State != Removed || !whole {
+						if w.State != Removed || !complete {
 							said[id] = w.State
 							list = append(list, w)
 						}
 					}
-					facts = append(facts, fact{source, func(b *Catalog) { b.Update(now, RosterSource, whole, list) }})
+					reports = append(reports, report{source, func(c *Catalog) { updateIfConfigured(t, c, now, RosterSource, complete, list) }})
 				case "operator":
 					clear(banned)
 					for _, id := range some {
 						banned[id] = true
 					}
-					facts = append(facts, fact{source, func(b *Catalog) { b.SetBanned(some) }})
+					reports = append(reports, report{source, func(c *Catalog) { c.SetBanned(some) }})
 				case "answers":
 					id, ok := rapid.SampledFrom(hosts).Draw(t, "id"), rapid.Bool().Draw(t, "answered")
-					facts = append(facts, fact{source, func(b *Catalog) { b.ObserveConnect(now, id, ok) }})
+					reports = append(reports, report{source, func(c *Catalog) { c.ObserveConnect(now, id, ok) }})
 				default:
 					if rapid.IntRange(0, 4).Draw(t, "silent") == 0 {
-						facts = append(facts, fact{source, func(b *Catalog) { b.SetUnresponsive(now, source, true) }})
+						reports = append(reports, report{source, func(c *Catalog) { c.SetUnresponsive(now, source, true) }})
 						continue
 					}
-					list := named(now, some...)
+					list := srvWorkers(now, some...)
 					for i := range list {
 						list[i].Priority = rapid.IntRange(0, 1).Draw(t, "priority")
 					}
-					facts = append(facts, fact{source, func(b *Catalog) { b.Update(now, source, true, list) }})
+					reports = append(reports, report{source, func(c *Catalog) { updateIfConfigured(t, c, now, source, true, list) }})
 				}
 			}
-			for _, f := range facts {
-				f.do(one)
+			for _, f := range reports {
+				f.apply(one)
 			}
-			// The other book hears the sources in another order, each in its own.
+			// The other catalog gets the sources in another order, each with its own order kept.
 			order := rapid.Permutation([]string{RosterSource, "label", "addr", "operator", "answers"}).Draw(t, "order")
-			slices.SortStableFunc(facts, func(x, y fact) int { return slices.Index(order, x.source) - slices.Index(order, y.source) })
-			for _, f := range facts {
-				f.do(two)
+			slices.SortStableFunc(reports, func(x, y report) int { return slices.Index(order, x.source) - slices.Index(order, y.source) })
+			for _, f := range reports {
+				f.apply(two)
 			}
 			l := one.Merge(now)
 			if diff := cmp.Diff(l, two.Merge(now), cmp.AllowUnexported(Entry{})); diff != "" {
-				t.Fatalf("the order of facts shows:\n%s", diff)
+				t.Fatalf("the list depends on the order of reports:\n%s", diff)
 			}
 			seen := map[string]bool{}
 			for _, e := range l.Entries {
@@ -421,12 +435,12 @@
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "then") {
 			case 0: // a reload: another rule, and a source that goes and may come back
-				cfg = shop(rapid.SampledFrom([]MergeRule{RuleRosterVetoes, RuleAny, RuleAll}).Draw(t, "rule after"))
+				cfg = shopConfig(rapid.SampledFrom([]MergeRule{RuleRosterVetoes, RuleAny, RuleAll}).Draw(t, "rule after"))
 				if rapid.Bool().Draw(t, "without a source") {
 					cfg.Sources = cfg.Sources[:2]
 				}
-				for _, b := range []*Catalog{one, two} {
-					if err := b.Configure(cfg); err != nil {
+				for _, c := range []*Catalog{one, two} {
+					if err := c.Configure(cfg); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -435,7 +449,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				next := book(t, cfg)
+				next := newCatalog(t, cfg)
 				if err := next.Restore(text); err != nil {
 					t.Fatal(err)
 				}
@@ -444,8 +458,8 @@
 					bans = append(bans, id)
 				}
 				next.SetBanned(bans)
-				// What it has seen of answers and of standby is learned anew.
-				next.fails, next.open = one.fails, one.open
+				// Connect failures and priority levels are not in the snapshot.
+				next.connectFailures, next.priorityLevels = one.connectFailures, one.priorityLevels
 				if diff := cmp.Diff(l, next.Merge(now), cmp.AllowUnexported(Entry{})); diff != "" {
 					t.Fatalf("after the upgrade:\n%s", diff)
 				}
@@ -456,14 +470,14 @@
 }
 
 func BenchmarkMerge2000(b *testing.B) {
-	m := book(b, shop(RuleRosterVetoes))
+	catalog := newCatalog(b, shopConfig(RuleRosterVetoes))
 	var list []Worker
 	for i := range 2000 {
-		list = append(list, named(zero, fmt.Sprint("w", i))...)
+		list = append(list, srvWorkers(zero, fmt.Sprint("w", i))...)
 	}
-	m.Update(zero, "label", true, list)
+	mustUpdate(b, catalog, zero, "label", true, list)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Merge(zero)
+		catalog.Merge(zero)
 	}
 }
--- /dev/null
+++ b/internal/discovery/membership/snapshot.go
@@ -0,0 +1,72 @@
+package membership
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// savedSource is one source in the snapshot, which is a JSON object of them by name.
+// A process hands it to the one that takes over, which may be of another version: the
+// keys stay.
+type savedSource struct {
+	Reported          bool      `json:"told"`
+	UnresponsiveSince time.Time `json:"silent,omitzero"`
+	Records           []*record `json:"records"`
+}
+
+// Snapshot returns all that the sources have reported, lifetimes and tombstones
+// included, for Restore.
+func (c *Catalog) Snapshot() ([]byte, error) {
+	out := map[string]savedSource{}
+	for _, src := range c.sources {
+		s := savedSource{Reported: src.reported, UnresponsiveSince: src.unresponsiveSince}
+		for _, key := range slices.Sorted(maps.Keys(src.records)) {
+			s.Records = append(s.Records, src.records[key])
+		}
+		out[src.Name] = s
+	}
+	return json.Marshal(out)
+}
+
+// Restore applies the Snapshot of another catalog. Sources that are not configured
+// here, or that have reported something here already, keep what they have: a report
+// of this process is newer than any of the process before. An error leaves the
+// catalog as it was.
+func (c *Catalog) Restore(snapshot []byte) error {
+	var in map[string]savedSource
+	if err := json.Unmarshal(snapshot, &in); err != nil {
+		return fmt.Errorf("membership state: %w", err)
+	}
+	for name, s := range in {
+		for i, r := range s.Records {
+			if r == nil || r.key() == "" || r.State > Removed {
+				return fmt.Errorf("membership state: %s: records[%d] can't be read", name, i)
+			}
+		}
+	}
+	for _, src := range c.sources {
+		s, ok := in[src.Name]
+		if !ok || src.reported {
+			continue
+		}
+		src.reported, src.unresponsiveSince = s.Reported, s.UnresponsiveSince
+		for _, r := range s.Records {
+			src.restoreRecord(r)
+		}
+	}
+	return nil
+}
+
+func (s *sourceState) restoreRecord(r *record) {
+	key := r.key()
+	if old := s.records[key]; old != nil && old.State == Removed {
+		s.tombstones--
+	}
+	if r.State == Removed {
+		s.tombstones++
+	}
+	s.records[key] = r
+}
--- a/internal/discovery/relayedlist/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -30,42 +30,42 @@
 
 // Relay is one dispatcher's.
 type Relay struct {
-	name    string
-	zone    int
-	desk    *coldstart.Client
-	table   Table
-	keepers Coordinators
-	log     func(string)
+	name         string
+	zone         int
+	coldStart    *coldstart.Client
+	table        Table
+	coordinators Coordinators
+	log          func(string)
 
-	mu      sync.Mutex
-	next    *relay.Publication // what is to be handed on; nil: nothing is
-	seat    uint64
-	all     func() []membership.Worker
-	poke    chan struct{}
-	refused bool
+	mu           sync.Mutex
+	pending      *relay.Publication // what is to be handed on; nil: nothing is
+	fencingToken uint64
+	wholeList    func() []membership.Worker
+	wakeup       chan struct{}
+	failing      bool
 }
 
 // New makes the carrier of a dispatcher in a zone.
 func New(name string, zone int, desk *coldstart.Client, table Table, keepers Coordinators, log func(string)) *Relay {
-	return &Relay{name: name, zone: zone, desk: desk, table: table, keepers: keepers, log: log, poke: make(chan struct{}, 1)}
+	return &Relay{name: name, zone: zone, coldStart: desk, table: table, coordinators: keepers, log: log, wakeup: make(chan struct{}, 1)}
 }
 
 // Publish hands on what the table was told, if this dispatcher reads for its zone. The table calls
 // it while it takes a word in, so it returns at once.
 func (c *Relay) Publish(t httpfront.ListUpdate) {
-	seat, whole := c.desk.CallSucceeded()
+	seat, whole := c.coldStart.CallSucceeded()
 	if seat == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next != nil || whole || t.NewSource {
+	if c.pending != nil || whole || t.NewSource {
 		// Whatever waits is told with it, as a whole: it was not taken in yet.
-		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.NewSource || c.next != nil && c.next.NewSource, Entries: entries(t.WholeList())}
+		c.pending = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.NewSource || c.pending != nil && c.pending.NewSource, Entries: entries(t.WholeList())}
 	} else {
-		c.next = &relay.Publication{Generation: t.Generation, Entries: entries(t.Changed)}
+		c.pending = &relay.Publication{Generation: t.Generation, Entries: entries(t.Changed)}
 	}
-	c.seat, c.all = seat, t.WholeList
+	c.fencingToken, c.wholeList = seat, t.WholeList
 	c.wake()
 }
 
@@ -74,26 +74,26 @@
 func (c *Relay) Run(ctx context.Context) {
 	for {
 		select {
-		case <-c.poke:
+		case <-c.wakeup:
 		case <-ctx.Done():
 			return
 		}
 		c.mu.Lock()
-		w, seat := c.next, c.seat
-		c.next = nil
+		w, seat := c.pending, c.fencingToken
+		c.pending = nil
 		c.mu.Unlock()
 		if w == nil {
 			continue
 		}
-		r, err := c.keepers.Do(ctx, statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: c.name, Incarnation: c.keepers.Incarnation(), Zone: c.zone, FencingToken: seat, Update: *w}})
+		r, err := c.coordinators.Do(ctx, statemachine.Command{ListUpdate: &statemachine.ListUpdate{Name: c.name, Incarnation: c.coordinators.Incarnation(), Zone: c.zone, FencingToken: seat, Update: *w}})
 		if err == nil && r.Err == "" {
-			c.desk.ListPublished(seat, true)
-			c.refused = false
+			c.coldStart.ListPublished(seat, true)
+			c.failing = false
 			continue
 		}
-		c.desk.ListPublished(seat, false)
-		if !c.refused {
-			c.refused = true
+		c.coldStart.ListPublished(seat, false)
+		if !c.failing {
+			c.failing = true
 			why := r.Err
 			if err != nil {
 				why = fault.Text(err)
@@ -104,10 +104,10 @@
 			continue // by its seat or its age: the next word that it is told goes out whole
 		}
 		c.mu.Lock()
-		if c.next != nil {
-			w = c.next
+		if c.pending != nil {
+			w = c.pending
 		}
-		c.next = &relay.Publication{Generation: w.Generation, Complete: true, NewSource: w.NewSource, Entries: entries(c.all())}
+		c.pending = &relay.Publication{Generation: w.Generation, Complete: true, NewSource: w.NewSource, Entries: entries(c.wholeList())}
 		c.mu.Unlock()
 		select {
 		case <-time.After(100 * time.Millisecond):
@@ -119,7 +119,7 @@
 
 func (c *Relay) wake() {
 	select {
-	case c.poke <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	if !c.table.ApplyRelayed(u.Generation, u.Complete, workers(u.Entries)) {
-		c.desk.ResetList()
+		c.coldStart.ResetList()
 	}
 }
 
--- a/internal/discovery/sources/sources_test.go
+++ b/internal/discovery/sources/sources_test.go
@@ -24,7 +24,7 @@
 type desk struct {
 	*Merger
 	b     *broker.Broker
-	f     *follower
+	f     *resolverRun
 	log   []string
 	moved []string
 }
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	// Its resolver is not run: the test says what it finds.
-	d.f = &follower{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].ResolverConfig()), stop: func() {}}
-	d.names["loans"] = d.f
+	d.f = &resolverRun{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].ResolverConfig()), stop: func() {}}
+	d.resolvers["loans"] = d.f
 	t.Cleanup(func() {
 		d.Close()
 		d.b.Close()
@@ -91,7 +91,7 @@
 		}
 		out = append(out, srv.Record{Target: name + ".z", Addr: netip.MustParseAddrPort(addr), Weight: 1, ExpiresAt: time.Now().Add(life)})
 	}
-	d.update(d.f, srv.Update{Records: out, At: time.Now()})
+	d.applyUpdate(d.f, srv.Update{Records: out, At: time.Now()})
 }
 
 func roster(state membership.State, ids ...string) (out []membership.Worker) {
@@ -108,7 +108,7 @@
 		d := newDesk(t)
 		d.UpdateRoster(dispatch.ListFull, roster(membership.Serving, "a", "b"))
 		before, after := 0, 0
-		d.locked(func() { before = d.times })
+		d.locked(func() { before = d.publishCount })
 		for i := range 200 {
 			d.finds(time.Second, "a=10.0.0.1:1", "e=10.0.0.1:3", []string{"c=10.0.0.1:2", "d=10.0.0.1:4"}[i%2])
 			time.Sleep(100 * time.Millisecond)
@@ -122,7 +122,7 @@
 				}
 			}
 		}
-		d.locked(func() { after = d.times })
+		d.locked(func() { after = d.publishCount })
 		if n := after - before; n < 50 || n > 102 {
 			t.Errorf("told %d times in 20 s", n)
 		}
@@ -149,7 +149,7 @@
 		time.Sleep(300 * time.Millisecond) // changes from DNS wait for their turn
 		ready(2)
 		for range 3 {
-			d.update(d.f, srv.Update{Err: errors.New("nobody\nthere"), At: time.Now()})
+			d.applyUpdate(d.f, srv.Update{Err: errors.New("nobody\nthere"), At: time.Now()})
 		}
 		time.Sleep(64 * time.Second)
 		ready(2)
@@ -162,7 +162,7 @@
 		time.Sleep(300 * time.Millisecond)
 		ready(2)
 		d.locked(func() {
-			for _, e := range d.list.Entries {
+			for _, e := range d.merged.Entries {
 				if !e.StartedAt.IsZero() {
 					t.Errorf("%s counts as started at %v", e.ID, e.StartedAt)
 				}
@@ -191,8 +191,8 @@
 		time.Sleep(time.Second)
 		d.finds(0)
 		for range 3 {
-			d.heard("a", broker.ConnectFailed)
-			d.heard("b", broker.TimedOut) // slow is not gone
+			d.observeOutcome("a", broker.ConnectFailed)
+			d.observeOutcome("b", broker.TimedOut) // slow is not gone
 		}
 		time.Sleep(time.Second)
 		if got := d.b.Stats().Ready; got != 1 {
@@ -221,7 +221,7 @@
 		records = append(records, srv.Record{Target: "w", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Weight: w, Priority: uint16(i / 3)})
 	}
 	var got []float64
-	for _, w := range workers(config.SRV{}, records) {
+	for _, w := range workersFromSRV(config.SRV{}, records) {
 		got = append(got, w.Weight)
 	}
 	if !slices.Equal(got, []float64{0.05, 0.5, 2.5, 1}) {
--- a/internal/discovery/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -39,11 +39,11 @@
 	At      time.Time
 }
 
-// cached is what is held of one name.
-type cached struct {
-	addrs   []netip.Addr
-	until   time.Time // end of the lifetime
-	refresh time.Time // when to ask again
+// cachedAddresses is what is held of one name.
+type cachedAddresses struct {
+	addrs     []netip.Addr
+	expiresAt time.Time // end of the lifetime
+	refreshAt time.Time // when to ask again
 }
 
 // Resolver follows one service.
@@ -54,17 +54,17 @@
 	client *client
 
 	// Follow's alone.
-	services  []*dns.SRV
-	until     time.Time
-	refresh   time.Time
-	known     bool
-	addrs     map[string]*cached
-	addrsHave map[string]netip.Addr // the address in use, which is kept while it is one of the target's
+	services          []*dns.SRV
+	servicesExpireAt  time.Time
+	servicesRefreshAt time.Time
+	servicesKnown     bool
+	addresses         map[string]*cachedAddresses
+	addressInUse      map[string]netip.Addr // the address in use, which is kept while it is one of the target's
 }
 
 // New makes a resolver; Follow runs it.
 func New(cfg Config) *Resolver {
-	r := &Resolver{cfg: cfg, addrs: map[string]*cached{}, addrsHave: map[string]netip.Addr{}}
+	r := &Resolver{cfg: cfg, addresses: map[string]*cachedAddresses{}, addressInUse: map[string]netip.Addr{}}
 	r.client = newClient(cfg.Servers, cfg.Timeout, &r.Counters)
 	return r
 }
@@ -73,9 +73,9 @@
 // come before the first lifetime ends, at a moment drawn anew each time; rounds
 // after a failure after a back-off with full jitter.
 func (r *Resolver) Run(ctx context.Context, tell func(Update)) {
-	pause := newPause(250*time.Millisecond, 10*time.Second)
+	pause := newFullJitter(250*time.Millisecond, 10*time.Second)
 	for {
-		records, next, err := r.round(ctx)
+		records, next, err := r.refresh(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -86,13 +86,13 @@
 			pause.Reset()
 		}
 		tell(Update{Records: records, Err: err, At: now})
-		if !wait(ctx, next.Sub(now)) {
+		if !sleep(ctx, next.Sub(now)) {
 			return
 		}
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(timers.Positive(d))
 	defer t.Stop()
 	select {
@@ -103,59 +103,59 @@
 	}
 }
 
-// span puts a lifetime between floor and ceiling.
-func (r *Resolver) span(ttl time.Duration) time.Duration {
+// clampTTL puts a lifetime between floor and ceiling.
+func (r *Resolver) clampTTL(ttl time.Duration) time.Duration {
 	return min(max(ttl, r.cfg.MinTTL), r.cfg.MaxTTL)
 }
 
-// ahead draws when to ask again for what holds for so long: after 60 to 85% of it.
-func ahead(now time.Time, life time.Duration) time.Time {
+// refreshTime draws when to ask again for what holds for so long: after 60 to 85% of it.
+func refreshTime(now time.Time, life time.Duration) time.Time {
 	return now.Add(time.Duration(float64(life) * (0.6 + 0.25*rand.Float64())))
 }
 
-// round asks for whatever is due and makes the list. next is when the first thing
+// refresh asks for whatever is due and makes the list. next is when the first thing
 // held is due again.
-func (r *Resolver) round(ctx context.Context) (out []Record, next time.Time, err error) {
+func (r *Resolver) refresh(ctx context.Context) (out []Record, next time.Time, err error) {
 	var extra *dns.Msg
-	if now := time.Now(); !r.known || !now.Before(r.refresh) {
-		s, m, err := r.lookUp(ctx, r.cfg.Service, dns.TypeSRV)
+	if now := time.Now(); !r.servicesKnown || !now.Before(r.servicesRefreshAt) {
+		s, m, err := r.lookup(ctx, r.cfg.Service, dns.TypeSRV)
 		if err != nil {
 			return nil, next, err
 		}
-		services, err := services(s, r.cfg.MaxRecords)
+		services, err := readServices(s, r.cfg.MaxRecords)
 		if err != nil {
 			return nil, next, err
 		}
 		now = time.Now()
-		life := r.span(s.ttl)
-		r.services, r.known, r.until, r.refresh, extra = services, true, now.Add(life), ahead(now, life), m
+		life := r.clampTTL(s.ttl)
+		r.services, r.servicesKnown, r.servicesExpireAt, r.servicesRefreshAt, extra = services, true, now.Add(life), refreshTime(now, life), m
 	}
 	if err := r.resolveTargets(ctx, extra); err != nil {
-		r.refresh = time.Time{} // the list was not told: ask for all of it again
+		r.servicesRefreshAt = time.Time{} // the list was not told: ask for all of it again
 		return nil, next, err
 	}
 	now := time.Now()
-	next = r.refresh
+	next = r.servicesRefreshAt
 	for _, s := range r.services {
-		name := plain(s.Target)
-		c := r.addrs[name]
+		name := canonicalName(s.Target)
+		c := r.addresses[name]
 		if c == nil || len(c.addrs) == 0 {
-			if c != nil && c.refresh.Before(next) {
-				next = c.refresh
+			if c != nil && c.refreshAt.Before(next) {
+				next = c.refreshAt
 			}
 			continue
 		}
 		addr := c.addrs[0]
-		if have, ok := r.addrsHave[name]; ok && slices.Contains(c.addrs, have) {
+		if have, ok := r.addressInUse[name]; ok && slices.Contains(c.addrs, have) {
 			addr = have
 		}
-		r.addrsHave[name] = addr
-		if c.refresh.Before(next) {
-			next = c.refresh
+		r.addressInUse[name] = addr
+		if c.refreshAt.Before(next) {
+			next = c.refreshAt
 		}
-		until := r.until
-		if c.until.Before(until) {
-			until = c.until
+		until := r.servicesExpireAt
+		if c.expiresAt.Before(until) {
+			until = c.expiresAt
 		}
 		out = append(out, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, ExpiresAt: until})
 	}
@@ -165,60 +165,60 @@
 	return out, next, nil
 }
 
-// lookUp asks for a name and follows its chain over as many messages as it takes.
-func (r *Resolver) lookUp(ctx context.Context, name string, kind uint16) (set, *dns.Msg, error) {
+// lookup asks for a name and follows its chain over as many messages as it takes.
+func (r *Resolver) lookup(ctx context.Context, name string, kind uint16) (rrset, *dns.Msg, error) {
 	least := time.Duration(1 << 62)
 	for steps := 0; ; {
-		m, err := r.client.ask(ctx, name, kind)
+		m, err := r.client.query(ctx, name, kind)
 		if err != nil {
-			return set{}, nil, err
+			return rrset{}, nil, err
 		}
-		s, err := read(m, name, kind, steps)
-		if err == nil && s.next != "" && s.steps >= maxChain {
-			err = errChain
+		s, err := readAnswer(m, name, kind, steps)
+		if err == nil && s.continueAt != "" && s.aliases >= maxAliases {
+			err = errAliasLoop
 		}
 		if err != nil {
 			r.Counters.BrokenChains.Add(1)
-			return set{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, err)
+			return rrset{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, err)
 		}
 		least = min(least, s.ttl)
-		if s.ttl = least; s.next == "" {
+		if s.ttl = least; s.continueAt == "" {
 			return s, m, nil
 		}
-		name, steps = s.next, s.steps
+		name, steps = s.continueAt, s.aliases
 	}
 }
 
-// atOnce bounds how many questions are out together.
-const atOnce = 8
+// maxConcurrentQueries bounds how many questions are out together.
+const maxConcurrentQueries = 8
 
 // resolveTargets makes sure that every target has addresses that are fresh, or
 // as fresh as can be had. An error means that nobody answered.
 func (r *Resolver) resolveTargets(ctx context.Context, m *dns.Msg) error {
 	wanted := map[string]bool{}
 	for _, s := range r.services {
-		wanted[plain(s.Target)] = true
+		wanted[canonicalName(s.Target)] = true
 	}
-	for name := range r.addrs {
+	for name := range r.addresses {
 		if !wanted[name] {
-			delete(r.addrs, name)
-			delete(r.addrsHave, name)
+			delete(r.addresses, name)
+			delete(r.addressInUse, name)
 		}
 	}
 	now := time.Now()
 	if m != nil {
 		for i := len(r.cfg.AddressTypes) - 1; i >= 0; i-- { // the first family has the last word
-			for name, s := range glue(m, wanted, r.cfg.AddressTypes[i]) {
-				if addrs := addresses(s.records); len(addrs) > 0 {
-					life := r.span(s.ttl)
-					r.addrs[name] = &cached{addrs, now.Add(life), ahead(now, life)}
+			for name, s := range readGlue(m, wanted, r.cfg.AddressTypes[i]) {
+				if addrs := readAddresses(s.records); len(addrs) > 0 {
+					life := r.clampTTL(s.ttl)
+					r.addresses[name] = &cachedAddresses{addrs, now.Add(life), refreshTime(now, life)}
 				}
 			}
 		}
 	}
 	var due []string
 	for name := range wanted {
-		if c := r.addrs[name]; c == nil || !now.Before(c.refresh) {
+		if c := r.addresses[name]; c == nil || !now.Before(c.refreshAt) {
 			due = append(due, name)
 		}
 	}
@@ -229,18 +229,18 @@
 	if m != nil {
 		found++ // the list itself
 	}
-	room := make(chan struct{}, atOnce)
+	room := make(chan struct{}, maxConcurrentQueries)
 	for _, name := range due {
 		room <- struct{}{}
 		mu.Lock()
-		dead := failed >= atOnce && found == 0
+		dead := failed >= maxConcurrentQueries && found == 0
 		mu.Unlock()
 		if dead { // nobody answers: the rest need not each find that out
 			break
 		}
 		wg.Go(func() {
 			defer func() { <-room }()
-			c, err := r.addressesOf(ctx, name)
+			c, err := r.lookupAddresses(ctx, name)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -249,7 +249,7 @@
 				return
 			}
 			found++
-			r.addrs[name] = c
+			r.addresses[name] = c
 		})
 	}
 	wg.Wait()
@@ -264,34 +264,34 @@
 	}
 	now = time.Now()
 	for name := range wanted {
-		c := r.addrs[name]
-		usable := c != nil && !now.After(c.until.Add(r.cfg.StaleTTL))
+		c := r.addresses[name]
+		usable := c != nil && !now.After(c.expiresAt.Add(r.cfg.StaleTTL))
 		switch {
 		case !usable:
 			r.Counters.Unresolved.Add(1)
-			r.addrs[name] = &cached{nil, now, now.Add(r.cfg.MinTTL / 2)}
-		case !now.Before(c.refresh):
-			c.refresh = now.Add(r.cfg.MinTTL / 2)
+			r.addresses[name] = &cachedAddresses{nil, now, now.Add(r.cfg.MinTTL / 2)}
+		case !now.Before(c.refreshAt):
+			c.refreshAt = now.Add(r.cfg.MinTTL / 2)
 		}
 	}
 	return nil
 }
 
-// addressesOf asks for a target's addresses, one family after the other.
-func (r *Resolver) addressesOf(ctx context.Context, name string) (*cached, error) {
+// lookupAddresses asks for a target's addresses, one family after the other.
+func (r *Resolver) lookupAddresses(ctx context.Context, name string) (*cachedAddresses, error) {
 	least := time.Duration(1 << 62)
 	for _, kind := range r.cfg.AddressTypes {
-		s, _, err := r.lookUp(ctx, dns.Fqdn(name), kind)
+		s, _, err := r.lookup(ctx, dns.Fqdn(name), kind)
 		if err != nil {
 			return nil, err
 		}
 		now := time.Now()
-		if addrs := addresses(s.records); len(addrs) > 0 {
-			life := r.span(s.ttl)
-			return &cached{addrs, now.Add(life), ahead(now, life)}, nil
+		if addrs := readAddresses(s.records); len(addrs) > 0 {
+			life := r.clampTTL(s.ttl)
+			return &cachedAddresses{addrs, now.Add(life), refreshTime(now, life)}, nil
 		}
 		least = min(least, s.ttl)
 	}
-	now, life := time.Now(), r.span(least)
-	return &cached{nil, now.Add(life), ahead(now, life)}, nil
+	now, life := time.Now(), r.clampTTL(least)
+	return &cachedAddresses{nil, now.Add(life), refreshTime(now, life)}, nil
 }
--- a/internal/discovery/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -92,7 +92,7 @@
 			bad, good := start(t, zone), start(t, zone)
 			bad.Behave(dnsserver.Always(c.fault))
 			r := resolver(bad, good)
-			records, next, err := r.round(t.Context())
+			records, next, err := r.refresh(t.Context())
 			if diff := cmp.Diff(known, lines(records)); diff != "" || err != nil {
 				t.Fatal(err, diff)
 			}
@@ -113,9 +113,9 @@
 	hole.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
 	failing.Behave(dnsserver.Always(dnsserver.Fault{Rcode: dns.RcodeServerFailure}))
 	r := resolver(hole, failing, good)
-	r.client.servers[0].pause.RandomizationFactor, r.client.servers[1].pause.RandomizationFactor = 0, 0 // no luck in it
+	r.client.servers[0].retryDelay.RandomizationFactor, r.client.servers[1].retryDelay.RandomizationFactor = 0, 0 // no luck in it
 	for range 3 {
-		if _, err := r.client.ask(t.Context(), service, dns.TypeSRV); err != nil {
+		if _, err := r.client.query(t.Context(), service, dns.TypeSRV); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -126,7 +126,7 @@
 	dead.Close()
 	r = resolver(dead, good)
 	began := time.Now()
-	if _, err := r.client.ask(t.Context(), service, dns.TypeSRV); err != nil || r.Counters.Refused.Load() != 1 {
+	if _, err := r.client.query(t.Context(), service, dns.TypeSRV); err != nil || r.Counters.Refused.Load() != 1 {
 		t.Error(err, r.Counters.Refused.Load())
 	}
 	if took := time.Since(began); took > r.client.timeout {
@@ -162,7 +162,7 @@
 			s := start(t, c.zone)
 			s.Behave(dnsserver.Always(c.fault))
 			r := resolver(s)
-			records, next, err := r.round(t.Context())
+			records, next, err := r.refresh(t.Context())
 			if diff := cmp.Diff(c.want, lines(records)); diff != "" || (err != nil) != c.fails {
 				t.Fatal(err, diff)
 			}
@@ -182,13 +182,13 @@
 	s := start(t, text.String())
 	r := resolver(s)
 	r.cfg.Service, r.client.timeout = "_l._tcp.z.", 5*time.Second
-	records, _, err := r.round(t.Context())
+	records, _, err := r.refresh(t.Context())
 	if err != nil || len(records) != 2000 || r.Counters.OverTCP.Load() != 1 {
 		t.Fatalf("%d records, %v", len(records), err)
 	}
 	r = resolver(s)
 	r.cfg.Service, r.client.timeout, r.cfg.MaxRecords = "_l._tcp.z.", 5*time.Second, 1999
-	if records, _, err := r.round(t.Context()); err == nil || len(records) > 0 {
+	if records, _, err := r.refresh(t.Context()); err == nil || len(records) > 0 {
 		t.Errorf("%d records, %v", len(records), err)
 	}
 }
@@ -204,7 +204,7 @@
 		return dnsserver.Fault{NoGlue: true}
 	})
 	r := resolver(s)
-	records, next, err := r.round(t.Context())
+	records, next, err := r.refresh(t.Context())
 	if diff := cmp.Diff(known[1:], lines(records)); diff != "" || err != nil {
 		t.Fatal(err, diff)
 	}
@@ -213,9 +213,9 @@
 	}
 	s.Behave(nil)
 	s.Zone(strings.Replace(zone, "127.0.0.12", "127.0.0.10", 1)) // .13 is still there, but .10 comes first
-	r.addrsHave["w2.shop.test"] = netip.MustParseAddr("127.0.0.13")
-	clear(r.addrs)
-	if records, _, err = r.round(t.Context()); err != nil || lines(records)[1] != "w2.shop.test 127.0.0.13:7002 0 30" {
+	r.addressInUse["w2.shop.test"] = netip.MustParseAddr("127.0.0.13")
+	clear(r.addresses)
+	if records, _, err = r.refresh(t.Context()); err != nil || lines(records)[1] != "w2.shop.test 127.0.0.13:7002 0 30" {
 		t.Error(err, lines(records))
 	}
 }
@@ -237,10 +237,10 @@
 			t.Fatal(err)
 		}
 		slices.SortFunc(addrs, netip.Addr.Compare)
-		want = append(want, fmt.Sprint(plain(r.Target), " ", netip.AddrPortFrom(addrs[0].Unmap(), r.Port), " ", r.Priority, " ", r.Weight))
+		want = append(want, fmt.Sprint(canonicalName(r.Target), " ", netip.AddrPortFrom(addrs[0].Unmap(), r.Port), " ", r.Priority, " ", r.Weight))
 	}
 	slices.Sort(want)
-	records, _, err := resolver(s).round(t.Context())
+	records, _, err := resolver(s).refresh(t.Context())
 	if diff := cmp.Diff(want, lines(records)); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
@@ -288,7 +288,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		sum, n := make([]time.Duration, 8), 2000
 		for range n {
-			p := newPause(100*time.Millisecond, 2*time.Second)
+			p := newFullJitter(100*time.Millisecond, 2*time.Second)
 			for i := range sum {
 				d := p.NextBackOff()
 				if most := min(200*time.Millisecond<<i, 2*time.Second); d < 0 || d > most {
@@ -325,7 +325,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var counts Counters
 		c := newClient(nil, time.Second, &counts)
-		m := c.decode(text, q)
+		m := c.decodeDatagram(text, q)
 		if m == nil {
 			if counts.Dropped() != 1 {
 				t.Error("dropped, and not counted once")
@@ -335,14 +335,14 @@
 		if m.Id != q.Id {
 			t.Error("an answer with another id is taken")
 		}
-		s, err := read(m, service, dns.TypeSRV, 0)
+		s, err := readAnswer(m, service, dns.TypeSRV, 0)
 		if err != nil {
-			if !errors.Is(err, errChain) {
+			if !errors.Is(err, errAliasLoop) {
 				t.Error(err)
 			}
 			return
 		}
-		list, err := services(s, 64)
+		list, err := readServices(s, 64)
 		if err != nil {
 			return
 		}
@@ -351,13 +351,13 @@
 			if r.Port == 0 || r.Target == "." {
 				t.Error("a record that is no service")
 			}
-			wanted[plain(r.Target)] = true
+			wanted[canonicalName(r.Target)] = true
 		}
-		for name, s := range glue(m, wanted, dns.TypeA) {
+		for name, s := range readGlue(m, wanted, dns.TypeA) {
 			if !wanted[name] {
 				t.Error("glue of another's")
 			}
-			addresses(s.records)
+			readAddresses(s.records)
 		}
 		if s.ttl < 0 {
 			t.Error("a lifetime under 0")
