--- a/internal/discovery/sources/sources_test.go
+++ b/internal/discovery/sources/sources_test.go
@@ -20,16 +20,16 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// desk is a merger over a real broker, with one list in DNS that the test words.
-type desk struct {
+// testMerger is a merger over a real broker, with one list in DNS that the test words.
+type testMerger struct {
 	*Merger
-	b     *broker.Broker
-	f     *resolverRun
-	log   []string
-	moved []string
+	broker  *broker.Broker
+	loans   *resolverRun
+	lines   []string
+	retired []string
 }
 
-func newDesk(t *testing.T) *desk {
+func newTestMerger(t *testing.T) *testMerger {
 	t.Helper()
 	dir := t.TempDir()
 	settings, err := os.ReadFile("../../../cmd/yardflow/testdata/settings.json")
@@ -50,39 +50,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{}
-	if d.b, err = broker.New(cfg.Dispatch, 1, nil, func(string) {}); err != nil {
+	d := &testMerger{}
+	if d.broker, err = broker.New(cfg.Dispatch, 1, nil, func(string) {}); err != nil {
 		t.Fatal(err)
 	}
-	d.Merger, err = New(config.NewInForce(cfg), d.b, Hooks{Log: func(s string) { d.log = append(d.log, s) }, AddressRetired: func(a string) { d.moved = append(d.moved, a) }})
+	d.Merger, err = New(config.NewInForce(cfg), d.broker, Hooks{Log: func(s string) { d.lines = append(d.lines, s) }, AddressRetired: func(a string) { d.retired = append(d.retired, a) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its resolver is not run: the test says what it finds.
-	d.f = &resolverRun{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].ResolverConfig()), stop: func() {}}
-	d.resolvers["loans"] = d.f
+	// Its resolver does not run: the test calls applyUpdate.
+	d.loans = &resolverRun{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].ResolverConfig()), stop: func() {}}
+	d.resolvers["loans"] = d.loans
 	t.Cleanup(func() {
 		d.Close()
-		d.b.Close()
+		d.broker.Close()
 		time.Sleep(time.Second) // its goroutine ends with its round
 	})
 	return d
 }
 
 // locked reads what the merger's own goroutines write too.
-func (d *desk) locked(f func()) {
+func (d *testMerger) locked(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
 }
 
-func (d *desk) said() (text string) {
-	d.locked(func() { text = strings.Join(d.log, "\n") })
+func (d *testMerger) logText() (text string) {
+	d.locked(func() { text = strings.Join(d.lines, "\n") })
 	return text
 }
 
-// finds is an answer of DNS with these workers.
-func (d *desk) finds(life time.Duration, ids ...string) {
+// answer is an answer of DNS with these workers.
+func (d *testMerger) answer(life time.Duration, ids ...string) {
 	var out []srv.Record
 	for _, id := range ids {
 		name, addr, other := strings.Cut(id, "=")
@@ -91,7 +91,7 @@
 		}
 		out = append(out, srv.Record{Target: name + ".z", Addr: netip.MustParseAddrPort(addr), Weight: 1, ExpiresAt: time.Now().Add(life)})
 	}
-	d.applyUpdate(d.f, srv.Update{Records: out, At: time.Now()})
+	d.applyUpdate(d.loans, srv.Update{Records: out, At: time.Now()})
 }
 
 func roster(state membership.State, ids ...string) (out []membership.Worker) {
@@ -101,55 +101,55 @@
 	return out
 }
 
-// A zone that flaps every 100 ms for 20 s: the module is told at most every 200 ms,
-// and the roster's drain in the middle passes at once all the same.
-func TestStorm(t *testing.T) {
+// With a zone that flaps every 100 ms for 20 s the broker gets an update at most every
+// 200 ms, and the roster's drain in the middle passes at once all the same.
+func TestFlappingListIsPublishedAtMostOnceAnInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t)
+		d := newTestMerger(t)
 		d.UpdateRoster(dispatch.ListFull, roster(membership.Serving, "a", "b"))
 		before, after := 0, 0
 		d.locked(func() { before = d.publishCount })
 		for i := range 200 {
-			d.finds(time.Second, "a=10.0.0.1:1", "e=10.0.0.1:3", []string{"c=10.0.0.1:2", "d=10.0.0.1:4"}[i%2])
+			d.answer(time.Second, "a=10.0.0.1:1", "e=10.0.0.1:3", []string{"c=10.0.0.1:2", "d=10.0.0.1:4"}[i%2])
 			time.Sleep(100 * time.Millisecond)
-			if i == 101 { // between two tellings
+			if i == 101 { // between two publications
 				d.UpdateRoster(dispatch.ListDelta, roster(membership.Draining, "a"))
 				if text, err := d.DescribeWorker("a"); err != nil || !strings.Contains(text, "draining, by roster") {
 					t.Error(text, err)
 				}
-				if got := d.b.Stats().Ready; got != 3 { // b, e, and one that comes and goes
+				if got := d.broker.Stats().Ready; got != 3 { // b, e, and one that comes and goes
 					t.Errorf("%d are ready", got)
 				}
 			}
 		}
 		d.locked(func() { after = d.publishCount })
 		if n := after - before; n < 50 || n > 102 {
-			t.Errorf("told %d times in 20 s", n)
+			t.Errorf("published %d times in 20 s", n)
 		}
-		if lines := strings.Count(d.said(), "\n"); lines > 45 {
+		if lines := strings.Count(d.logText(), "\n"); lines > 45 {
 			t.Errorf("%d lines in the log", lines)
 		}
 	})
 }
 
-// Silent for longer than its lifetimes, a list holds up to the stated time, with
-// nobody telling anything; then its names drain by themselves. One who answers
-// again is no newcomer.
-func TestSilenceInVirtualTime(t *testing.T) {
+// A list whose servers do not respond holds up to StaleTTL past its lifetimes, without
+// any report; then its workers drain by themselves. One that answers again has not
+// started anew.
+func TestListOfUnresponsiveServersDrainsAfterStaleTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t)
+		d := newTestMerger(t)
 		d.UpdateRoster(dispatch.ListCached, nil)
-		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
+		d.answer(5*time.Second, "a", "b=10.0.0.2:7")
 		ready := func(want int) {
 			t.Helper()
-			if got := d.b.Stats().Ready; got != want {
+			if got := d.broker.Stats().Ready; got != want {
 				t.Errorf("%d are ready, want %d", got, want)
 			}
 		}
 		time.Sleep(300 * time.Millisecond) // changes from DNS wait for their turn
 		ready(2)
 		for range 3 {
-			d.applyUpdate(d.f, srv.Update{Err: errors.New("nobody\nthere"), At: time.Now()})
+			d.applyUpdate(d.loans, srv.Update{Err: errors.New("nobody\nthere"), At: time.Now()})
 		}
 		time.Sleep(64 * time.Second)
 		ready(2)
@@ -158,7 +158,7 @@
 		d.SetBanned(nil)
 		time.Sleep(2 * time.Second)
 		ready(0)
-		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
+		d.answer(5*time.Second, "a", "b=10.0.0.2:7")
 		time.Sleep(300 * time.Millisecond)
 		ready(2)
 		d.locked(func() {
@@ -168,41 +168,41 @@
 				}
 			}
 		})
-		said := d.said()
+		said := d.logText()
 		if strings.Count(said, "no answer") != 1 || strings.Count(said, "answers again") != 1 || strings.Contains(said, "nobody\n") {
 			t.Error(said)
 		}
-		d.finds(5*time.Second, "a=10.0.0.9:7", "b=10.0.0.2:7")
+		d.answer(5*time.Second, "a=10.0.0.9:7", "b=10.0.0.2:7")
 		time.Sleep(300 * time.Millisecond)
 		d.locked(func() {
-			if !slices.Equal(d.moved, []string{"10.0.0.2:7", "10.0.0.1:7"}) { // banned, and moved
-				t.Error(d.moved)
+			if !slices.Equal(d.retired, []string{"10.0.0.2:7", "10.0.0.1:7"}) { // banned, and moved
+				t.Error(d.retired)
 			}
 		})
 	})
 }
 
-// An empty answer takes nobody out while they answer; connects that fail do.
-func TestEmptyAnswerIsHeld(t *testing.T) {
+// An empty answer takes no worker out while it answers connects; connects that fail do.
+func TestWorkersMissingFromEmptyAnswerAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t)
+		d := newTestMerger(t)
 		d.UpdateRoster(dispatch.ListCached, nil)
-		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
+		d.answer(5*time.Second, "a", "b=10.0.0.2:7")
 		time.Sleep(time.Second)
-		d.finds(0)
+		d.answer(0)
 		for range 3 {
 			d.observeOutcome("a", broker.ConnectFailed)
 			d.observeOutcome("b", broker.TimedOut) // slow is not gone
 		}
 		time.Sleep(time.Second)
-		if got := d.b.Stats().Ready; got != 1 {
+		if got := d.broker.Stats().Ready; got != 1 {
 			t.Errorf("%d are ready", got)
 		}
 		time.Sleep(30 * time.Second)
-		if got := d.b.Stats().Ready; got != 0 {
+		if got := d.broker.Stats().Ready; got != 0 {
 			t.Errorf("%d are ready after the hold", got)
 		}
-		if said := d.said(); !strings.Contains(said, "loans: the list shrank by 2 of 2 at once") {
+		if said := d.logText(); !strings.Contains(said, "loans: the list shrank by 2 of 2 at once") {
 			t.Error(said)
 		}
 		if _, err := d.DescribeWorker("nobody"); err == nil {
@@ -214,8 +214,8 @@
 	})
 }
 
-// Weights count against the mean of their priority; a weight of 0 leaves a little.
-func TestWeights(t *testing.T) {
+// Weights are relative to the mean of their priority; a weight of 0 leaves a little.
+func TestWeightsAreRelativeToTheMeanOfTheirPriority(t *testing.T) {
 	var records []srv.Record
 	for i, w := range []uint16{0, 10, 50, 0} {
 		records = append(records, srv.Record{Target: "w", Addr: netip.MustParseAddrPort("10.0.0.1:7"), Weight: w, Priority: uint16(i / 3)})
--- a/internal/discovery/srv/exchange.go
+++ b/internal/discovery/srv/exchange.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("cut short, and no TCP: %w", c.countError(err))
 	}
-	defer conn.Close() //nolint:errcheck // the answer is read whole, or the exchange has failed
+	defer conn.Close()
 	if err := conn.SetDeadline(time.Now().Add(c.timeout)); err != nil {
 		return nil, fmt.Errorf("over TCP: %w", err)
 	}
--- a/internal/discovery/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -1,16 +1,21 @@
+// Package srv finds loan workers in DNS SRV records (RFC 2782) and keeps what it
+// found fresh.
+//
+// A Resolver looks a service up, then the addresses of its targets, and looks each up
+// again at a random moment before its lifetime ends, so that many dispatchers never
+// ask in step. Messages are a library's (miekg/dns); sockets, time-outs, which server
+// is asked first and what is not taken for an answer are this package's.
+//
+// The package never reports half a list as a whole one, never takes an answer that
+// does not match its question, and never asks the system's own resolver.
 package srv
 
-// This file owns one service's resolver: what it holds and for how long, when it
-// asks again, and what it does while no server answers. It must never tell half a
-// list as a whole one, and never ask in step with other dispatchers.
-
 import (
 	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/miekg/dns"
@@ -18,62 +23,63 @@
 	"yardflow/internal/platform/timers"
 )
 
-// Config is one service to follow.
+// Config says which service to resolve, and how.
 type Config struct {
 	Service string           // the full name, such as _loans._tcp.example.cz.
 	Servers []netip.AddrPort // name servers, in the order of preference
-	Timeout time.Duration    // of one try at one server
-	// MinTTL and Ceiling bound lifetimes: one of 0 would be asked for without end,
+	Timeout time.Duration    // of one question to one server
+	// MinTTL and MaxTTL bound lifetimes: a TTL of 0 would be asked for without end,
 	// one of 68 years would never be asked for again.
 	MinTTL, MaxTTL time.Duration
-	StaleTTL       time.Duration // how long an address is used past its lifetime while none can be had
+	StaleTTL       time.Duration // how long an address is used past its lifetime while none can be had (RFC 8767)
 	AddressTypes   []uint16      // dns.TypeA, dns.TypeAAAA; the first that has an address counts
-	MaxRecords     int
+	MaxRecords     int           // a longer list is refused whole
 }
 
-// Update is what a round has found. Without Err it is the whole list; with it
-// nothing new is known, and what was told before has not changed.
+// Update is the result of a round. Without Err it is the whole list; with it
+// nothing new is known, and the list of the Update before still holds.
 type Update struct {
 	Records []Record
 	Err     error
 	At      time.Time
 }
 
-// cachedAddresses is what is held of one name.
-type cachedAddresses struct {
-	addrs     []netip.Addr
-	expiresAt time.Time // end of the lifetime
-	refreshAt time.Time // when to ask again
-}
-
-// Resolver follows one service.
+// Resolver resolves one service. Run owns all of it but Counters.
 type Resolver struct {
-	Counters Counters
+	Counters Counters // may be read at any time
 
 	cfg    Config
 	client *client
 
-	// Follow's alone.
 	services          []*dns.SRV
 	servicesExpireAt  time.Time
 	servicesRefreshAt time.Time
 	servicesKnown     bool
-	addresses         map[string]*cachedAddresses
-	addressInUse      map[string]netip.Addr // the address in use, which is kept while it is one of the target's
+	addresses         map[string]*cachedAddresses // by target
+	addressInUse      map[string]netip.Addr       // by target; kept while it is one of the target's
 }
 
-// New makes a resolver; Follow runs it.
+// New makes a resolver; Run runs it.
 func New(cfg Config) *Resolver {
 	r := &Resolver{cfg: cfg, addresses: map[string]*cachedAddresses{}, addressInUse: map[string]netip.Addr{}}
 	r.client = newClient(cfg.Servers, cfg.Timeout, &r.Counters)
 	return r
 }
 
-// Run asks until ctx ends, and tells each round's end. Rounds after a success
-// come before the first lifetime ends, at a moment drawn anew each time; rounds
-// after a failure after a back-off with full jitter.
-func (r *Resolver) Run(ctx context.Context, tell func(Update)) {
-	pause := newFullJitter(250*time.Millisecond, 10*time.Second)
+const (
+	// After a failed round the next begins minRoundGap later, and up to
+	// firstRetryDelay, doubled up to maxRetryDelay, beyond that.
+	firstRetryDelay = 250 * time.Millisecond
+	maxRetryDelay   = 10 * time.Second
+	// minRoundGap is the least time between two rounds, whatever the lifetimes.
+	minRoundGap = 50 * time.Millisecond
+)
+
+// Run resolves until ctx ends, and calls notify after each round. Rounds after a
+// success come before the first lifetime ends, at a moment drawn each time; rounds
+// after a failure come after a backoff with full jitter.
+func (r *Resolver) Run(ctx context.Context, notify func(Update)) {
+	retryDelay := newFullJitter(firstRetryDelay, maxRetryDelay)
 	for {
 		records, next, err := r.refresh(ctx)
 		if ctx.Err() != nil {
@@ -81,17 +87,18 @@
 		}
 		now := time.Now()
 		if err != nil {
-			next = now.Add(50*time.Millisecond + pause.NextBackOff())
+			next = now.Add(minRoundGap + retryDelay.NextBackOff())
 		} else {
-			pause.Reset()
+			retryDelay.Reset()
 		}
-		tell(Update{Records: records, Err: err, At: now})
+		notify(Update{Records: records, Err: err, At: now})
 		if !sleep(ctx, next.Sub(now)) {
 			return
 		}
 	}
 }
 
+// sleep waits, and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(timers.Positive(d))
 	defer t.Stop()
@@ -103,195 +110,106 @@
 	}
 }
 
-// clampTTL puts a lifetime between floor and ceiling.
+// clampTTL bounds a lifetime by MinTTL and MaxTTL.
 func (r *Resolver) clampTTL(ttl time.Duration) time.Duration {
 	return min(max(ttl, r.cfg.MinTTL), r.cfg.MaxTTL)
 }
 
-// refreshTime draws when to ask again for what holds for so long: after 60 to 85% of it.
-func refreshTime(now time.Time, life time.Duration) time.Time {
-	return now.Add(time.Duration(float64(life) * (0.6 + 0.25*rand.Float64())))
+// refreshTime draws when to look up again what holds for ttl: after 60 to 85% of it.
+// The rest leaves time for retries before the end.
+func refreshTime(now time.Time, ttl time.Duration) time.Time {
+	return now.Add(time.Duration(float64(ttl) * (0.6 + 0.25*rand.Float64())))
 }
 
-// refresh asks for whatever is due and makes the list. next is when the first thing
-// held is due again.
-func (r *Resolver) refresh(ctx context.Context) (out []Record, next time.Time, err error) {
-	var extra *dns.Msg
-	if now := time.Now(); !r.servicesKnown || !now.Before(r.servicesRefreshAt) {
-		s, m, err := r.lookup(ctx, r.cfg.Service, dns.TypeSRV)
-		if err != nil {
-			return nil, next, err
-		}
-		services, err := readServices(s, r.cfg.MaxRecords)
-		if err != nil {
-			return nil, next, err
-		}
-		now = time.Now()
-		life := r.clampTTL(s.ttl)
-		r.services, r.servicesKnown, r.servicesExpireAt, r.servicesRefreshAt, extra = services, true, now.Add(life), refreshTime(now, life), m
+// refresh looks up whatever is due and makes the list. next is when the first thing
+// cached is due again.
+func (r *Resolver) refresh(ctx context.Context) (records []Record, next time.Time, err error) {
+	additional, err := r.refreshServices(ctx)
+	if err != nil {
+		return nil, next, err
 	}
-	if err := r.resolveTargets(ctx, extra); err != nil {
-		r.servicesRefreshAt = time.Time{} // the list was not told: ask for all of it again
+	if err := r.resolveTargets(ctx, additional); err != nil {
+		r.servicesRefreshAt = time.Time{} // no list was reported: look all of it up again
 		return nil, next, err
 	}
 	now := time.Now()
+	records, next = r.list()
+	if least := now.Add(minRoundGap); next.Before(least) {
+		next = least
+	}
+	return records, next, nil
+}
+
+// refreshServices looks the SRV records up if they are due. The message returned may
+// have the targets' addresses as additional records; it is nil if nothing was due.
+func (r *Resolver) refreshServices(ctx context.Context) (*dns.Msg, error) {
+	if now := time.Now(); r.servicesKnown && now.Before(r.servicesRefreshAt) {
+		return nil, nil
+	}
+	set, m, err := r.lookup(ctx, r.cfg.Service, dns.TypeSRV)
+	if err != nil {
+		return nil, err
+	}
+	services, err := readServices(set, r.cfg.MaxRecords)
+	if err != nil {
+		return nil, err
+	}
+	now, ttl := time.Now(), r.clampTTL(set.ttl)
+	r.services, r.servicesKnown, r.servicesExpireAt, r.servicesRefreshAt = services, true, now.Add(ttl), refreshTime(now, ttl)
+	return m, nil
+}
+
+// list makes the list of all targets that have an address, and says when the first
+// of what it consists of is due again.
+func (r *Resolver) list() (records []Record, next time.Time) {
 	next = r.servicesRefreshAt
 	for _, s := range r.services {
 		name := canonicalName(s.Target)
 		c := r.addresses[name]
-		if c == nil || len(c.addrs) == 0 {
-			if c != nil && c.refreshAt.Before(next) {
-				next = c.refreshAt
-			}
+		if c == nil {
 			continue
 		}
-		addr := c.addrs[0]
-		if have, ok := r.addressInUse[name]; ok && slices.Contains(c.addrs, have) {
-			addr = have
-		}
-		r.addressInUse[name] = addr
 		if c.refreshAt.Before(next) {
 			next = c.refreshAt
 		}
-		until := r.servicesExpireAt
-		if c.expiresAt.Before(until) {
-			until = c.expiresAt
+		if len(c.addrs) == 0 {
+			continue
 		}
-		out = append(out, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, ExpiresAt: until})
-	}
-	if least := now.Add(50 * time.Millisecond); next.Before(least) {
-		next = least
+		addr := c.addrs[0]
+		if inUse, ok := r.addressInUse[name]; ok && slices.Contains(c.addrs, inUse) {
+			addr = inUse
+		}
+		r.addressInUse[name] = addr
+		expiresAt := r.servicesExpireAt
+		if c.expiresAt.Before(expiresAt) {
+			expiresAt = c.expiresAt
+		}
+		records = append(records, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, ExpiresAt: expiresAt})
 	}
-	return out, next, nil
+	return records, next
 }
 
-// lookup asks for a name and follows its chain over as many messages as it takes.
+// lookup asks for a name and follows its chain of aliases over as many messages as it
+// takes. The set's lifetime is the least of the whole chain.
 func (r *Resolver) lookup(ctx context.Context, name string, kind uint16) (rrset, *dns.Msg, error) {
-	least := time.Duration(1 << 62)
-	for steps := 0; ; {
+	ttl := noTTL
+	for aliases := 0; ; {
 		m, err := r.client.query(ctx, name, kind)
 		if err != nil {
 			return rrset{}, nil, err
 		}
-		s, err := readAnswer(m, name, kind, steps)
-		if err == nil && s.continueAt != "" && s.aliases >= maxAliases {
+		set, err := readAnswer(m, name, kind, aliases)
+		if err == nil && set.continueAt != "" && set.aliases >= maxAliases {
 			err = errAliasLoop
 		}
 		if err != nil {
 			r.Counters.BrokenChains.Add(1)
 			return rrset{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, err)
 		}
-		least = min(least, s.ttl)
-		if s.ttl = least; s.continueAt == "" {
-			return s, m, nil
-		}
-		name, steps = s.continueAt, s.aliases
-	}
-}
-
-// maxConcurrentQueries bounds how many questions are out together.
-const maxConcurrentQueries = 8
-
-// resolveTargets makes sure that every target has addresses that are fresh, or
-// as fresh as can be had. An error means that nobody answered.
-func (r *Resolver) resolveTargets(ctx context.Context, m *dns.Msg) error {
-	wanted := map[string]bool{}
-	for _, s := range r.services {
-		wanted[canonicalName(s.Target)] = true
-	}
-	for name := range r.addresses {
-		if !wanted[name] {
-			delete(r.addresses, name)
-			delete(r.addressInUse, name)
-		}
-	}
-	now := time.Now()
-	if m != nil {
-		for i := len(r.cfg.AddressTypes) - 1; i >= 0; i-- { // the first family has the last word
-			for name, s := range readGlue(m, wanted, r.cfg.AddressTypes[i]) {
-				if addrs := readAddresses(s.records); len(addrs) > 0 {
-					life := r.clampTTL(s.ttl)
-					r.addresses[name] = &cachedAddresses{addrs, now.Add(life), refreshTime(now, life)}
-				}
-			}
-		}
-	}
-	var due []string
-	for name := range wanted {
-		if c := r.addresses[name]; c == nil || !now.Before(c.refreshAt) {
-			due = append(due, name)
-		}
-	}
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var lastErr error
-	found, failed := 0, 0
-	if m != nil {
-		found++ // the list itself
-	}
-	room := make(chan struct{}, maxConcurrentQueries)
-	for _, name := range due {
-		room <- struct{}{}
-		mu.Lock()
-		dead := failed >= maxConcurrentQueries && found == 0
-		mu.Unlock()
-		if dead { // nobody answers: the rest need not each find that out
-			break
-		}
-		wg.Go(func() {
-			defer func() { <-room }()
-			c, err := r.lookupAddresses(ctx, name)
-			mu.Lock()
-			defer mu.Unlock()
-			if err != nil {
-				failed++
-				lastErr = err
-				return
-			}
-			found++
-			r.addresses[name] = c
-		})
-	}
-	wg.Wait()
-	if ctx.Err() != nil || failed == 0 {
-		return ctx.Err()
-	}
-	// Where nobody was answered, nothing is known; the next round asks for the list
-	// too. Where others were, a target without an address is at fault itself, and is
-	// left out until it has one.
-	if found == 0 {
-		return lastErr
-	}
-	now = time.Now()
-	for name := range wanted {
-		c := r.addresses[name]
-		usable := c != nil && !now.After(c.expiresAt.Add(r.cfg.StaleTTL))
-		switch {
-		case !usable:
-			r.Counters.Unresolved.Add(1)
-			r.addresses[name] = &cachedAddresses{nil, now, now.Add(r.cfg.MinTTL / 2)}
-		case !now.Before(c.refreshAt):
-			c.refreshAt = now.Add(r.cfg.MinTTL / 2)
-		}
-	}
-	return nil
-}
-
-// lookupAddresses asks for a target's addresses, one family after the other.
-func (r *Resolver) lookupAddresses(ctx context.Context, name string) (*cachedAddresses, error) {
-	least := time.Duration(1 << 62)
-	for _, kind := range r.cfg.AddressTypes {
-		s, _, err := r.lookup(ctx, dns.Fqdn(name), kind)
-		if err != nil {
-			return nil, err
-		}
-		now := time.Now()
-		if addrs := readAddresses(s.records); len(addrs) > 0 {
-			life := r.clampTTL(s.ttl)
-			return &cachedAddresses{addrs, now.Add(life), refreshTime(now, life)}, nil
+		ttl = min(ttl, set.ttl)
+		if set.ttl = ttl; set.continueAt == "" {
+			return set, m, nil
 		}
-		least = min(least, s.ttl)
+		name, aliases = set.continueAt, set.aliases
 	}
-	now, life := time.Now(), r.clampTTL(least)
-	return &cachedAddresses{nil, now.Add(life), refreshTime(now, life)}, nil
 }
--- a/internal/discovery/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -30,10 +30,10 @@
 w3.shop.test. 60 IN AAAA ::1
 `
 
-// known is what zone says, as host:port by target.
-var known = []string{"w1.shop.test 127.0.0.11:7001 0 10", "w2.shop.test 127.0.0.12:7002 0 30", "w3.shop.test [::1]:7003 5 0"}
+// zoneRecords is what zone says, as host:port by target.
+var zoneRecords = []string{"w1.shop.test 127.0.0.11:7001 0 10", "w2.shop.test 127.0.0.12:7002 0 30", "w3.shop.test [::1]:7003 5 0"}
 
-func start(t *testing.T, text string) *dnsserver.Server {
+func startServer(t *testing.T, text string) *dnsserver.Server {
 	t.Helper()
 	s, err := dnsserver.Start()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return s
 }
 
-func resolver(servers ...*dnsserver.Server) *Resolver {
+func newResolver(servers ...*dnsserver.Server) *Resolver {
 	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, MinTTL: time.Second, MaxTTL: time.Hour, StaleTTL: time.Hour,
 		AddressTypes: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
 	for _, s := range servers {
@@ -55,7 +55,7 @@
 	return New(cfg)
 }
 
-func lines(records []Record) (out []string) {
+func recordLines(records []Record) (out []string) {
 	for _, r := range records {
 		out = append(out, fmt.Sprint(r.Target, " ", r.Addr, " ", r.Priority, " ", r.Weight))
 	}
@@ -89,11 +89,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := start(t, zone), start(t, zone)
+			bad, good := startServer(t, zone), startServer(t, zone)
 			bad.Behave(dnsserver.Always(c.fault))
-			r := resolver(bad, good)
+			r := newResolver(bad, good)
 			records, next, err := r.refresh(t.Context())
-			if diff := cmp.Diff(known, lines(records)); diff != "" || err != nil {
+			if diff := cmp.Diff(zoneRecords, recordLines(records)); diff != "" || err != nil {
 				t.Fatal(err, diff)
 			}
 			if left := time.Until(next); left < 30*time.Second || left > 52*time.Second {
@@ -106,13 +106,13 @@
 	}
 }
 
-// A server that holes up is tried after the others from then on; a port that is
+// A server that does not answer is asked after the others from then on; a port that is
 // closed is found out at once, not by a time-out.
-func TestServersInTroubleComeLast(t *testing.T) {
-	hole, failing, good := start(t, zone), start(t, zone), start(t, zone)
+func TestUnhealthyServersAreAskedLast(t *testing.T) {
+	hole, failing, good := startServer(t, zone), startServer(t, zone), startServer(t, zone)
 	hole.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
 	failing.Behave(dnsserver.Always(dnsserver.Fault{Rcode: dns.RcodeServerFailure}))
-	r := resolver(hole, failing, good)
+	r := newResolver(hole, failing, good)
 	r.client.servers[0].retryDelay.RandomizationFactor, r.client.servers[1].retryDelay.RandomizationFactor = 0, 0 // no luck in it
 	for range 3 {
 		if _, err := r.client.query(t.Context(), service, dns.TypeSRV); err != nil {
@@ -122,9 +122,9 @@
 	if h, f, g := hole.Questions.Load(), failing.Questions.Load(), good.Questions.Load(); h != 1 || f != 1 || g != 3 {
 		t.Errorf("asked %d, %d and %d times", h, f, g)
 	}
-	dead := start(t, zone)
+	dead := startServer(t, zone)
 	dead.Close()
-	r = resolver(dead, good)
+	r = newResolver(dead, good)
 	began := time.Now()
 	if _, err := r.client.query(t.Context(), service, dns.TypeSRV); err != nil || r.Counters.Refused.Load() != 1 {
 		t.Error(err, r.Counters.Refused.Load())
@@ -134,9 +134,8 @@
 	}
 }
 
-// The answers that say "nobody", each with how long it holds; and those that say
-// nothing that can be used.
-func TestNobodyAndNonsense(t *testing.T) {
+// Negative answers, each with how long it holds, and answers that can't be used.
+func TestNegativeAndUnusableAnswers(t *testing.T) {
 	const alias = service + " 30 IN CNAME real.shop.test.\nreal.shop.test. 60 IN SRV 0 0 7001 w1.shop.test.\nw1.shop.test. 60 IN A 127.0.0.11\n"
 	for name, c := range map[string]struct {
 		zone  string
@@ -159,11 +158,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := start(t, c.zone)
+			s := startServer(t, c.zone)
 			s.Behave(dnsserver.Always(c.fault))
-			r := resolver(s)
+			r := newResolver(s)
 			records, next, err := r.refresh(t.Context())
-			if diff := cmp.Diff(c.want, lines(records)); diff != "" || (err != nil) != c.fails {
+			if diff := cmp.Diff(c.want, recordLines(records)); diff != "" || (err != nil) != c.fails {
 				t.Fatal(err, diff)
 			}
 			if left := time.Until(next); !c.fails && (left > c.life*85/100 || left < c.life/2) {
@@ -174,19 +173,19 @@
 }
 
 // 2,000 records come whole, over TCP; one more than may be taken is refused whole.
-func TestLongAnswer(t *testing.T) {
+func TestLongAnswerComesWholeOverTCP(t *testing.T) {
 	var text strings.Builder
 	for i := range 2000 {
 		fmt.Fprintf(&text, "_l._tcp.z. 5 IN SRV 0 0 %d w%d.z.\nw%d.z. 5 IN A 127.0.%d.%d\n", 10000+i, i, i, 1+i/250, 1+i%250)
 	}
-	s := start(t, text.String())
-	r := resolver(s)
+	s := startServer(t, text.String())
+	r := newResolver(s)
 	r.cfg.Service, r.client.timeout = "_l._tcp.z.", 5*time.Second
 	records, _, err := r.refresh(t.Context())
 	if err != nil || len(records) != 2000 || r.Counters.OverTCP.Load() != 1 {
 		t.Fatalf("%d records, %v", len(records), err)
 	}
-	r = resolver(s)
+	r = newResolver(s)
 	r.cfg.Service, r.client.timeout, r.cfg.MaxRecords = "_l._tcp.z.", 5*time.Second, 1999
 	if records, _, err := r.refresh(t.Context()); err == nil || len(records) > 0 {
 		t.Errorf("%d records, %v", len(records), err)
@@ -195,34 +194,37 @@
 
 // One target that can't be resolved does not keep the others from the list; a
 // target's address stays in use while it is one of its addresses.
-func TestTargetsOfTheirOwn(t *testing.T) {
-	s := start(t, zone)
+func TestUnresolvableTargetIsLeftOutAlone(t *testing.T) {
+	s := startServer(t, zone)
 	s.Behave(func(q dns.Question, _ bool) dnsserver.Fault {
 		if q.Name == "w1.shop.test." {
 			return dnsserver.Fault{Rcode: dns.RcodeServerFailure}
 		}
 		return dnsserver.Fault{NoGlue: true}
 	})
-	r := resolver(s)
+	r := newResolver(s)
 	records, next, err := r.refresh(t.Context())
-	if diff := cmp.Diff(known[1:], lines(records)); diff != "" || err != nil {
+	if diff := cmp.Diff(zoneRecords[1:], recordLines(records)); diff != "" || err != nil {
 		t.Fatal(err, diff)
 	}
 	if left := time.Until(next); left > r.cfg.MinTTL {
 		t.Errorf("the target left out is asked for again in %v", left)
 	}
 	s.Behave(nil)
-	s.Zone(strings.Replace(zone, "127.0.0.12", "127.0.0.10", 1)) // .13 is still there, but .10 comes first
+	if err := s.Zone(strings.Replace(zone, "127.0.0.12", "127.0.0.10", 1)); err != nil {
+		t.Fatal(err)
+	}
+	// .13 is still there, but .10 comes first
 	r.addressInUse["w2.shop.test"] = netip.MustParseAddr("127.0.0.13")
 	clear(r.addresses)
-	if records, _, err = r.refresh(t.Context()); err != nil || lines(records)[1] != "w2.shop.test 127.0.0.13:7002 0 30" {
-		t.Error(err, lines(records))
+	if records, _, err = r.refresh(t.Context()); err != nil || recordLines(records)[1] != "w2.shop.test 127.0.0.13:7002 0 30" {
+		t.Error(err, recordLines(records))
 	}
 }
 
 // Go's own resolver gets the same from the stand-in as ours does.
-func TestSameAsGo(t *testing.T) {
-	s := start(t, zone)
+func TestSameAnswersAsGoResolver(t *testing.T) {
+	s := startServer(t, zone)
 	theirs := &net.Resolver{PreferGo: true, Dial: func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, s.Addr.String())
 	}}
@@ -240,17 +242,17 @@
 		want = append(want, fmt.Sprint(canonicalName(r.Target), " ", netip.AddrPortFrom(addrs[0].Unmap(), r.Port), " ", r.Priority, " ", r.Weight))
 	}
 	slices.Sort(want)
-	records, _, err := resolver(s).refresh(t.Context())
-	if diff := cmp.Diff(want, lines(records)); diff != "" || err != nil {
+	records, _, err := newResolver(s).refresh(t.Context())
+	if diff := cmp.Diff(want, recordLines(records)); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
 }
 
 // Follow asks again ahead of the lifetime's end; told once that nobody answers,
 // it goes on asking, and tells when there is an answer again.
-func TestFollow(t *testing.T) {
-	s := start(t, strings.ReplaceAll(zone, " 60 ", " 1 "))
-	r := resolver(s)
+func TestRun(t *testing.T) {
+	s := startServer(t, strings.ReplaceAll(zone, " 60 ", " 1 "))
+	r := newResolver(s)
 	r.cfg.MinTTL, r.client.timeout = 200*time.Millisecond, 100*time.Millisecond
 	told := make(chan Update, 64)
 	ctx, stop := context.WithCancel(t.Context())
@@ -277,14 +279,14 @@
 	until("told of the silence", false)
 	s.Behave(nil)
 	if u := until("told of the answer", true); len(u.Records) != 3 {
-		t.Error(lines(u.Records))
+		t.Error(recordLines(u.Records))
 	}
 	stop()
 	<-ended
 }
 
-// The pauses double up to their ceiling, drawn evenly from nothing to the step.
-func TestPauseHasFullJitter(t *testing.T) {
+// The delays double up to their limit, drawn uniformly from nothing to the step.
+func TestBackoffHasFullJitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sum, n := make([]time.Duration, 8), 2000
 		for range n {
@@ -292,7 +294,7 @@
 			for i := range sum {
 				d := p.NextBackOff()
 				if most := min(200*time.Millisecond<<i, 2*time.Second); d < 0 || d > most {
-					t.Fatalf("pause %d is %v, over %v", i, d, most)
+					t.Fatalf("delay %d is %v, over %v", i, d, most)
 				}
 				sum[i] += d
 			}
@@ -300,7 +302,7 @@
 		for i, s := range sum {
 			want := min(100*time.Millisecond<<i, time.Second)
 			if mean := s / time.Duration(n); mean < want*9/10 || mean > want*11/10 {
-				t.Errorf("mean of pause %d is %v, not about %v", i, mean, want)
+				t.Errorf("mean of delay %d is %v, not about %v", i, mean, want)
 			}
 		}
 	})
