--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -12,8 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// base is a sound configuration; edit changes its text before it is read.
-func load(t *testing.T, edit [2]string, sse string, env map[string]string) (*Config, error) {
+// loadEdited loads a valid configuration with one piece of its text replaced, an operator's file and
+// further variables.
+func loadEdited(t *testing.T, edit [2]string, sse string, env map[string]string) (*Config, error) {
 	t.Helper()
 	settings, err := os.ReadFile("../../../cmd/yardflow/testdata/settings.json")
 	if err != nil {
@@ -49,8 +50,8 @@
 	return Load(func(k string) string { return all[k] }, path)
 }
 
-func TestSoundConfiguration(t *testing.T) {
-	c, err := load(t, [2]string{}, "", map[string]string{"NODE_LISTEN": "127.0.0.2:1"})
+func TestValidConfiguration(t *testing.T) {
+	c, err := loadEdited(t, [2]string{}, "", map[string]string{"NODE_LISTEN": "127.0.0.2:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,25 +72,25 @@
 	}
 }
 
-// What ships must be sound, and off.
+// The file that ships must be valid, and switch nothing on.
 func TestShippedFileIsOff(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/yardflow.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := load(t, [2]string{}, string(text), nil)
+	c, err := loadEdited(t, [2]string{}, string(text), nil)
 	if err != nil || c.SSE.Enabled || len(c.SRV) > 0 || len(c.Notices) > 0 {
 		t.Fatal(err, c.SSE.Enabled, c.SRV, c.Notices)
 	}
-	if c, err = load(t, [2]string{}, strings.Replace(string(text), "enabled = false", "enabled = true", 1), nil); err != nil || !c.SSE.Enabled {
+	if c, err = loadEdited(t, [2]string{}, strings.Replace(string(text), "enabled = false", "enabled = true", 1), nil); err != nil || !c.SSE.Enabled {
 		t.Fatal("switched on:", err)
 	}
 }
 
-const contract = "[sse]\nenabled = true\nlisten = \"127.0.0.1:7171\"\n[[sse.contract]]\nteam = \"a\"\ntenant = \"univ-vltava\"\nclasses = [\"issue-loan\"]\nrate = 1.0\nburst = 1\nmax_open = 1\n"
+const sseFileWithContract = "[sse]\nenabled = true\nlisten = \"127.0.0.1:7171\"\n[[sse.contract]]\nteam = \"a\"\ntenant = \"univ-vltava\"\nclasses = [\"issue-loan\"]\nrate = 1.0\nburst = 1\nmax_open = 1\n"
 
 // Every message names the faulty key.
-func TestFaultyKeysAreNamed(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for key, edit := range map[string][2]string{
 		"NODE_DISCOVERY: ":                    {`"127.0.0.1:8500"`, `"nowhere"`},
 		"NODE_LISTEN: missing":                {`"listen":"127.0.0.1:7070"`, `"listen":""`},
@@ -106,7 +107,7 @@
 		`semantics "odd"`:                     {`"fragile"`, `"odd"`},
 		"NODE_CONFIG: unexpected end of JSON": {`}}`, ``},
 	} {
-		if _, err := load(t, edit, "", nil); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := loadEdited(t, edit, "", nil); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%v: got %v, want %q in it", edit, err, key)
 		}
 	}
@@ -122,15 +123,15 @@
 		"speed: unknown key":  {"listen", "speed = 1\nlisten"},
 		"write_timeout":       {"listen", "write_timeout = \"soon\"\nlisten"},
 	} {
-		if _, err := load(t, [2]string{}, strings.Replace(contract, edit[0], edit[1], 1), nil); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := loadEdited(t, [2]string{}, strings.Replace(sseFileWithContract, edit[0], edit[1], 1), nil); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%v: got %v, want %q in it", edit, err, key)
 		}
 	}
 }
 
-// While a dispatcher runs the file's discovery wins; what else differs is named.
+// While a dispatcher runs the file's discovery takes precedence; other keys that differ are named.
 func TestReload(t *testing.T) {
-	first, err := load(t, [2]string{}, "", nil)
+	first, err := loadEdited(t, [2]string{}, "", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,9 +163,9 @@
 }
 
 // A file that is cut off anywhere, or lacks any key that the one in force has, is
-// refused by the key's name; one that only differs is taken up whole.
-func TestBrokenFilesChangeNothing(t *testing.T) {
-	first, err := load(t, [2]string{}, "", nil)
+// rejected by the key's name; one that only differs is taken over whole.
+func TestReloadRejectsIncompleteFiles(t *testing.T) {
+	first, err := loadEdited(t, [2]string{}, "", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +174,7 @@
 		t.Fatal(err)
 	}
 	dir, files := t.TempDir(), 0
-	retune := func(text []byte) (*Config, error) {
+	reload := func(text []byte) (*Config, error) {
 		// A file written over is flushed to the disk when it is closed (ext4, for safety):
 		// 50 ms each, for a thousand of them.
 		files++
@@ -187,12 +188,12 @@
 		}
 		return first.Reloaded(next)
 	}
-	if _, err := retune(whole); err != nil {
+	if _, err := reload(whole); err != nil {
 		t.Fatal(err)
 	}
 	for n := range whole {
-		if _, err := retune(whole[:n]); err == nil {
-			t.Fatalf("taken though cut off after %s", whole[max(n-20, 0):n])
+		if _, err := reload(whole[:n]); err == nil {
+			t.Fatalf("accepted though cut off after %s", whole[max(n-20, 0):n])
 		}
 	}
 	cuts := 0
@@ -212,8 +213,8 @@
 				cuts++
 				// Either check may find it first; both name the last part of its path.
 				last := path[strings.LastIndex(path, ".")+1:]
-				if _, err := retune(text); err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(last)) &&
-					!(last == "Semantics" && strings.Contains(err.Error(), "semantics")) && last != "discovery" && last != "listen" {
+				if _, err := reload(text); err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(last)) &&
+					(last != "Semantics" || !strings.Contains(err.Error(), "semantics")) && last != "discovery" && last != "listen" {
 					t.Errorf("%s cut out: %v", path, err)
 				}
 			}
@@ -227,7 +228,7 @@
 	if cuts < 60 {
 		t.Errorf("only %d keys were cut", cuts)
 	}
-	next, err := retune([]byte(strings.Replace(string(whole), `"MaxAttempts":4`, `"MaxAttempts":2`, 1)))
+	next, err := reload([]byte(strings.Replace(string(whole), `"MaxAttempts":4`, `"MaxAttempts":2`, 1)))
 	if err != nil || next.Dispatch.MaxAttempts != 2 || first.Dispatch.MaxAttempts != 4 {
 		t.Errorf("%v; %+v", err, next)
 	}
--- a/internal/platform/config/operator.go
+++ b/internal/platform/config/operator.go
@@ -1,60 +1,33 @@
 package config
 
-// This file owns the operator's own file, deploy/yardflow.toml: everything that an
-// installation may switch on beside what the platform tells. Whatever is wrong
-// with it is named by key and line, with what was expected. It must never take
-// half of a file.
-
 import (
 	"errors"
 	"fmt"
 	"io/fs"
-	"net/netip"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"time"
 
-	"github.com/miekg/dns"
-	"github.com/pelletier/go-toml/v2"
-	"github.com/pelletier/go-toml/v2/unstable"
-
-	"yardflow/internal/discovery/membership"
-	"yardflow/internal/discovery/srv"
 	"yardflow/scheduling/backfill"
 )
 
-// Membership is how the sources of loan workers are merged.
-type Membership struct {
-	Rule             string   `toml:"rule"`
-	FailureThreshold int      `toml:"fail_after"`
-	FailbackDelay    Duration `toml:"backup_settle"`
-	PublishInterval  Duration `toml:"tell_every"`
-}
-
-// SRV is one list of loan workers in DNS.
-type SRV struct {
-	Name            string   `toml:"name"`
-	Service         string   `toml:"service"`
-	Servers         []string `toml:"servers"`
-	Zone            string   `toml:"zone"`
-	Kind            string   `toml:"kind"`
-	Cell            int      `toml:"cell"`
-	Identity        string   `toml:"identity"`
-	Addresses       string   `toml:"addresses"`
-	Timeout         Duration `toml:"timeout"`
-	MinTTL          Duration `toml:"floor"`
-	MaxTTL          Duration `toml:"ceiling"`
-	StaleTTL        Duration `toml:"stale"`
-	AfterStale      string   `toml:"after_stale"`
-	ShrinkThreshold *float64 `toml:"shrink_part"`
-	ShrinkHoldTime  Duration `toml:"shrink_hold"`
-	InferStart      *bool    `toml:"cold_names"`
-	MaxRecords      int      `toml:"max_records"`
+// operatorFile is the form of deploy/yardflow.toml: everything that an installation may
+// switch on beside what the platform states.
+type operatorFile struct {
+	Coordinators Coordinators `toml:"keepers"`
+	SSE          *SSE         `toml:"sse"`
+	Membership   *Membership  `toml:"membership"`
+	Backfill     Backfill     `toml:"room"`
+	Log          struct {
+		Trace bool `toml:"trace"`
+	} `toml:"log"`
+	Source struct {
+		SRV []SRV `toml:"srv"`
+	} `toml:"source"`
 }
 
-// Backfill is how room is held for large jobs.
+// Backfill is how slots are reserved for large jobs.
 type Backfill struct {
 	Enabled   bool     `toml:"enabled"`
 	Mode      string   `toml:"mode"`
@@ -66,70 +39,27 @@
 	Large     float64  `toml:"large"`
 }
 
-// Coordinators are where a fleet's policies are agreed on; without addresses, nowhere.
+// Coordinators says where a fleet agrees on its policies; without addresses, nowhere.
 type Coordinators struct {
 	Fleet       string   `toml:"fleet"`
 	Addresses   []string `toml:"addresses"`
-	OnLeaseLoss string   `toml:"fence"`
-}
-
-// operatorFile is the file's form.
-type operatorFile struct {
-	Coordinators Coordinators `toml:"keepers"`
-	SSE          *SSE         `toml:"sse"`
-	Membership   *Membership  `toml:"membership"`
-	Backfill     Backfill     `toml:"room"`
-	Log          struct {
-		Trace bool `toml:"trace"`
-	} `toml:"log"`
-	Source struct {
-		SRV []SRV `toml:"srv"`
-	} `toml:"source"`
+	OnLeaseLoss string   `toml:"fence"` // "refuse" or "last"
 }
 
-// keyError is what is wrong with one key.
-type keyError struct{ key, problem string }
-
-func (f *keyError) Error() string { return f.key + ": " + f.problem }
-
-func keyErrorf(key, format string, args ...any) error {
-	return &keyError{key, fmt.Sprintf(format, args...)}
-}
-
-// legacySSEFile is the second front's file from before there was this one.
+// legacySSEFile is the second front's file from before there was an operator's file.
 const legacySSEFile = "sse.toml"
 
-// DefaultMembership is how sources are merged where the file says nothing.
-func DefaultMembership() Membership {
-	return Membership{Rule: string(membership.RuleRosterVetoes), FailureThreshold: 3,
-		FailbackDelay: Duration{10 * time.Second}, PublishInterval: Duration{200 * time.Millisecond}}
-}
-
-func defaultSSE() SSE {
-	return SSE{MaxEventBytes: 64 << 10, BufferEvents: 32,
-		WriteTimeout: Duration{2 * time.Second}, Heartbeat: Duration{10 * time.Second}}
-}
-
-// loadOperator reads the operator's file; one that is not there leaves everything
-// off. Without a section [sse] in it, the old file beside it counts, with a notice.
+// loadOperator reads the operator's file; one that does not exist leaves everything
+// off. Without a section [sse] in it, the legacy file beside it counts, with a notice.
 func (c *Config) loadOperator(path string) error {
-	c.SSE = defaultSSE()
-	c.Membership = DefaultMembership()
-	d := backfill.DefaultSettings()
-	in := operatorFile{SSE: &SSE{}, Membership: &c.Membership, Backfill: Backfill{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
-		Longest: Duration{d.ReservationTTL}, Budget: d.IdleBudget, SmallWait: Duration{d.MaxJobDelay}, Large: d.LargeRuns}}
-	*in.SSE = c.SSE
+	c.SSE, c.Membership = defaultSSE(), DefaultMembership()
+	sse := c.SSE
+	in := operatorFile{SSE: &sse, Membership: &c.Membership, Backfill: defaultBackfill()}
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = c.decodeTOML(text, &in, func() error {
+		err = decodeTOML(text, &in, func() error {
 			c.SSE, c.SRV, c.Trace, c.Coordinators = *in.SSE, in.Source.SRV, in.Log.Trace, in.Coordinators
-			if err := c.checkCoordinators(); err != nil {
-				return err
-			}
-			if err := c.applyBackfill(in.Backfill); err != nil {
-				return err
-			}
-			return c.checkOperator()
+			return c.checkOperator(in.Backfill)
 		})
 	} else if errors.Is(err, fs.ErrNotExist) {
 		err = nil
@@ -137,11 +67,24 @@
 	if err != nil {
 		return fmt.Errorf("%s:%w", path, err)
 	}
-	return c.loadLegacySSE(filepath.Join(filepath.Dir(path), legacySSEFile), hasSection(text, "sse"))
+	return c.loadLegacySSE(filepath.Join(filepath.Dir(path), legacySSEFile), IndexKeys(text).hasSection("sse"))
+}
+
+// checkOperator checks the whole file, and fills in what is left out.
+func (c *Config) checkOperator(b Backfill) error {
+	if err := c.Coordinators.check(); err != nil {
+		return err
+	}
+	if err := c.applyBackfill(b); err != nil {
+		return err
+	}
+	if err := c.ValidateSSE("sse."); err != nil {
+		return err
+	}
+	return c.checkMembership()
 }
 
-func (c *Config) checkCoordinators() error {
-	k := &c.Coordinators
+func (k *Coordinators) check() error {
 	if len(k.Addresses) == 0 {
 		return nil
 	}
@@ -162,6 +105,8 @@
 	return nil
 }
 
+// loadLegacySSE reads the second front's legacy file, if it exists and the operator's
+// file does not replace it.
 func (c *Config) loadLegacySSE(path string, replaced bool) error {
 	text, err := os.ReadFile(path)
 	switch {
@@ -174,7 +119,7 @@
 		return nil
 	}
 	s := defaultSSE()
-	err = c.decodeTOML(text, &s, func() error {
+	err = decodeTOML(text, &s, func() error {
 		c.SSE = s
 		return c.ValidateSSE("")
 	})
@@ -185,153 +130,20 @@
 	return nil
 }
 
-// decodeTOML reads a file's text into to, then checks it. The error begins with the line.
-func (c *Config) decodeTOML(text []byte, to any, check func() error) error {
-	lines := IndexKeys(text)
-	in := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
-	err := in.Decode(to)
-	var strict *toml.StrictMissingError
-	var one *toml.DecodeError
-	switch {
-	case errors.As(err, &strict):
-		line, _ := strict.Errors[0].Position()
-		return fmt.Errorf("%d: %s: unknown key", line, strings.Join(strict.Errors[0].Key(), "."))
-	case errors.As(err, &one):
-		line, _ := one.Position()
-		key := strings.Join(one.Key(), ".")
-		if key == "" {
-			key = lines.keyAt(line)
-		}
-		return fmt.Errorf("%d: %s: %s", line, key, strings.TrimPrefix(one.Error(), "toml: "))
-	case err != nil:
-		return fmt.Errorf(" %w", err)
-	}
-	err = check()
-	var f *keyError
-	if errors.As(err, &f) {
-		return fmt.Errorf("%d: %w", lines.Line(f.key), err)
-	}
-	if err != nil {
-		return fmt.Errorf(" %w", err)
-	}
-	return nil
-}
-
-// keyLine is where a key stands.
-type keyLine struct {
-	key  string
-	line int
-}
-
-// KeyIndex finds the lines of a file's keys.
-type KeyIndex []keyLine
-
-// IndexKeys finds the line of every key. Tables of a list count from 0.
-func IndexKeys(text []byte) (out KeyIndex) {
-	var p unstable.Parser
-	p.Reset(text)
-	prefix, lists := "", map[string]int{}
-	for p.NextExpression() {
-		e := p.Expression()
-		var parts []string
-		line := 0
-		for it := e.Key(); it.Next(); {
-			parts = append(parts, string(it.Node().Data))
-			line = p.Shape(it.Node().Raw).Start.Line
-		}
-		key := strings.Join(parts, ".")
-		switch e.Kind {
-		case unstable.ArrayTable:
-			prefix = fmt.Sprintf("%s[%d]", key, lists[key])
-			lists[key]++
-			key = prefix
-		case unstable.Table:
-			prefix = key
-		case unstable.KeyValue:
-			if prefix != "" {
-				key = prefix + "." + key
-			}
-		}
-		out = append(out, keyLine{key, line})
-	}
-	return out
-}
-
-// Line is a key's line, or that of the innermost table around it that is there.
-func (x KeyIndex) Line(key string) int {
-	for key != "" {
-		for _, k := range x {
-			if k.key == key {
-				return k.line
-			}
-		}
-		key = key[:max(strings.LastIndexAny(key, ".["), 0)]
-	}
-	return 1
-}
-
-// Has tells whether a key is there.
-func (x KeyIndex) Has(key string) bool {
-	return slices.ContainsFunc(x, func(k keyLine) bool { return k.key == key })
-}
-
-// keyAt is the last key that begins on a line or before it.
-func (x KeyIndex) keyAt(line int) (key string) {
-	for _, k := range x {
-		if k.line <= line {
-			key = k.key
-		}
-	}
-	return key
-}
-
-func hasSection(text []byte, name string) bool {
-	for _, k := range IndexKeys(text) {
-		if k.key == name || strings.HasPrefix(k.key, name+".") || strings.HasPrefix(k.key, name+"[") {
-			return true
-		}
-	}
-	return false
-}
-
-// validSourceName tells whether a source may be called so: it stands in one-line answers.
-func validSourceName(s string) bool {
-	return s != "" && len(s) <= 63 && strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-") == ""
-}
-
-// checkOperator checks the whole file, and fills in what is left out.
-func (c *Config) checkOperator() error {
-	if err := c.ValidateSSE("sse."); err != nil {
-		return err
-	}
-	m := &c.Membership
-	switch r := membership.MergeRule(m.Rule); {
-	case r != membership.RuleRosterVetoes && r != membership.RuleAny && r != membership.RuleAll:
-		return keyErrorf("membership.rule", "%q; expected %q, %q or %q", m.Rule, membership.RuleRosterVetoes, membership.RuleAny, membership.RuleAll)
-	case m.FailureThreshold < 1 || m.FailureThreshold > 100:
-		return keyErrorf("membership.fail_after", "%d; expected 1 to 100 connects", m.FailureThreshold)
-	case m.FailbackDelay.Duration < 0 || m.FailbackDelay.Duration > time.Hour:
-		return keyErrorf("membership.backup_settle", "%v; expected 0s to 1h", m.FailbackDelay)
-	// With a drain's word underway for so long, 500 ms must still hold.
-	case m.PublishInterval.Duration < 10*time.Millisecond || m.PublishInterval.Duration > 400*time.Millisecond:
-		return keyErrorf("membership.tell_every", "%v; expected 10ms to 400ms", m.PublishInterval)
-	}
-	seen := map[string]bool{membership.RosterSource: true}
-	for i := range c.SRV {
-		if err := c.checkSRV(&c.SRV[i], fmt.Sprintf("source.srv[%d].", i), seen); err != nil {
-			return err
-		}
-	}
-	return nil
+func defaultBackfill() Backfill {
+	d := backfill.DefaultSettings()
+	return Backfill{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations, Longest: Duration{d.ReservationTTL},
+		Budget: d.IdleBudget, SmallWait: Duration{d.MaxJobDelay}, Large: d.LargeRuns}
 }
 
-// applyBackfill checks [room], on or off, and hands it to the module where it is on.
+// applyBackfill checks [room], on or off, and gives it to the decision module where it
+// is on. backfill names its settings by the keys of [room].
 func (c *Config) applyBackfill(in Backfill) error {
 	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, MaxReservations: in.Most, ReservationTTL: in.Longest.Duration,
 		IdleBudget: in.Budget, MaxJobDelay: in.SmallWait.Duration, LargeRuns: in.Large}
 	if err := s.Validate(); err != nil {
-		key, what, _ := strings.Cut(err.Error(), ": ")
-		return keyErrorf("room."+key, "%s", what)
+		key, problem, _ := strings.Cut(err.Error(), ": ")
+		return keyErrorf("room."+key, "%s", problem)
 	}
 	if in.Enabled {
 		c.Dispatch.Backfill = &s
@@ -344,93 +156,3 @@
 		d.Duration = v
 	}
 }
-
-func (c *Config) checkSRV(s *SRV, at string, seen map[string]bool) error {
-	setDefault(&s.Timeout, 400*time.Millisecond)
-	setDefault(&s.MinTTL, time.Second)
-	setDefault(&s.MaxTTL, time.Hour)
-	setDefault(&s.StaleTTL, time.Hour)
-	setDefault(&s.ShrinkHoldTime, 30*time.Second)
-	if s.ShrinkThreshold == nil {
-		s.ShrinkThreshold = new(0.5)
-	}
-	if s.InferStart == nil {
-		s.InferStart = new(true)
-	}
-	if s.MaxRecords == 0 {
-		s.MaxRecords = 4096
-	}
-	for _, d := range []struct {
-		to    *string
-		value string
-	}{{&s.Identity, string(membership.ByHostPort)}, {&s.Addresses, "any"}, {&s.AfterStale, "drain"}} {
-		if *d.to == "" {
-			*d.to = d.value
-		}
-	}
-	span := func(key string, d Duration, least, most time.Duration) error {
-		if d.Duration < least || d.Duration > most {
-			return keyErrorf(at+key, "%v; expected %v to %v", d, least, most)
-		}
-		return nil
-	}
-	name, valid := dns.IsDomainName(s.Service)
-	switch {
-	case !validSourceName(s.Name):
-		return keyErrorf(at+"name", "%q; expected letters, digits, '.', '_' or '-', 63 at most", s.Name)
-	case seen[s.Name]:
-		return keyErrorf(at+"name", "%q is another source's name already", s.Name)
-	case !valid || name < 2 || !strings.HasPrefix(s.Service, "_"):
-		return keyErrorf(at+"service", "%q; expected a full name such as _loans._tcp.example.cz", s.Service)
-	case len(s.Servers) == 0:
-		return keyErrorf(at+"servers", "missing; expected at least one address such as 10.0.0.53:53")
-	case len(c.Zones) > 0 && !slices.Contains(c.Zones, s.Zone):
-		return keyErrorf(at+"zone", "%q; expected one of %q", s.Zone, c.Zones)
-	case len(c.Kinds) > 0 && !slices.Contains(c.Kinds, s.Kind):
-		return keyErrorf(at+"kind", "%q; expected one of %q", s.Kind, c.Kinds)
-	case s.Identity != string(membership.ByHostPort) && s.Identity != string(membership.ByLabel):
-		return keyErrorf(at+"identity", "%q; expected %q or %q", s.Identity, membership.ByHostPort, membership.ByLabel)
-	case addressTypes[s.Addresses] == nil:
-		return keyErrorf(at+"addresses", "%q; expected \"any\", \"ipv4\" or \"ipv6\"", s.Addresses)
-	case s.AfterStale != "drain" && s.AfterStale != "keep":
-		return keyErrorf(at+"after_stale", "%q; expected \"drain\" or \"keep\"", s.AfterStale)
-	case *s.ShrinkThreshold <= 0 || *s.ShrinkThreshold > 1:
-		return keyErrorf(at+"shrink_part", "%v; expected over 0 and up to 1", *s.ShrinkThreshold)
-	case s.MaxRecords < 1 || s.MaxRecords > 1<<16:
-		return keyErrorf(at+"max_records", "%d; expected 1 to 65536", s.MaxRecords)
-	}
-	seen[s.Name] = true
-	for i, text := range s.Servers {
-		if a, err := netip.ParseAddrPort(text); err != nil || a.Port() == 0 {
-			return keyErrorf(at+"servers", "[%d] is %q; expected an IP address and a port such as 10.0.0.53:53", i, text)
-		}
-	}
-	return errors.Join(span("timeout", s.Timeout, 10*time.Millisecond, 10*time.Second), span("floor", s.MinTTL, 100*time.Millisecond, time.Hour),
-		span("ceiling", s.MaxTTL, s.MinTTL.Duration, 7*24*time.Hour), span("stale", s.StaleTTL, 0, 7*24*time.Hour),
-		span("shrink_hold", s.ShrinkHoldTime, 0, time.Hour))
-}
-
-var addressTypes = map[string][]uint16{"any": {dns.TypeA, dns.TypeAAAA}, "ipv4": {dns.TypeA}, "ipv6": {dns.TypeAAAA}}
-
-// ResolverConfig is the source as its resolver is told of it.
-func (s *SRV) ResolverConfig() srv.Config {
-	out := srv.Config{Service: dns.Fqdn(s.Service), Timeout: s.Timeout.Duration, MinTTL: s.MinTTL.Duration, MaxTTL: s.MaxTTL.Duration,
-		StaleTTL: s.StaleTTL.Duration, AddressTypes: addressTypes[s.Addresses], MaxRecords: s.MaxRecords}
-	for _, text := range s.Servers {
-		out.Servers = append(out.Servers, netip.MustParseAddrPort(text))
-	}
-	return out
-}
-
-// MembershipConfig is the whole of the settings of the merged list: the roster first, then
-// the lists in DNS in the order of the file.
-func (c *Config) MembershipConfig() membership.Config {
-	out := membership.Config{Rule: membership.MergeRule(c.Membership.Rule), FailureThreshold: c.Membership.FailureThreshold,
-		FailbackDelay: c.Membership.FailbackDelay.Duration, Sources: []membership.Source{{Name: membership.RosterSource, Identity: membership.ByID}}}
-	for i := range c.SRV {
-		s := &c.SRV[i]
-		out.Sources = append(out.Sources, membership.Source{Name: s.Name, Identity: membership.Identity(s.Identity), StaleTTL: s.StaleTTL.Duration,
-			KeepStale: s.AfterStale == "keep", ShrinkThreshold: *s.ShrinkThreshold, ShrinkHoldTime: s.ShrinkHoldTime.Duration, InferStart: *s.InferStart})
-	}
-	return out
-}
--- a/internal/platform/config/operator_test.go
+++ b/internal/platform/config/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const sourced = `
+const fileWithSource = `
 [membership]
 rule = "any"
 
@@ -19,9 +19,9 @@
 kind = "dual-fast"
 `
 
-// Whatever is wrong is named by line and key, and with what was expected.
-func TestOperatorFaultsAreNamed(t *testing.T) {
-	if c, err := load(t, [2]string{}, sourced, nil); err != nil || len(c.SRV) != 1 || c.SRV[0].ResolverConfig().Service != "_loans._tcp.shop.test." {
+// Every error names line and key, and what was expected.
+func TestOperatorFileErrorsNameLineAndKey(t *testing.T) {
+	if c, err := loadEdited(t, [2]string{}, fileWithSource, nil); err != nil || len(c.SRV) != 1 || c.SRV[0].ResolverConfig().Service != "_loans._tcp.shop.test." {
 		t.Fatal(err)
 	}
 	for want, edit := range map[string][2]string{
@@ -44,31 +44,31 @@
 		`:12: `:                                                 {"fast\"\n", "fast\"\nstale = \"1s\"\nstale = \"2s\"\n"},
 		`:11: `:                                                 {"fast\"\n", "fast\"\nstale = \n"},
 	} {
-		_, err := load(t, [2]string{}, strings.Replace(sourced, edit[0], edit[1], 1), nil)
+		_, err := loadEdited(t, [2]string{}, strings.Replace(fileWithSource, edit[0], edit[1], 1), nil)
 		if err == nil || !strings.Contains(err.Error(), "yardflow.toml"+want) {
 			t.Errorf("%v: got %v, want %q in it", edit, err, want)
 		}
 	}
 	for want, line := range map[string]string{":2: room.budget: 0.9 is not over 0": "budget = 0.9", ":2: room.mode: \"x\" is neither": "mode = \"x\"", ":2: room.rooms: unknown key": "rooms = 1"} {
-		if _, err := load(t, [2]string{}, "[room]\n"+line+"\n", nil); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := loadEdited(t, [2]string{}, "[room]\n"+line+"\n", nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v", line, err)
 		}
 	}
-	if c, err := load(t, [2]string{}, "[room]\nenabled = true\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill == nil || c.Dispatch.Backfill.MaxReservations != 3 {
+	if c, err := loadEdited(t, [2]string{}, "[room]\nenabled = true\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill == nil || c.Dispatch.Backfill.MaxReservations != 3 {
 		t.Error(err)
 	}
-	if c, err := load(t, [2]string{}, "[room]\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill != nil {
-		t.Error("room is held, and nobody asked for it", err)
+	if c, err := loadEdited(t, [2]string{}, "[room]\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill != nil {
+		t.Error("slots are reserved though the section is not enabled", err)
 	}
-	two := sourced + sourced[strings.Index(sourced, "[[source"):]
-	if _, err := load(t, [2]string{}, two, nil); err == nil || !strings.Contains(err.Error(), `:12: source.srv[1].name: "loans" is another source's name`) {
+	two := fileWithSource + fileWithSource[strings.Index(fileWithSource, "[[source"):]
+	if _, err := loadEdited(t, [2]string{}, two, nil); err == nil || !strings.Contains(err.Error(), `:12: source.srv[1].name: "loans" is another source's name`) {
 		t.Error(err)
 	}
 }
 
-// The second front's old file counts where the operator's has no such section,
-// and says so; with one it is left alone, and that is said too.
-func TestOldSSEFile(t *testing.T) {
+// The second front's legacy file counts where the operator's has no such section;
+// with one it is not read. A notice says which.
+func TestLegacySSEFile(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -79,7 +79,7 @@
 		c := &Config{Classes: []string{"issue-loan"}, Tenants: []string{"univ-vltava"}}
 		return c, c.loadOperator(filepath.Join(dir, "yardflow.toml"))
 	}
-	old := strings.ReplaceAll(strings.Replace(contract, "[sse]\n", "", 1), "sse.contract", "contract")
+	old := strings.ReplaceAll(strings.Replace(sseFileWithContract, "[sse]\n", "", 1), "sse.contract", "contract")
 	write("sse.toml", old)
 	if c, err := read(); err != nil || !c.SSE.Enabled || len(c.SSE.Contracts) != 1 || len(c.Notices) != 1 || !strings.Contains(c.Notices[0], "still read") {
 		t.Error(err, c.SSE, c.Notices)
@@ -94,13 +94,13 @@
 	}
 }
 
-// An installation with names in DNS needs no discovery.
-func TestNamesInPlaceOfDiscovery(t *testing.T) {
+// An installation with a list in DNS needs no discovery.
+func TestListInDNSReplacesDiscovery(t *testing.T) {
 	without := [2]string{`"discovery":"127.0.0.1:8500",`, ``}
-	if _, err := load(t, without, "", nil); err == nil || err.Error() != "NODE_DISCOVERY: missing" {
+	if _, err := loadEdited(t, without, "", nil); err == nil || err.Error() != "NODE_DISCOVERY: missing" {
 		t.Error(err)
 	}
-	if c, err := load(t, without, sourced, nil); err != nil || c.Dispatch.MustSubscribe {
+	if c, err := loadEdited(t, without, fileWithSource, nil); err != nil || c.Dispatch.MustSubscribe {
 		t.Error(err)
 	}
 }
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -1,6 +1,3 @@
-// This file owns the reading of the settings object, the same for the simulator's
-// wire and for a real dispatcher: JSON in, the module's settings and the names the
-// wires use out. It must never decide anything or read a file.
 package config
 
 import (
@@ -11,7 +8,8 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// settingsFile mirrors the keys of the start message that bear on decisions.
+// settingsFile has the keys of the settings object that bear on decisions, under the
+// names of the platform's page. A Go name here is a key: it stays.
 type settingsFile struct {
 	Balancers, MyNumber, Zone int
 	CountedBy, RegistryMode   string
@@ -48,18 +46,21 @@
 	}
 }
 
+// loadFields are the values of a load report by the names of the settings.
 var loadFields = map[string]dispatch.LoadField{
 	"active": dispatch.LoadActive, "waiting": dispatch.LoadWaiting, "avg_ms": dispatch.LoadServiceMs,
 	"rps": dispatch.LoadRate, "err_rps": dispatch.LoadErrorRate,
+	"x0": dispatch.LoadFreeSlots, "x1": dispatch.LoadFreeMemory,
 }
 
+// ParseSettings reads the settings object, which is the same in the start message of the
+// simulator's protocol and in a real dispatcher's file. It decides nothing.
 func ParseSettings(text []byte) (dispatch.Settings, error) {
 	var in settingsFile
-	var out dispatch.Settings
 	if err := json.Unmarshal(text, &in); err != nil {
-		return out, err
+		return dispatch.Settings{}, err
 	}
-	out = dispatch.Settings{
+	out := dispatch.Settings{
 		DispatcherIndex: in.MyNumber, DispatcherCount: in.Balancers, Zone: in.Zone,
 		OverQuotaValueShare: in.OverShareWorth, ValuePerWork: in.CountedBy == "work",
 		MinEventGap: Milliseconds(in.RoundMs), StartNotifications: in.Extra.TellsStart, ProgressInterval: Milliseconds(in.Extra.ProgressMs),
@@ -74,33 +75,10 @@
 	if in.Limits.RetryAfter {
 		out.MaxRetryAfter = Milliseconds(in.Limits.MaxRetryAfterMs)
 	}
-	for i, c := range in.Classes {
-		class := dispatch.Class{Name: c.Name, LatencyTarget: Milliseconds(c.AimMs), Stretch: c.AimStretch, Deadline: Milliseconds(c.DeadlineMs),
-			Value: c.Worth, LateValueShare: c.LateShare, DedupWindow: Milliseconds(c.WindowMs), WorkerKind: -1, Stream: c.Stream}
-		if i < len(in.Extra.ClassKind) {
-			class.WorkerKind = in.Extra.ClassKind[i]
-		}
-		if i < len(in.Extra.ClassPriority) {
-			class.Priority = in.Extra.ClassPriority[i]
-		}
-		if i < len(in.Extra.ClassStretch) {
-			class.Stretch = in.Extra.ClassStretch[i]
-		}
-		switch c.Semantics {
-		case "retryable":
-			class.Semantics = dispatch.Retryable
-		case "dedup":
-			class.Semantics = dispatch.Deduplicated
-		case "fragile":
-			class.Semantics = dispatch.AtMostOnce
-		default:
-			return out, fmt.Errorf("class %d has semantics %q", i, c.Semantics)
-		}
-		switch c.DedupScope {
-		case "zone":
-			class.DedupScope = dispatch.ScopeZone
-		case "cell":
-			class.DedupScope = dispatch.ScopeCell
+	for i := range in.Classes {
+		class, err := in.class(i)
+		if err != nil {
+			return out, err
 		}
 		out.Classes = append(out.Classes, class)
 	}
@@ -109,18 +87,44 @@
 	}
 	if in.LoadInfo.Via != "off" {
 		for _, name := range in.LoadInfo.Columns {
-			f := loadFields[name]
-			switch {
-			case name == "x0":
-				f = dispatch.LoadFreeSlots
-			case name == "x1":
-				f = dispatch.LoadFreeMemory
-			}
-			out.LoadFields = append(out.LoadFields, f)
+			out.LoadFields = append(out.LoadFields, loadFields[name]) // a column that is not known is skipped by its zero value
 		}
 	}
 	return out, nil
 }
 
-// Milliseconds reads a figure in milliseconds.
+// class reads the i-th class, whose keys stand in Classes and, by its index, in Extra.
+func (in *settingsFile) class(i int) (dispatch.Class, error) {
+	c := in.Classes[i]
+	class := dispatch.Class{Name: c.Name, LatencyTarget: Milliseconds(c.AimMs), Stretch: c.AimStretch, Deadline: Milliseconds(c.DeadlineMs),
+		Value: c.Worth, LateValueShare: c.LateShare, DedupWindow: Milliseconds(c.WindowMs), WorkerKind: -1, Stream: c.Stream}
+	if i < len(in.Extra.ClassKind) {
+		class.WorkerKind = in.Extra.ClassKind[i]
+	}
+	if i < len(in.Extra.ClassPriority) {
+		class.Priority = in.Extra.ClassPriority[i]
+	}
+	if i < len(in.Extra.ClassStretch) {
+		class.Stretch = in.Extra.ClassStretch[i]
+	}
+	switch c.Semantics {
+	case "retryable":
+		class.Semantics = dispatch.Retryable
+	case "dedup":
+		class.Semantics = dispatch.Deduplicated
+	case "fragile":
+		class.Semantics = dispatch.AtMostOnce
+	default:
+		return class, fmt.Errorf("class %d has semantics %q", i, c.Semantics)
+	}
+	switch c.DedupScope {
+	case "zone":
+		class.DedupScope = dispatch.ScopeZone
+	case "cell":
+		class.DedupScope = dispatch.ScopeCell
+	}
+	return class, nil
+}
+
+// Milliseconds converts a number of milliseconds.
 func Milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
