--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -87,7 +87,7 @@
 	}
 	if in.LoadInfo.Via != "off" {
 		for _, name := range in.LoadInfo.Columns {
-			out.LoadFields = append(out.LoadFields, loadFields[name]) // a column that is not known is skipped by its zero value
+			out.LoadFields = append(out.LoadFields, loadFields[name]) // LoadOther for a column that is not known
 		}
 	}
 	return out, nil
--- a/internal/platform/haproxy/haproxy_test.go
+++ b/internal/platform/haproxy/haproxy_test.go
@@ -27,7 +27,7 @@
 				t.Fatal(err)
 			}
 			defer in.Close()
-			text, notes, err := Import(in)
+			text, diagnostics, err := Import(in)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,12 +43,17 @@
 				t.Fatal("the module does not take it:", err)
 			}
 			var got strings.Builder
-			for _, n := range notes {
-				got.WriteString(n.String() + "\n")
+			for _, d := range diagnostics {
+				got.WriteString(d.String() + "\n")
 			}
 			var compact any
-			json.Unmarshal(text, &compact)
-			lines, _ := json.MarshalIndent(compact, "", " ")
+			if err := json.Unmarshal(text, &compact); err != nil {
+				t.Fatal(err)
+			}
+			lines, err := json.MarshalIndent(compact, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
 			got.Write(lines)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".cfg") + ".want")
 			if err != nil {
