--- a/internal/platform/console/console.go
+++ b/internal/platform/console/console.go
@@ -1,9 +1,9 @@
-// Package console is the operators' door: one line to a connection, one line
-// back, and the end.
+// Package console takes operators' calls: one line to a connection, one line back, and
+// the end of the connection.
 //
-// It owns callers' connections and the wording of calls and answers. It must
-// never wait for the module or for another caller, never hold more than a few
-// descriptors, and never act on a line whose end it has not seen.
+// It owns callers' connections and the syntax of calls and answers; what a call does is
+// the Operations'. It never waits for one caller to serve another, never holds more than
+// MaxSockets descriptors, and never acts on a line whose end it has not seen.
 package console
 
 import (
@@ -16,25 +16,28 @@
 	"time"
 )
 
-// MaxSockets is the most that a console holds: its listener, its callers, and one
-// more that is being let in.
-const MaxSockets = maxCallers + 2
-
 const (
-	maxLine       = 512
-	maxCallers    = 8               // at once; past it the one silent longest makes room
-	lineTimeout   = 5 * time.Second // a line must be whole by then
-	lingerTimeout = 500 * time.Millisecond
+	maxLine     = 512                    // bytes of a call; a longer one is refused
+	maxCallers  = 8                      // at once; beyond it the oldest is closed
+	lineTimeout = 5 * time.Second        // for a caller to send its line
+	lingerTime  = 500 * time.Millisecond // for a caller to read the answer and close
+	maxLinger   = 64 << 10               // bytes read and dropped in that time
+	acceptDelay = 5 * time.Millisecond   // after an accept that failed
 )
 
-// Operations is what operators may ask for. An error is a no, and says why.
+// MaxSockets is the most descriptors that a console holds: its listener, its callers, and
+// one more that is being admitted.
+const MaxSockets = maxCallers + 2
+
+// Operations are what operators may ask for. An error is the answer no, and says why.
+// Calls of several operators may come at once.
 type Operations interface {
 	Ready() error
 	Exclude(worker string) error
 	Include(worker string) error
-	DescribeSources() (string, error)           // what each source of loan workers says, in one line
-	DescribeWorker(name string) (string, error) // who says what of one, in one line
-	DescribeReservations() (string, error)      // what is held for large jobs, in one line
+	DescribeSources() (string, error)           // what each source of loan workers reports, in one line
+	DescribeWorker(name string) (string, error) // what each source reports of one, in one line
+	DescribeReservations() (string, error)      // what is reserved for large jobs, in one line
 	DescribePolicy() (string, error)            // which policy is in force here, and for how long yet
 }
 
@@ -47,19 +50,21 @@
 	callers []net.Conn // the oldest first
 }
 
-// New makes a console; Serve answers until Close.
-func New(l net.Listener, d Operations) *Console { return &Console{listener: l, operations: d} }
+// New makes a console; Serve answers until Close. The console owns the listener.
+func New(l net.Listener, operations Operations) *Console {
+	return &Console{operations: operations, listener: l}
+}
 
 // Serve takes callers until the listener is closed.
-func (c *Console) Serve() error {
+func (c *Console) Serve() {
 	for {
 		conn, err := c.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			return nil
+			return
 		}
 		if err != nil {
-			// Out of descriptors, or the caller left: neither may end the door.
-			time.Sleep(5 * time.Millisecond)
+			// Out of descriptors, or the caller has gone: neither may end the console.
+			time.Sleep(acceptDelay)
 			continue
 		}
 		c.admit(conn)
@@ -67,29 +72,30 @@
 	}
 }
 
-// Close ends the door and its callers.
+// Close ends the console and its callers' connections.
 func (c *Console) Close() {
-	c.listener.Close()
+	_ = c.listener.Close() // it fails only if it is closed already
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.callers {
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
-// admit makes room: callers that connect and say nothing must not keep others out.
+// admit makes room for a caller: others that connect and send nothing must not keep it
+// out.
 func (c *Console) admit(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.callers) >= maxCallers {
-		c.callers[0].Close()
+		_ = c.callers[0].Close()
 		c.callers = c.callers[1:]
 	}
 	c.callers = append(c.callers, conn)
 }
 
 func (c *Console) release(conn net.Conn) {
-	conn.Close()
+	_ = conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, other := range c.callers {
@@ -100,39 +106,45 @@
 	}
 }
 
+// handle reads one call and answers it. Errors of the connection end it: there is nobody
+// to report them to.
 func (c *Console) handle(conn net.Conn) {
 	defer c.release(conn)
-	conn.SetDeadline(time.Now().Add(lineTimeout))
+	_ = conn.SetDeadline(time.Now().Add(lineTimeout))
 	line, err := readLine(conn)
-	answer := "SUCCESS"
-	switch text, err := "", err; {
-	case errors.Is(err, errTooLong), errors.Is(err, io.ErrUnexpectedEOF):
-		answer = "FAILURE " + err.Error()
-	case err != nil:
-		return // nobody asked anything, or it took too long
-	default:
-		if text, err = c.execute(line); err != nil {
-			answer = "FAILURE " + oneLine.Replace(err.Error())
-		} else if text != "" {
-			answer += " " + text
-		}
+	if err != nil && !errors.Is(err, errTooLong) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		return // no call came, or not in time
+	}
+	answer := ""
+	if err == nil {
+		answer, err = c.execute(line)
 	}
-	conn.SetDeadline(time.Now().Add(lingerTimeout))
-	if _, err := io.WriteString(conn, answer+"\n"); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(lingerTime))
+	if _, err := io.WriteString(conn, answerLine(answer, err)); err != nil {
 		return
 	}
-	// A close while something of the caller's waits unread would be a reset, which
-	// can overtake the answer.
+	// A close while something of the caller's is unread would be a reset, which can
+	// overtake the answer: close our side, and read until the caller has closed its own.
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		tcp.CloseWrite()
+		_ = tcp.CloseWrite()
 	}
-	io.Copy(io.Discard, io.LimitReader(conn, 64<<10))
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxLinger))
 }
 
-var (
-	errTooLong = errors.New("the line is too long")
-	oneLine    = strings.NewReplacer("\r", " ", "\n", " ")
-)
+var oneLine = strings.NewReplacer("\r", " ", "\n", " ")
+
+// answerLine is the line that answers a call.
+func answerLine(text string, err error) string {
+	switch {
+	case err != nil:
+		return "FAILURE " + oneLine.Replace(err.Error()) + "\n"
+	case text != "":
+		return "SUCCESS " + text + "\n"
+	}
+	return "SUCCESS\n"
+}
+
+var errTooLong = errors.New("the line is too long")
 
 // readLine reads one line ended by LF or CRLF, in whatever pieces it comes.
 func readLine(r io.Reader) (string, error) {
@@ -140,60 +152,16 @@
 	for {
 		n, err := r.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		if line, _, whole := bytes.Cut(buf, []byte("\n")); whole {
+		if line, _, complete := bytes.Cut(buf, []byte("\n")); complete {
 			return strings.TrimSuffix(string(line), "\r"), nil
 		}
 		switch {
 		case len(buf) == cap(buf):
 			return "", errTooLong
 		case err == io.EOF && len(buf) > 0:
-			return "", io.ErrUnexpectedEOF // a cut id could be another's
+			return "", io.ErrUnexpectedEOF // a part of an id could be another's id
 		case err != nil:
 			return "", err
 		}
 	}
 }
-
-func (c *Console) execute(line string) (string, error) {
-	word := strings.Fields(line)
-	if len(word) == 0 {
-		return "", errors.New("no call; readyz, exclude ID, include ID, sources, worker ID, room and policy are known")
-	}
-	var do func(string) error
-	switch word[0] {
-	case "sources", "room", "policy":
-		if len(word) != 1 {
-			return "", errors.New(word[0] + " takes nothing more")
-		}
-		ask := c.operations.DescribeSources
-		switch word[0] {
-		case "room":
-			ask = c.operations.DescribeReservations
-		case "policy":
-			ask = c.operations.DescribePolicy
-		}
-		text, err := ask()
-		return oneLine.Replace(text), err
-	case "worker":
-		if len(word) != 2 {
-			return "", errors.New("worker takes one id")
-		}
-		text, err := c.operations.DescribeWorker(word[1])
-		return oneLine.Replace(text), err
-	case "readyz":
-		if len(word) != 1 {
-			return "", errors.New("readyz takes nothing more")
-		}
-		return "ready", c.operations.Ready()
-	case "exclude":
-		do = c.operations.Exclude
-	case "include":
-		do = c.operations.Include
-	default:
-		return "", errors.New("unknown call; readyz, exclude ID, include ID, sources, worker ID, room and policy are known")
-	}
-	if len(word) != 2 {
-		return "", errors.New(word[0] + " takes one id")
-	}
-	return word[0] + " " + word[1], do(word[1])
-}
--- a/internal/platform/console/console_test.go
+++ b/internal/platform/console/console_test.go
@@ -12,29 +12,29 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-type calls struct{}
+type fakeOperations struct{}
 
-func (calls) Ready() error { return nil }
-func (calls) Exclude(id string) error {
+func (fakeOperations) Ready() error { return nil }
+func (fakeOperations) Exclude(id string) error {
 	if id != "s-1" {
 		return errors.New("no such\nloan worker")
 	}
 	return nil
 }
-func (calls) Include(id string) error               { return calls{}.Exclude(id) }
-func (calls) DescribeSources() (string, error)      { return "roster: 2 serving\n", nil }
-func (calls) DescribeReservations() (string, error) { return "nothing is held", nil }
-func (calls) DescribePolicy() (string, error)       { return "version 0", nil }
-func (calls) DescribeWorker(name string) (string, error) {
-	return name + ": serving", calls{}.Exclude(name)
+func (fakeOperations) Include(id string) error               { return fakeOperations{}.Exclude(id) }
+func (fakeOperations) DescribeSources() (string, error)      { return "roster: 2 serving\n", nil }
+func (fakeOperations) DescribeReservations() (string, error) { return "nothing is held", nil }
+func (fakeOperations) DescribePolicy() (string, error)       { return "version 0", nil }
+func (fakeOperations) DescribeWorker(name string) (string, error) {
+	return name + ": serving", fakeOperations{}.Exclude(name)
 }
 
-func open(t *testing.T) func() net.Conn {
+func startConsole(t *testing.T) func() net.Conn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(l, calls{})
+	c := New(l, fakeOperations{})
 	go c.Serve()
 	t.Cleanup(c.Close)
 	return func() net.Conn {
@@ -43,7 +43,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
 		return conn
 	}
 }
@@ -51,7 +53,7 @@
 // Each file of calls is played: a line begins with the bytes sent, | standing
 // for a pause between pieces, and ends with the whole answer.
 func TestCalls(t *testing.T) {
-	dial := open(t)
+	dial := startConsole(t)
 	text, err := os.ReadFile("testdata/calls.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +70,9 @@
 			time.Sleep(time.Millisecond)
 		}
 		if !strings.Contains(sent, `\n`) {
-			conn.(*net.TCPConn).CloseWrite()
+			if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
+				t.Error(err)
+			}
 		}
 		got, err := io.ReadAll(conn)
 		if err != nil {
@@ -81,8 +85,8 @@
 }
 
 // Callers that connect and say nothing, or half a line, keep nobody out.
-func TestSilentCallersMakeRoom(t *testing.T) {
-	dial := open(t)
+func TestIdleCallersKeepNobodyOut(t *testing.T) {
+	dial := startConsole(t)
 	for range 3 * maxCallers {
 		io.WriteString(dial(), "rea")
 	}
--- a/internal/platform/invariant/debug.go
+++ b/internal/platform/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug tells that a broken invariant stops the program.
+// Debug says whether a violation panics.
 const Debug = true
--- a/internal/platform/invariant/invariant.go
+++ b/internal/platform/invariant/invariant.go
@@ -1,21 +1,23 @@
-// Package invariant owns the record of what must hold and did not: a debug
-// build stops there, a release build counts it and goes on. It must never
-// change what the caller does next.
+// Package invariant records conditions that must hold and did not. A build with the tag
+// debug panics there; a release build counts the violation and goes on, as a dispatcher
+// that ends would lose more than one in an unexpected state. What the caller does next
+// never depends on the build, apart from that panic.
 package invariant
 
 import (
 	"fmt"
 	"log"
+	"maps"
 	"sync"
 )
 
 var (
 	mu         sync.Mutex
-	violations = map[string]int{}
+	violations = map[string]int{} // by name; mu guards it
 )
 
-// Check tells whether ok holds; where it does not, name is counted, or a debug
-// build panics.
+// Check returns ok. Where it is false, a violation of name is counted, or a debug build
+// panics.
 func Check(ok bool, name string) bool {
 	if ok {
 		return true
@@ -24,7 +26,7 @@
 	violations[name]++
 	n := violations[name]
 	mu.Unlock()
-	if n&(n-1) == 0 { // the 1st, 2nd, 4th, ...: a killed process leaves no other count
+	if n&(n-1) == 0 { // the 1st, 2nd, 4th, ...: a process that is killed leaves no other count
 		log.Printf("invariant broken %d times: %s", n, name)
 	}
 	if Debug {
@@ -33,13 +35,9 @@
 	return false
 }
 
-// Violations returns the counts so far.
+// Violations returns the counts so far, by name.
 func Violations() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
-	out := make(map[string]int, len(violations))
-	for k, v := range violations {
-		out[k] = v
-	}
-	return out
+	return maps.Clone(violations)
 }
