--- a/cmd/yardflow/deploy_test.go
+++ b/cmd/yardflow/deploy_test.go
@@ -12,7 +12,7 @@
 
 // What the deploy file names as the real dispatcher is all that it is built of: quota and verdict
 // were left out once.
-func TestDeployFileNamesAllThatIsBuilt(t *testing.T) {
+func TestDeployFileNamesAllPackagesBuiltIn(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/yardflow/endings_test.go
+++ b/cmd/yardflow/endings_test.go
@@ -25,12 +25,12 @@
 	pieces, silent := script.Dial(t, s.node.addr), script.Dial(t, s.node.addr)
 	first := fmt.Sprintf(whole, "pieces")
 	pieces.Send(first[:40])
-	for s.node.guard.OpenConnections() < 3 {
+	for s.node.connLimiter.OpenConnections() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.node.stop() }()
-	for !s.node.front.Draining() {
+	for !s.node.frontend.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	s.node.reload(func() (*config.Config, error) { return s.node.cfg, nil })
@@ -64,5 +64,5 @@
 			t.Errorf("the connection ends in order: %t, after %q", inOrder, rest)
 		}
 	}
-	inOrder(t, stopped)
+	wantStopInOrder(t, stopped)
 }
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -263,7 +263,7 @@
 
 func (s *stage) run(cfg *config.Config) {
 	var err error
-	s.node, err = begin(cfg, s.dir, func(int64) {})
+	s.node, err = startNode(cfg, s.dir, func(int64) {})
 	s.must(err)
 	s.t.Cleanup(func() {
 		for _, c := range s.clients {
@@ -315,8 +315,8 @@
 
 func (s *stage) client(name, verb, rest, text string) {
 	c := s.clients[name]
-	switch {
-	case verb == "sends":
+	switch verb {
+	case "sends":
 		if c == nil {
 			addr := s.node.addr
 			if rest == "sse" {
@@ -333,18 +333,18 @@
 		}
 		_, err := io.WriteString(c.conn, bytes)
 		s.must(err)
-	case verb == "opens":
+	case "opens":
 		conn, err := net.Dial("tcp", s.node.addr.String())
 		s.must(err)
 		s.clients[name] = &client{conn: conn, in: bufio.NewReader(conn)}
-	case verb == "sees":
+	case "sees":
 		s.must(c.conn.SetReadDeadline(time.Now().Add(patience)))
 		if b, err := c.in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			s.t.Errorf("no close: %q, %v", b, err)
 		}
-	case verb == "closes":
+	case "closes":
 		c.conn.Close()
-	case verb == "gets":
+	case "gets":
 		s.must(c.conn.SetReadDeadline(time.Now().Add(patience)))
 		if c.resp == nil {
 			resp, err := http.ReadResponse(c.in, nil)
@@ -357,7 +357,7 @@
 			head += "\nConnection: close"
 		}
 		for _, name := range []string{"Content-Type", "Retry-After"} {
-			if v := c.resp.Header.Get(name); v != "" && !(name == "Content-Type" && strings.HasPrefix(v, "text/plain")) {
+			if v := c.resp.Header.Get(name); v != "" && (name != "Content-Type" || !strings.HasPrefix(v, "text/plain")) {
 				head += "\n" + name + ": " + v
 			}
 		}
@@ -430,7 +430,7 @@
 	case "sends the end":
 		_, err := io.WriteString(d.conn, "0\r\n\r\n")
 		s.must(err)
-		s.node.lines.AwaitDrained() // the connection is free again
+		s.node.workerConns.AwaitDrained() // the connection is free again
 	case "closes ":
 		d.conn.Close()
 	case "sees close":
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -1,256 +1,202 @@
 package main
 
-// This file owns the node: its parts and the order in which they begin.
-
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log"
 	"net"
 	"net/http"
-	"os"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"yardflow/internal/discovery/sources"
-	"yardflow/internal/fleet/coldstart"
-	"yardflow/internal/fleet/outlier"
 	"yardflow/internal/fleet/policy"
-	"yardflow/internal/fleet/quota"
-	"yardflow/internal/fleet/transport"
 	"yardflow/internal/gateway/broker"
 	"yardflow/internal/gateway/datagram"
 	"yardflow/internal/gateway/hotrestart"
 	"yardflow/internal/gateway/httpfront"
-	"yardflow/internal/gateway/ssefront"
-	"yardflow/internal/gateway/workflowsteps"
 	"yardflow/internal/platform/config"
 	"yardflow/internal/platform/console"
 )
 
-// reserve is for what is neither a client's nor a loan worker's: the standard
-// streams, the poller, the listeners, discovery's connections before and after
-// a reload, the datagrams' socket, a file being read, and what comes past the budget, also
-// of connections that are closed and still read from.
-const reserve = 27
-
-// node is one running dispatcher.
+// node is one running dispatcher process. It makes its parts, connects them and ends
+// them; what they decide is theirs.
 type node struct {
-	cfg         *config.Config  // as at the start
-	live        *config.InForce // in force
-	longest     time.Duration   // longest deadline of any request that may be open
-	broker      *broker.Broker
-	table       *httpfront.ServerTable
-	sources     *sources.Merger
-	guard       *httpfront.ConnLimiter
-	reader      *httpfront.RequestReader
-	lines       *httpfront.WorkerConns
-	front       *httpfront.Frontend
-	mu          sync.Mutex
-	servers     []*http.Server
-	listeners   []*httpfront.Listener
-	console     *console.Console
-	limitMemory func(bytes int64)
-	bans        *hotrestart.BanList
-	peers       *hotrestart.Siblings
-	holder      *transport.LeaseSession // of the policy agreed on with keepers; nil: none is
-	release     func()                  // gives its lease back
-	base        *config.Config          // in force, before the policy; reloads' and the policy's, under policyMu
-	policyMu    sync.Mutex
-	starts      *coldstart.Client // of turns at the list service and the relayed list; nil: no keepers
-	desk        *quota.Limiter    // of the limits of the fleet
-	deskNow     func() time.Duration
-	witness     *outlier.Reporter
-	judged      atomic.Bool              // the policy in force has workers judged
-	verdicts    []outlier.EjectionNotice // that hold here; the holder's alone
-	stale       *time.Timer              // ends them
-	policy      policy.Document
-	talk        *datagram.Conn        // with the other dispatchers; nil: they don't talk
-	flows       *workflowsteps.Runner // of workflows' steps; nil: no keepers
-	serving     atomic.Bool
+	cfg     *config.Config  // as at the start
+	inForce *config.InForce // with reloads and the policy
+
+	broker        *broker.Broker
+	sources       *sources.Merger
+	table         *httpfront.ServerTable
+	stopTable     context.CancelFunc
+	workerConns   *httpfront.WorkerConns
+	connLimiter   *httpfront.ConnLimiter
+	requestReader *httpfront.RequestReader
+	frontend      *httpfront.Frontend
+	datagrams     *datagram.Conn // to the other dispatchers; nil: they don't talk
+	console       *console.Console
+	fleet         *fleetMember // nil: no coordinators are configured
+
+	// The processes of one dispatcher during a hot restart.
+	siblings    *hotrestart.Siblings
+	bans        *hotrestart.BanList // shared by them
+	limitMemory func(bytes int64)   // sets this one's memory limit
+
+	policyMu sync.Mutex
+	base     *config.Config // in force but for the policy
+	policy   policy.Document
 
-	addr, sseAddr, consoleAddr net.Addr // where the parts listen; nil: off
+	mu              sync.Mutex
+	servers         []*http.Server
+	listeners       []*httpfront.Listener
+	longestDeadline time.Duration // of any request that may be in flight
 
-	failed   chan error
-	unfollow func()
+	serving                    atomic.Bool // all parts are made and may be used
+	addr, sseAddr, consoleAddr net.Addr    // where the parts listen; nil: off
+	failed                     chan error  // a server that ended by itself
 }
 
-// start makes a node and lets it serve. dir is the folder that outlasts the
-// process, if there is one: what operators took out is kept there, and processes
-// of this dispatcher meet there. limitMemory bounds what this one uses.
-func begin(cfg *config.Config, dir string, limitMemory func(bytes int64)) (*node, error) {
+func logLine(s string) { log.Print(s) }
+
+// startNode makes a node and lets it serve. dir is the folder that outlasts the process,
+// if there is one: operators' bans are kept there, and the processes of this dispatcher
+// meet there. limitMemory sets the bound of what this one uses.
+func startNode(cfg *config.Config, dir string, limitMemory func(bytes int64)) (*node, error) {
 	n := &node{cfg: cfg, failed: make(chan error, 2), limitMemory: limitMemory}
-	logLine := func(s string) { log.Print(s) }
-	// Before anything grows: from here on a process that runs already keeps to its
-	// half. It knows a newer list than the configuration's.
-	var state []byte
-	n.peers, state = hotrestart.Join(dir, cfg.Name, logLine)
-	var before inheritance
-	if len(state) > 0 {
-		if err := json.Unmarshal(state, &before); err != nil {
-			log.Printf("what the process before tells is left out: %v", err)
-		}
-	}
-	if len(before.Table) > 0 {
-		own := *cfg
-		cfg, own.KnownList, own.KnownListInherited = &own, before.Table, true
-		n.cfg = cfg
-	}
-	n.live, n.longest, n.base = config.NewInForce(cfg), longest(cfg), cfg
-	limitMemory(n.memory(1 + n.peers.Count()))
-	var err error
-	if n.broker, err = broker.New(cfg.Dispatch, cfg.Seed, contracts(cfg), logLine); err != nil {
-		return nil, err
-	}
-	if cfg.Trace {
-		n.broker.SetTrace(logLine)
-	}
-	if cfg.PeersEnabled() {
-		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersBroadcast, cfg.Peers, n.broker.ReceivePeerMessage, n.peers.ForwardPeerMessage); err != nil {
+	// First, before anything grows: from here on a process that runs already keeps to its
+	// share of the machine.
+	before := n.joinSiblings(dir)
+	n.inForce, n.longestDeadline, n.base = config.NewInForce(n.cfg), longestDeadline(n.cfg), n.cfg
+	limitMemory(n.memory(1 + n.siblings.Count()))
+	for _, start := range []func() error{
+		n.startBroker,
+		func() (err error) { n.bans, err = hotrestart.OpenBanList(dir, cfg.Name); return err },
+		n.startConsole, // early: calls that come while the rest starts are answered
+		func() error { return n.startSources(before) },
+	} {
+		if err := start(); err != nil {
 			return nil, err
 		}
-		n.broker.SetBroadcast(n.talk.Broadcast)
-	}
-	if n.bans, err = hotrestart.OpenBanList(dir, cfg.Name); err != nil {
-		return nil, err
-	}
-	// The console comes first: whoever asks while the rest starts gets a no.
-	if cfg.Console != "" {
-		l, err := net.Listen("tcp", cfg.Console)
-		if err != nil {
-			return nil, fmt.Errorf("NODE_CONSOLE: %w", err)
-		}
-		n.console, n.consoleAddr = console.New(l, door{n}), l.Addr()
-		go n.console.Serve()
-	}
-	banned, err := n.bans.Reload()
-	if err != nil {
-		return nil, err
-	}
-	hooks := sources.Hooks{Log: logLine, AddressRetired: func(addr string) { n.lines.RetireConnections(addr) }}
-	clients, workers := n.sockets(1 + n.peers.Count())
-	n.lines = httpfront.NewWorkerConns(n.live, workers)
-	if n.sources, err = sources.New(n.live, n.broker, hooks); err != nil {
-		return nil, err
-	}
-	if len(before.Members) > 0 {
-		if err := n.sources.Restore(before.Members); err != nil {
-			log.Printf("what the process before tells is left out: %v", err)
-		}
-	}
-	n.sources.SetBanned(banned)
-	n.broker.SetReservationShare(1 / float64(1+n.peers.Count()))
-	if len(before.Learned) > 0 {
-		n.broker.Restore(before.Learned)
 	}
-	if n.table, err = httpfront.NewServerTable(n.live, n.broker, n.sources.UpdateRoster, logLine); err != nil {
-		return nil, err
-	}
-	n.guard = httpfront.NewConnLimiter(clients)
-	n.reader = httpfront.NewRequestReader(n.live, n.guard)
-	n.front = httpfront.NewFrontend(n.broker, n.lines, n.reader)
-	n.front.SetReadiness(n.table.Ready)
+	n.makeFrontend()
 	if len(cfg.Coordinators.Addresses) > 0 {
-		n.hold(cfg, dir)
+		n.joinFleet(dir)
 	}
-	l, err := frontListener(cfg)
-	if err != nil {
+	if err := n.listen(); err != nil {
 		return nil, err
 	}
-	n.addr = n.serve(l, n.front.Server())
-	if cfg.SSE.Enabled {
-		server := n.front.NewServer(ssefront.New(n.live, n.broker, n.lines, n.reader).ServeHTTP)
-		l, err := net.Listen("tcp", cfg.SSE.Listen)
-		switch {
-		case err == nil:
-			n.sseAddr = n.serve(l, server)
-		case errors.Is(err, syscall.EADDRINUSE) && n.peers.Count() > 0:
-			// The process before has the port until it stops. That must not stop an
-			// upgrade: the first front is up, this one follows.
-			log.Printf("event streams: %v; taken over once it is free", err)
-			go n.takeOver(cfg.SSE.Listen, server)
-		default:
-			return nil, fmt.Errorf("sse.listen: %w", err)
-		}
-	}
-	var follow context.Context
-	follow, n.unfollow = context.WithCancel(context.Background())
-	go n.table.Run(follow)
+	var ctx context.Context
+	ctx, n.stopTable = context.WithCancel(context.Background())
+	go n.table.Run(ctx)
 	n.sources.SyncResolvers()
 	n.serving.Store(true)
-	// The name in dir goes over last: a process that failed before is not met.
-	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, SiblingsChanged: n.share, BansChanged: n.rereadBans, PeerMessage: n.broker.ReceivePeerMessage}); err != nil {
+	// Last, as it takes over the name in dir: a process that fails before is not met.
+	if err := n.siblings.Serve(hotrestart.Hooks{State: n.handOver, SiblingsChanged: n.shareMachine, BansChanged: n.reloadBans,
+		PeerMessage: n.broker.ReceivePeerMessage}); err != nil {
 		log.Printf("the next process can't meet this one: %v", err)
 	}
 	return n, nil
 }
 
-// inheritance is what the process that takes over starts on.
+// inheritance is what a process hands over to the one that takes over from it.
 type inheritance struct {
-	Table   json.RawMessage `json:"table"`             // as the configuration's known
-	Learned json.RawMessage `json:"learned,omitempty"` // by the module
+	Table   json.RawMessage `json:"table"`             // in the form of the configuration's known list
+	Learned json.RawMessage `json:"learned,omitempty"` // by the decision module
 	Members json.RawMessage `json:"members,omitempty"` // by all sources, where there are more than the roster
 }
 
-func (n *node) inheritance() []byte {
-	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(300 * time.Millisecond), n.sources.Snapshot()})
+// joinSiblings joins the processes of this dispatcher and returns what the one before
+// hands over. Its list is newer than the configuration's and takes its place.
+func (n *node) joinSiblings(dir string) (before inheritance) {
+	var state []byte
+	n.siblings, state = hotrestart.Join(dir, n.cfg.Name, logLine)
+	if len(state) > 0 {
+		if err := json.Unmarshal(state, &before); err != nil {
+			log.Printf("what the process before tells is left out: %v", err)
+		}
+	}
+	if len(before.Table) > 0 {
+		own := *n.cfg
+		own.KnownList, own.KnownListInherited = before.Table, true
+		n.cfg = &own
+	}
+	return before
+}
+
+// handOverTimeout bounds the wait for the broker's learned state in a hand-over.
+const handOverTimeout = 300 * time.Millisecond
+
+func (n *node) handOver() []byte {
+	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(handOverTimeout), n.sources.Snapshot()})
 	if err != nil {
 		log.Printf("the next process gets nothing from this one: %v", err)
 	}
 	return text
 }
 
-// frontListener is the clients' listening socket: the one that the platform
-// holds and hands down, or else one of our own.
-func frontListener(cfg *config.Config) (net.Listener, error) {
-	if cfg.ListenFD == 0 {
-		l, err := net.Listen("tcp", cfg.Listen)
-		if err != nil {
-			return nil, fmt.Errorf("NODE_LISTEN: %w", err)
-		}
-		return l, nil
+// startBroker makes the broker and its connection to the other dispatchers.
+func (n *node) startBroker() (err error) {
+	if n.broker, err = broker.New(n.cfg.Dispatch, n.cfg.Seed, brokerContracts(n.cfg), logLine); err != nil {
+		return err
 	}
-	file := os.NewFile(uintptr(cfg.ListenFD), "NODE_LISTEN_FD")
-	defer file.Close() // FileListener has its own copy
-	l, err := net.FileListener(file)
-	if err != nil {
-		return nil, fmt.Errorf("NODE_LISTEN_FD: %w", err)
+	if n.cfg.Trace {
+		n.broker.SetTrace(logLine)
 	}
-	if _, ok := l.(*net.TCPListener); !ok {
-		l.Close()
-		return nil, fmt.Errorf("NODE_LISTEN_FD: %v is no TCP socket", l.Addr())
+	if !n.cfg.PeersEnabled() {
+		return nil
 	}
-	return l, nil
+	n.datagrams, err = datagram.Open(n.cfg.PeerListen, n.cfg.PeersBroadcast, n.cfg.Peers, n.broker.ReceivePeerMessage, n.siblings.ForwardPeerMessage)
+	if err != nil {
+		return err
+	}
+	n.broker.SetBroadcast(n.datagrams.Broadcast)
+	return nil
 }
 
-// takeOver serves at an address as soon as the process before has left it.
-func (n *node) takeOver(addr string, server *http.Server) {
-	for !n.front.Draining() {
-		if l, err := net.Listen("tcp", addr); err == nil {
-			log.Printf("event streams: served on %s", n.serve(l, server))
-			return
-		}
-		time.Sleep(20 * time.Millisecond)
+func (n *node) startConsole() error {
+	if n.cfg.Console == "" {
+		return nil
+	}
+	l, err := net.Listen("tcp", n.cfg.Console)
+	if err != nil {
+		return fmt.Errorf("NODE_CONSOLE: %w", err)
 	}
+	n.console, n.consoleAddr = console.New(l, operations{n}), l.Addr()
+	go n.console.Serve()
+	return nil
 }
 
-func (n *node) serve(l net.Listener, server *http.Server) net.Addr {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.front.Draining() { // too late: nobody would close it
-		l.Close()
-		return l.Addr()
+// startSources makes the merged list, what follows from it, and the server table.
+func (n *node) startSources(before inheritance) error {
+	banned, err := n.bans.Reload()
+	if err != nil {
+		return err
 	}
-	guarded := n.guard.Listen(l)
-	n.servers, n.listeners = append(n.servers, server), append(n.listeners, guarded)
-	go func() {
-		if err := server.Serve(guarded); !errors.Is(err, http.ErrServerClosed) && !n.front.Draining() {
-			n.failed <- err
+	clients, workers := n.sockets(1 + n.siblings.Count())
+	n.connLimiter = httpfront.NewConnLimiter(clients)
+	n.workerConns = httpfront.NewWorkerConns(n.inForce, workers)
+	hooks := sources.Hooks{Log: logLine, AddressRetired: func(addr string) { n.workerConns.RetireConnections(addr) }}
+	if n.sources, err = sources.New(n.inForce, n.broker, hooks); err != nil {
+		return err
+	}
+	if len(before.Members) > 0 {
+		if err := n.sources.Restore(before.Members); err != nil {
+			log.Printf("what the process before tells is left out: %v", err)
 		}
-	}()
-	return l.Addr()
+	}
+	n.sources.SetBanned(banned)
+	n.broker.SetReservationShare(1 / float64(1+n.siblings.Count()))
+	if len(before.Learned) > 0 {
+		n.broker.Restore(before.Learned)
+	}
+	n.table, err = httpfront.NewServerTable(n.inForce, n.broker, n.sources.UpdateRoster, logLine)
+	return err
+}
+
+func (n *node) makeFrontend() {
+	n.requestReader = httpfront.NewRequestReader(n.inForce, n.connLimiter)
+	n.frontend = httpfront.NewFrontend(n.broker, n.workerConns, n.requestReader)
+	n.frontend.SetReadiness(n.table.Ready)
 }
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -24,7 +24,7 @@
 
 const job = "POST /issue-loan HTTP/1.1\nHost: h\nX-Request-ID: %s\nX-Priority-Class: issue-loan\nX-Tenant-Id: univ-vltava\nX-Timeout: 5\n\nx"
 
-// answer reads a whole answer and tells its status and whether the connection ends.
+// answer reads a complete answer and returns its status, and whether the connection ends.
 func (c *client) answer(t *testing.T) (int, bool) {
 	t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(patience))
@@ -32,7 +32,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.Copy(io.Discard, resp.Body)
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
 	return resp.StatusCode, resp.Close
 }
 
@@ -65,15 +67,15 @@
 	stopped := make(chan error)
 	n, began := s.node, time.Now()
 	go func() { stopped <- n.stop() }()
-	for !n.front.Draining() {
+	for !n.frontend.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	s.step("client b sends", fmt.Sprintf(job, "r2")) // a new connection behind the signal
 	second := s.arrival()
 	s.dispatches["B"] = second
 	select {
-	case <-stopped:
-		t.Fatal("stopped with requests unanswered")
+	case err := <-stopped:
+		t.Fatal("stopped with requests unanswered", err)
 	case <-time.After(3 * lameDuck / 2):
 	}
 	for name, d := range s.dispatches {
@@ -101,11 +103,11 @@
 		t.Errorf("the answer came %v after the signal", took)
 	}
 	s.step("client b sees close", "")
-	inOrder(t, stopped)
+	wantStopInOrder(t, stopped)
 }
 
-// inOrder waits for a stop that has begun, and fails where it ends in an error or not at all.
-func inOrder(t *testing.T, stopped <-chan error) {
+// wantStopInOrder waits for a stop that has begun, and fails where it ends in an error or not at all.
+func wantStopInOrder(t *testing.T, stopped <-chan error) {
 	t.Helper()
 	select {
 	case err := <-stopped:
@@ -125,7 +127,7 @@
 	s.limits = map[string]any{"sockets": 64}
 	s.step("list", "s-1 DRAINING")
 	n := s.node
-	room := 64 - 64/3 - reserve - console.MaxSockets
+	room := 64 - 64/3 - reservedSockets - console.MaxSockets
 	dial := func() *client {
 		conn, err := net.Dial("tcp", n.addr.String())
 		s.must(err)
@@ -175,7 +177,7 @@
 	for _, c := range all { // the others leave; their sockets are free again
 		c.conn.Close()
 	}
-	for limit := time.Now().Add(patience); n.guard.OverLimit() || n.broker.Stats().Open > 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(patience); n.connLimiter.OverLimit() || n.broker.Stats().Open > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("%d requests stay open", n.broker.Stats().Open)
 		}
@@ -357,10 +359,10 @@
 	s.step("console include s-2", "SUCCESS include s-2")
 	stopped := make(chan error)
 	go func() { stopped <- old.stop() }()
-	for !old.front.Draining() {
+	for !old.frontend.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	if err := (door{old}).Ready(); err == nil {
+	if err := (operations{old}).Ready(); err == nil {
 		t.Error("the old one is ready while it stops")
 	}
 	time.Sleep(10 * time.Millisecond) // its listener closes at once; no need to be exact
@@ -393,11 +395,11 @@
 		if err == nil {
 			resp.Body.Close()
 		}
-		if s.node.peers.Count() == 0 && err == nil {
+		if s.node.siblings.Count() == 0 && err == nil {
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the new one does not take over all:", s.node.peers.Count(), err)
+			t.Fatal("the new one does not take over all:", s.node.siblings.Count(), err)
 		}
 	}
 }
@@ -440,7 +442,7 @@
 	}
 	delete(s.settings["Limits"].(map[string]any), "MaxAttempts") // a broken file first
 	reload()
-	if got := s.node.live.Get().Classes[1]; got != "package-file" {
+	if got := s.node.inForce.Get().Classes[1]; got != "package-file" {
 		t.Fatal("a broken file changed the classes:", got)
 	}
 	s.settings["Limits"].(map[string]any)["MaxAttempts"] = 2
--- a/cmd/yardflow/signals_test.go
+++ b/cmd/yardflow/signals_test.go
@@ -61,16 +61,24 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it fails where the process has ended
 	return cmd, bufio.NewScanner(stderr)
 }
 
+// send sends the process a signal.
+func send(t *testing.T, cmd *exec.Cmd, signal os.Signal) {
+	t.Helper()
+	if err := cmd.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // ended waits for the process's end, and fails where it exits in error or not at all.
 func ended(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
-	inOrder(t, done)
+	wantStopInOrder(t, done)
 }
 
 // A second and a third SIGTERM, and a SIGHUP between them, change nothing about a stop: what was
@@ -97,12 +105,12 @@
 	request := strings.Replace(fmt.Sprintf(job, "r1"), "X-Timeout: 5\n", "X-Timeout: 5\nContent-Length: 1\n", 1)
 	c.Send(strings.ReplaceAll(request, "\n", "\r\n"))
 	call := worker.Next()
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	line("stopping")
-	cmd.Process.Signal(syscall.SIGTERM)
-	cmd.Process.Signal(syscall.SIGHUP)
+	send(t, cmd, syscall.SIGTERM)
+	send(t, cmd, syscall.SIGHUP)
 	line("reload")
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	call.Done("ok")
 	if status, body := c.Answer(); status != 200 || body != "ok" {
 		t.Errorf("status %d, body %q", status, body)
@@ -118,7 +126,7 @@
 	cmd, log := program(t, script.NewWorker(t).Addr)
 	for log.Scan() && !strings.Contains(log.Text(), "serves on") {
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	for log.Scan() {
 	}
 	ended(t, cmd)
--- a/cmd/yardflow/stop.go
+++ b/cmd/yardflow/stop.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns a planned restart's end of a process.
-
 import (
 	"errors"
 	"fmt"
@@ -9,93 +7,126 @@
 	"time"
 )
 
-// A planned restart in three steps. New connections are taken for lameDuck, as
-// the front needs up to 0.4 s to notice. Clients at work keep their connections
-// for half of what is left before the kill: while several dispatchers restart in
-// turn, these may be the only way in. What is still out shortly before the kill
-// is answered then, since the kill would lose it.
+// A graceful shutdown in three steps. New connections are taken for lameDuck, as the
+// platform's front needs up to 0.4 s to notice. Clients at work keep their connections
+// for half of what is left before the kill: while several dispatchers restart in turn,
+// these may be the only way in. What is in flight killMargin before the kill is answered
+// then, since the kill would lose it.
 const (
 	lameDuck   = 500 * time.Millisecond
 	killMargin = 200 * time.Millisecond
+	// drainPoll is how often the connections that are left are counted.
+	drainPoll = 5 * time.Millisecond
 )
 
-// killAfter is the soonest that SIGKILL follows SIGTERM, by the longest deadline.
-func killAfter(longest time.Duration) time.Duration {
-	return min(longest, 3*time.Second) + 700*time.Millisecond
+// killAfter is the soonest that the platform sends SIGKILL after SIGTERM, by the longest
+// deadline of a request.
+func killAfter(longestDeadline time.Duration) time.Duration {
+	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
+}
+
+// shutdown is a graceful shutdown in progress.
+type shutdown struct {
+	node            *node
+	began           time.Time
+	longestDeadline time.Duration
+	killed          time.Duration // after began
+	// succeeded: another process has taken over and listens on the same socket.
+	succeeded bool
+	errs      []error
 }
 
-// stop ends the node as a planned restart asks, and answers all that was taken.
+// stop ends the node gracefully: everything accepted is answered.
 func (n *node) stop() error {
+	s := &shutdown{node: n}
 	n.mu.Lock() // no listener is added from here on
-	longest := n.longest
-	began, kill := time.Now(), killAfter(longest)
-	n.front.Drain()
+	s.began, s.longestDeadline = time.Now(), n.longestDeadline
+	s.killed = killAfter(s.longestDeadline)
+	n.frontend.Drain()
 	n.mu.Unlock()
-	if n.flows != nil {
-		n.flows.Drain()
+	if n.fleet != nil {
+		n.fleet.workflows.Drain()
 	}
-	var errs []error
-	over := n.peers.HasSuccessor()
-	if over {
-		// Another process has taken over and listens on the same socket: nothing new
-		// is accepted here, and every answer is its connection's last.
-		n.front.DisableKeepAlives()
-		// What is out shortly before the kill is answered then: a reset would leave
+	s.succeeded = n.siblings.HasSuccessor()
+	if s.succeeded {
+		// Nothing new is accepted here, and every answer is its connection's last.
+		n.frontend.DisableKeepAlives()
+		// What is in flight shortly before the kill is answered then: a reset would leave
 		// the client to find out for itself.
-		defer time.AfterFunc(kill-killMargin, n.broker.ExpireAll).Stop()
+		defer time.AfterFunc(s.killed-killMargin, n.broker.ExpireAll).Stop()
 	} else {
 		time.Sleep(lameDuck)
-		n.reader.LimitDeadlines(began.Add(kill - killMargin))
+		n.requestReader.LimitDeadlines(s.beforeKill())
 	}
-	for i, l := range n.listeners {
+	s.closeListeners()
+	s.drainConnections()
+	s.closeParts()
+	return errors.Join(s.errs...)
+}
+
+// beforeKill is the moment by which everything has to be answered.
+func (s *shutdown) beforeKill() time.Time { return s.began.Add(s.killed - killMargin) }
+
+func (s *shutdown) closeListeners() {
+	for i, l := range s.node.listeners {
 		end := l.Close
-		if over && i == 0 { // the clients' socket, which the other process listens on too
+		if s.succeeded && i == 0 { // the clients' socket, which the other process listens on too
 			end = l.CloseNow
 		}
 		if err := end(); !errors.Is(err, net.ErrClosed) {
-			errs = append(errs, err)
+			s.errs = append(s.errs, err)
 		}
 	}
-	stand := kill / 2
-	if over {
-		stand = kill - killMargin
+}
+
+// drainConnections lets clients end their connections, then ends the idle ones, and waits
+// for the rest until every request that was accepted has met its deadline.
+func (s *shutdown) drainConnections() {
+	conns := s.node.connLimiter
+	keepUntil := s.killed / 2
+	if s.succeeded {
+		keepUntil = s.killed - killMargin
 	}
-	for time.Since(began) < stand && n.guard.OpenConnections() > 0 {
-		time.Sleep(5 * time.Millisecond)
+	for time.Since(s.began) < keepUntil && conns.OpenConnections() > 0 {
+		time.Sleep(drainPoll)
 	}
-	// Every answer is its connection's last from here on, and the idle are closed by the guard.
-	// The server's own ways (SetKeepAlivesEnabled, Shutdown) look and then close: a request that
-	// is read between the two would be sent on and never answered.
-	n.front.DisableKeepAlives()
-	end := began.Add(longest + time.Second)
-	for n.guard.OpenConnections()+n.guard.LingeringConnections() > 0 && time.Now().Before(end) {
-		n.guard.CloseIdleConnections()
-		time.Sleep(5 * time.Millisecond)
+	// Every answer is its connection's last from here on, and connLimiter closes the idle.
+	// http.Server's own ways (SetKeepAlivesEnabled, Shutdown) look and then close: a
+	// request that is read between the two would be dispatched and never answered.
+	s.node.frontend.DisableKeepAlives()
+	end := s.began.Add(s.longestDeadline + time.Second)
+	for conns.OpenConnections()+conns.LingeringConnections() > 0 && time.Now().Before(end) {
+		conns.CloseIdleConnections()
+		time.Sleep(drainPoll)
 	}
-	if open := n.guard.OpenConnections(); open > 0 {
-		errs = append(errs, fmt.Errorf("%d connections stay open", open))
+	if open := conns.OpenConnections(); open > 0 {
+		s.errs = append(s.errs, fmt.Errorf("%d connections stay open", open))
 	}
-	for _, server := range n.servers {
+	for _, server := range s.node.servers {
 		if err := server.Close(); !errors.Is(err, net.ErrClosed) {
-			errs = append(errs, err)
+			s.errs = append(s.errs, err)
 		}
 	}
+}
+
+// closeParts closes what the node started, each before what it uses.
+func (s *shutdown) closeParts() {
+	n := s.node
 	if n.console != nil {
 		n.console.Close()
 	}
-	n.peers.Close()
-	n.unfollow()
+	n.siblings.Close()
+	n.stopTable()
 	n.sources.Close()
-	n.lines.CloseIdleConnections()
-	if n.flows != nil {
-		n.flows.WaitUntilIdle(began.Add(kill - killMargin))
+	n.workerConns.CloseIdleConnections()
+	if n.fleet != nil {
+		n.fleet.workflows.WaitUntilIdle(s.beforeKill())
 	}
 	n.broker.Close()
-	if n.release != nil {
-		n.release()
+	if n.fleet != nil {
+		n.fleet.stop()
 	}
-	if n.talk != nil {
-		n.talk.Close()
+	if n.datagrams != nil {
+		_ = n.datagrams.Close() // a datagram socket has nothing pending
 	}
-	return errors.Join(errs...)
 }
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/workflows.go
@@ -1,27 +1,21 @@
 package main
 
-// This file owns the node's side of workflows: whether a policy's could be run here, and the runner
-// that carries their steps.
-
 import (
 	"context"
 	"fmt"
-	"log"
 	"reflect"
 	"slices"
-	"time"
 
 	"yardflow/internal/fleet/policy"
 	"yardflow/internal/fleet/statemachine"
-	"yardflow/internal/fleet/transport"
 	"yardflow/internal/fleet/workflow/pool"
 	"yardflow/internal/fleet/workflow/template"
 	"yardflow/internal/gateway/workflowsteps"
 	"yardflow/internal/platform/config"
 )
 
-// weighFlows tells what keeps a policy's workflows from being run under a configuration; nil: nothing.
-func weighFlows(cfg *config.Config, doc policy.Document, p statemachine.Policy) error {
+// checkWorkflows reports whether a policy's workflows could run under a configuration.
+func checkWorkflows(cfg *config.Config, doc policy.Document, p statemachine.Policy) error {
 	if all := doc.Templates(); len(all)+len(p.Workflows) > 0 && !reflect.DeepEqual(all, p.Workflows) {
 		return &template.Error{StepIndex: -1, Key: "flow", Problem: "the templates agreed on are not those of the text", Expected: "both alike"}
 	}
@@ -39,15 +33,15 @@
 	return err
 }
 
-// carry makes the runner of steps; hooks of the lease's holder are added to.
-func (n *node) carry(cfg *config.Config, life uint64, hooks *transport.Hooks) {
-	n.flows = workflowsteps.New(n.broker, workflowsteps.Config{Dispatcher: cfg.Name, Incarnation: life, Now: n.deskNow, Settings: n.live, Workers: n.lines, Log: func(s string) { log.Print(s) },
+// newWorkflowRunner makes the runner that carries out workflows' steps here. It uses the
+// session, which is made after it, only once it runs.
+func (f *fleetMember) newWorkflowRunner(incarnation uint64) *workflowsteps.Runner {
+	n := f.node
+	return workflowsteps.New(n.broker, workflowsteps.Config{
+		Dispatcher: n.cfg.Name, Incarnation: incarnation, Now: f.now, Settings: n.inForce, Workers: n.workerConns, Log: logLine,
 		CallCoordinator: func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
-			return n.holder.Do(ctx, c)
+			return f.session.Do(ctx, c)
 		},
-		AdmissionGate: func() (uint64, time.Time, bool) {
-			held, at := n.holder.Admits()
-			return held.Version, at, held.Allowed
-		}})
-	hooks.ClaimLeaseRenewed, hooks.StepsReady = n.flows.RenewLease, n.flows.NotifyReady
+		AdmissionGate: f.admission,
+	})
 }
