--- a/cmd/coordinator/restore.go
+++ b/cmd/coordinator/restore.go
@@ -10,7 +10,7 @@
 )
 
 // defaultVersionSkip is by how much policy versions go on after a restore: dispatchers
-// must never meet a version number again that was lost.
+// may know a lost version, whose number must not stand for another policy.
 const defaultVersionSkip = 1000
 
 func newRestoreCommand() *cobra.Command {
--- a/cmd/yardflow/endings_test.go
+++ b/cmd/yardflow/endings_test.go
@@ -15,10 +15,10 @@
 // connection, are answered, though the listener is closed by then; so is one on a connection that
 // was accepted and had said nothing. A reload in the middle of it disturbs nothing.
 func TestRequestsThatCompleteAfterSIGTERMAreAnswered(t *testing.T) {
-	s := newStage(t)
+	s := newTestbed(t)
 	s.step("list", "s-1 SERVING\ns-2 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "before"))
-	s.arrival().done("before")
+	s.nextDispatch().answerDone("before")
 	s.clients["a"].answer(t)
 	whole := strings.ReplaceAll(job, "\n", "\r\n")
 	whole = strings.Replace(whole, "X-Timeout: 5\r\n", "X-Timeout: 5\r\nContent-Length: 1\r\n", 1)
@@ -45,14 +45,14 @@
 	pieces.Send(first[40:] + fmt.Sprintf(whole, "behind"))
 	silent.Send(fmt.Sprintf(whole, "late"))
 	for range 3 {
-		call := s.arrival()
+		call := s.nextDispatch()
 		id := ""
 		for _, id = range []string{"pieces", "behind", "late"} {
 			if strings.Contains(call.head, id) {
 				break
 			}
 		}
-		call.done(id)
+		call.answerDone(id)
 	}
 	for _, c := range []*script.Client{pieces, pieces, silent} {
 		if status, _ := c.Answer(); status != 200 {
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -1,9 +1,8 @@
 package main
 
-// This file plays recorded byte exchanges (testdata/*.txt) against the program:
-// stand-in clients in front, stand-in loan workers and a stand-in discovery
-// behind, all on loopback ports of the system's choice. It must never know what
-// the program does inside; whatever it checks went over a socket.
+// Recorded byte exchanges (testdata/*.txt) run against the program: stand-in clients in
+// front, stand-in loan workers and a stand-in discovery behind, all on loopback ports of
+// the system's choice. The exchanges check only what went over a socket.
 //
 // An exchange is a list of steps, each a line that begins with "== " and the
 // text below it:
@@ -63,7 +62,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			newStage(t).play(string(text))
+			newTestbed(t).play(string(text))
 		})
 	}
 	t.Cleanup(func() {
@@ -73,8 +72,8 @@
 	})
 }
 
-// stage is the world around one node.
-type stage struct {
+// testbed is the world around one node.
+type testbed struct {
 	t          *testing.T
 	settings   map[string]any
 	dir        string // TMPDIR; empty: none
@@ -106,8 +105,8 @@
 	body *bufio.Reader
 }
 
-func newStage(t *testing.T) *stage {
-	s := &stage{t: t, workers: map[string]string{}, arrivals: make(chan *dispatchedJob, 16), dispatches: map[string]*dispatchedJob{},
+func newTestbed(t *testing.T) *testbed {
+	s := &testbed{t: t, workers: map[string]string{}, arrivals: make(chan *dispatchedJob, 16), dispatches: map[string]*dispatchedJob{},
 		clients: map[string]*client{}, roster: listservice.Start()}
 	t.Cleanup(s.roster.Close)
 	text, err := os.ReadFile("testdata/settings.json")
@@ -116,7 +115,7 @@
 	return s
 }
 
-func (s *stage) must(err error) {
+func (s *testbed) must(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
@@ -124,7 +123,7 @@
 }
 
 // worker starts a stand-in loan worker and returns its address.
-func (s *stage) worker(id string) string {
+func (s *testbed) worker(id string) string {
 	if s.workers[id] == "" {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		s.must(err)
@@ -143,7 +142,7 @@
 	return s.workers[id]
 }
 
-func (s *stage) serve(conn net.Conn) {
+func (s *testbed) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	closed := make(chan struct{})
 	defer close(closed)
@@ -170,7 +169,7 @@
 
 var steps = regexp.MustCompile(`(?m)^== (.*)\n`)
 
-func (s *stage) play(text string) {
+func (s *testbed) play(text string) {
 	at := steps.FindAllStringSubmatchIndex(text, -1)
 	for i, m := range at {
 		end := len(text)
@@ -190,7 +189,7 @@
 	}
 }
 
-func (s *stage) step(step, text string) {
+func (s *testbed) step(step, text string) {
 	text = many.ReplaceAllStringFunc(text, func(m string) string {
 		n, _ := strconv.Atoi(strings.Trim(m, "{x}"))
 		return strings.Repeat("x", n)
@@ -205,7 +204,7 @@
 	case "sse":
 		s.sse = text
 	case "list":
-		s.tell(text)
+		s.publishList(text)
 	case "console":
 		conn, err := net.Dial("tcp", s.node.consoleAddr.String())
 		s.must(err)
@@ -214,7 +213,7 @@
 		fmt.Fprintln(conn, strings.TrimPrefix(step, "console "))
 		answer, err := io.ReadAll(conn)
 		s.must(err)
-		s.compare(string(answer), text)
+		s.wantExchange(string(answer), text)
 	case "client":
 		s.client(word[1], word[2], strings.TrimSpace(rest), text)
 	case "dispatch":
@@ -239,7 +238,7 @@
 }
 
 // start runs the node under the settings so far.
-func (s *stage) start() {
+func (s *testbed) start() {
 	dir := s.t.TempDir()
 	write := func(name string, text []byte) string {
 		s.must(os.WriteFile(filepath.Join(dir, name), text, 0o600))
@@ -261,7 +260,7 @@
 	s.run(cfg)
 }
 
-func (s *stage) run(cfg *config.Config) {
+func (s *testbed) run(cfg *config.Config) {
 	var err error
 	s.node, err = startNode(cfg, s.dir, func(int64) {})
 	s.must(err)
@@ -278,9 +277,9 @@
 	})
 }
 
-// tell changes the list and waits until the node has it: its next watch asks
+// publishList changes the list and waits until the node has it: its next watch asks
 // from the new generation.
-func (s *stage) tell(text string) {
+func (s *testbed) publishList(text string) {
 	var list []listservice.Entry
 	for line := range strings.Lines(text) {
 		f := append(strings.Fields(line), "1")
@@ -304,7 +303,7 @@
 
 var varying = regexp.MustCompile(`(?m)^(X-Timeout|Retry-After): [0-9.]+$`)
 
-func (s *stage) compare(got, want string) {
+func (s *testbed) wantExchange(got, want string) {
 	s.t.Helper()
 	got = varying.ReplaceAllString(strings.ReplaceAll(got, "\r", `\r`), "$1: *")
 	got = regexp.MustCompile(`"retry_after":[0-9.]+`).ReplaceAllString(got, `"retry_after":*`)
@@ -313,7 +312,7 @@
 	}
 }
 
-func (s *stage) client(name, verb, rest, text string) {
+func (s *testbed) client(name, verb, rest, text string) {
 	c := s.clients[name]
 	switch verb {
 	case "sends":
@@ -363,7 +362,7 @@
 		}
 		switch rest {
 		case "the head":
-			s.compare(head, text)
+			s.wantExchange(head, text)
 		case "an event":
 			event := ""
 			for {
@@ -374,7 +373,7 @@
 				}
 				event += line
 			}
-			s.compare(event, text)
+			s.wantExchange(event, text)
 		default: // the whole answer, or "the end"
 			body, err := io.ReadAll(c.body)
 			s.must(err)
@@ -382,14 +381,14 @@
 				head, text = "", ""
 			}
 			c.resp = nil
-			s.compare(head+"\n\n"+string(body), text)
+			s.wantExchange(head+"\n\n"+string(body), text)
 		}
 	default:
 		s.t.Fatalf("no such step: client %s", verb)
 	}
 }
 
-func (s *stage) dispatch(name, verb, rest, text string) {
+func (s *testbed) dispatch(name, verb, rest, text string) {
 	if verb == "gets" {
 		limit := patience
 		if rest == "none" {
@@ -404,7 +403,7 @@
 			if first, ok := strings.CutPrefix(rest, "on "); ok && d.conn != s.dispatches[first].conn {
 				s.t.Errorf("not on the connection of dispatch %s", first)
 			}
-			s.compare(d.head+"\n\n"+d.rest, text)
+			s.wantExchange(d.head+"\n\n"+d.rest, text)
 		case <-time.After(limit):
 			if rest != "none" {
 				s.t.Fatal("no dispatch came")
--- a/cmd/yardflow/fleet.go
+++ b/cmd/yardflow/fleet.go
@@ -123,7 +123,7 @@
 	return held.Version, at, held.Allowed
 }
 
-// hooks are what the session asks of the node, and tells it.
+// hooks are what the session calls: questions to the node, and notifications of it.
 func (f *fleetMember) hooks(applyPolicy func(statemachine.Policy) error) transport.Hooks {
 	return transport.Hooks{
 		Log:         logLine,
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -38,8 +38,8 @@
 	return resp.StatusCode, resp.Close
 }
 
-// arrival waits for the next dispatch.
-func (s *stage) arrival() *dispatchedJob {
+// nextDispatch waits for the next dispatch.
+func (s *testbed) nextDispatch() *dispatchedJob {
 	s.t.Helper()
 	select {
 	case d := <-s.arrivals:
@@ -50,8 +50,8 @@
 	}
 }
 
-// done answers a dispatch as its loan worker.
-func (d *dispatchedJob) done(id string) {
+// answerDone answers a dispatch as its loan worker.
+func (d *dispatchedJob) answerDone(id string) {
 	body := fmt.Sprintf(`{"id":%q,"state":"done","result":"ok"}`, id) + "\n"
 	fmt.Fprintf(d.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -59,10 +59,10 @@
 // On SIGTERM the node goes on listening while the front has not noticed, answers
 // all it has taken, and then is gone.
 func TestStopAnswersAllThatWasTaken(t *testing.T) {
-	s := newStage(t)
+	s := newTestbed(t)
 	s.step("list", "s-1 SERVING\ns-2 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "r1"))
-	first := s.arrival()
+	first := s.nextDispatch()
 	s.dispatches["A"] = first
 	stopped := make(chan error)
 	n, began := s.node, time.Now()
@@ -71,7 +71,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	s.step("client b sends", fmt.Sprintf(job, "r2")) // a new connection behind the signal
-	second := s.arrival()
+	second := s.nextDispatch()
 	s.dispatches["B"] = second
 	select {
 	case err := <-stopped:
@@ -80,7 +80,7 @@
 	}
 	for name, d := range s.dispatches {
 		id := map[string]string{"A": "r1", "B": "r2"}[name]
-		d.done(id)
+		d.answerDone(id)
 	}
 	for _, name := range []string{"a", "b"} {
 		if status, last := s.clients[name].answer(t); status != 200 || last {
@@ -95,7 +95,7 @@
 	// kill would lose what it finds, so a silent loan worker is not waited for.
 	s.step("list", "s-3 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "r3"))
-	s.dispatches["C"] = s.arrival()
+	s.dispatches["C"] = s.nextDispatch()
 	if status, last := s.clients["a"].answer(t); status != 504 || !last {
 		t.Errorf("at the end client a got %d, connection ends: %v", status, last)
 	}
@@ -123,7 +123,7 @@
 // connection idle longest; without one, the request is denied and its socket
 // given back. What was accepted is always answered.
 func TestSocketBudget(t *testing.T) {
-	s := newStage(t)
+	s := newTestbed(t)
 	s.limits = map[string]any{"sockets": 64}
 	s.step("list", "s-1 DRAINING")
 	n := s.node
@@ -190,17 +190,17 @@
 // Silent and half-sent connections make room before any client's at work does,
 // and one whose request waits unread is not closed.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
-	s := newStage(t)
+	s := newTestbed(t)
 	s.limits = map[string]any{"sockets": 64}
 	s.step("list", "s-1 SERVING\ns-2 SERVING\ns-3 SERVING\ns-4 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "r1"))
-	d := s.arrival()
-	d.done("r1")
+	d := s.nextDispatch()
+	d.answerDone("r1")
 	if status, _ := s.clients["a"].answer(t); status != 200 {
 		t.Fatal("got", status)
 	}
 	s.step("client b sends", fmt.Sprintf(job, "r2"))
-	s.dispatches["B"] = s.arrival() // stays out
+	s.dispatches["B"] = s.nextDispatch() // stays out
 	for i := range 200 {
 		conn, err := net.Dial("tcp", s.node.addr.String())
 		s.must(err)
@@ -211,13 +211,13 @@
 	}
 	for name, id := range map[string]string{"a": "r3", "c": "r4"} { // idle since its answer, and new
 		s.step("client "+name+" sends", fmt.Sprintf(job, id))
-		d := s.arrival()
-		d.done(id)
+		d := s.nextDispatch()
+		d.answerDone(id)
 		if status, _ := s.clients[name].answer(t); status != 200 {
 			t.Errorf("client %s got %d", name, status)
 		}
 	}
-	s.dispatches["B"].done("r2")
+	s.dispatches["B"].answerDone("r2")
 	if status, _ := s.clients["b"].answer(t); status != 200 {
 		t.Errorf("the request that was out got %d", status)
 	}
@@ -226,18 +226,18 @@
 // A new configuration names another address of discovery, with a history of its
 // own. Open requests stay, a faulty file changes nothing, and more may follow.
 func TestReload(t *testing.T) {
-	s := newStage(t)
+	s := newTestbed(t)
 	s.step("list", "s-1 SERVING")
 	s.step("list", "s-1 SERVING") // the old history is ahead of the new one
 	s.step("client a sends", fmt.Sprintf(job, "r1"))
-	first := s.arrival()
+	first := s.nextDispatch()
 	calls, addr := make(chan string, 16), s.worker("s-2") // here: calls come side by side
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		if r.FormValue("since") != "" {
 			<-r.Context().Done()
 		}
-		// No "reset": the first word of another history is the whole list even so.
+		// No "reset": the first answer of another history is the complete list all the same.
 		fmt.Fprintf(w, `{"generation":1,"instances":[{"instanceId":"s-2","hostPort":%q,"lifecycle":"SERVING"}]}`, addr)
 	}))
 	defer func() { other.CloseClientConnections(); other.Close() }()
@@ -261,12 +261,12 @@
 		}
 	}
 	s.step("client b sends", fmt.Sprintf(job, "r2"))
-	second := s.arrival()
+	second := s.nextDispatch()
 	if got := second.conn.LocalAddr().String(); got != s.workers["s-2"] {
 		t.Error("went to", got)
 	}
 	for id, d := range map[string]*dispatchedJob{"r1": first, "r2": second} {
-		d.done(id)
+		d.answerDone(id)
 	}
 	for _, name := range []string{"a", "b"} {
 		if status, _ := s.clients[name].answer(t); status != 200 {
@@ -275,9 +275,9 @@
 	}
 }
 
-// fixed runs a node on what is imported from HAProxy's format; servers are those
+// useHAProxyServers runs a node on what is imported from HAProxy's format; servers are those
 // of the backend loans, and may be followed by other backends.
-func (s *stage) fixed(servers string) {
+func (s *testbed) useHAProxyServers(servers string) {
 	text, _, err := haproxy.Import(strings.NewReader("defaults\n timeout connect 250ms\n timeout server 5s\n" +
 		"frontend f\n bind 127.0.0.1:0\nbackend loans\n " + servers + "\n"))
 	s.must(err)
@@ -291,17 +291,17 @@
 // An imported HAProxy configuration is one that serves: each class goes to its
 // backend's servers alone, and what may have run is not repeated.
 func TestImportedConfigurationServes(t *testing.T) {
-	s := newStage(t)
-	s.fixed(fmt.Sprintf("server one %s\nbackend files\n server two %s\n server three %s disabled",
+	s := newTestbed(t)
+	s.useHAProxyServers(fmt.Sprintf("server one %s\nbackend files\n server two %s\n server three %s disabled",
 		s.worker("loans/one"), s.worker("files/two"), s.worker("files/three")))
 	for i, class := range []string{"loans", "files", "files", "loans"} {
 		id := fmt.Sprint("r", i)
 		s.step("client a sends", fmt.Sprintf("POST /%s HTTP/1.1\nHost: h\nX-Request-ID: %s\nX-Priority-Class: %s\n\nx", class, id, class))
-		d := s.arrival()
+		d := s.nextDispatch()
 		if want := s.workers[map[string]string{"loans": "loans/one", "files": "files/two"}[class]]; d.conn.LocalAddr().String() != want {
 			t.Errorf("%s went to %s, want %s", class, d.conn.LocalAddr(), want)
 		}
-		d.done(id)
+		d.answerDone(id)
 		if status, _ := s.clients["a"].answer(t); status != 200 {
 			t.Errorf("got %d", status)
 		}
@@ -317,7 +317,7 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	s := newStage(t)
+	s := newTestbed(t)
 	s.dir = t.TempDir()
 	inherit := func() {
 		file, err := socket.(*net.TCPListener).File()
@@ -337,9 +337,9 @@
 	old := s.node
 	for _, name := range []string{"a", "b"} { // b is idle when the new one comes
 		s.step("client "+name+" sends", fmt.Sprintf(job, name))
-		s.dispatches[name] = s.arrival()
+		s.dispatches[name] = s.nextDispatch()
 	}
-	s.dispatches["b"].done("b")
+	s.dispatches["b"].answerDone("b")
 	if status, last := s.clients["b"].answer(t); status != 200 || last {
 		t.Fatal("got", status, last)
 	}
@@ -369,14 +369,14 @@
 	s.step("client c sends", fmt.Sprintf(job, "c"))
 	s.step("client b sends", fmt.Sprintf(job, "b2"))
 	for range 2 {
-		d := s.arrival()
+		d := s.nextDispatch()
 		for _, id := range []string{"c", "b2"} {
 			if strings.Contains(d.head, "X-Request-Id: "+id) {
-				d.done(id)
+				d.answerDone(id)
 			}
 		}
 	}
-	s.dispatches["a"].done("a")
+	s.dispatches["a"].answerDone("a")
 	for name, want := range map[string]bool{"a": true, "b": true, "c": false} {
 		if status, last := s.clients[name].answer(t); status != 200 || last != want {
 			t.Errorf("client %s got %d, connection ends: %v", name, status, last)
@@ -405,11 +405,11 @@
 }
 
 // What is out when the kill comes near is answered then, not left to a reset.
-func TestEndAllAnswersWhatIsOut(t *testing.T) {
-	s := newStage(t)
+func TestExpireAllAnswersRequestsInFlight(t *testing.T) {
+	s := newTestbed(t)
 	s.step("list", "s-1 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "r1"))
-	s.dispatches["A"] = s.arrival()
+	s.dispatches["A"] = s.nextDispatch()
 	s.node.broker.ExpireAll()
 	if status, _ := s.clients["a"].answer(t); status != 504 {
 		t.Errorf("got %d", status)
@@ -420,12 +420,12 @@
 // New settings at SIGHUP: a class that appears is served, one whose name is gone
 // is unknown at the door, and a job of it that was open goes on as it was: what
 // may be sent again then still may, though no class allows it now.
-func TestRetune(t *testing.T) {
-	s := newStage(t)
+func TestReconfigure(t *testing.T) {
+	s := newTestbed(t)
 	s.step("list", "s-1 SERVING 1\ns-2 SERVING 1")
 	keyed := strings.ReplaceAll(job, "issue-loan", "package-file")
 	s.step("client a sends", fmt.Sprintf(keyed, "r1"))
-	first := s.arrival()
+	first := s.nextDispatch()
 	s.dispatches["A"] = first
 	classes := s.settings["Classes"].([]any)
 	gone := classes[1].(map[string]any)
@@ -448,8 +448,8 @@
 	s.settings["Limits"].(map[string]any)["MaxAttempts"] = 2
 	reload()
 	first.conn.Close() // it may have run
-	again := s.arrival()
-	if again.done("r1"); !strings.Contains(again.head, "X-Request-Id: r1") {
+	again := s.nextDispatch()
+	if again.answerDone("r1"); !strings.Contains(again.head, "X-Request-Id: r1") {
 		t.Errorf("not r1:\n%s", again.head)
 	}
 	if status, _ := s.clients["a"].answer(t); status != 200 {
@@ -460,7 +460,7 @@
 		t.Errorf("a class that is gone got %d", status)
 	}
 	s.step("client b sends", fmt.Sprintf(strings.ReplaceAll(job, "issue-loan", "package-file-next"), "r3"))
-	s.dispatches["B"] = s.arrival()
+	s.dispatches["B"] = s.nextDispatch()
 	s.dispatches["B"].conn.Close() // the new class may run once
 	if status, _ := s.clients["b"].answer(t); status != 502 {
 		t.Errorf("the new class got %d", status)
--- a/cmd/yardflow/signals_test.go
+++ b/cmd/yardflow/signals_test.go
@@ -29,9 +29,9 @@
 	os.Exit(m.Run())
 }
 
-// program starts the program as a process of its own, with one worker that discovery tells of. It
+// startProgram starts the program as a process of its own, with one worker in discovery's list. It
 // gives the process and its standard error.
-func program(t *testing.T, worker string) (*exec.Cmd, *bufio.Scanner) {
+func startProgram(t *testing.T, worker string) (*exec.Cmd, *bufio.Scanner) {
 	list := listservice.Start()
 	t.Cleanup(list.Close)
 	list.Set(listservice.Entry{ID: "s-1", Addr: worker, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
@@ -73,8 +73,8 @@
 	}
 }
 
-// ended waits for the process's end, and fails where it exits in error or not at all.
-func ended(t *testing.T, cmd *exec.Cmd) {
+// wantExitInOrder waits for the process's end, and fails where it exits in error or not at all.
+func wantExitInOrder(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
@@ -85,7 +85,7 @@
 // taken is answered.
 func TestASecondSIGTERMCutsNothingShort(t *testing.T) {
 	worker := script.NewWorker(t)
-	cmd, log := program(t, worker.Addr)
+	cmd, log := startProgram(t, worker.Addr)
 	line := func(part string) string {
 		for log.Scan() {
 			if strings.Contains(log.Text(), part) {
@@ -118,16 +118,16 @@
 	c.Close()
 	for log.Scan() {
 	}
-	ended(t, cmd)
+	wantExitInOrder(t, cmd)
 }
 
 // SIGTERM in the moment in which the program begins to serve ends it in order.
 func TestSIGTERMAtTheStartEndsInOrder(t *testing.T) {
-	cmd, log := program(t, script.NewWorker(t).Addr)
+	cmd, log := startProgram(t, script.NewWorker(t).Addr)
 	for log.Scan() && !strings.Contains(log.Text(), "serves on") {
 	}
 	send(t, cmd, syscall.SIGTERM)
 	for log.Scan() {
 	}
-	ended(t, cmd)
+	wantExitInOrder(t, cmd)
 }
--- a/cmd/yardflow/sources_test.go
+++ b/cmd/yardflow/sources_test.go
@@ -14,8 +14,8 @@
 	"yardflow/internal/testing/standin/dnsserver"
 )
 
-// named gives the stage a DNS server, and an operator's file that follows it.
-func (s *stage) named(more string) *dnsserver.Server {
+// startDNS gives the testbed a DNS server, and an operator's file that follows it.
+func (s *testbed) startDNS(more string) *dnsserver.Server {
 	d, err := dnsserver.Start()
 	s.must(err)
 	s.t.Cleanup(d.Close)
@@ -33,8 +33,8 @@
 	return d
 }
 
-// zone puts a list of workers in DNS, each as id or id=address.
-func (s *stage) zone(d *dnsserver.Server, ttl int, workers ...string) {
+// setZone puts a list of workers in DNS, each as id or id=address.
+func (s *testbed) setZone(d *dnsserver.Server, ttl int, workers ...string) {
 	text := ""
 	for _, w := range workers {
 		id, addr, other := strings.Cut(w, "=")
@@ -48,8 +48,8 @@
 	s.must(d.Zone(text))
 }
 
-// until waits for the console to say a text of a worker, or of the sources.
-func (s *stage) until(call, text string) {
+// waitForConsole waits for the console to say a text of a worker, or of the sources.
+func (s *testbed) waitForConsole(call, text string) {
 	s.t.Helper()
 	got := ""
 	for limit := time.Now().Add(patience); !strings.Contains(got, text); time.Sleep(2 * time.Millisecond) {
@@ -66,15 +66,15 @@
 	}
 }
 
-// served hands in a job, which must go to that worker, and sees it answered.
-func (s *stage) served(id, worker string) *dispatchedJob {
+// wantServedBy submits a job, which must go to that worker, and checks that it is answered.
+func (s *testbed) wantServedBy(id, worker string) *dispatchedJob {
 	s.t.Helper()
 	s.step("client a sends", fmt.Sprintf(job, id))
-	d := s.arrival()
+	d := s.nextDispatch()
 	if addr := d.conn.LocalAddr().String(); addr != s.workers[worker] {
 		s.t.Errorf("went to %s, want %s at %s", addr, worker, s.workers[worker])
 	}
-	d.done(id)
+	d.answerDone(id)
 	if status, _ := s.clients["a"].answer(s.t); status != 200 {
 		s.t.Error("got", status)
 	}
@@ -83,7 +83,7 @@
 
 // slowWorker listens with no room for a connection: the next connect waits until
 // free is called.
-func (s *stage) slowWorker() (addr string, free func()) {
+func (s *testbed) slowWorker() (addr string, free func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	s.must(err)
 	s.must(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -106,21 +106,21 @@
 	}
 }
 
-// DNS still names a worker, with 300 s to live, that the roster tells as draining
+// DNS still names a worker, with 300 s to live, that the roster reports as draining
 // while an attempt at it is connecting: once the connection is up nothing is
 // written to it, and the job goes to another worker.
 func TestDrainWinsOverDNSWhileConnecting(t *testing.T) {
 	for _, lifecycle := range []string{"DRAINING", "DELETED"} {
 		t.Run(lifecycle, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t)
+			s := newTestbed(t)
 			set(s.settings, strings.Split("Limits.ConnectTimeoutMs", "."), 5000.0)
-			d := s.named("")
+			d := s.startDNS("")
 			slow, free := s.slowWorker()
 			s.workers["s-1"] = slow
-			s.zone(d, 300, "s-1")
+			s.setZone(d, 300, "s-1")
 			s.step("list", "s-1 SERVING")
-			s.until("worker s-1", "loans: serving")
+			s.waitForConsole("worker s-1", "loans: serving")
 			s.step("client a sends", fmt.Sprintf(job, "r1"))
 			for limit := time.Now().Add(patience); s.node.broker.Stats().Open == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(limit) {
@@ -133,14 +133,14 @@
 			} else {
 				s.step("list", "s-1 DRAINING\ns-2 SERVING")
 			}
-			s.until("worker s-1", "draining, by roster")
-			s.zone(d, 300, "s-1", "s-2") // DNS goes on naming it
+			s.waitForConsole("worker s-1", "draining, by roster")
+			s.setZone(d, 300, "s-1", "s-2") // DNS goes on naming it
 			free()
-			got := s.arrival()
+			got := s.nextDispatch()
 			if addr := got.conn.LocalAddr().String(); addr != s.workers["s-2"] {
 				t.Fatalf("went to %s, which drains", addr)
 			}
-			got.done("r1")
+			got.answerDone("r1")
 			if status, _ := s.clients["a"].answer(t); status != 200 {
 				t.Error("got", status)
 			}
@@ -150,54 +150,54 @@
 
 // A target's address changes while a connection to the old one is kept: the next
 // job goes to the new address, and the old connection is closed.
-func TestAddressChangesUnderKeptConnections(t *testing.T) {
-	s := newStage(t)
-	d := s.named("")
-	s.zone(d, 0, "s-1")
+func TestAddressChangeRetiresPooledConnections(t *testing.T) {
+	s := newTestbed(t)
+	d := s.startDNS("")
+	s.setZone(d, 0, "s-1")
 	s.step("list", "")
-	s.until("worker s-1", "serving")
-	s.dispatches["A"] = s.served("r1", "s-1")
-	s.zone(d, 0, "s-1="+s.worker("elsewhere"))
-	s.until("worker s-1", s.workers["elsewhere"])
+	s.waitForConsole("worker s-1", "serving")
+	s.dispatches["A"] = s.wantServedBy("r1", "s-1")
+	s.setZone(d, 0, "s-1="+s.worker("elsewhere"))
+	s.waitForConsole("worker s-1", s.workers["elsewhere"])
 	s.step("dispatch A sees close", "")
-	s.served("r2", "elsewhere")
+	s.wantServedBy("r2", "elsewhere")
 }
 
 // The resolver falls silent, the process is upgraded, and the next one goes on
 // with what was known; the roster's tombstone and the ban go over too. Back again,
 // no worker counts as newly started.
-func TestSourcesOutlastAnUpgrade(t *testing.T) {
-	s := newStage(t)
+func TestSourcesSurviveAnUpgrade(t *testing.T) {
+	s := newTestbed(t)
 	s.dir = t.TempDir()
-	d := s.named("")
-	s.zone(d, 1, "s-1", "s-2", "s-3")
+	d := s.startDNS("")
+	s.setZone(d, 1, "s-1", "s-2", "s-3")
 	s.step("list", "s-1 SERVING\ns-2 SERVING")
-	s.until("sources", "loans: 3 serving")
+	s.waitForConsole("sources", "loans: 3 serving")
 	s.step("list", "s-2 SERVING")
-	s.until("worker s-1", "draining, by roster: gone")
+	s.waitForConsole("worker s-1", "draining, by roster: gone")
 	s.step("console exclude s-2", "SUCCESS exclude s-2")
 	d.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
-	s.until("worker s-3", "serving, by loans: lapsed")
+	s.waitForConsole("worker s-3", "serving, by loans: lapsed")
 	s.start()
-	s.until("worker s-3", "serving, by loans: lapsed")
-	s.until("worker s-1", "draining, by roster: gone")
-	s.until("worker s-2", "draining, by operator: called out")
+	s.waitForConsole("worker s-3", "serving, by loans: lapsed")
+	s.waitForConsole("worker s-1", "draining, by roster: gone")
+	s.waitForConsole("worker s-2", "draining, by operator: called out")
 	d.Behave(nil)
-	s.until("worker s-3", "serving, by loans: serving")
-	s.until("worker s-1", "draining, by roster: gone")
+	s.waitForConsole("worker s-3", "serving, by loans: serving")
+	s.waitForConsole("worker s-1", "draining, by roster: gone")
 	if n := s.node.broker.Stats(); n.Ready != 1 {
 		t.Errorf("%+v", n)
 	}
-	s.served("r1", "s-3")
+	s.wantServedBy("r1", "s-3")
 }
 
 // The operator's file takes effect at SIGHUP, whole or not at all.
 func TestOperatorFileAtReload(t *testing.T) {
-	s := newStage(t)
-	d := s.named("")
+	s := newTestbed(t)
+	d := s.startDNS("")
 	with := s.operator
 	s.operator = ""
-	s.zone(d, 300, "s-7")
+	s.setZone(d, 300, "s-7")
 	s.step("list", "s-1 SERVING")
 	reload := func(operator string) {
 		dir := t.TempDir()
@@ -215,11 +215,11 @@
 		t.Error("a faulty file is taken:", got)
 	}
 	reload(with)
-	s.until("worker s-7", "serving, by loans")
+	s.waitForConsole("worker s-7", "serving, by loans")
 	reload("[membership]\nrule = \"some\"\n")
-	s.until("worker s-7", "serving, by loans")
+	s.waitForConsole("worker s-7", "serving, by loans")
 	reload("")
-	s.until("worker s-7", "no such loan worker")
+	s.waitForConsole("worker s-7", "no such loan worker")
 	if n := s.node.broker.Stats(); n.Ready != 1 {
 		t.Errorf("%+v", n)
 	}
@@ -228,9 +228,9 @@
 // A backup of a fixed list gets work while the others can't be reached, and none
 // before.
 func TestBackupServesWhenOthersCant(t *testing.T) {
-	s := newStage(t)
-	s.fixed(fmt.Sprintf("server one %s\n server two %s backup", s.worker("dead"), s.worker("loans/two")))
-	s.until("worker loans/two", "draining, by standby")
+	s := newTestbed(t)
+	s.useHAProxyServers(fmt.Sprintf("server one %s\n server two %s backup", s.worker("dead"), s.worker("loans/two")))
+	s.waitForConsole("worker loans/two", "draining, by standby")
 	// Connects fail until the first is known to be out, then the backup takes over.
 	for n := 0; ; n++ {
 		s.step("client a sends", fmt.Sprintf("POST /loans HTTP/1.1\nHost: h\nX-Request-ID: r%d\nX-Priority-Class: loans\nX-Timeout: 0.5\n\nx", n))
@@ -238,11 +238,11 @@
 		go func() { code, _ := s.clients["a"].answer(t); status <- code }()
 		select {
 		case d := <-s.arrivals:
-			d.done(fmt.Sprint("r", n))
+			d.answerDone(fmt.Sprint("r", n))
 			if got := <-status; got != 200 {
 				t.Error("got", got)
 			}
-			s.until("worker loans/two", "serving")
+			s.waitForConsole("worker loans/two", "serving")
 			return
 		case got := <-status:
 			if n > 12 { // at half a second each
--- a/internal/discovery/sources/publish.go
+++ b/internal/discovery/sources/publish.go
@@ -67,7 +67,7 @@
 // changes is how a merged list differs from the one published before.
 type changes struct {
 	entries      map[string]membership.Entry // the new list by id
-	workers      []broker.Worker             // what the broker is told
+	workers      []broker.Worker             // what the broker is updated with
 	priorities   map[int]bool                // that occur
 	banned       []string                    // ids
 	retiredAddrs []string
@@ -144,7 +144,7 @@
 	return w
 }
 
-// pushBans tells the broker which names and which workers are banned. The caller
+// pushBans gives the broker the banned names and the ids of banned workers. The caller
 // holds mu.
 func (m *Merger) pushBans(ids []string) {
 	all := slices.Concat(m.bans, ids)
--- a/internal/discovery/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -248,22 +248,22 @@
 	}
 }
 
-// Follow asks again ahead of the lifetime's end; told once that nobody answers,
-// it goes on asking, and tells when there is an answer again.
+// Run looks up again before the lifetime's end. While no server answers it goes on,
+// notifies of it, and notifies when there is an answer again.
 func TestRun(t *testing.T) {
 	s := startServer(t, strings.ReplaceAll(zone, " 60 ", " 1 "))
 	r := newResolver(s)
 	r.cfg.MinTTL, r.client.timeout = 200*time.Millisecond, 100*time.Millisecond
-	told := make(chan Update, 64)
+	updates := make(chan Update, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.Run(ctx, func(u Update) { told <- u }); close(ended) }()
-	until := func(what string, sound bool) Update {
+	go func() { r.Run(ctx, func(u Update) { updates <- u }); close(ended) }()
+	until := func(what string, ok bool) Update {
 		t.Helper()
 		for limit := time.After(20 * time.Second); ; {
 			select {
-			case u := <-told:
-				if (u.Err == nil) == sound {
+			case u := <-updates:
+				if (u.Err == nil) == ok {
 					return u
 				}
 			case <-limit:
