--- a/cmd/yardflow/fleet.go
+++ b/cmd/yardflow/fleet.go
@@ -119,7 +119,7 @@
 // admission is the admission gate: the version of the policy in force, and whether it
 // admits requests now.
 func (f *fleetMember) admission() (version uint64, at time.Time, allowed bool) {
-	held, at := f.session.Admits()
+	held, at := f.session.Admission()
 	return held.Version, at, held.Allowed
 }
 
@@ -142,7 +142,7 @@
 
 		AddReports:         f.addReports,
 		ReportsUndelivered: f.reporter.Undelivered,
-		VerdictsReceived:   f.ejectionsReceived,
+		EjectionsReceived:  f.ejectionsReceived,
 
 		ClaimLeaseRenewed: f.workflows.RenewLease,
 		StepsReady:        f.workflows.NotifyReady,
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -106,7 +106,7 @@
 	LeaseDuration  time.Duration `cbor:"Lease"` // of the lease given, from when it was asked for; 0: none was given
 	Grant          uint64        // its number
 	QuotaGrants    []quota.Share `cbor:"Parts"` // of the limits of the fleet, for as long
-	Verdicts       []outlier.EjectionNotice
+	Ejections      []outlier.EjectionNotice
 	ReportsWanted  []outlier.Incarnation `cbor:"Accused"` // of whom it is to say what it knows
 	ColdStart      *coldstart.Response   `cbor:"Start"`
 	Workflow       *claims.Answer        `cbor:"Flow"`
--- a/internal/fleet/statemachine/judges.go
+++ b/internal/fleet/statemachine/judges.go
@@ -30,7 +30,7 @@
 
 func (judges) ask(s *State, c *LeaseRequest, r *Result) {
 	if s.Outliers != nil {
-		r.Verdicts, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
+		r.Ejections, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
 	}
 }
 
@@ -42,7 +42,7 @@
 
 func (judges) news(s *State, n *WatchUpdate, _ int, _ relay.Watermark) {
 	if s.Outliers != nil {
-		n.Verdicts = s.Outliers.Notices()
+		n.Ejections = s.Outliers.Notices()
 	}
 }
 
--- a/internal/fleet/statemachine/wire.go
+++ b/internal/fleet/statemachine/wire.go
@@ -20,7 +20,7 @@
 	Change      *PolicyChange // proposed, and to be weighed
 	Closing     bool
 	Policy      *Policy // in force, where the one who watches does not have it
-	Verdicts    []outlier.EjectionNotice
+	Ejections   []outlier.EjectionNotice
 	RelayedList *relay.Update `cbor:"List"`
 	StepsReady  bool          `cbor:"Steps"` // of workflows are ready
 }
--- a/internal/fleet/transport/holder.go
+++ b/internal/fleet/transport/holder.go
@@ -32,7 +32,7 @@
 
 	AddReports         func(hold *statemachine.LeaseRequest) // words what was seen of workers; nil: nothing
 	ReportsUndelivered func(reports []outlier.Report)        // they may not have arrived
-	VerdictsReceived   func(until time.Duration, verdicts []outlier.EjectionNotice, accused []outlier.Incarnation, news bool)
+	EjectionsReceived  func(until time.Duration, verdicts []outlier.EjectionNotice, accused []outlier.Incarnation, news bool)
 
 	Zone             int                                                     // that the dispatcher is in
 	ColdStartRequest func() *coldstart.Request                               // of turns and the relayed list; nil: nothing
@@ -67,9 +67,9 @@
 	return &LeaseSession{client: c, hooks: h, base: base, a: a}
 }
 
-// Admits is what holds now, and the moment of this process's clock that it was asked for. It
+// Admission is what holds now, and the moment of this process's clock that it was asked for. It
 // waits for nobody.
-func (h *LeaseSession) Admits() (policylease.Admission, time.Time) {
+func (h *LeaseSession) Admission() (policylease.Admission, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -120,8 +120,8 @@
 			if h.hooks.ListReceived != nil && n.RelayedList != nil && n.Generation >= h.era() {
 				h.hooks.ListReceived(n.RelayedList)
 			}
-			if h.hooks.VerdictsReceived != nil && until > 0 {
-				h.hooks.VerdictsReceived(until, n.Verdicts, nil, true)
+			if h.hooks.EjectionsReceived != nil && until > 0 {
+				h.hooks.EjectionsReceived(until, n.Ejections, nil, true)
 			}
 			if h.hooks.StepsReady != nil && n.StepsReady {
 				h.hooks.StepsReady()
@@ -242,8 +242,8 @@
 	if r.LeaseDuration > 0 && h.hooks.ColdStartGranted != nil && !void && todo.ApplyPolicy == nil {
 		h.hooks.ColdStartGranted(asked, h.until(), r.ColdStart)
 	}
-	if r.LeaseDuration > 0 && h.hooks.VerdictsReceived != nil && !void {
-		h.hooks.VerdictsReceived(h.until(), r.Verdicts, r.ReportsWanted, false)
+	if r.LeaseDuration > 0 && h.hooks.EjectionsReceived != nil && !void {
+		h.hooks.EjectionsReceived(h.until(), r.Ejections, r.ReportsWanted, false)
 	}
 	if r.ClaimLease > 0 && h.hooks.ClaimLeaseRenewed != nil && !void {
 		h.hooks.ClaimLeaseRenewed(asked, r.ClaimLease, r.Generation, r.StepsReady)
--- a/internal/fleet/transport/link_test.go
+++ b/internal/fleet/transport/link_test.go
@@ -150,7 +150,7 @@
 		}
 	}
 	under := func(version uint64) func() bool {
-		return func() bool { held, _ := h.Admits(); return held.Allowed && held.Version == version }
+		return func() bool { held, _ := h.Admission(); return held.Allowed && held.Version == version }
 	}
 	until("a lease", under(0))
 	stage := func(want statemachine.Stage) func() bool {
@@ -172,7 +172,7 @@
 	mu.Unlock()
 	stop()
 	<-over
-	if held, _ := h.Admits(); held.Allowed {
+	if held, _ := h.Admission(); held.Allowed {
 		t.Error("it admits after its end")
 	}
 	o.mu.Lock()
