--- a/lab/rig/harness/stage.go
+++ b/lab/rig/harness/stage.go
@@ -66,7 +66,7 @@
 // Build builds the programs that a stage needs from the module's root into a folder.
 func Build(root, dir string) error {
 	for _, args := range [][]string{{"-o", dir + "/", "./cmd/yardflow", "./cmd/coordinator"},
-		{"-ldflags", "-X yardflow/internal/policy.form=1", "-o", filepath.Join(dir, oldProgram), "./cmd/yardflow"}} {
+		{"-ldflags", "-X yardflow/internal/fleet/policy.form=1", "-o", filepath.Join(dir, oldProgram), "./cmd/yardflow"}} {
 		cmd := exec.Command("go", append([]string{"build"}, args...)...)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
