--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -15,8 +15,8 @@
 // writtenVersion is the version of the policy in force in testdata/keeper.db.gz.
 const writtenVersion = 45
 
-// unpackFolder lays the folder that a coordinator of b99a1ea has written, with a snapshot and a log behind it.
-func unpackFolder(t *testing.T) string {
+// extractFolder lays the folder that a coordinator of b99a1ea has written, with a snapshot and a log behind it.
+func extractFolder(t *testing.T) string {
 	t.Helper()
 	packed, err := os.Open("testdata/keeper.db.gz")
 	if err != nil {
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	file, err := os.OpenFile(filepath.Join(dir, fileName), os.O_CREATE|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(filepath.Join(dir, dataFileName), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,12 +43,12 @@
 
 // What a coordinator of b99a1ea has stored is opened by today's, and goes on from there.
 func TestFolderWrittenBeforeTheRenamesIsOpened(t *testing.T) {
-	q, err := alone(t, unpackFolder(t), false, nil)
+	q, err := openSingleNode(t, extractFolder(t), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer q.Close()
-	if v := version(t, q); v != writtenVersion {
+	if v := currentVersion(t, q); v != writtenVersion {
 		t.Fatalf("version %d is in force, want %d", v, writtenVersion)
 	}
 	q.ReadStale(func(s *statemachine.State) {
@@ -57,7 +57,7 @@
 		}
 	})
 	propose(t, q, writtenVersion+1)
-	if v := version(t, q); v != writtenVersion+1 {
+	if v := currentVersion(t, q); v != writtenVersion+1 {
 		t.Errorf("version %d is in force behind a proposal", v)
 	}
 }
@@ -66,7 +66,7 @@
 func TestFolderWrittenBeforeTheRenamesIsRestored(t *testing.T) {
 	const skip = 100
 	config := Config{Fleet: "f", MemberID: 2, InitialMembers: map[uint64]string{2: "127.0.0.1:1"}, Dir: t.TempDir(), State: statemachine.Config{PolicyHistory: 100}, Log: func(string) {}}
-	got, err := Restore(config, unpackFolder(t), skip, true)
+	got, err := Restore(config, extractFolder(t), skip, true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/consensus/quorum_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -17,7 +17,7 @@
 	"yardflow/internal/fleet/statemachine"
 )
 
-func alone(t *testing.T, dir string, fresh bool, change func(*Config)) (*Node, error) {
+func openSingleNode(t *testing.T, dir string, fresh bool, change func(*Config)) (*Node, error) {
 	t.Helper()
 	c := Config{Fleet: "f", MemberID: 1, InitialMembers: map[uint64]string{1: "127.0.0.1:1"}, Dir: dir, Bootstrap: fresh, TickInterval: 5 * time.Millisecond, SnapshotEntries: 20,
 		State: statemachine.Config{LeaseDuration: time.Second, VoteTimeout: time.Second, PolicyHistory: 100}, Log: func(string) {}}
@@ -44,7 +44,7 @@
 	}
 }
 
-func version(t *testing.T, q *Node) (v uint64) {
+func currentVersion(t *testing.T, q *Node) (v uint64) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
@@ -56,9 +56,9 @@
 
 // What was answered is there after a restart, by the log and by a snapshot, whichever holds it;
 // the log gives way to snapshots and does not grow for good.
-func TestRestartsKeepAll(t *testing.T) {
+func TestRestartKeepsAcknowledgedState(t *testing.T) {
 	dir := t.TempDir()
-	q, err := alone(t, dir, true, nil)
+	q, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,20 +71,20 @@
 		if err := q.Close(); err != nil {
 			t.Fatal(err)
 		}
-		db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{ReadOnly: true})
+		db, err := bbolt.Open(filepath.Join(dir, dataFileName), 0o600, &bbolt.Options{ReadOnly: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		kept := 0
 		db.View(func(tx *bbolt.Tx) error { kept = tx.Bucket(bucketLog).Stats().KeyN; return nil })
 		db.Close()
-		if most := 20 + keepEntries + 10; kept > most {
+		if most := 20 + retainedEntries + 10; kept > most {
 			t.Errorf("%d entries are kept, want %d at most", kept, most)
 		}
-		if q, err = alone(t, dir, false, nil); err != nil {
+		if q, err = openSingleNode(t, dir, false, nil); err != nil {
 			t.Fatal(err)
 		}
-		if v := version(t, q); v != uint64(n) {
+		if v := currentVersion(t, q); v != uint64(n) {
 			t.Fatalf("version %d after a restart, want %d", v, n)
 		}
 	}
@@ -92,21 +92,21 @@
 }
 
 // A folder that is not this keeper's, or not whole, is refused, and stays as it was.
-func TestFolderIsRefused(t *testing.T) {
+func TestForeignOrDamagedFolderIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := alone(t, dir, false, nil); !errors.Is(err, ErrNoData) {
+	if _, err := openSingleNode(t, dir, false, nil); !errors.Is(err, ErrNoData) {
 		t.Errorf("empty: %v", err)
 	}
-	q, err := alone(t, dir, true, nil)
+	q, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	propose(t, q, 1)
-	if _, err := alone(t, dir, false, nil); err == nil {
+	if _, err := openSingleNode(t, dir, false, nil); err == nil {
 		t.Error("a folder that is in use is opened")
 	}
 	q.Close()
-	file := filepath.Join(dir, fileName)
+	file := filepath.Join(dir, dataFileName)
 	whole, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 		want   error
 	}{"new": {func(c *Config) { c.Bootstrap = true }, ErrAlreadyInitialized}, "another fleet's": {func(c *Config) { c.Fleet = "g" }, ErrOtherOwner},
 		"another member's": {func(c *Config) { c.MemberID, c.InitialMembers = 2, map[uint64]string{2: "h:1"} }, ErrOtherOwner}} {
-		if _, err := alone(t, dir, false, c.change); !errors.Is(err, c.want) {
+		if _, err := openSingleNode(t, dir, false, c.change); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -124,7 +124,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if q, err := alone(t, dir, false, nil); err == nil {
+		if q, err := openSingleNode(t, dir, false, nil); err == nil {
 			q.Close()
 			t.Errorf("%s: it is opened", name)
 		} else if !errors.Is(err, ErrCorrupt) {
@@ -137,7 +137,7 @@
 	if err := os.WriteFile(file, whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if q, err = alone(t, dir, false, nil); err != nil || version(t, q) != 1 {
+	if q, err = openSingleNode(t, dir, false, nil); err != nil || currentVersion(t, q) != 1 {
 		t.Errorf("whole again: %v", err)
 	}
 	q.Close()
@@ -146,9 +146,9 @@
 // A keeper that is alone has written down later than it has acknowledged how far all is agreed on:
 // killed in between, it has its entries and an older word of that. Read at once after its start, the
 // state is as new as what it had acknowledged.
-func TestALoneKeeperReadsNothingOld(t *testing.T) {
+func TestSingleNodeReadsNothingStaleAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	q, err := alone(t, dir, true, nil)
+	q, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,18 +160,18 @@
 		t.Fatal(err)
 	}
 	for range 4 {
-		s, err := open(dir, "f", 1, false, false)
+		s, err := openStore(dir, "f", 1, false, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		hard, _, _ := s.mem.InitialState()
+		hard, _, _ := s.memory.InitialState()
 		hard = proto.Clone(hard).(*raftpb.HardState)
 		hard.Commit = new(max(hard.GetCommit(), 8) - 5)
 		if err := s.save(hard, nil, nil, true); err != nil {
 			t.Fatal(err)
 		}
 		s.close()
-		if q, err = alone(t, dir, false, nil); err != nil {
+		if q, err = openSingleNode(t, dir, false, nil); err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
@@ -194,11 +194,11 @@
 	}
 }
 
-// compactedLate has a keeper's folder compacted while the folder's commit index is older than the one in memory, as it
+// compactWithStaleCommit has a keeper's folder compacted while the folder's commit index is older than the one in memory, as it
 // is while commit indexes wait for the next write that has to be synced.
-func compactedLate(t *testing.T, dir string, compact func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error) {
+func compactWithStaleCommit(t *testing.T, dir string, compact func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error) {
 	t.Helper()
-	q, err := alone(t, dir, true, nil)
+	q, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,13 +211,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf, applied := q.conf, q.applied
-	s, err := open(dir, "f", 1, false, false)
+	conf, applied := q.loop.confState, q.applied
+	s, err := openStore(dir, "f", 1, false, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	hard, _, _ := s.mem.InitialState()
+	hard, _, _ := s.memory.InitialState()
 	synced := proto.Clone(hard).(*raftpb.HardState)
 	synced.Commit = new(uint64(1))
 	if err := s.save(synced, nil, nil, true); err != nil {
@@ -233,27 +233,27 @@
 	}
 }
 
-// starts checks that a keeper of two versions starts from its folder.
-func starts(t *testing.T, dir string) {
+// assertRestarts checks that a keeper of two versions starts from its folder.
+func assertRestarts(t *testing.T, dir string) {
 	t.Helper()
-	q, err := alone(t, dir, false, nil)
+	q, err := openSingleNode(t, dir, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer q.Close()
-	if v := version(t, q); v != 2 {
+	if v := currentVersion(t, q); v != 2 {
 		t.Errorf("version %d after a restart, want 2", v)
 	}
 }
 
 // A keeper that is killed right behind a compaction starts again, though the commit index that it had synced before is
 // older than the snapshot: raft ends the process where a folder's commit index lies before its snapshot.
-func TestKilledBehindACompaction(t *testing.T) {
+func TestNodeKilledAfterCompactionRestarts(t *testing.T) {
 	dir := t.TempDir()
-	compactedLate(t, dir, func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error {
-		return s.compact(index, conf, state, keepEntries)
+	compactWithStaleCommit(t, dir, func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error {
+		return s.compact(index, conf, state, retainedEntries)
 	})
-	s, err := open(dir, "f", 1, false, false)
+	s, err := openStore(dir, "f", 1, false, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,32 +265,34 @@
 	if text.GetCommit() < 3 {
 		t.Errorf("the folder's commit index is %d behind a compaction: older than its snapshot", text.GetCommit())
 	}
-	starts(t, dir)
+	assertRestarts(t, dir)
 }
 
 // syncedHardState reads the hard state as the folder has it, not as it is mended on reading.
 func syncedHardState(s *store) (*raftpb.HardState, error) {
 	hard := &raftpb.HardState{}
-	err := s.db.View(func(tx *bbolt.Tx) error { return unpack(keyHard, tx.Bucket(bucketMeta).Get(keyHard), hard) })
+	err := s.db.View(func(tx *bbolt.Tx) error {
+		return decodeRecord(keyHardState, tx.Bucket(bucketMeta).Get(keyHardState), hard)
+	})
 	return hard, err
 }
 
 // A folder that an earlier version left with a commit index older than its snapshot is opened: what a snapshot holds was
 // agreed on.
-func TestFolderWithAnOlderCommitIndexStarts(t *testing.T) {
+func TestFolderWithStaleCommitIndexIsOpened(t *testing.T) {
 	dir := t.TempDir()
-	compactedLate(t, dir, func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error {
-		snap, err := s.mem.CreateSnapshot(index, conf, state)
+	compactWithStaleCommit(t, dir, func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error {
+		snap, err := s.memory.CreateSnapshot(index, conf, state)
 		if err != nil {
 			return err
 		}
 		return s.db.Update(func(tx *bbolt.Tx) error {
-			text, err := pack(keySnapshot, snap)
+			text, err := encodeRecord(keySnapshot, snap)
 			if err != nil {
 				return err
 			}
 			return tx.Bucket(bucketMeta).Put(keySnapshot, text)
 		})
 	})
-	starts(t, dir)
+	assertRestarts(t, dir)
 }
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -1,10 +1,5 @@
 package consensus
 
-// This file owns a keeper's folder: the log, the hard state and the latest snapshot, in one
-// bbolt file. Each record carries a checksum. What is damaged, or another fleet's or keeper's,
-// is reported and refused; nothing is ever made anew in silence, since a keeper that forgets
-// what it has voted for may break what others rely on.
-
 import (
 	"bytes"
 	"encoding/binary"
@@ -24,56 +19,49 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// The folder holds one bbolt file with two buckets: "log" has the entries by their index, "meta" all else.
 const (
-	fileName = "keeper.db"
-	formatV1 = "yardflow keeper 1"
-	openWait = time.Second // for the lock of a process that has just ended
+	dataFileName = "keeper.db"
+	formatV1     = "yardflow keeper 1"
+	// lockTimeout is how long to wait for the file's lock, which a process that has just ended may still hold.
+	lockTimeout = time.Second
 )
 
 var (
 	bucketMeta = []byte("meta")
 	bucketLog  = []byte("log")
 
-	keyFormat   = []byte("format")
-	keyFleet    = []byte("fleet")
-	keyMember   = []byte("member")
-	keyHard     = []byte("hard")
-	keySnapshot = []byte("snapshot")
-	keyGen      = []byte("generation")
+	keyFormat     = []byte("format")
+	keyFleet      = []byte("fleet")
+	keyMember     = []byte("member")
+	keyHardState  = []byte("hard")
+	keySnapshot   = []byte("snapshot")
+	keyGeneration = []byte("generation")
 )
 
-// The errors of a folder.
-var (
-	ErrNoData             = errors.New("the folder holds no keeper: start it with --new if it never was one; a keeper that lost its folder is taken out and comes in again as another member")
-	ErrAlreadyInitialized = errors.New("the folder holds a keeper already: start it without --new")
-	ErrOtherOwner         = errors.New("the folder is another's")
-	ErrOutdatedCopy       = errors.New("the folder is an older copy: take this keeper out and let another member come in")
-	ErrCorrupt            = errors.New("the folder is damaged: take this keeper out and let another member come in, or restore a majority from a snapshot")
-)
+// firstGeneration is that of members that were never restored. A folder without a generation is of it, too.
+const firstGeneration = 1
 
+// store keeps a member's log, hard state and latest snapshot: on disk, each record with a checksum, and in memory, from
+// where raft reads them.
 type store struct {
-	db  *bbolt.DB
-	mem *raft.MemoryStorage
+	db     *bbolt.DB
+	memory *raft.MemoryStorage
 
-	late bool // the hard state in memory is newer than the folder's, by how far is agreed on alone
+	// commitUnsynced: the commit index in memory is newer than the one on disk. It is written with the next record.
+	commitUnsynced bool
 
-	// generation tells keepers from those of before a restore, whose words are void: 1 and up; 0
-	// in one that joins and has heard of nobody yet.
+	// generation counts the restores of the fleet's folders, from firstGeneration on: messages of members of another
+	// generation are rejected. 0: a member that joins, and was not called by anybody yet.
 	generation atomic.Uint64
-	mu         sync.Mutex // of belong
+	mu         sync.Mutex // serializes joinGeneration
 }
 
-// open opens a member's folder, or makes it where fresh says that it is new; first, of the first
-// keepers, whose generation is 1.
-func open(dir, fleet string, member uint64, fresh, first bool) (*store, error) {
-	path := filepath.Join(dir, fileName)
-	_, err := os.Stat(path)
-	switch {
-	case err == nil && fresh:
-		return nil, fmt.Errorf("%s: %w", dir, ErrAlreadyInitialized)
-	case errors.Is(err, os.ErrNotExist) && !fresh:
-		return nil, fmt.Errorf("%s: %w", dir, ErrNoData)
-	case err != nil && !errors.Is(err, os.ErrNotExist):
+// openStore opens a member's folder, or makes it where fresh says that the member is new; bootstrap: with all of its
+// fleet, whose generation is the first.
+func openStore(dir, fleet string, member uint64, fresh, bootstrap bool) (*store, error) {
+	path := filepath.Join(dir, dataFileName)
+	if err := checkPresence(dir, path, fresh); err != nil {
 		return nil, err
 	}
 	if fresh {
@@ -81,24 +69,24 @@
 			return nil, err
 		}
 	}
-	// The file is mapped: where it ends before what it says it holds, reading there is a fault of
-	// the processor, which is to be an error like any other damage.
+	// The file is mapped into memory. Where it is shorter than it says, reading is a fault of the processor, which this
+	// makes a panic that openDatabase and load return as an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	db, err := openFile(path, false)
+	db, err := openDatabase(path, false)
 	if errors.Is(err, bbolt.ErrTimeout) {
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
 	}
-	s := &store{db: db, mem: raft.NewMemoryStorage()}
+	s := &store{db: db, memory: raft.NewMemoryStorage()}
 	if fresh {
-		err = s.make(fleet, member)
+		err = s.initialize(fleet, member)
 	} else {
-		err = s.load(fleet, member)
+		err = s.load(owner{fleet, member})
 	}
-	if err == nil && fresh && first {
-		err = s.belong(1)
+	if err == nil && fresh && bootstrap {
+		err = s.joinGeneration(firstGeneration)
 	}
 	if err != nil {
 		db.Close()
@@ -107,26 +95,43 @@
 	return s, nil
 }
 
-// openFile opens a bbolt file; what it panics at is an error, and its lock is given back.
-func openFile(path string, readOnly bool) (db *bbolt.DB, err error) {
+// checkPresence refuses a new member whose file exists, and an old one whose file does not.
+func checkPresence(dir, path string, fresh bool) error {
+	_, err := os.Stat(path)
+	switch {
+	case err == nil && fresh:
+		return fmt.Errorf("%s: %w", dir, ErrAlreadyInitialized)
+	case errors.Is(err, os.ErrNotExist) && !fresh:
+		return fmt.Errorf("%s: %w", dir, ErrNoData)
+	case err != nil && !errors.Is(err, os.ErrNotExist):
+		return err
+	}
+	return nil
+}
+
+// openDatabase opens a bbolt file. A damaged one may make bbolt panic: that is returned as an error, and the file's
+// lock is released.
+func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
 	var file *os.File
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%v", r)
 			if file != nil {
-				syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // what is still mapped would keep it
+				_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // the mapping would keep it beyond Close
 				file.Close()
 			}
 		}
 	}()
-	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWait, ReadOnly: readOnly, OpenFile: func(name string, flag int, mode os.FileMode) (f *os.File, err error) {
+	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, OpenFile: func(name string, flag int, mode os.FileMode) (f *os.File, err error) {
 		f, err = os.OpenFile(name, flag, mode)
 		file = f
 		return f, err
 	}})
 }
 
-func (s *store) make(fleet string, member uint64) error {
+// initialize makes the buckets and says whose folder it is.
+func (s *store) initialize(fleet string, member uint64) error {
+	records := []struct{ key, value []byte }{{keyFormat, []byte(formatV1)}, {keyFleet, []byte(fleet)}, {keyMember, encodeUint64(member)}, {keyGeneration, encodeUint64(0)}}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
 			return err
@@ -135,8 +140,8 @@
 		if err != nil {
 			return err
 		}
-		for _, kv := range [][2][]byte{{keyFormat, []byte(formatV1)}, {keyFleet, []byte(fleet)}, {keyMember, logKey(member)}, {keyGen, logKey(0)}} {
-			if err := meta.Put(kv[0], sealed(kv[0], kv[1])); err != nil {
+		for _, record := range records {
+			if err := meta.Put(record.key, addChecksum(record.key, record.value)); err != nil {
 				return err
 			}
 		}
@@ -144,8 +149,8 @@
 	})
 }
 
-// belong makes this folder one of a generation's.
-func (s *store) belong(generation uint64) error {
+// joinGeneration makes the folder one of a generation's, unless it is of another one already.
+func (s *store) joinGeneration(generation uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if own := s.generation.Load(); own != 0 || generation == 0 {
@@ -155,7 +160,7 @@
 		return fmt.Errorf("of generation %d, not %d", own, generation)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucketMeta).Put(keyGen, sealed(keyGen, logKey(generation)))
+		return tx.Bucket(bucketMeta).Put(keyGeneration, addChecksum(keyGeneration, encodeUint64(generation)))
 	})
 	if err == nil {
 		s.generation.Store(generation)
@@ -163,220 +168,140 @@
 	return err
 }
 
-// load reads a folder whole, each record checked, into the memory that raft reads from.
-func (s *store) load(fleet string, member uint64) (err error) {
-	defer func() { // a torn page can be anything to its reader
+// owner is whose a folder is.
+type owner struct {
+	fleet  string
+	member uint64 // 0: any
+}
+
+// load checks every record of the folder and copies log, hard state and snapshot to memory.
+func (s *store) load(want owner) (err error) {
+	defer func() { // a torn page may make bbolt panic at any access
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
-	own := logKey(member)
-	if member == 0 { // whosever it is
-		own = nil
-	}
 	return s.db.View(func(tx *bbolt.Tx) error {
 		if file, err := os.Stat(s.db.Path()); err != nil || file.Size() < tx.Size() {
-			return fmt.Errorf("%w: it ends before byte %d", ErrCorrupt, tx.Size())
+			return corrupt("it ends before byte %d", tx.Size())
 		}
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if meta == nil || log == nil {
-			return fmt.Errorf("%w: no such parts in it", ErrCorrupt)
-		}
-		for _, want := range []struct {
-			key  []byte
-			is   []byte
-			word string
-		}{{keyFormat, []byte(formatV1), "form"}, {keyFleet, []byte(fleet), "fleet"}, {keyMember, own, "member"}} {
-			got, err := unsealed(want.key, meta.Get(want.key))
-			if err != nil {
-				return err
-			}
-			if !bytes.Equal(got, want.is) && want.is != nil {
-				return fmt.Errorf("%w: its %s is %q, this keeper's %q", ErrOtherOwner, want.word, got, want.is)
-			}
+			return corrupt("no such parts in it")
 		}
-		s.generation.Store(1) // of folders from before there were others
-		if text := meta.Get(keyGen); text != nil {
-			got, err := unsealed(keyGen, text)
-			if err != nil || len(got) != 8 {
-				return fmt.Errorf("%w: its generation: %v", ErrCorrupt, err)
-			}
-			s.generation.Store(binary.BigEndian.Uint64(got))
+		if err := checkOwner(meta, want); err != nil {
+			return err
 		}
-		if text := meta.Get(keySnapshot); text != nil {
-			snap := &raftpb.Snapshot{}
-			if err := unpack(keySnapshot, text, snap); err != nil {
-				return err
-			}
-			if err := s.mem.ApplySnapshot(snap); err != nil {
-				return err
-			}
+		if err := s.loadGeneration(meta); err != nil {
+			return err
 		}
-		if text := meta.Get(keyHard); text != nil {
-			hard := &raftpb.HardState{}
-			if err := unpack(keyHard, text, hard); err != nil {
-				return err
-			}
-			s.mem.SetHardState(hard)
+		if err := s.loadSnapshot(meta); err != nil {
+			return err
 		}
-		first, _ := s.mem.FirstIndex()
-		if err := s.commitAtLeast(first - 1); err != nil {
+		if err := s.loadHardState(meta); err != nil {
 			return err
 		}
-		next := first
-		return log.ForEach(func(k, v []byte) error {
-			index := binary.BigEndian.Uint64(k)
-			if index < first {
-				return nil // within the snapshot: left by an end between two steps
-			}
-			e := &raftpb.Entry{}
-			if err := unpack(k, v, e); err != nil {
-				return err
-			}
-			if index != next || e.GetIndex() != index {
-				return fmt.Errorf("%w: entry %d where %d is due", ErrCorrupt, index, next)
-			}
-			next++
-			return s.mem.Append([]*raftpb.Entry{e})
-		})
+		return s.loadLog(log)
 	})
 }
 
-// commitAtLeast raises the commit index in memory to that of the snapshot, which holds nothing but what was agreed on.
-// Folders of earlier versions may have a snapshot that is newer than their commit index, and raft takes no such folder.
-func (s *store) commitAtLeast(index uint64) error {
-	hard, _, err := s.mem.InitialState()
-	if err != nil || hard.GetCommit() >= index {
-		return err
+// checkOwner checks the folder's format, fleet and member.
+func checkOwner(meta *bbolt.Bucket, want owner) error {
+	records := []struct {
+		key, value []byte // value nil: any
+		name       string
+	}{{keyFormat, []byte(formatV1), "form"}, {keyFleet, []byte(want.fleet), "fleet"}, {keyMember, nil, "member"}}
+	if want.member != 0 {
+		records[2].value = encodeUint64(want.member)
 	}
-	raised := proto.Clone(hard).(*raftpb.HardState)
-	raised.Commit = &index
-	return s.mem.SetHardState(raised)
+	for _, record := range records {
+		got, err := verifyChecksum(record.key, meta.Get(record.key))
+		if err != nil {
+			return err
+		}
+		if record.value != nil && !bytes.Equal(got, record.value) {
+			return fmt.Errorf("%w: its %s is %q, this keeper's %q", ErrOtherOwner, record.name, got, record.value)
+		}
+	}
+	return nil
 }
 
-// save makes what raft hands over durable, in one step, and then readable. Where raft needs it
-// not (must), how far is agreed on waits for the next one: the others tell it again.
-func (s *store) save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot, must bool) error {
-	if !must && len(entries) == 0 && raft.IsEmptySnap(snap) {
-		if !raft.IsEmptyHardState(hard) {
-			s.mem.SetHardState(hard)
-			s.late = true
-		}
+func (s *store) loadGeneration(meta *bbolt.Bucket) error {
+	data := meta.Get(keyGeneration)
+	if data == nil {
+		s.generation.Store(firstGeneration)
 		return nil
 	}
-	if raft.IsEmptyHardState(hard) && s.late {
-		hard, _, _ = s.mem.InitialState()
+	generation, err := verifyChecksum(keyGeneration, data)
+	if err != nil || len(generation) != 8 {
+		return corrupt("its generation: %v", err)
 	}
-	err := s.db.Update(func(tx *bbolt.Tx) error {
-		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-		if !raft.IsEmptySnap(snap) {
-			text, err := pack(keySnapshot, snap)
-			if err != nil {
-				return err
-			}
-			if err := meta.Put(keySnapshot, text); err != nil {
-				return err
-			}
-			if err := cut(log, snap.GetMetadata().GetIndex()+1); err != nil {
-				return err
-			}
-		}
-		if !raft.IsEmptyHardState(hard) {
-			if err := putHardState(meta, hard); err != nil {
-				return err
-			}
-		}
-		if len(entries) == 0 {
-			return nil
-		}
-		// What follows the last one written is another leader's, and void.
-		c := log.Cursor()
-		for k, _ := c.Seek(logKey(entries[len(entries)-1].GetIndex() + 1)); k != nil; k, _ = c.Next() {
-			if err := c.Delete(); err != nil {
-				return err
-			}
-		}
-		for _, e := range entries {
-			k := logKey(e.GetIndex())
-			text, err := pack(k, e)
-			if err != nil {
-				return err
-			}
-			if err := log.Put(k, text); err != nil {
-				return err
-			}
-		}
+	s.generation.Store(binary.BigEndian.Uint64(generation))
+	return nil
+}
+
+func (s *store) loadSnapshot(meta *bbolt.Bucket) error {
+	data := meta.Get(keySnapshot)
+	if data == nil {
 		return nil
-	})
-	if err != nil {
-		return err
-	}
-	if !raft.IsEmptySnap(snap) {
-		if err := s.mem.ApplySnapshot(snap); err != nil {
-			return err
-		}
 	}
-	if !raft.IsEmptyHardState(hard) {
-		s.mem.SetHardState(hard)
+	snapshot := &raftpb.Snapshot{}
+	if err := decodeRecord(keySnapshot, data, snapshot); err != nil {
+		return err
 	}
-	s.late = false
-	return s.mem.Append(entries)
+	return s.memory.ApplySnapshot(snapshot)
 }
 
-// cut takes out the entries before one.
-func cut(log *bbolt.Bucket, before uint64) error {
-	c := log.Cursor()
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < before; k, _ = c.First() {
-		if err := c.Delete(); err != nil {
-			return err
-		}
+func (s *store) loadHardState(meta *bbolt.Bucket) error {
+	data := meta.Get(keyHardState)
+	if data == nil {
+		return nil
 	}
-	return nil
-}
-
-func putHardState(meta *bbolt.Bucket, hard *raftpb.HardState) error {
-	text, err := pack(keyHard, hard)
-	if err != nil {
+	hardState := &raftpb.HardState{}
+	if err := decodeRecord(keyHardState, data, hardState); err != nil {
 		return err
 	}
-	return meta.Put(keyHard, text)
+	return s.memory.SetHardState(hardState)
 }
 
-// compact puts a snapshot in the place of the log up to an index, but for the last few
-// entries: a follower a little behind is not sent the whole state for them. The commit index goes
-// with it: a folder in which it is older than the snapshot is not taken at the next start.
-func (s *store) compact(index uint64, conf *raftpb.ConfState, state []byte, keep uint64) error {
-	snap, err := s.mem.CreateSnapshot(index, conf, state)
+// loadLog loads the entries behind the snapshot, which have to follow each other without a gap.
+func (s *store) loadLog(log *bbolt.Bucket) error {
+	first, err := s.memory.FirstIndex()
 	if err != nil {
 		return err
 	}
-	hard, _, err := s.mem.InitialState()
-	if err != nil {
+	if err := s.raiseCommit(first - 1); err != nil {
 		return err
 	}
-	from := index - min(index, keep)
-	err = s.db.Update(func(tx *bbolt.Tx) error {
-		text, err := pack(keySnapshot, snap)
-		if err != nil {
-			return err
+	next := first
+	return log.ForEach(func(key, data []byte) error {
+		index := binary.BigEndian.Uint64(key)
+		if index < first {
+			return nil // covered by the snapshot: the process ended before it had deleted the entry
 		}
-		meta := tx.Bucket(bucketMeta)
-		if err := meta.Put(keySnapshot, text); err != nil {
+		entry := &raftpb.Entry{}
+		if err := decodeRecord(key, data, entry); err != nil {
 			return err
 		}
-		if err := putHardState(meta, hard); err != nil {
-			return err
+		if index != next || entry.GetIndex() != index {
+			return corrupt("entry %d where %d is due", index, next)
 		}
-		return cut(tx.Bucket(bucketLog), index+1) // read again, the log begins behind the snapshot
+		next++
+		return s.memory.Append([]*raftpb.Entry{entry})
 	})
-	if err != nil {
+}
+
+// raiseCommit raises the commit index in memory to that of the snapshot, which holds committed entries only. Earlier
+// versions could leave a folder whose commit index was older than its snapshot, with which raft does not start.
+func (s *store) raiseCommit(index uint64) error {
+	hardState, _, err := s.memory.InitialState()
+	if err != nil || hardState.GetCommit() >= index {
 		return err
 	}
-	s.late = false
-	if first, _ := s.mem.FirstIndex(); from >= first {
-		return s.mem.Compact(from)
-	}
-	return nil
+	raised := proto.Clone(hardState).(*raftpb.HardState)
+	raised.Commit = &index
+	return s.memory.SetHardState(raised)
 }
 
+// close closes the file.
 func (s *store) close() error { return s.db.Close() }
--- a/internal/fleet/statemachine/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -1,143 +1,216 @@
 package statemachine
 
-// This file owns a change of policy: proposed, weighed by all that live, in force or withdrawn. It
-// must never put one in force that a living holder can't run.
-
 import (
+	"errors"
 	"fmt"
 	"slices"
+	"time"
 
 	"yardflow/internal/fleet/workflow/graph"
 	"yardflow/internal/platform/fault"
 )
 
-func (s *State) say(c *Vote) (r Result) {
-	ch := s.Change
-	if ch == nil || ch.ID != c.ChangeID || ch.Stage != Proposed {
-		r.Err = ErrNoSuchChange.Error()
-		return r
-	}
-	if _, said := ch.Votes[key(c.Name, c.Incarnation)]; !said {
-		ch.Votes[key(c.Name, c.Incarnation)] = c.Objection // no new revision: all that watch would ask for each word
-	}
-	return r
+// Stage is how far a change of policy has come.
+type Stage uint8
+
+// The stages of a change, in order.
+const (
+	Proposed  Stage = iota // every active holder is asked to take the policy over and to vote
+	Closing                // under RefuseWork: no lease is granted until no lease under the old version is left
+	InForce                // the policy is in force
+	Withdrawn              // the policy will not come into force
+)
+
+// String returns the stage as operators see it.
+func (s Stage) String() string {
+	return [...]string{"proposed", "closing", "in force", "withdrawn"}[min(s, Withdrawn)]
 }
 
+// PolicyChange is a change of policy. One is under way at a time: it is made by a Proposal, and ends in force or
+// withdrawn; it is then kept until the next one replaces it.
+type PolicyChange struct {
+	ID               string // chosen by the proposer, so that a repeated proposal has no effect
+	Stage            Stage
+	Policy           Policy
+	StageSince       time.Duration     `cbor:"Since" json:"Since"` // when this stage began, in the state's time
+	Votes            map[string]string `cbor:"Said" json:"Said"`   // by holder key: empty: it can run the policy; else why it can't
+	SkipUnresponsive bool              `cbor:"WithoutSilent" json:"WithoutSilent"`
+	Reason           string            // why it was withdrawn
+}
+
+// The errors of commands on changes. Their texts are sent to callers, and ErrStaleMessage is recognized by its text.
+var (
+	ErrChangePending     = errors.New("another change is under way")
+	ErrStaleBase         = errors.New("made from a version that is not the one in force")
+	ErrUnchanged         = errors.New("the same as the policy in force")
+	ErrNoSuchChange      = errors.New("no such change is under way")
+	ErrTooLateToWithdraw = errors.New("it is closing or in force already: propose the way back")
+	ErrEmptyProposal     = errors.New("empty")
+	ErrStaleMessage      = errors.New("overtaken by a later message of the same life")
+)
+
+// propose begins a change of policy.
 func (s *State) propose(c *Proposal) (r Result) {
 	if s.Change != nil && s.Change.ID == c.ID {
-		return r // asked twice
+		return r // a repetition
+	}
+	if r = s.checkProposal(c); r.Err != "" {
+		return r
 	}
-	now := s.CurrentPolicy()
+	s.Revision++
+	s.Change = &PolicyChange{ID: c.ID, StageSince: s.Now, Votes: map[string]string{}, SkipUnresponsive: c.SkipUnresponsive,
+		Policy: Policy{Version: s.CurrentPolicy().Version + 1, Digest: Digest(c.Text), Text: c.Text, Limits: c.Limits,
+			OutlierSettings: c.OutlierSettings, ColdStart: c.ColdStart, Workflows: c.Workflows, Author: c.Author, Reason: c.Reason}}
+	return r
+}
+
+// checkProposal returns a result whose Err says why a proposal is rejected; empty: it is not.
+func (s *State) checkProposal(c *Proposal) (r Result) {
+	current := s.CurrentPolicy()
 	switch {
 	case c.ID == "" || len(c.Text) == 0:
 		r.Err = ErrEmptyProposal.Error()
 	case s.Change != nil && s.Change.Stage < InForce:
 		r.Err = fmt.Sprintf("%v: %s by %s", ErrChangePending, s.Change.ID, s.Change.Policy.Author)
-	case c.BaseVersion != now.Version:
-		r.Err = fmt.Sprintf("%v: from %d, and %d is", ErrStaleBase, c.BaseVersion, now.Version)
-	case Digest(c.Text) == now.Digest:
+	case c.BaseVersion != current.Version:
+		r.Err = fmt.Sprintf("%v: from %d, and %d is", ErrStaleBase, c.BaseVersion, current.Version)
+	case Digest(c.Text) == current.Digest:
 		r.Err = ErrUnchanged.Error()
 	}
-	for _, l := range c.Limits {
-		if err := l.Check(); err != nil && r.Err == "" {
-			r.Err = fmt.Sprintf("limit %q: %v", l.Name, err)
+	if r.Err != "" {
+		return r
+	}
+	for _, limit := range c.Limits {
+		if err := limit.Check(); err != nil {
+			r.Err = fmt.Sprintf("limit %q: %v", limit.Name, err)
+			return r
 		}
 	}
-	if c.ColdStart != nil && r.Err == "" {
+	if c.ColdStart != nil {
 		if err := c.ColdStart.Check(); err != nil {
 			r.Err = fmt.Sprintf("start: %v", err)
+			return r
 		}
 	}
-	for _, t := range c.Workflows {
-		if _, err := graph.Compile(t); err != nil && r.Err == "" {
+	for _, workflow := range c.Workflows {
+		if _, err := graph.Compile(workflow); err != nil {
 			r.Err = fault.Text(err)
+			return r
 		}
 	}
-	if s.Workflows != nil && r.Err == "" {
-		r.fault(s.Workflows.Without(c.Pools))
+	if s.Workflows != nil && r.setError(s.Workflows.Without(c.Pools)) {
+		return r
 	}
-	if c.OutlierSettings != nil && r.Err == "" {
+	if c.OutlierSettings != nil {
 		if err := c.OutlierSettings.Check(); err != nil {
 			r.Err = fmt.Sprintf("verdicts: %v", err)
 		}
 	}
-	if r.Err != "" {
+	return r
+}
+
+// recordVote records whether a holder can run the change. Its first vote stands.
+func (s *State) recordVote(c *Vote) (r Result) {
+	change := s.Change
+	if change == nil || change.ID != c.ChangeID || change.Stage != Proposed {
+		r.Err = ErrNoSuchChange.Error()
 		return r
 	}
-	s.Revision++
-	s.Change = &PolicyChange{ID: c.ID, StageSince: s.Now, Votes: map[string]string{}, SkipUnresponsive: c.SkipUnresponsive,
-		Policy: Policy{Version: now.Version + 1, Digest: Digest(c.Text), Text: c.Text, Limits: c.Limits, OutlierSettings: c.OutlierSettings, ColdStart: c.ColdStart, Workflows: c.Workflows, Author: c.Author, Reason: c.Reason}}
+	key := holderKey(c.Name, c.Incarnation)
+	if _, voted := change.Votes[key]; !voted {
+		change.Votes[key] = c.Objection // without a new revision: every watch would return at every vote
+	}
 	return r
 }
 
+// withdraw ends a change before it is closing.
 func (s *State) withdraw(c *Withdrawal) (r Result) {
-	switch ch := s.Change; {
-	case ch == nil || ch.ID != c.ID || ch.Stage == Withdrawn:
+	switch change := s.Change; {
+	case change == nil || change.ID != c.ID || change.Stage == Withdrawn:
 		r.Err = ErrNoSuchChange.Error()
-	case ch.Stage != Proposed:
+	case change.Stage != Proposed:
 		r.Err = ErrTooLateToWithdraw.Error()
 	default:
-		s.end(fmt.Sprintf("by %s: %s", c.Author, c.Reason))
+		s.withdrawChange(fmt.Sprintf("by %s: %s", c.Author, c.Reason))
 	}
 	return r
 }
 
-func (s *State) end(why string) {
-	s.Change.Stage, s.Change.Reason, s.Change.StageSince = Withdrawn, why, s.Now
+func (s *State) withdrawChange(reason string) {
+	s.Change.Stage, s.Change.Reason, s.Change.StageSince = Withdrawn, reason, s.Now
 	s.Revision++
 }
 
-// advance takes the change as far as it can go now.
-func (s *State) advance() {
-	ch := s.Change
-	if ch == nil {
+// advanceChange moves the change under way on, as far as votes and leases allow now.
+func (s *State) advanceChange() {
+	change := s.Change
+	if change == nil {
 		return
 	}
-	if ch.Stage == Proposed {
-		waiting := false
-		for _, h := range s.ActiveHolders() {
-			why, said := ch.Votes[key(h.Name, h.Incarnation)]
-			switch {
-			case said && why != "":
-				s.end(fmt.Sprintf("%s can't run it: %s", h.Name, why))
-				return
-			case said:
-			case !ch.SkipUnresponsive && s.Now-ch.StageSince >= s.Config.VoteTimeout:
-				s.end(fmt.Sprintf("%s has said nothing for %v", h.Name, s.Config.VoteTimeout))
-				return
-			default:
-				waiting = true
-			}
-		}
-		if waiting {
-			return
-		}
-		ch.Stage, ch.StageSince = Closing, s.Now
+	if change.Stage == Proposed && s.votesComplete() {
+		change.Stage, change.StageSince = Closing, s.Now
 		s.Revision++
 	}
-	if ch.Stage == Closing {
-		if s.Config.OnLeaseLoss == RefuseWork && len(s.ActiveHolders()) > 0 {
-			return
-		}
-		ch.Stage, ch.StageSince = InForce, s.Now
-		s.Revision++
-		ch.Policy.Revision = s.Revision
-		s.Policies = append(s.Policies, ch.Policy)
-		each(func(p part) { p.rule(s, ch.Policy) })
-		if over := len(s.Policies) - max(s.Config.PolicyHistory, 1); over > 0 {
-			s.Policies = slices.Delete(s.Policies, 0, over)
+	if change.Stage == Closing && (s.Config.OnLeaseLoss != RefuseWork || len(s.ActiveHolders()) == 0) {
+		s.putInForce(change)
+	}
+}
+
+// votesComplete reports whether every active holder can run the change. It withdraws the change where one can't, or
+// has not voted in time and is not to be skipped. A holder that is skipped is still waited for, until its lease has
+// expired.
+func (s *State) votesComplete() bool {
+	complete := true
+	for _, h := range s.ActiveHolders() {
+		objection, voted := s.Change.Votes[holderKey(h.Name, h.Incarnation)]
+		switch {
+		case voted && objection != "":
+			s.withdrawChange(fmt.Sprintf("%s can't run it: %s", h.Name, objection))
+			return false
+		case voted:
+		case !s.Change.SkipUnresponsive && s.voteOverdue():
+			s.withdrawChange(fmt.Sprintf("%s has said nothing for %v", h.Name, s.Config.VoteTimeout))
+			return false
+		default:
+			complete = false
 		}
 	}
+	return complete
+}
+
+// voteOverdue reports whether the time to vote on the change has passed.
+func (s *State) voteOverdue() bool { return s.Now-s.Change.StageSince >= s.Config.VoteTimeout }
+
+// awaitsVote reports whether a change is proposed on which the holder of a key has not voted.
+func (s *State) awaitsVote(key string) bool {
+	if s.Change == nil || s.Change.Stage != Proposed {
+		return false
+	}
+	_, voted := s.Change.Votes[key]
+	return !voted
+}
+
+// putInForce makes a change's policy the one in force.
+func (s *State) putInForce(change *PolicyChange) {
+	change.Stage, change.StageSince = InForce, s.Now
+	s.Revision++
+	change.Policy.Revision = s.Revision
+	s.Policies = append(s.Policies, change.Policy)
+	forEachComponent(func(c component) { c.policyChanged(s, change.Policy) })
+	if excess := len(s.Policies) - max(s.Config.PolicyHistory, 1); excess > 0 {
+		s.Policies = slices.Delete(s.Policies, 0, excess)
+	}
 }
 
-// WaitingFor names the living holders that a change waits for.
+// WaitingFor returns the names of the active holders that the change under way waits for: for their vote, or for the
+// end of their lease.
 func (s *State) WaitingFor() (names []string) {
-	ch := s.Change
-	if ch == nil || ch.Stage >= InForce {
+	change := s.Change
+	if change == nil || change.Stage >= InForce {
 		return nil
 	}
 	for _, h := range s.ActiveHolders() {
-		if _, said := ch.Votes[key(h.Name, h.Incarnation)]; ch.Stage == Closing || !said {
+		if change.Stage == Closing || s.awaitsVote(holderKey(h.Name, h.Incarnation)) {
 			names = append(names, h.Name)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/statemachine/coldstart.go
@@ -0,0 +1,80 @@
+package statemachine
+
+import (
+	"slices"
+	"time"
+
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+)
+
+// coldStartComponent keeps the turns in which dispatchers read the list service, and the lists that readers publish
+// for the other dispatchers of their zone.
+type coldStartComponent struct{ noopComponent }
+
+func (coldStartComponent) policyChanged(s *State, p Policy) {
+	switch {
+	case p.ColdStart == nil:
+		s.ColdStart = nil
+	case s.ColdStart == nil:
+		s.ColdStart = coldstart.NewBook(*p.ColdStart, s.coldStartFrom(p), s.Revision)
+	default:
+		s.ColdStart.Set(*p.ColdStart)
+	}
+}
+
+// coldStartFrom returns from when on turns may be granted under a policy: one lease later where turns that an earlier
+// policy, or coordinators before a restore, have granted may still be held.
+func (s *State) coldStartFrom(p Policy) time.Duration {
+	earlier := slices.ContainsFunc(s.Policies, func(q Policy) bool { return q.Version < p.Version && q.ColdStart != nil })
+	if s.Generation > 0 || earlier {
+		return s.Now + s.Config.LeaseDuration
+	}
+	return s.Now
+}
+
+func (coldStartComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
+	if s.ColdStart != nil && c.ColdStart != nil {
+		r.ColdStart = s.ColdStart.Ask(s.Now, holderKey(c.Name, c.Incarnation), c.Zone, c.ColdStart, s.mayHoldLease)
+	}
+}
+
+func (coldStartComponent) leaseEnded(s *State, h *LeaseHolder) {
+	if s.ColdStart != nil {
+		s.ColdStart.Gone(holderKey(h.Name, h.Incarnation))
+	}
+}
+
+func (coldStartComponent) holderForgotten(s *State, key string, _ *LeaseHolder) {
+	if s.ColdStart != nil {
+		s.ColdStart.Gone(key)
+	}
+}
+
+func (coldStartComponent) addUpdate(s *State, u *WatchUpdate, zone int, list relay.Mark) {
+	if s.ColdStart != nil {
+		u.RelayedList = s.ColdStart.Since(zone, list)
+	}
+}
+
+func (coldStartComponent) afterDecode(s *State) {
+	if s.ColdStart != nil {
+		s.ColdStart.Mend()
+	}
+}
+
+func (coldStartComponent) resetAfterRestore(s *State, _ uint64) { s.ColdStart = nil }
+
+// publishList takes over what the reader of a zone has read from the list service. A holder without a lease is
+// rejected: another may have become the reader meanwhile.
+func (s *State) publishList(c *ListUpdate) (r Result) {
+	key := holderKey(c.Name, c.Incarnation)
+	var err error = &relay.FenceError{Fence: c.FencingToken}
+	if s.ColdStart != nil && s.mayHoldLease(key) {
+		err = s.ColdStart.Publish(key, c.Zone, c.FencingToken, c.Update)
+	}
+	if !r.setError(err) {
+		s.Revision++
+	}
+	return r
+}
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -1,8 +1,5 @@
 package statemachine
 
-// This file owns what the keepers are asked and what they answer: the commands of the log, each a
-// small typed value, and their result. It must never act on one.
-
 import (
 	"time"
 
@@ -12,10 +9,10 @@
 	"yardflow/internal/fleet/quota"
 	"yardflow/internal/fleet/workflow/claims"
 	"yardflow/internal/fleet/workflow/template"
-	"yardflow/internal/platform/fault"
 )
 
-// Command is one of the commands below; just one of its parts is set.
+// Command is one entry of the log. Exactly one field is set; a command whose field this version does not know is
+// answered with an error and changes nothing.
 type Command struct {
 	Tick         *Tick           `cbor:"1,keyasint,omitempty"`
 	LeaseRequest *LeaseRequest   `cbor:"2,keyasint,omitempty"`
@@ -27,106 +24,73 @@
 	Workflow     *claims.Command `cbor:"8,keyasint,omitempty"`
 }
 
-// Tick tells that time has passed, by a clock that was read when so many grants were seen.
+// Tick moves the state's clock on. The leader proposes it; it reads State.GrantCount before it reads its clock.
 type Tick struct {
 	Elapsed    time.Duration `cbor:"Passed"`
-	GrantsSeen uint64        `cbor:"Seen"`
-	LeaderTerm uint64        `cbor:"Lead"` // the term of whoever leads, and how often it has told time in it
-	Number     uint64        `cbor:"No"`
+	GrantsSeen uint64        `cbor:"Seen"` // leases up to this number count from this tick on
+	LeaderTerm uint64        `cbor:"Lead"`
+	Number     uint64        `cbor:"No"` // of this term's ticks; a gap: time has passed that was not counted
 }
 
-// LeaseRequest asks for a lease, or for another.
+// LeaseRequest asks for a lease, or renews one. A dispatcher sends it every third of a lease.
 type LeaseRequest struct {
-	Name           string
-	Incarnation    uint64 `cbor:"Life"`
-	Seq            uint64 // grows with each message of this life; one that is not newer is late or doubled
-	KnownVersion   uint64 `cbor:"Knows"`  // the newest version that it has whole; a lease is given under no other
-	ServingVersion uint64 `cbor:"Serves"` // the version under which it admits work now; 0: it admits none
-	Program        string
-	CurrentGrant   uint64       `cbor:"Heard"` // the latest grant that it has heard of, and goes by
-	QuotaRequests  []quota.Want `cbor:"Wants"` // of the limits of the fleet
+	Name           string       // of the dispatcher
+	Incarnation    uint64       `cbor:"Life"`
+	Seq            uint64       // grows with each request of this incarnation; one that is not newer is late or doubled
+	KnownVersion   uint64       `cbor:"Knows"`  // the newest policy that it has applied; no lease is granted under another
+	ServingVersion uint64       `cbor:"Serves"` // under which it admits work now; 0: it admits none
+	Program        string       // version of its program
+	CurrentGrant   uint64       `cbor:"Heard"` // number of the latest lease that it goes by
+	QuotaRequests  []quota.Want `cbor:"Wants"`
 	Zone           int
 	WorkerCount    int              `cbor:"Workers"` // that it knows
-	OutlierReports []outlier.Report `cbor:"Saw"`     // of them
+	OutlierReports []outlier.Report `cbor:"Saw"`     // of those workers
 	ColdStart      *coldstart.Want  `cbor:"Start"`
 }
 
-// ListUpdate is what the reader of a zone was told by the list service.
+// ListUpdate publishes what the reader of a zone has read from the list service.
 type ListUpdate struct {
-	Name         string
+	Name         string // of the dispatcher
 	Incarnation  uint64 `cbor:"Life"`
 	Zone         int
-	FencingToken uint64     `cbor:"Fence"` // of its seat
+	FencingToken uint64     `cbor:"Fence"` // of its turn as the reader; an older one is rejected
 	Update       relay.Word `cbor:"Word"`
 }
 
-// Vote tells whether a holder could run the change, having taken it in whole.
+// Vote says whether a holder can run a proposed policy, which it has checked against its own settings.
 type Vote struct {
-	Name        string
+	Name        string // of the dispatcher
 	Incarnation uint64 `cbor:"Life"`
 	ChangeID    string `cbor:"Change"`
-	Objection   string `cbor:"Why"` // it could not; empty: it could
+	Objection   string `cbor:"Why"` // why it can't; empty: it can
 }
 
-// LeaseRelease gives a lease back: its holder admits nothing any more.
+// LeaseRelease gives a lease back: the holder's process ends and admits nothing any more.
 type LeaseRelease struct {
-	Name        string
+	Name        string // of the dispatcher
 	Incarnation uint64 `cbor:"Life"`
-	Seq         uint64
+	Seq         uint64 // as of LeaseRequest
 }
 
-// Proposal asks for a change of policy. Base is the version that it was made from.
+// Proposal asks for a change of policy. What Text says is sent with it as values, read by the proposer: a holder that
+// reads the text differently objects to it.
 type Proposal struct {
-	ID               string
+	ID               string // chosen by the proposer; the same again has no effect
 	Text             []byte
-	Limits           []quota.Limit       // as the text has them; a holder that reads others can't run it
+	Limits           []quota.Limit
 	OutlierSettings  *outlier.Settings   `cbor:"Judges"`
 	ColdStart        *coldstart.Settings `cbor:"Start"`
 	Workflows        []template.Template `cbor:"Flows"`
-	Pools            []string            // that the text has
-	BaseVersion      uint64              `cbor:"Base"`
+	Pools            []string            // of workers, that the text has
+	BaseVersion      uint64              `cbor:"Base"` // which the proposer changed; rejected where another is in force
 	Author           string              `cbor:"Who"`
 	Reason           string              `cbor:"Why"`
-	SkipUnresponsive bool                `cbor:"WithoutSilent"` // wait for the leases of those that say nothing, and do without them
+	SkipUnresponsive bool                `cbor:"WithoutSilent"` // go on without holders that do not vote, once their leases have expired
 }
 
-// Withdrawal ends a change that is not in force yet.
+// Withdrawal ends a change that is not closing yet.
 type Withdrawal struct {
 	ID     string
 	Author string `cbor:"Who"`
 	Reason string `cbor:"Why"`
 }
-
-// Result is what came of a command.
-type Result struct {
-	Err            string // why nothing was done
-	Code           string // of a fault: its word in the operators' table
-	Revision       uint64
-	Generation     uint64        `cbor:"Era"`   // of the keepers; who has heard of a later one takes nothing of this
-	LeaseDuration  time.Duration `cbor:"Lease"` // of the lease given, from when it was asked for; 0: none was given
-	Grant          uint64        // its number
-	QuotaGrants    []quota.Part  `cbor:"Parts"` // of the limits of the fleet, for as long
-	Verdicts       []outlier.Verdict
-	ReportsWanted  []outlier.Life  `cbor:"Accused"` // of whom it is to say what it knows
-	ColdStart      *coldstart.Word `cbor:"Start"`
-	Workflow       *claims.Answer  `cbor:"Flow"`
-	ClaimLease     time.Duration   `cbor:"Stay"`    // its claims on workflows are its own for so long from when it asked; 0: there are none
-	StepsReady     bool            `cbor:"Steps"`   // of workflows are ready
-	NoLeaseReason  string          `cbor:"Why"`     // none was given
-	CurrentVersion uint64          `cbor:"InForce"` // the version in force
-	Policy         *Policy         // in force, where the asker does not have it
-	Change         *PolicyChange   // under way, where the asker has yet to say something, or to stop
-	StopAdmitting  bool            `cbor:"Stop"` // admit nothing until a lease is given again
-}
-
-// fault words an error, and tells whether there is one.
-func (r *Result) fault(err error) bool {
-	if err == nil {
-		return false
-	}
-	r.Err = fault.Text(err)
-	if f := fault.Of(err); f != nil {
-		r.Code = f.Code()
-	}
-	return true
-}
--- /dev/null
+++ b/internal/fleet/statemachine/outlier.go
@@ -0,0 +1,67 @@
+package statemachine
+
+import (
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/outlier"
+)
+
+// outlierComponent keeps the fleet's verdicts on workers, by what dispatchers report of them.
+type outlierComponent struct{ noopComponent }
+
+func (outlierComponent) policyChanged(s *State, p Policy) {
+	if s.Outliers == nil && p.OutlierSettings != nil {
+		s.Outliers = outlier.NewLedger()
+	}
+	if s.Outliers != nil {
+		s.Outliers.Set(p.OutlierSettings)
+	}
+}
+
+func (outlierComponent) timePassed(s *State, _ *Tick) { s.evaluateOutliers() }
+
+func (outlierComponent) leaseRequested(s *State, c *LeaseRequest, _ *Result) {
+	if s.Outliers == nil {
+		return
+	}
+	s.Outliers.Hear(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports)
+	if len(c.OutlierReports) > 0 { // without a report, nothing changes before the next tick
+		s.evaluateOutliers()
+	}
+}
+
+func (outlierComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
+	if s.Outliers != nil {
+		r.Verdicts, r.ReportsWanted = s.Outliers.Tell(s.Now, c.Name, c.Zone)
+	}
+}
+
+func (outlierComponent) holderForgotten(s *State, _ string, h *LeaseHolder) {
+	if s.Outliers != nil {
+		s.Outliers.Forget(h.Name)
+	}
+}
+
+func (outlierComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Mark) {
+	if s.Outliers != nil {
+		u.Verdicts = s.Outliers.All()
+	}
+}
+
+func (outlierComponent) afterDecode(s *State) {
+	if s.Outliers != nil {
+		s.Outliers.Mend()
+	}
+}
+
+func (outlierComponent) resetAfterRestore(s *State, _ uint64) { s.Outliers = nil }
+
+// evaluateOutliers decides on workers by the reports there are. A new verdict is a new revision.
+func (s *State) evaluateOutliers() {
+	if s.Outliers == nil {
+		return
+	}
+	before := s.Outliers.No
+	if s.Outliers.Judge(s.Now); s.Outliers.No != before {
+		s.Revision++
+	}
+}
--- a/internal/fleet/statemachine/keeper_test.go
+++ b/internal/fleet/statemachine/state_test.go
@@ -13,7 +13,7 @@
 // under way at most, what is in force never goes unless another comes, no lease is given under a
 // version that is not in force, under refuse none while one under another may be held; and a
 // snapshot holds all of it.
-func TestAnyCommands(t *testing.T) {
+func TestInvariantsHoldUnderAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fence := LeaseLossMode(rapid.IntRange(0, 1).Draw(t, "fence"))
 		s := New(Config{LeaseDuration: time.Second, VoteTimeout: 2 * time.Second, OnLeaseLoss: fence, PolicyHistory: 3})
@@ -83,7 +83,7 @@
 }
 
 // A holder that says nothing: the change is withdrawn, or goes on without it once its lease is over.
-func TestSilentHolder(t *testing.T) {
+func TestUnresponsiveHolder(t *testing.T) {
 	for _, without := range []bool{false, true} {
 		s := New(Config{LeaseDuration: time.Second, VoteTimeout: 2 * time.Second, PolicyHistory: 3})
 		pass := func(d time.Duration) { s.Apply(Command{Tick: &Tick{Elapsed: d, GrantsSeen: s.GrantCount}}) }
--- a/internal/gateway/hotrestart/bans.go
+++ b/internal/gateway/hotrestart/bans.go
@@ -38,7 +38,7 @@
 	return b, err
 }
 
-// fileName keeps a name of any kind from being a path.
+// dataFileName keeps a name of any kind from being a path.
 func fileName(name string) string {
 	return "yardflow-" + strings.Map(func(r rune) rune {
 		if r == '-' || r >= '0' && r <= '9' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z' {
--- a/internal/gateway/httpfront/dispatch.go
+++ b/internal/gateway/httpfront/dispatch.go
@@ -225,7 +225,7 @@
 	return out
 }
 
-// tellTime states in a request how long the dispatcher will wait for its answer, from now on.
+// proposeTick states in a request how long the dispatcher will wait for its answer, from now on.
 func tellTime(h http.Header, ctx context.Context) {
 	if at, ok := ctx.Deadline(); ok {
 		h.Set("X-Timeout", strconv.FormatFloat(max(time.Until(at).Seconds(), 0.001), 'f', 3, 64))
--- a/lab/rig/harness/sim.go
+++ b/lab/rig/harness/sim.go
@@ -278,7 +278,7 @@
 	s.ready(k)
 }
 
-// tell is quorum's tellTime.
+// tell is quorum's proposeTick.
 func (s *sim) tell(k *simKeeper, term uint64) {
 	if k.term == term {
 		s.entry(k, statemachine.Command{Tick: &statemachine.Tick{Elapsed: s.now - k.told, GrantsSeen: k.state.GrantCount}}, nil)
