--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -57,7 +57,7 @@
 func decodeConfChange(entry *raftpb.Entry) (*raftpb.ConfChange, error) {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		return nil, fmt.Errorf("%w: entry %d: %v", ErrCorrupt, entry.GetIndex(), err)
+		return nil, fmt.Errorf("%w: entry %d: %w", ErrCorrupt, entry.GetIndex(), err)
 	}
 	return change, nil
 }
--- a/internal/fleet/consensus/codec.go
+++ b/internal/fleet/consensus/codec.go
@@ -22,8 +22,8 @@
 // under another record's key is found to be corrupt.
 func addChecksum(key, record []byte) []byte {
 	h := xxhash.New()
-	h.Write(key)
-	h.Write(record)
+	_, _ = h.Write(key) // never fails, as the package says
+	_, _ = h.Write(record)
 	return append(binary.LittleEndian.AppendUint64(nil, h.Sum64()), record...)
 }
 
@@ -78,7 +78,7 @@
 	}
 	p := &proposal{incarnation: binary.LittleEndian.Uint64(data), id: binary.LittleEndian.Uint64(data[8:])}
 	if err := statemachine.Decode(data[proposalHeaderSize:], &p.command); err != nil {
-		return nil, fmt.Errorf("%w: entry %d: %v", ErrCorrupt, entry.GetIndex(), err)
+		return nil, fmt.Errorf("%w: entry %d: %w", ErrCorrupt, entry.GetIndex(), err)
 	}
 	return p, nil
 }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -43,21 +43,21 @@
 
 // What a coordinator of b99a1ea has stored is opened by today's, and goes on from there.
 func TestFolderWrittenBeforeTheRenamesIsOpened(t *testing.T) {
-	q, err := openSingleNode(t, extractFolder(t), false, nil)
+	node, err := openSingleNode(t, extractFolder(t), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer q.Close()
-	if v := currentVersion(t, q); v != writtenVersion {
+	defer closeNode(t, node)
+	if v := currentVersion(t, node); v != writtenVersion {
 		t.Fatalf("version %d is in force, want %d", v, writtenVersion)
 	}
-	q.ReadStale(func(s *statemachine.State) {
+	node.ReadStale(func(s *statemachine.State) {
 		if text := string(s.CurrentPolicy().Text); text != "attempts = 45" {
 			t.Errorf("the policy in force is %q", text)
 		}
 	})
-	propose(t, q, writtenVersion+1)
-	if v := currentVersion(t, q); v != writtenVersion+1 {
+	propose(t, node, writtenVersion+1)
+	if v := currentVersion(t, node); v != writtenVersion+1 {
 		t.Errorf("version %d is in force behind a proposal", v)
 	}
 }
--- a/internal/fleet/consensus/loop.go
+++ b/internal/fleet/consensus/loop.go
@@ -50,8 +50,8 @@
 	if err := n.store.save(ready.HardState, ready.Entries, ready.Snapshot, ready.MustSync); err != nil {
 		return writeFailed(err)
 	}
-	if !raft.IsEmptyHardState(ready.HardState) {
-		n.loop.term = ready.HardState.GetTerm()
+	if hardState := ready.HardState; !raft.IsEmptyHardState(hardState) {
+		n.loop.term = hardState.GetTerm()
 	}
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := n.installSnapshot(ready.Snapshot); err != nil {
@@ -70,8 +70,8 @@
 		n.loop.appliedTerm = entry.GetTerm()
 	}
 	n.mu.Lock()
-	if ready.SoftState != nil {
-		n.setLeader(ready.SoftState.Lead)
+	if softState := ready.SoftState; softState != nil {
+		n.setLeader(softState.Lead)
 	}
 	n.confirmReads(ready.ReadStates)
 	n.mu.Unlock()
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -43,6 +43,17 @@
 	SnapshotEntries uint64        // entries of the log after which a snapshot replaces them; 0: defaultSnapshotEntries
 }
 
+// openMode returns what the folder is expected to hold. Bootstrap comes before Join, where both are set.
+func (c *Config) openMode() openMode {
+	switch {
+	case c.Bootstrap:
+		return createBootstrap
+	case c.Join:
+		return createJoining
+	}
+	return openExisting
+}
+
 // Timing of raft, in ticks of Config.TickInterval (100 ms as shipped).
 const (
 	// electionTicks is how long a follower that hears of no leader waits before it calls an election, at the least:
@@ -104,7 +115,7 @@
 	if cfg.InitialMembers[cfg.MemberID] == "" {
 		return nil, fmt.Errorf("quorum: member %d is not among the members", cfg.MemberID)
 	}
-	s, err := openStore(cfg.Dir, cfg.Fleet, cfg.MemberID, cfg.Bootstrap || cfg.Join, cfg.Bootstrap)
+	s, err := openStore(cfg.Dir, cfg.Fleet, cfg.MemberID, cfg.openMode())
 	if err != nil {
 		return nil, err
 	}
@@ -114,14 +125,14 @@
 		revisionChanged: make(chan struct{}), stop: make(chan struct{}), stopped: make(chan struct{})}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	err = n.restoreState()
-	if err == nil && !cfg.Bootstrap && !cfg.Join {
+	if err == nil && cfg.openMode() == openExisting {
 		if err = n.checkOutdated(); err != nil {
 			err = fmt.Errorf("%s: %w", cfg.Dir, err)
 		}
 	}
 	if err != nil {
 		n.cancel()
-		s.close()
+		_ = s.close() // nothing was written
 		return nil, err
 	}
 	n.startRaft()
@@ -138,7 +149,7 @@
 	}
 	if !raft.IsEmptySnap(snapshot) {
 		if n.state, err = statemachine.Restore(snapshot.GetData()); err != nil {
-			return fmt.Errorf("%w: %v", ErrCorrupt, err)
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		n.applied = snapshot.GetMetadata().GetIndex()
 	}
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -27,13 +27,13 @@
 	return Open(c)
 }
 
-func propose(t *testing.T, q *Node, n int) {
+func propose(t *testing.T, node *Node, n int) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
 	for {
 		one, end := context.WithTimeout(ctx, time.Second)
-		r, err := q.Do(one, statemachine.Command{Proposal: &statemachine.Proposal{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), BaseVersion: uint64(n - 1)}})
+		r, err := node.Do(one, statemachine.Command{Proposal: &statemachine.Proposal{ID: fmt.Sprint("c", n), Text: fmt.Append(nil, "attempts = ", n), BaseVersion: uint64(n - 1)}})
 		end()
 		if err == nil && r.Err == "" {
 			return
@@ -44,11 +44,11 @@
 	}
 }
 
-func currentVersion(t *testing.T, q *Node) (v uint64) {
+func currentVersion(t *testing.T, node *Node) (v uint64) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	if err := q.Read(ctx, func(s *statemachine.State) { v = s.CurrentPolicy().Version }); err != nil {
+	if err := node.Read(ctx, func(s *statemachine.State) { v = s.CurrentPolicy().Version }); err != nil {
 		t.Fatal(err)
 	}
 	return v
@@ -58,7 +58,7 @@
 // the log gives way to snapshots and does not grow for good.
 func TestRestartKeepsAcknowledgedState(t *testing.T) {
 	dir := t.TempDir()
-	q, err := openSingleNode(t, dir, true, nil)
+	node, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,9 +66,9 @@
 	for range 3 {
 		for range 150 {
 			n++
-			propose(t, q, n)
+			propose(t, node, n)
 		}
-		if err := q.Close(); err != nil {
+		if err := node.Close(); err != nil {
 			t.Fatal(err)
 		}
 		db, err := bbolt.Open(filepath.Join(dir, dataFileName), 0o600, &bbolt.Options{ReadOnly: true})
@@ -76,36 +76,54 @@
 			t.Fatal(err)
 		}
 		kept := 0
-		db.View(func(tx *bbolt.Tx) error { kept = tx.Bucket(bucketLog).Stats().KeyN; return nil })
-		db.Close()
+		if err := db.View(func(tx *bbolt.Tx) error { kept = tx.Bucket(bucketLog).Stats().KeyN; return nil }); err != nil {
+			t.Fatal(err)
+		}
+		if err := db.Close(); err != nil {
+			t.Fatal(err)
+		}
 		if most := 20 + retainedEntries + 10; kept > most {
 			t.Errorf("%d entries are kept, want %d at most", kept, most)
 		}
-		if q, err = openSingleNode(t, dir, false, nil); err != nil {
+		if node, err = openSingleNode(t, dir, false, nil); err != nil {
 			t.Fatal(err)
 		}
-		if v := currentVersion(t, q); v != uint64(n) {
+		if v := currentVersion(t, node); v != uint64(n) {
 			t.Fatalf("version %d after a restart, want %d", v, n)
 		}
 	}
-	q.Close()
+	closeNode(t, node)
+}
+
+func closeNode(t *testing.T, node *Node) {
+	t.Helper()
+	if err := node.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func closeStore(t *testing.T, s *store) {
+	t.Helper()
+	if err := s.close(); err != nil {
+		t.Error(err)
+	}
 }
 
-// A folder that is not this keeper's, or not whole, is refused, and stays as it was.
+// A folder that is missing, damaged, in use or another member's is refused, and stays as it was.
 func TestForeignOrDamagedFolderIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := openSingleNode(t, dir, false, nil); !errors.Is(err, ErrNoData) {
 		t.Errorf("empty: %v", err)
 	}
-	q, err := openSingleNode(t, dir, true, nil)
+	node, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	propose(t, q, 1)
+	propose(t, node, 1)
 	if _, err := openSingleNode(t, dir, false, nil); err == nil {
 		t.Error("a folder that is in use is opened")
 	}
-	q.Close()
+	closeNode(t, node)
 	file := filepath.Join(dir, dataFileName)
 	whole, err := os.ReadFile(file)
 	if err != nil {
@@ -124,8 +142,8 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if q, err := openSingleNode(t, dir, false, nil); err == nil {
-			q.Close()
+		if node, err := openSingleNode(t, dir, false, nil); err == nil {
+			closeNode(t, node)
 			t.Errorf("%s: it is opened", name)
 		} else if !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
@@ -137,30 +155,29 @@
 	if err := os.WriteFile(file, whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if q, err = openSingleNode(t, dir, false, nil); err != nil || currentVersion(t, q) != 1 {
+	if node, err = openSingleNode(t, dir, false, nil); err != nil || currentVersion(t, node) != 1 {
 		t.Errorf("whole again: %v", err)
 	}
-	q.Close()
+	closeNode(t, node)
 }
 
-// A keeper that is alone has written down later than it has acknowledged how far all is agreed on:
-// killed in between, it has its entries and an older word of that. Read at once after its start, the
-// state is as new as what it had acknowledged.
+// A node that is the only member writes its commit index later than it acknowledges commands. Killed in between, it
+// has all entries and an older commit index. A read right after its restart sees what it had acknowledged all the same.
 func TestSingleNodeReadsNothingStaleAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	q, err := openSingleNode(t, dir, true, nil)
+	node, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const n = 12
 	for i := range n {
-		propose(t, q, i+1)
+		propose(t, node, i+1)
 	}
-	if err := q.Close(); err != nil {
+	if err := node.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
-		s, err := openStore(dir, "f", 1, false, false)
+		s, err := openStore(dir, "f", 1, openExisting)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,8 +187,8 @@
 		if err := s.save(hard, nil, nil, true); err != nil {
 			t.Fatal(err)
 		}
-		s.close()
-		if q, err = openSingleNode(t, dir, false, nil); err != nil {
+		closeStore(t, s)
+		if node, err = openSingleNode(t, dir, false, nil); err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
@@ -179,7 +196,7 @@
 			wg.Go(func() {
 				for read := false; !read && !t.Failed(); {
 					ctx, stop := context.WithTimeout(t.Context(), 5*time.Millisecond)
-					err := q.Read(ctx, func(s *statemachine.State) {
+					err := node.Read(ctx, func(s *statemachine.State) {
 						if v := s.CurrentPolicy().Version; v != n {
 							t.Errorf("version %d is read after a restart, %d was acknowledged", v, n)
 						}
@@ -190,33 +207,33 @@
 			})
 		}
 		wg.Wait()
-		q.Close()
+		closeNode(t, node)
 	}
 }
 
-// compactWithStaleCommit has a keeper's folder compacted while the folder's commit index is older than the one in memory, as it
+// compactWithStaleCommit compacts a node's folder while the folder's commit index is older than the one in memory, as it
 // is while commit indexes wait for the next write that has to be synced.
 func compactWithStaleCommit(t *testing.T, dir string, compact func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error) {
 	t.Helper()
-	q, err := openSingleNode(t, dir, true, nil)
+	node, err := openSingleNode(t, dir, true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	propose(t, q, 1)
-	propose(t, q, 2)
-	if err := q.Close(); err != nil {
+	propose(t, node, 1)
+	propose(t, node, 2)
+	if err := node.Close(); err != nil {
 		t.Fatal(err)
 	}
-	state, err := q.state.Snapshot()
+	state, err := node.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf, applied := q.loop.confState, q.applied
-	s, err := openStore(dir, "f", 1, false, false)
+	conf, applied := node.loop.confState, node.applied
+	s, err := openStore(dir, "f", 1, openExisting)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.close()
+	defer closeStore(t, s)
 	hard, _, _ := s.memory.InitialState()
 	synced := proto.Clone(hard).(*raftpb.HardState)
 	synced.Commit = new(uint64(1))
@@ -233,32 +250,32 @@
 	}
 }
 
-// assertRestarts checks that a keeper of two versions starts from its folder.
+// assertRestarts checks that a node with two versions of the policy starts from its folder.
 func assertRestarts(t *testing.T, dir string) {
 	t.Helper()
-	q, err := openSingleNode(t, dir, false, nil)
+	node, err := openSingleNode(t, dir, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer q.Close()
-	if v := currentVersion(t, q); v != 2 {
+	defer closeNode(t, node)
+	if v := currentVersion(t, node); v != 2 {
 		t.Errorf("version %d after a restart, want 2", v)
 	}
 }
 
-// A keeper that is killed right behind a compaction starts again, though the commit index that it had synced before is
+// A node that is killed right behind a compaction starts again, though the commit index that it had synced before is
 // older than the snapshot: raft ends the process where a folder's commit index lies before its snapshot.
 func TestNodeKilledAfterCompactionRestarts(t *testing.T) {
 	dir := t.TempDir()
 	compactWithStaleCommit(t, dir, func(s *store, index uint64, conf *raftpb.ConfState, state []byte) error {
 		return s.compact(index, conf, state, retainedEntries)
 	})
-	s, err := openStore(dir, "f", 1, false, false)
+	s, err := openStore(dir, "f", 1, openExisting)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text, err := syncedHardState(s)
-	s.close()
+	closeStore(t, s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/consensus/restore.go
+++ b/internal/fleet/consensus/restore.go
@@ -68,10 +68,10 @@
 func readBackup(cfg Config, path string) (*backup, error) {
 	db, err := openDatabase(path, true)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	s := &store{db: db, memory: raft.NewMemoryStorage()}
-	defer s.close()
+	defer func() { _ = s.close() }() // it was only read
 	b := &backup{state: statemachine.New(cfg.State)}
 	if err = s.load(owner{fleet: cfg.Fleet}); err == nil {
 		err = b.read(s)
@@ -98,7 +98,7 @@
 		b.state, err = statemachine.Restore(snapshot.GetData())
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrCorrupt, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if err := b.applyLog(s.memory); err != nil {
 		return err
@@ -157,11 +157,11 @@
 	if err != nil {
 		return err
 	}
-	s, err := openStore(cfg.Dir, cfg.Fleet, cfg.MemberID, true, false)
+	s, err := openStore(cfg.Dir, cfg.Fleet, cfg.MemberID, createJoining)
 	if err != nil {
 		return err
 	}
-	defer s.close()
+	defer func() { _ = s.close() }() // what was written is synced
 	if err := s.joinGeneration(generation); err != nil {
 		return err
 	}
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
@@ -54,12 +55,21 @@
 	// generation counts the restores of the fleet's folders, from firstGeneration on: messages of members of another
 	// generation are rejected. 0: a member that joins, and was not called by anybody yet.
 	generation atomic.Uint64
-	mu         sync.Mutex // serializes joinGeneration
+	mu         sync.Mutex // serialises joinGeneration
 }
 
-// openStore opens a member's folder, or makes it where fresh says that the member is new; bootstrap: with all of its
-// fleet, whose generation is the first.
-func openStore(dir, fleet string, member uint64, fresh, bootstrap bool) (*store, error) {
+// openMode is what openStore expects of the folder.
+type openMode uint8
+
+const (
+	openExisting    openMode = iota // it holds the member's log
+	createBootstrap                 // it holds none; the member begins with all of its fleet, of the first generation
+	createJoining                   // it holds none; the member joins a running fleet, and takes over its generation
+)
+
+// openStore opens a member's folder, or makes it, by mode.
+func openStore(dir, fleet string, member uint64, mode openMode) (*store, error) {
+	fresh := mode != openExisting
 	path := filepath.Join(dir, dataFileName)
 	if err := checkPresence(dir, path, fresh); err != nil {
 		return nil, err
@@ -73,23 +83,23 @@
 	// makes a panic that openDatabase and load return as an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	db, err := openDatabase(path, false)
-	if errors.Is(err, bbolt.ErrTimeout) {
+	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	s := &store{db: db, memory: raft.NewMemoryStorage()}
 	if fresh {
-		err = s.initialize(fleet, member)
+		err = s.initialise(fleet, member)
 	} else {
 		err = s.load(owner{fleet, member})
 	}
-	if err == nil && fresh && bootstrap {
+	if err == nil && mode == createBootstrap {
 		err = s.joinGeneration(firstGeneration)
 	}
 	if err != nil {
-		db.Close()
+		_ = db.Close() // the error before it counts
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
@@ -129,8 +139,8 @@
 	}})
 }
 
-// initialize makes the buckets and says whose folder it is.
-func (s *store) initialize(fleet string, member uint64) error {
+// initialise makes the buckets and says whose folder it is.
+func (s *store) initialise(fleet string, member uint64) error {
 	records := []struct{ key, value []byte }{{keyFormat, []byte(formatV1)}, {keyFleet, []byte(fleet)}, {keyMember, encodeUint64(member)}, {keyGeneration, encodeUint64(0)}}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
--- a/internal/fleet/statemachine/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -38,7 +38,7 @@
 	Reason           string            // why it was withdrawn
 }
 
-// The errors of commands on changes. Their texts are sent to callers, and ErrStaleMessage is recognized by its text.
+// The errors of commands on changes. Their texts are sent to callers, and ErrStaleMessage is recognised by its text.
 var (
 	ErrChangePending     = errors.New("another change is under way")
 	ErrStaleBase         = errors.New("made from a version that is not the one in force")
@@ -64,7 +64,7 @@
 	return r
 }
 
-// checkProposal returns a result whose Err says why a proposal is rejected; empty: it is not.
+// checkProposal returns a result whose Err says why a proposal is rejected; empty: it is not rejected.
 func (s *State) checkProposal(c *Proposal) (r Result) {
 	current := s.CurrentPolicy()
 	switch {
@@ -80,6 +80,11 @@
 	if r.Err != "" {
 		return r
 	}
+	return s.checkContent(c)
+}
+
+// checkContent checks what a proposed policy says.
+func (s *State) checkContent(c *Proposal) (r Result) {
 	for _, limit := range c.Limits {
 		if err := limit.Check(); err != nil {
 			r.Err = fmt.Sprintf("limit %q: %v", limit.Name, err)
--- a/internal/fleet/statemachine/policy.go
+++ b/internal/fleet/statemachine/policy.go
@@ -15,9 +15,9 @@
 type LeaseLossMode uint8
 
 const (
-	// RefuseWork: it answers 503 and is not ready. Two versions never serve at the same moment.
+	// RefuseWork is to answer 503 and not be ready. Two versions never serve at the same moment.
 	RefuseWork LeaseLossMode = iota
-	// KeepLastPolicy: it goes on under the last policy it held, and says so in its answers. Two versions may serve at
+	// KeepLastPolicy is to go on under the last policy it held, and to say so on its console. Two versions may serve at
 	// the same moment.
 	KeepLastPolicy
 )
--- a/internal/fleet/statemachine/state_test.go
+++ b/internal/fleet/statemachine/state_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever commands come in whatever order: versions follow each other one by one, one change is
-// under way at most, what is in force never goes unless another comes, no lease is given under a
-// version that is not in force, under refuse none while one under another may be held; and a
-// snapshot holds all of it.
+// After any commands in any order: versions follow each other one by one, a policy in force is only replaced by the next,
+// no lease is granted under a version that is not in force, and under RefuseWork none while a lease under another version
+// may be held; a snapshot holds the whole state.
 func TestInvariantsHoldUnderAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fence := LeaseLossMode(rapid.IntRange(0, 1).Draw(t, "fence"))
@@ -82,7 +81,7 @@
 	})
 }
 
-// A holder that says nothing: the change is withdrawn, or goes on without it once its lease is over.
+// A holder that never votes: the change is withdrawn, or goes on without it once its lease has expired.
 func TestUnresponsiveHolder(t *testing.T) {
 	for _, without := range []bool{false, true} {
 		s := New(Config{LeaseDuration: time.Second, VoteTimeout: 2 * time.Second, PolicyHistory: 3})
@@ -113,7 +112,7 @@
 	}
 }
 
-// What comes from a link, thrown at its reader and at the state.
+// No bytes from the network make the decoder or the state panic.
 func FuzzCommand(f *testing.F) {
 	for _, c := range []Command{{LeaseRequest: &LeaseRequest{Name: "n", Incarnation: 1, Seq: 1}}, {Proposal: &Proposal{ID: "c", Text: []byte("x")}}, {Tick: &Tick{Elapsed: time.Second}},
 		{Vote: &Vote{Name: "n", ChangeID: "c"}}, {Withdrawal: &Withdrawal{ID: "c"}}, {LeaseRelease: &LeaseRelease{Name: "n"}}} {
--- a/internal/fleet/transport/client.go
+++ b/internal/fleet/transport/client.go
@@ -1,7 +1,5 @@
 package transport
 
-// This file owns a caller of keepers, which goes on to another where one does not answer.
-
 import (
 	"bytes"
 	"context"
@@ -20,144 +18,159 @@
 	"yardflow/internal/fleet/statemachine"
 )
 
-// Client calls keepers, another one where one does not answer.
+// maxIdleConns are the connections kept open to a coordinator: one for a watch, one for all else.
+const maxIdleConns = 2
+
+// Retry calls at these intervals.
+const (
+	attemptTimeout = 2 * time.Second
+	retryInterval  = 100 * time.Millisecond
+)
+
+// Client calls the coordinators of a fleet, one at a time: it stays with one while it answers, and goes on to the next
+// in its list after an error. It starts at a random one, so that callers spread. It is safe for concurrent use.
 type Client struct {
 	fleet string
-	addrs []string
+	addrs []string // host:port
 	http  *http.Client
 
-	mu sync.Mutex
-	at int
+	mu      sync.Mutex
+	current int // in addrs
 }
 
-// NewClient makes a client of the keepers at these addresses.
+// NewClient returns a client of the coordinators at addrs, host:port. The caller has to call Close.
 func NewClient(fleet string, addrs []string) *Client {
-	return &Client{fleet: fleet, addrs: addrs, at: rand.IntN(max(len(addrs), 1)),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}}}
+	return &Client{fleet: fleet, addrs: addrs, current: rand.IntN(max(len(addrs), 1)),
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}}}
 }
 
-// Close closes what it holds open.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func (c *Client) addr() (int, string) {
+func (c *Client) currentAddr() (int, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at, c.addrs[c.at]
+	return c.current, c.addrs[c.current]
 }
 
-// next goes over to another keeper, unless somebody has meanwhile.
-func (c *Client) next(from int) {
+// switchFrom goes on to the next coordinator, unless another call has done so since from was the current one.
+func (c *Client) switchFrom(from int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at == from {
-		c.at = (c.at + 1) % len(c.addrs)
+	if c.current == from {
+		c.current = (c.current + 1) % len(c.addrs)
 	}
 }
 
-// SwitchCoordinator goes over to another keeper.
+// SwitchCoordinator goes on to the next coordinator.
 func (c *Client) SwitchCoordinator() {
-	n, _ := c.addr()
-	c.next(n)
+	current, _ := c.currentAddr()
+	c.switchFrom(current)
 }
 
+// call makes one call to the current coordinator, and goes on to the next one where it fails. A call that the caller
+// has cancelled says nothing about the coordinator: a session that ends cancels its watch, and its lease release must
+// not go to another coordinator for that, which may be down.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, http.Header, error) {
-	n, addr := c.addr()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	current, addr := c.currentAddr()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
-	r.Header.Set("X-Fleet", c.fleet)
-	// One that was called off tells nothing against the keeper: at the end of a holder the watch is,
-	// and its last word went to the next one, which may be down.
-	pass := func() {
-		if !errors.Is(ctx.Err(), context.Canceled) {
-			c.next(n)
-		}
+	request.Header.Set(headerFleet, c.fleet)
+	answer, header, err := c.do(request)
+	if err != nil && !errors.Is(ctx.Err(), context.Canceled) {
+		c.switchFrom(current)
 	}
-	resp, err := c.http.Do(r)
+	return answer, header, err
+}
+
+// do sends a request and reads the answer. A status other than 200 is an error with the answer's text.
+func (c *Client) do(request *http.Request) ([]byte, http.Header, error) {
+	response, err := c.http.Do(request)
 	if err != nil {
-		pass()
 		return nil, nil, err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("keeper at %s: %s", addr, strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("keeper at %s: %s", request.URL.Host, strings.TrimSpace(string(answer)))
 	}
-	if err != nil {
-		pass()
-	}
-	return text, resp.Header, err
+	return answer, response.Header, err
 }
 
-// Do has a command carried out by one keeper. After an error it may have been, or may yet.
-func (c *Client) Do(ctx context.Context, cmd statemachine.Command) (r statemachine.Result, err error) {
-	text, err := statemachine.Encode(cmd)
+// Do has a command applied. After an error it may have been applied, or may yet be.
+func (c *Client) Do(ctx context.Context, command statemachine.Command) (result statemachine.Result, err error) {
+	body, err := statemachine.Encode(command)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	if text, _, err = c.call(ctx, http.MethodPost, doPath, text); err != nil {
-		return r, err
+	answer, _, err := c.call(ctx, http.MethodPost, commandPath, body)
+	if err != nil {
+		return result, err
 	}
-	return r, statemachine.Decode(text, &r)
+	return result, statemachine.Decode(answer, &result)
 }
 
-// Watch waits until one keeper's state is past a revision, or for so long, and tells what there
-// is for a holder that has a version whole.
-func (c *Client) Watch(ctx context.Context, past, knows uint64, wait time.Duration) (n statemachine.WatchUpdate, err error) {
-	return c.WatchList(ctx, past, knows, 0, relay.Mark{}, wait)
+// Watch waits until a coordinator's state is past a revision, but not longer than wait, and returns what there is for
+// a holder that has applied the policy version known. The state may lag behind what is committed.
+func (c *Client) Watch(ctx context.Context, past, known uint64, wait time.Duration) (statemachine.WatchUpdate, error) {
+	return c.WatchList(ctx, past, known, 0, relay.Mark{}, wait)
 }
 
-// WatchList is Watch for one that has its zone's relayed list up to a mark.
-func (c *Client) WatchList(ctx context.Context, past, knows uint64, zone int, has relay.Mark, wait time.Duration) (n statemachine.WatchUpdate, err error) {
-	text, _, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, knows, zone, has.Seq, wait.Milliseconds()), nil)
+// WatchList is Watch for a holder that has its zone's relayed list up to a mark.
+func (c *Client) WatchList(ctx context.Context, past, known uint64, zone int, list relay.Mark, wait time.Duration) (update statemachine.WatchUpdate, err error) {
+	path := fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, known, zone, list.Seq, wait.Milliseconds())
+	answer, _, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return n, err
+		return update, err
 	}
-	return n, statemachine.Decode(text, &n)
+	return update, statemachine.Decode(answer, &update)
 }
 
-// State is the keepers' state as it is now, and who leads.
+// State returns the whole state, no older than what was acknowledged before the call, and the leader's number.
 func (c *Client) State(ctx context.Context) (*statemachine.State, uint64, error) {
-	text, head, err := c.call(ctx, http.MethodGet, statePath, nil)
+	answer, header, err := c.call(ctx, http.MethodGet, statePath, nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	s, err := statemachine.Restore(text)
-	leader, _ := strconv.ParseUint(head.Get("X-Leader"), 10, 64)
-	return s, leader, err
+	state, err := statemachine.Restore(answer)
+	leader, _ := strconv.ParseUint(header.Get(headerLeader), 10, 64) // none: 0
+	return state, leader, err
 }
 
-// Members tells who the keepers are.
-func (c *Client) Members(ctx context.Context) (all []statemachine.Member, err error) {
-	text, _, err := c.call(ctx, http.MethodGet, membsPath, nil)
+// Members returns the coordinators, as the leader sees them. Another answers with an error.
+func (c *Client) Members(ctx context.Context) (members []statemachine.Member, err error) {
+	answer, _, err := c.call(ctx, http.MethodGet, membersPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	return all, statemachine.Decode(text, &all)
+	return members, statemachine.Decode(answer, &members)
 }
 
-// ChangeMembers asks for one step of a change of members: learn, promote or remove.
-func (c *Client) ChangeMembers(ctx context.Context, what string, id uint64, addr string) (r statemachine.Result, err error) {
-	form := url.Values{"what": {what}, "id": {strconv.FormatUint(id, 10)}, "addr": {addr}}
-	text, _, err := c.call(ctx, http.MethodPost, membsPath+"?"+form.Encode(), nil)
+// ChangeMembers asks for one step of a change of members: step is "learn" (add a learner at addr), "promote" or
+// "remove". Result.Err says why it was rejected.
+func (c *Client) ChangeMembers(ctx context.Context, step string, id uint64, addr string) (result statemachine.Result, err error) {
+	form := url.Values{"what": {step}, "id": {strconv.FormatUint(id, 10)}, "addr": {addr}}
+	answer, _, err := c.call(ctx, http.MethodPost, membersPath+"?"+form.Encode(), nil)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	return r, statemachine.Decode(text, &r)
+	return result, statemachine.Decode(answer, &result)
 }
 
-// Retry calls f until it succeeds or ctx ends, at another keeper each time.
+// Retry calls f until it succeeds or ctx ends, and returns f's last error then. A Client goes on to another coordinator
+// at each attempt.
 func Retry(ctx context.Context, f func(ctx context.Context) error) error {
 	for {
-		one, stop := context.WithTimeout(ctx, 2*time.Second)
-		err := f(one)
-		stop()
+		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
+		err := f(attempt)
+		cancel()
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return err
 		}
