--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -251,29 +251,31 @@
 }
 
 func (s *store) loadSnapshot(meta *bbolt.Bucket) error {
-	data := meta.Get(keySnapshot)
-	if data == nil {
-		return nil
-	}
 	snapshot := &raftpb.Snapshot{}
-	if err := decodeRecord(keySnapshot, data, snapshot); err != nil {
+	if found, err := getRecord(meta, keySnapshot, snapshot); !found {
 		return err
 	}
 	return s.memory.ApplySnapshot(snapshot)
 }
 
 func (s *store) loadHardState(meta *bbolt.Bucket) error {
-	data := meta.Get(keyHardState)
-	if data == nil {
-		return nil
-	}
 	hardState := &raftpb.HardState{}
-	if err := decodeRecord(keyHardState, data, hardState); err != nil {
+	if found, err := getRecord(meta, keyHardState, hardState); !found {
 		return err
 	}
 	return s.memory.SetHardState(hardState)
 }
 
+// getRecord reads a record, and reports whether there is a sound one; a corrupt one is an error.
+func getRecord(bucket *bbolt.Bucket, key []byte, into proto.Message) (found bool, err error) {
+	data := bucket.Get(key)
+	if data == nil {
+		return false, nil
+	}
+	err = decodeRecord(key, data, into)
+	return err == nil, err
+}
+
 // loadLog loads the entries behind the snapshot, which have to follow each other without a gap.
 func (s *store) loadLog(log *bbolt.Bucket) error {
 	first, err := s.memory.FirstIndex()
