--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -11,7 +11,7 @@
 )
 
 // errRemoved ends a node that was taken out of the fleet's members.
-var errRemoved = errors.New("this keeper was taken out by the others: its folder is of no use any more")
+var errRemoved = errors.New("this coordinator was removed from the members: its folder can't be used again")
 
 // applyEntry applies one committed entry.
 func (n *Node) applyEntry(entry *raftpb.Entry) error {
--- a/internal/fleet/consensus/membership.go
+++ b/internal/fleet/consensus/membership.go
@@ -33,7 +33,7 @@
 func (n *Node) Members() (members []statemachine.Member, err error) {
 	status := n.raft.Status()
 	if status.RaftState != raft.StateLeader {
-		return nil, fmt.Errorf("%w: %d does", statemachine.ErrNotLeader, status.Lead)
+		return nil, fmt.Errorf("%w: member %d is", statemachine.ErrNotLeader, status.Lead)
 	}
 	addresses := n.peerAddresses()
 	addresses[n.cfg.MemberID] = n.cfg.InitialMembers[n.cfg.MemberID]
@@ -83,11 +83,11 @@
 	case id == 0 || badAddr != nil:
 		return fmt.Errorf("member %d at %q; expected a number, 1 and up, and host:port", id, addr)
 	case n.wasRemoved(id):
-		return fmt.Errorf("member %d was taken out: a number is used once", id)
+		return fmt.Errorf("member %d was removed: a number is used once", id)
 	case exists && member.Addr == addr:
 		return nil
 	case exists:
-		return fmt.Errorf("member %d is there already, at %s", id, member.Addr)
+		return fmt.Errorf("member %d exists already, at %s", id, member.Addr)
 	}
 	return n.changeMembers(ctx, raftpb.ConfChangeType_ConfChangeAddLearnerNode, id, addr)
 }
@@ -101,11 +101,11 @@
 	}
 	switch member, exists := findMember(members, id); {
 	case !exists:
-		return fmt.Errorf("member %d is not there", id)
+		return fmt.Errorf("no member %d", id)
 	case !member.Learner:
 		return nil
 	case !member.Active || member.EntriesBehind > maxPromotionLag:
-		return fmt.Errorf("member %d is %d entries behind; it is given its say once it has them", id, member.EntriesBehind)
+		return fmt.Errorf("member %d is %d entries behind; it gets its vote once it has them", id, member.EntriesBehind)
 	default:
 		return n.changeMembers(ctx, raftpb.ConfChangeType_ConfChangeAddNode, id, member.Addr)
 	}
@@ -135,12 +135,12 @@
 	case !exists && n.wasRemoved(id):
 		return nil
 	case !exists:
-		return fmt.Errorf("member %d is not there", id)
+		return fmt.Errorf("no member %d", id)
 	case active <= voters/2:
 		return fmt.Errorf("without member %d, %d of %d would answer, no majority", id, active, voters)
 	case id == n.cfg.MemberID:
 		n.raft.TransferLeadership(ctx, id, successor)
-		return fmt.Errorf("%w any more: %d is to", statemachine.ErrNotLeader, successor)
+		return fmt.Errorf("%w any more: member %d is to be", statemachine.ErrNotLeader, successor)
 	}
 	return n.changeMembers(ctx, raftpb.ConfChangeType_ConfChangeRemoveNode, id, "")
 }
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -78,7 +78,7 @@
 )
 
 // ErrClosed is returned by calls on a node that was closed.
-var ErrClosed = errors.New("quorum: closed")
+var ErrClosed = errors.New("consensus: node is closed")
 
 // Node is one coordinator's part in the replication. It is safe for concurrent use.
 type Node struct {
@@ -113,7 +113,7 @@
 		cfg.SnapshotEntries = defaultSnapshotEntries
 	}
 	if cfg.InitialMembers[cfg.MemberID] == "" {
-		return nil, fmt.Errorf("quorum: member %d is not among the members", cfg.MemberID)
+		return nil, fmt.Errorf("consensus: member %d is not among the initial members", cfg.MemberID)
 	}
 	s, err := openStore(cfg.Dir, cfg.Fleet, cfg.MemberID, cfg.openMode())
 	if err != nil {
--- a/internal/fleet/consensus/peer_handler.go
+++ b/internal/fleet/consensus/peer_handler.go
@@ -48,13 +48,13 @@
 // member that joins takes over the generation of the first that calls it.
 func (n *Node) authorize(h http.Header) (status int, err error) {
 	if fleet := h.Get(headerFleet); fleet != n.cfg.Fleet {
-		return http.StatusForbidden, fmt.Errorf("fleet %q; this keeper's is %q", fleet, n.cfg.Fleet)
+		return http.StatusForbidden, fmt.Errorf("fleet %q; this coordinator's is %q", fleet, n.cfg.Fleet)
 	}
 	generation, err := strconv.ParseUint(h.Get(headerGeneration), 10, 64)
 	if own := n.store.generation.Load(); err == nil && own == 0 {
 		err = n.store.joinGeneration(generation)
 	} else if generation != own {
-		return http.StatusForbidden, fmt.Errorf("generation %d of the keepers; this one is of %d: they were restored from a folder since", generation, own)
+		return http.StatusForbidden, fmt.Errorf("generation %d; this coordinator is of %d: the fleet was restored from a folder since", generation, own)
 	}
 	return http.StatusBadRequest, err
 }
@@ -81,7 +81,7 @@
 			return err
 		}
 		if m.GetTo() != n.cfg.MemberID || raft.IsLocalMsg(m.GetType()) {
-			return fmt.Errorf("a message of kind %v to %d", m.GetType(), m.GetTo())
+			return fmt.Errorf("message of type %v for member %d", m.GetType(), m.GetTo())
 		}
 		n.recordProgress(m)
 		if err := n.raft.Step(r.Context(), m); err != nil {
--- a/internal/fleet/consensus/progress.go
+++ b/internal/fleet/consensus/progress.go
@@ -72,7 +72,7 @@
 			if known, ok := n.queryProgress(ctx, addr); ok && own.before(known) {
 				mu.Lock()
 				defer mu.Unlock()
-				outdated = fmt.Errorf("%w: it ends with entry %d in term %d, and keeper %d has had entry %d in term %d of it", ErrOutdatedCopy, own.index, own.term, id, known.index, known.term)
+				outdated = fmt.Errorf("%w: it ends with entry %d in term %d, and member %d has had entry %d in term %d of it", ErrOutdatedCopy, own.index, own.term, id, known.index, known.term)
 			}
 		})
 	}
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -197,7 +197,7 @@
 		}
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if meta == nil || log == nil {
-			return corrupt("no such parts in it")
+			return corrupt("its buckets are missing")
 		}
 		if err := checkOwner(meta, want); err != nil {
 			return err
@@ -220,7 +220,7 @@
 	records := []struct {
 		key, value []byte // value nil: any
 		name       string
-	}{{keyFormat, []byte(formatV1), "form"}, {keyFleet, []byte(want.fleet), "fleet"}, {keyMember, nil, "member"}}
+	}{{keyFormat, []byte(formatV1), "format"}, {keyFleet, []byte(want.fleet), "fleet"}, {keyMember, nil, "member"}}
 	if want.member != 0 {
 		records[2].value = encodeUint64(want.member)
 	}
@@ -230,7 +230,7 @@
 			return err
 		}
 		if record.value != nil && !bytes.Equal(got, record.value) {
-			return fmt.Errorf("%w: its %s is %q, this keeper's %q", ErrOtherOwner, record.name, got, record.value)
+			return fmt.Errorf("%w: its %s is %q, this coordinator's is %q", ErrOtherOwner, record.name, got, record.value)
 		}
 	}
 	return nil
--- a/internal/fleet/statemachine/codec.go
+++ b/internal/fleet/statemachine/codec.go
@@ -23,7 +23,7 @@
 func Restore(snapshot []byte) (*State, error) {
 	s := &State{}
 	if err := Decode(snapshot, s); err != nil {
-		return nil, fmt.Errorf("keeper: snapshot: %w", err)
+		return nil, fmt.Errorf("statemachine: snapshot: %w", err)
 	}
 	if s.Holders == nil {
 		s.Holders = map[string]*LeaseHolder{}
--- a/internal/fleet/statemachine/members.go
+++ b/internal/fleet/statemachine/members.go
@@ -13,7 +13,7 @@
 }
 
 // ErrNotLeader is returned by a coordinator that does not lead where only the leader knows the answer.
-var ErrNotLeader = errors.New("this keeper does not lead")
+var ErrNotLeader = errors.New("this coordinator is not the leader")
 
 // ApplyMemberChange records that a coordinator was added, with its address, or removed for good.
 func (s *State) ApplyMemberChange(id uint64, addr string, removed bool) {
--- a/internal/fleet/transport/client.go
+++ b/internal/fleet/transport/client.go
@@ -94,7 +94,7 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("keeper at %s: %s", request.URL.Host, strings.TrimSpace(string(answer)))
+		err = fmt.Errorf("coordinator at %s: %s", request.URL.Host, strings.TrimSpace(string(answer)))
 	}
 	return answer, response.Header, err
 }
--- a/internal/fleet/transport/handler.go
+++ b/internal/fleet/transport/handler.go
@@ -52,7 +52,7 @@
 func (h *handler) checked(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if fleet := r.Header.Get(headerFleet); fleet != h.fleet {
-			http.Error(w, fmt.Sprintf("fleet %q; these keepers' is %q", fleet, h.fleet), http.StatusForbidden)
+			http.Error(w, fmt.Sprintf("fleet %q; these coordinators' is %q", fleet, h.fleet), http.StatusForbidden)
 			return
 		}
 		if err := f(w, r); err != nil {
@@ -98,7 +98,7 @@
 		return command, err
 	}
 	if command.Tick != nil {
-		return command, errors.New("time is told by who leads alone")
+		return command, errors.New("ticks come from the leader alone")
 	}
 	return command, nil
 }
