--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -3,8 +3,8 @@
 // in the same order, at each coordinator; what the caller of a command gets back is its Result.
 //
 // It is deterministic: it has no clock, randomness or I/O, and never iterates over a map where the order could show.
-// Texts that it stores (PolicyChange.Reason) and returns are the same in all versions that run at once, since
-// replicas of mixed versions must not differ.
+// Texts that it stores (PolicyChange.Reason) must be the same in all versions that run at once, since replicas of mixed
+// versions must not differ.
 //
 // # Time
 //
@@ -50,7 +50,7 @@
 	Config     Config
 	Revision   uint64        // grows with each change of anything but time and leases
 	Now        time.Duration // the state's clock
-	GrantCount uint64        `cbor:"Grants"` // leases granted so far; also the number of the latest
+	GrantCount uint64        `cbor:"Grants"` // numbers given so far: to leases, claim leases and commands on workflows
 	Policies   []Policy      // oldest first; the last one is in force
 	Change     *PolicyChange // under way, or the last one; nil: there never was one
 	Holders    map[string]*LeaseHolder
