--- a/internal/fleet/statemachine/change.go
+++ b/internal/fleet/statemachine/change.go
@@ -86,13 +86,13 @@
 // checkContent checks what a proposed policy says.
 func (s *State) checkContent(c *Proposal) (r Result) {
 	for _, limit := range c.Limits {
-		if err := limit.Check(); err != nil {
+		if err := limit.Validate(); err != nil {
 			r.Err = fmt.Sprintf("limit %q: %v", limit.Name, err)
 			return r
 		}
 	}
 	if c.ColdStart != nil {
-		if err := c.ColdStart.Check(); err != nil {
+		if err := c.ColdStart.Validate(); err != nil {
 			r.Err = fmt.Sprintf("start: %v", err)
 			return r
 		}
@@ -103,11 +103,11 @@
 			return r
 		}
 	}
-	if s.Workflows != nil && r.setError(s.Workflows.Without(c.Pools)) {
+	if s.Workflows != nil && r.setError(s.Workflows.CheckPools(c.Pools)) {
 		return r
 	}
 	if c.OutlierSettings != nil {
-		if err := c.OutlierSettings.Check(); err != nil {
+		if err := c.OutlierSettings.Validate(); err != nil {
 			r.Err = fmt.Sprintf("verdicts: %v", err)
 		}
 	}
--- a/internal/fleet/statemachine/coldstart.go
+++ b/internal/fleet/statemachine/coldstart.go
@@ -17,9 +17,9 @@
 	case p.ColdStart == nil:
 		s.ColdStart = nil
 	case s.ColdStart == nil:
-		s.ColdStart = coldstart.NewBook(*p.ColdStart, s.coldStartFrom(p), s.Revision)
+		s.ColdStart = coldstart.NewGranter(*p.ColdStart, s.coldStartFrom(p), s.Revision)
 	default:
-		s.ColdStart.Set(*p.ColdStart)
+		s.ColdStart.Configure(*p.ColdStart)
 	}
 }
 
@@ -35,31 +35,31 @@
 
 func (coldStartComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
 	if s.ColdStart != nil && c.ColdStart != nil {
-		r.ColdStart = s.ColdStart.Ask(s.Now, holderKey(c.Name, c.Incarnation), c.Zone, c.ColdStart, s.mayHoldLease)
+		r.ColdStart = s.ColdStart.Grant(s.Now, holderKey(c.Name, c.Incarnation), c.Zone, c.ColdStart, s.mayHoldLease)
 	}
 }
 
 func (coldStartComponent) leaseEnded(s *State, h *LeaseHolder) {
 	if s.ColdStart != nil {
-		s.ColdStart.Gone(holderKey(h.Name, h.Incarnation))
+		s.ColdStart.RemoveHolder(holderKey(h.Name, h.Incarnation))
 	}
 }
 
 func (coldStartComponent) holderForgotten(s *State, key string, _ *LeaseHolder) {
 	if s.ColdStart != nil {
-		s.ColdStart.Gone(key)
+		s.ColdStart.RemoveHolder(key)
 	}
 }
 
-func (coldStartComponent) addUpdate(s *State, u *WatchUpdate, zone int, list relay.Mark) {
+func (coldStartComponent) addUpdate(s *State, u *WatchUpdate, zone int, list relay.Watermark) {
 	if s.ColdStart != nil {
-		u.RelayedList = s.ColdStart.Since(zone, list)
+		u.RelayedList = s.ColdStart.ListUpdateSince(zone, list)
 	}
 }
 
 func (coldStartComponent) afterDecode(s *State) {
 	if s.ColdStart != nil {
-		s.ColdStart.Mend()
+		s.ColdStart.InitMaps()
 	}
 }
 
@@ -69,7 +69,7 @@
 // rejected: another may have become the reader meanwhile.
 func (s *State) publishList(c *ListUpdate) (r Result) {
 	key := holderKey(c.Name, c.Incarnation)
-	var err error = &relay.FenceError{Fence: c.FencingToken}
+	var err error = &relay.FenceError{FencingToken: c.FencingToken}
 	if s.ColdStart != nil && s.mayHoldLease(key) {
 		err = s.ColdStart.Publish(key, c.Zone, c.FencingToken, c.Update)
 	}
--- a/internal/fleet/statemachine/command.go
+++ b/internal/fleet/statemachine/command.go
@@ -34,18 +34,18 @@
 
 // LeaseRequest asks for a lease, or renews one. A dispatcher sends it every third of a lease.
 type LeaseRequest struct {
-	Name           string       // of the dispatcher
-	Incarnation    uint64       `cbor:"Life"`
-	Seq            uint64       // grows with each request of this incarnation; one that is not newer is late or doubled
-	KnownVersion   uint64       `cbor:"Knows"`  // the newest policy that it has applied; no lease is granted under another
-	ServingVersion uint64       `cbor:"Serves"` // under which it admits work now; 0: it admits none
-	Program        string       // version of its program
-	CurrentGrant   uint64       `cbor:"Heard"` // number of the latest lease that it goes by
-	QuotaRequests  []quota.Want `cbor:"Wants"`
+	Name           string          // of the dispatcher
+	Incarnation    uint64          `cbor:"Life"`
+	Seq            uint64          // grows with each request of this incarnation; one that is not newer is late or doubled
+	KnownVersion   uint64          `cbor:"Knows"`  // the newest policy that it has applied; no lease is granted under another
+	ServingVersion uint64          `cbor:"Serves"` // under which it admits work now; 0: it admits none
+	Program        string          // version of its program
+	CurrentGrant   uint64          `cbor:"Heard"` // number of the latest lease that it goes by
+	QuotaRequests  []quota.Request `cbor:"Wants"`
 	Zone           int
-	WorkerCount    int              `cbor:"Workers"` // that it knows
-	OutlierReports []outlier.Report `cbor:"Saw"`     // of those workers
-	ColdStart      *coldstart.Want  `cbor:"Start"`
+	WorkerCount    int                `cbor:"Workers"` // that it knows
+	OutlierReports []outlier.Report   `cbor:"Saw"`     // of those workers
+	ColdStart      *coldstart.Request `cbor:"Start"`
 }
 
 // ListUpdate publishes what the reader of a zone has read from the list service.
@@ -53,8 +53,8 @@
 	Name         string // of the dispatcher
 	Incarnation  uint64 `cbor:"Life"`
 	Zone         int
-	FencingToken uint64     `cbor:"Fence"` // of its turn as the reader; an older one is rejected
-	Update       relay.Word `cbor:"Word"`
+	FencingToken uint64            `cbor:"Fence"` // of its turn as the reader; an older one is rejected
+	Update       relay.Publication `cbor:"Word"`
 }
 
 // Vote says whether a holder can run a proposed policy, which it has checked against its own settings.
--- a/internal/fleet/statemachine/outlier.go
+++ b/internal/fleet/statemachine/outlier.go
@@ -10,10 +10,10 @@
 
 func (outlierComponent) policyChanged(s *State, p Policy) {
 	if s.Outliers == nil && p.OutlierSettings != nil {
-		s.Outliers = outlier.NewLedger()
+		s.Outliers = outlier.NewDetector()
 	}
 	if s.Outliers != nil {
-		s.Outliers.Set(p.OutlierSettings)
+		s.Outliers.Configure(p.OutlierSettings)
 	}
 }
 
@@ -23,7 +23,7 @@
 	if s.Outliers == nil {
 		return
 	}
-	s.Outliers.Hear(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports)
+	s.Outliers.AddReports(s.Now, c.Name, c.Zone, c.WorkerCount, c.OutlierReports)
 	if len(c.OutlierReports) > 0 { // without a report, nothing changes before the next tick
 		s.evaluateOutliers()
 	}
@@ -31,25 +31,25 @@
 
 func (outlierComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
 	if s.Outliers != nil {
-		r.Verdicts, r.ReportsWanted = s.Outliers.Tell(s.Now, c.Name, c.Zone)
+		r.Verdicts, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
 	}
 }
 
 func (outlierComponent) holderForgotten(s *State, _ string, h *LeaseHolder) {
 	if s.Outliers != nil {
-		s.Outliers.Forget(h.Name)
+		s.Outliers.RemoveReporter(h.Name)
 	}
 }
 
-func (outlierComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Mark) {
+func (outlierComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Watermark) {
 	if s.Outliers != nil {
-		u.Verdicts = s.Outliers.All()
+		u.Verdicts = s.Outliers.Notices()
 	}
 }
 
 func (outlierComponent) afterDecode(s *State) {
 	if s.Outliers != nil {
-		s.Outliers.Mend()
+		s.Outliers.InitMaps()
 	}
 }
 
@@ -60,8 +60,8 @@
 	if s.Outliers == nil {
 		return
 	}
-	before := s.Outliers.No
-	if s.Outliers.Judge(s.Now); s.Outliers.No != before {
+	before := s.Outliers.Revision
+	if s.Outliers.Evaluate(s.Now); s.Outliers.Revision != before {
 		s.Revision++
 	}
 }
--- a/internal/fleet/statemachine/quota.go
+++ b/internal/fleet/statemachine/quota.go
@@ -7,10 +7,10 @@
 
 func (quotaComponent) policyChanged(s *State, p Policy) {
 	if s.Quota == nil && len(p.Limits) > 0 {
-		s.Quota = quota.NewBook()
+		s.Quota = quota.NewAllocator()
 	}
 	if s.Quota != nil {
-		s.Quota.Set(p.Limits)
+		s.Quota.SetLimits(p.Limits)
 	}
 }
 
@@ -19,29 +19,29 @@
 		return
 	}
 	for key := range s.Holders { // each on its own, so the order does not show
-		s.Quota.Counted(key, c.GrantsSeen, s.Now+s.Config.LeaseDuration)
+		s.Quota.StartExpiry(key, c.GrantsSeen, s.Now+s.Config.LeaseDuration)
 	}
-	s.Quota.Pass(s.Now)
+	s.Quota.Advance(s.Now)
 }
 
 func (quotaComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
 	if s.Quota != nil {
-		r.QuotaGrants = s.Quota.Ask(holderKey(c.Name, c.Incarnation), s.GrantCount, c.CurrentGrant, c.QuotaRequests)
+		r.QuotaGrants = s.Quota.Allocate(holderKey(c.Name, c.Incarnation), s.GrantCount, c.CurrentGrant, c.QuotaRequests)
 	}
 }
 
 func (quotaComponent) leaseEnded(s *State, h *LeaseHolder) {
 	if s.Quota != nil {
-		s.Quota.End(holderKey(h.Name, h.Incarnation), s.Now)
+		s.Quota.Release(holderKey(h.Name, h.Incarnation), s.Now)
 	}
 }
 
 func (quotaComponent) afterDecode(s *State) {
 	if s.Quota != nil {
-		s.Quota.Mend()
+		s.Quota.InitMaps()
 	}
 }
 
-func (quotaComponent) idle(s *State) bool { return s.Quota == nil || len(s.Quota.Parties) == 0 }
+func (quotaComponent) idle(s *State) bool { return s.Quota == nil || len(s.Quota.Holders) == 0 }
 
 func (quotaComponent) resetAfterRestore(s *State, _ uint64) { s.Quota = nil }
--- a/internal/fleet/statemachine/restore.go
+++ b/internal/fleet/statemachine/restore.go
@@ -31,7 +31,7 @@
 // longestSettle is how long after the loss of a holder what it had in use of a limit still counts, at the longest.
 func longestSettle(p Policy) (longest time.Duration) {
 	for _, limit := range p.Limits {
-		longest = max(longest, limit.Settle)
+		longest = max(longest, limit.ReclaimDelay)
 	}
 	return longest
 }
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -62,10 +62,10 @@
 	Generation         uint64        `cbor:"Era"`  // counts restores; an answer of an older generation is void
 
 	// The components' states; nil: no policy has ever used the component.
-	Quota     *quota.Book
-	Outliers  *outlier.Ledger `cbor:"Verdicts"`
-	ColdStart *coldstart.Book `cbor:"Start"`
-	Workflows *claims.Ledger  `cbor:"Flows"`
+	Quota     *quota.Allocator
+	Outliers  *outlier.Detector  `cbor:"Verdicts"`
+	ColdStart *coldstart.Granter `cbor:"Start"`
+	Workflows *claims.Table      `cbor:"Flows"`
 }
 
 // New returns the state of coordinators that have not agreed on anything yet.
--- a/internal/fleet/statemachine/watch.go
+++ b/internal/fleet/statemachine/watch.go
@@ -13,14 +13,14 @@
 	Change      *PolicyChange // proposed, to be voted on; nil: none is. Its ID and Policy alone are set
 	Closing     bool          // a change is closing
 	Policy      *Policy       // in force, where the caller does not have it
-	Verdicts    []outlier.Verdict
+	Verdicts    []outlier.EjectionNotice
 	RelayedList *relay.Update `cbor:"List"`
 	StepsReady  bool          `cbor:"Steps"` // of workflows
 }
 
 // UpdateFor returns the update for a holder that has applied the version known, and has its zone's relayed list up to
 // a mark.
-func (s *State) UpdateFor(known uint64, zone int, list relay.Mark) WatchUpdate {
+func (s *State) UpdateFor(known uint64, zone int, list relay.Watermark) WatchUpdate {
 	u := WatchUpdate{Revision: s.Revision, Generation: s.Generation}
 	forEachComponent(func(c component) { c.addUpdate(s, &u, zone, list) })
 	if change := s.Change; change != nil && change.Stage == Proposed {
--- a/internal/fleet/statemachine/workflow.go
+++ b/internal/fleet/statemachine/workflow.go
@@ -32,7 +32,7 @@
 		s.Workflows = claims.New()
 	}
 	if s.Workflows != nil {
-		s.Workflows.Set(p.Version, p.Workflows)
+		s.Workflows.SetTemplates(p.Version, p.Workflows)
 	}
 }
 
@@ -45,10 +45,10 @@
 			h.ClaimLease = ClaimLease{Expiry: s.Now + s.Config.LeaseDuration}
 		}
 	}
-	changed := s.Workflows.Pass(s.Now, c.LeaderTerm, c.Number, c.GrantsSeen)
+	changed := s.Workflows.AdvanceTime(s.Now, c.LeaderTerm, c.Number, c.GrantsSeen)
 	for _, key := range s.Workflows.Holders() {
 		if !s.mayHoldClaims(key) {
-			changed = s.Workflows.Gone(s.Now, key) || changed
+			changed = s.Workflows.ReclaimFrom(s.Now, key) || changed
 		}
 	}
 	if changed {
@@ -62,23 +62,23 @@
 	}
 	s.GrantCount++
 	s.Holders[holderKey(c.Name, c.Incarnation)].ClaimLease.PendingGrant = s.GrantCount
-	r.ClaimLease, r.StepsReady = s.Config.LeaseDuration, s.Workflows.Waiting()
+	r.ClaimLease, r.StepsReady = s.Config.LeaseDuration, s.Workflows.HasReadySteps()
 }
 
 func (workflowComponent) holderLeft(s *State, h *LeaseHolder) {
 	h.ClaimLease = ClaimLease{}
-	if s.Workflows != nil && s.Workflows.Gone(s.Now, holderKey(h.Name, h.Incarnation)) {
+	if s.Workflows != nil && s.Workflows.ReclaimFrom(s.Now, holderKey(h.Name, h.Incarnation)) {
 		s.Revision++
 	}
 }
 
-func (workflowComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Mark) {
-	u.StepsReady = s.Workflows != nil && s.Workflows.Waiting()
+func (workflowComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Watermark) {
+	u.StepsReady = s.Workflows != nil && s.Workflows.HasReadySteps()
 }
 
 func (workflowComponent) afterDecode(s *State) {
 	if s.Workflows != nil {
-		s.Workflows.Mend()
+		s.Workflows.RebuildIndexes()
 	}
 }
 
@@ -86,7 +86,7 @@
 
 func (workflowComponent) resetAfterRestore(s *State, skip uint64) {
 	if s.Workflows != nil {
-		s.Workflows.Restored(s.Now, skip)
+		s.Workflows.ResetAfterRestore(s.Now, skip)
 	}
 }
 
@@ -94,11 +94,11 @@
 // revision for each command, every dispatcher's watch would return each time.
 func (s *State) applyWorkflow(c *claims.Command) (r Result) {
 	if s.Workflows == nil {
-		r.setError(&claims.NoneError{})
+		r.setError(&claims.NoWorkflowsError{})
 		return r
 	}
 	s.GrantCount++ // so that a tick which has seen it was proposed after it
-	answer, changed, err := s.Workflows.Apply(s.Now, s.GrantCount, *c, claims.Lives{Claim: s.mayHoldLease, Hold: s.mayHoldClaims})
+	answer, changed, err := s.Workflows.Apply(s.Now, s.GrantCount, *c, claims.LeaseChecks{MayClaim: s.mayHoldLease, MayHold: s.mayHoldClaims})
 	if changed {
 		s.Revision++
 	}
@@ -111,10 +111,10 @@
 // QueryWorkflows answers a command that changes nothing.
 func (s *State) QueryWorkflows(c *claims.Command) (r Result) {
 	if s.Workflows == nil {
-		r.setError(&claims.NoneError{})
+		r.setError(&claims.NoWorkflowsError{})
 		return r
 	}
-	answer, err := s.Workflows.Show(s.Now, c.Show)
+	answer, err := s.Workflows.Query(s.Now, c.Query)
 	if !r.setError(err) {
 		r.Workflow = &answer
 	}
--- a/internal/fleet/transport/client.go
+++ b/internal/fleet/transport/client.go
@@ -115,11 +115,11 @@
 // Watch waits until a coordinator's state is past a revision, but not longer than wait, and returns what there is for
 // a holder that has applied the policy version known. The state may lag behind what is committed.
 func (c *Client) Watch(ctx context.Context, past, known uint64, wait time.Duration) (statemachine.WatchUpdate, error) {
-	return c.WatchList(ctx, past, known, 0, relay.Mark{}, wait)
+	return c.WatchList(ctx, past, known, 0, relay.Watermark{}, wait)
 }
 
 // WatchList is Watch for a holder that has its zone's relayed list up to a mark.
-func (c *Client) WatchList(ctx context.Context, past, known uint64, zone int, list relay.Mark, wait time.Duration) (update statemachine.WatchUpdate, err error) {
+func (c *Client) WatchList(ctx context.Context, past, known uint64, zone int, list relay.Watermark, wait time.Duration) (update statemachine.WatchUpdate, err error) {
 	path := fmt.Sprintf("%s?past=%d&knows=%d&zone=%d&has=%d&wait_ms=%d", watchPath, past, known, zone, list.Seq, wait.Milliseconds())
 	answer, _, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
--- a/internal/fleet/transport/handler.go
+++ b/internal/fleet/transport/handler.go
@@ -72,7 +72,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), h.timeout)
 	defer cancel()
-	if command.Workflow != nil && command.Workflow.Show != nil {
+	if command.Workflow != nil && command.Workflow.Query != nil {
 		answer, err := h.readState(ctx, func(s *statemachine.State) ([]byte, error) {
 			return statemachine.Encode(s.QueryWorkflows(command.Workflow))
 		})
@@ -105,8 +105,8 @@
 
 // nothingToClaim reports that a claim would get no step. Many dispatchers ask after the same update: those that come
 // too late then cost no entry of the log. The state may be stale, which is as if they had come earlier.
-func (h *handler) nothingToClaim(claim *claims.Claim) (nothing bool) {
-	h.coordinator.ReadStale(func(s *statemachine.State) { nothing = s.Workflows != nil && s.Workflows.Nothing(claim) })
+func (h *handler) nothingToClaim(claim *claims.ClaimRequest) (nothing bool) {
+	h.coordinator.ReadStale(func(s *statemachine.State) { nothing = s.Workflows != nil && s.Workflows.ClaimWouldBeEmpty(claim) })
 	return nothing
 }
 
@@ -126,7 +126,7 @@
 	h.coordinator.WaitForRevision(ctx, past)
 	var answer []byte
 	h.coordinator.ReadStale(func(s *statemachine.State) { // encoded there: the update shares memory with the state
-		answer, err = statemachine.Encode(s.UpdateFor(known, zone, relay.Mark{Seq: list}))
+		answer, err = statemachine.Encode(s.UpdateFor(known, zone, relay.Watermark{Seq: list}))
 	})
 	if err == nil {
 		_, err = w.Write(answer)
--- a/internal/fleet/transport/hooks.go
+++ b/internal/fleet/transport/hooks.go
@@ -20,21 +20,21 @@
 	Log         func(line string)
 
 	// Fleet-wide limits.
-	QuotaRequests  func() []quota.Want                            // what is asked for
-	QuotaGranted   func(until time.Duration, grants []quota.Part) // what may be used until then
-	QuotaExhausted func() bool                                    // whether to ask for more at once
+	QuotaRequests  func() []quota.Request                          // what is asked for
+	QuotaGranted   func(until time.Duration, grants []quota.Share) // what may be used until then
+	QuotaExhausted func() bool                                     // whether to ask for more at once
 
 	// Outlier detection.
 	AddReports         func(request *statemachine.LeaseRequest) // adds what was seen of workers
 	ReportsUndelivered func(reports []outlier.Report)           // the call failed: they may not have arrived
-	VerdictsReceived   func(until time.Duration, verdicts []outlier.Verdict, reportsWanted []outlier.Life, fromWatch bool)
+	VerdictsReceived   func(until time.Duration, verdicts []outlier.EjectionNotice, reportsWanted []outlier.Incarnation, fromWatch bool)
 
 	// Cold starts.
-	Zone             int                                                 // of the dispatcher
-	ColdStartRequest func() *coldstart.Want                              // what is asked for; nil: nothing
-	ColdStartGranted func(asked, until time.Duration, w *coldstart.Word) // the answer to what was asked for at asked
-	ListMark         func() relay.Mark                                   // how far the dispatcher has the relayed list
-	ListReceived     func(u *relay.Update)                               // what came behind that mark
+	Zone             int                                                     // of the dispatcher
+	ColdStartRequest func() *coldstart.Request                               // what is asked for; nil: nothing
+	ColdStartGranted func(asked, until time.Duration, w *coldstart.Response) // the answer to what was asked for at asked
+	ListMark         func() relay.Watermark                                  // how far the dispatcher has the relayed list
+	ListReceived     func(u *relay.Update)                                   // what came behind that mark
 
 	// Workflows.
 	ClaimLeaseRenewed func(asked, length time.Duration, generation uint64, stepsReady bool) // length counts from asked
--- a/internal/fleet/transport/watch.go
+++ b/internal/fleet/transport/watch.go
@@ -56,7 +56,7 @@
 	past = max(last, s.revision)
 	known := s.accord.Policy().Version
 	s.mu.Unlock()
-	var list relay.Mark
+	var list relay.Watermark
 	if s.hooks.ListMark != nil {
 		list = s.hooks.ListMark()
 	}
