--- a/internal/fleet/statemachine/watch.go
+++ b/internal/fleet/statemachine/watch.go
@@ -9,13 +9,13 @@
 // answer to its next lease request would ask. It never grants anything.
 type WatchUpdate struct {
 	Revision    uint64
-	Generation  uint64        `cbor:"Era"`
-	Change      *PolicyChange // proposed, to be voted on; nil: none is. Its ID and Policy alone are set
-	Closing     bool          // a change is closing
-	Policy      *Policy       // in force, where the caller does not have it
-	Verdicts    []outlier.EjectionNotice
-	RelayedList *relay.Update `cbor:"List"`
-	StepsReady  bool          `cbor:"Steps"` // of workflows
+	Generation  uint64                   `cbor:"Era"`
+	Change      *PolicyChange            // proposed, to be voted on; nil: none is. Its ID and Policy alone are set
+	Closing     bool                     // a change is closing
+	Policy      *Policy                  // in force, where the caller does not have it
+	Verdicts    []outlier.EjectionNotice `cbor:"Verdicts"`
+	RelayedList *relay.Update            `cbor:"List"`
+	StepsReady  bool                     `cbor:"Steps"` // of workflows
 }
 
 // UpdateFor returns the update for a holder that has applied the version known, and has its zone's relayed list up to
--- a/internal/fleet/transport/session.go
+++ b/internal/fleet/transport/session.go
@@ -43,18 +43,18 @@
 type LeaseSession struct {
 	client *Client
 	hooks  Hooks
-	epoch  time.Time // moment 0 of accord's clock, which is monotonic
+	epoch  time.Time // moment 0 of the holder's clock, which is monotonic
 
 	mu          sync.Mutex // guards all below
-	accord      *policylease.Holder
+	holder      *policylease.Holder
 	revision    uint64 // the newest of the coordinators' state that was heard of
 	cancelWatch func() // ends the watch that is under way
 }
 
-// NewLeaseSession returns a session of accord, whose clock counts from epoch. The session takes over the client, and
+// NewLeaseSession returns a session of holder, whose clock counts from epoch. The session takes over the client, and
 // closes it when Run returns.
-func NewLeaseSession(client *Client, accord *policylease.Holder, epoch time.Time, hooks Hooks) *LeaseSession {
-	return &LeaseSession{client: client, hooks: hooks, epoch: epoch, accord: accord}
+func NewLeaseSession(client *Client, holder *policylease.Holder, epoch time.Time, hooks Hooks) *LeaseSession {
+	return &LeaseSession{client: client, hooks: hooks, epoch: epoch, holder: holder}
 }
 
 // Admits returns what may be admitted now, and the moment for which that holds. It waits for no call.
@@ -62,7 +62,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	return s.accord.Admission(now.Sub(s.epoch)), now
+	return s.holder.Admission(now.Sub(s.epoch)), now
 }
 
 // Describe returns a line for operators.
@@ -70,14 +70,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Since(s.epoch)
-	held, p := s.accord.Admission(now), s.accord.Policy()
+	held, p := s.holder.Admission(now), s.holder.Policy()
 	switch {
-	case s.accord.HoldsLease(now):
-		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", held.Version, p.Digest, s.accord.LeaseRemaining(now).Round(time.Millisecond))
+	case s.holder.HoldsLease(now):
+		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", held.Version, p.Digest, s.holder.LeaseRemaining(now).Round(time.Millisecond))
 	case held.Allowed:
-		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", held.Version, p.Digest, s.accord.NoLeaseReason)
+		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", held.Version, p.Digest, s.holder.NoLeaseReason)
 	}
-	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", held.Version, s.accord.NoLeaseReason)
+	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", held.Version, s.holder.NoLeaseReason)
 }
 
 // Do has a command of this dispatcher's applied, within callTimeout. After an error it may have been applied, or may
@@ -89,18 +89,18 @@
 }
 
 // Incarnation tells this process from all others that ever had its name.
-func (s *LeaseSession) Incarnation() uint64 { return s.accord.Incarnation() }
+func (s *LeaseSession) Incarnation() uint64 { return s.holder.Incarnation() }
 
 func (s *LeaseSession) generation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.accord.Generation()
+	return s.holder.Generation()
 }
 
 func (s *LeaseSession) leaseExpiry() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.accord.LeaseExpiry()
+	return s.holder.LeaseExpiry()
 }
 
 // quotaCheckInterval is how often it is checked whether a limit is exhausted: four times as often as the lease is
@@ -108,14 +108,14 @@
 func (s *LeaseSession) quotaCheckInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.accord.RenewalInterval()/4, minQuotaCheckInterval)
+	return max(s.holder.RenewalInterval()/4, minQuotaCheckInterval)
 }
 
 // renewalDelay returns after how long a lease that was just granted is renewed.
 func (s *LeaseSession) renewalDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(float64(s.accord.RenewalInterval()) * (minRenewalShare + renewalShareSpread*rand.Float64()))
+	return time.Duration(float64(s.holder.RenewalInterval()) * (minRenewalShare + renewalShareSpread*rand.Float64()))
 }
 
 // heardRevision records a revision of the coordinators' state.
@@ -169,8 +169,8 @@
 func (s *LeaseSession) acceptUpdate(ctx context.Context, update statemachine.WatchUpdate) bool {
 	s.mu.Lock()
 	s.revision = max(s.revision, update.Revision)
-	todo := s.accord.HandleUpdate(update)
-	expiry := s.accord.LeaseExpiry()
+	actions := s.holder.HandleUpdate(update)
+	expiry := s.holder.LeaseExpiry()
 	s.mu.Unlock()
 	if s.hooks.ListReceived != nil && update.RelayedList != nil && update.Generation >= s.generation() {
 		s.hooks.ListReceived(update.RelayedList)
@@ -181,7 +181,7 @@
 	if s.hooks.StepsReady != nil && update.StepsReady {
 		s.hooks.StepsReady()
 	}
-	again, err := s.carryOut(ctx, todo)
+	again, err := s.carryOut(ctx, actions)
 	return again || err != nil
 }
 
@@ -232,19 +232,19 @@
 	asked, request := s.nextRequest()
 	if result, err = s.Do(ctx, statemachine.Command{LeaseRequest: &request}); err != nil {
 		s.mu.Lock()
-		s.accord.RequestFailed()
+		s.holder.RequestFailed()
 		s.mu.Unlock()
 		if len(request.OutlierReports) > 0 {
 			s.hooks.ReportsUndelivered(request.OutlierReports)
 		}
 		return result, false, err
 	}
-	todo, void := s.acceptResult(asked, result)
+	actions, void := s.acceptResult(asked, result)
 	if void {
 		s.client.SwitchCoordinator()
 		return result, false, errOldGeneration
 	}
-	again, err = s.carryOut(ctx, todo)
+	again, err = s.carryOut(ctx, actions)
 	return result, again, err
 }
 
@@ -253,7 +253,7 @@
 func (s *LeaseSession) nextRequest() (asked time.Duration, request statemachine.LeaseRequest) {
 	s.mu.Lock()
 	asked = time.Since(s.epoch)
-	request = s.accord.NextRequest(asked)
+	request = s.holder.NextRequest(asked)
 	s.mu.Unlock()
 	if s.hooks.QuotaRequests != nil {
 		request.QuotaRequests = s.hooks.QuotaRequests()
@@ -268,21 +268,21 @@
 	return asked, request
 }
 
-// acceptResult hands the answer to a request to the accord and the hooks, and returns what is left to do; void: the
+// acceptResult hands the answer to a request to the holder and the hooks, and returns what is left to do; void: the
 // answer is of an older generation, and was ignored.
 //
 // Grants of limits and of cold starts are ignored where a policy is to be applied first: they come anew with the lease
 // under that policy.
-func (s *LeaseSession) acceptResult(asked time.Duration, result statemachine.Result) (todo policylease.Actions, void bool) {
+func (s *LeaseSession) acceptResult(asked time.Duration, result statemachine.Result) (actions policylease.Actions, void bool) {
 	s.mu.Lock()
-	void = s.accord.FromOldGeneration(result)
-	todo = s.accord.HandleResult(asked, result)
+	void = s.holder.FromOldGeneration(result)
+	actions = s.holder.HandleResult(asked, result)
 	granted := result.LeaseDuration > 0 && !void
-	if granted && s.hooks.QuotaGranted != nil && todo.ApplyPolicy == nil {
-		s.hooks.QuotaGranted(s.accord.LeaseExpiry(), result.QuotaGrants) // still locked, so that Admits does not see the new lease before
+	if granted && s.hooks.QuotaGranted != nil && actions.ApplyPolicy == nil {
+		s.hooks.QuotaGranted(s.holder.LeaseExpiry(), result.QuotaGrants) // still locked, so that Admits does not see the new lease before
 	}
 	s.mu.Unlock()
-	if granted && s.hooks.ColdStartGranted != nil && todo.ApplyPolicy == nil {
+	if granted && s.hooks.ColdStartGranted != nil && actions.ApplyPolicy == nil {
 		s.hooks.ColdStartGranted(asked, s.leaseExpiry(), result.ColdStart)
 	}
 	if granted && s.hooks.VerdictsReceived != nil {
@@ -291,23 +291,23 @@
 	if result.ClaimLease > 0 && s.hooks.ClaimLeaseRenewed != nil && !void {
 		s.hooks.ClaimLeaseRenewed(asked, result.ClaimLease, result.Generation, result.StepsReady)
 	}
-	return todo, void
+	return actions, void
 }
 
-// carryOut does what the accord leaves to its caller: it votes on a proposed policy, then applies the one in force. It
+// carryOut does what the holder leaves to its caller: it votes on a proposed policy, then applies the one in force. It
 // reports whether to request a lease at once.
-func (s *LeaseSession) carryOut(ctx context.Context, todo policylease.Actions) (again bool, err error) {
-	again = todo.RequestAgain
-	if todo.CheckChange != nil {
-		if err := s.vote(ctx, todo.CheckChange); err != nil {
+func (s *LeaseSession) carryOut(ctx context.Context, actions policylease.Actions) (again bool, err error) {
+	again = actions.RequestAgain
+	if actions.CheckChange != nil {
+		if err := s.vote(ctx, actions.CheckChange); err != nil {
 			return false, err
 		}
 		s.mu.Lock()
-		again = again || !s.accord.HoldsLease(time.Since(s.epoch)) // one that came after the proposal gets its lease now
+		again = again || !s.holder.HoldsLease(time.Since(s.epoch)) // one that came after the proposal gets its lease now
 		s.mu.Unlock()
 	}
-	if todo.ApplyPolicy != nil {
-		if err := s.applyPolicy(*todo.ApplyPolicy); err != nil {
+	if actions.ApplyPolicy != nil {
+		if err := s.applyPolicy(*actions.ApplyPolicy); err != nil {
 			return false, err
 		}
 		again = true
@@ -324,12 +324,12 @@
 		objection = "its text is not that of its digest"
 	}
 	s.mu.Lock()
-	vote := s.accord.Vote(change, objection)
+	vote := s.holder.Vote(change, objection)
 	s.mu.Unlock()
 	_, err := s.Do(ctx, statemachine.Command{Vote: &vote})
 	if err != nil {
 		s.mu.Lock()
-		s.accord.VoteLost()
+		s.holder.VoteLost()
 		s.mu.Unlock()
 	}
 	return err
@@ -341,7 +341,7 @@
 		return fmt.Errorf("version %d can't be run: %w", p.Version, err)
 	}
 	s.mu.Lock()
-	s.accord.PolicyApplied(p)
+	s.holder.PolicyApplied(p)
 	s.mu.Unlock()
 	s.hooks.Log(fmt.Sprintf("policy: version %d (%.12s) applied", p.Version, p.Digest))
 	return nil
@@ -351,7 +351,7 @@
 // coordinators wait until the lease has expired.
 func (s *LeaseSession) release() {
 	s.mu.Lock()
-	release := s.accord.Release()
+	release := s.holder.Release()
 	s.mu.Unlock()
 	_, _ = s.Do(context.Background(), statemachine.Command{LeaseRelease: &release}) // ctx of Run has ended
 	s.client.Close()
--- a/internal/fleet/transport/watch.go
+++ b/internal/fleet/transport/watch.go
@@ -54,7 +54,7 @@
 	s.mu.Lock()
 	s.cancelWatch = cancel
 	past = max(last, s.revision)
-	known := s.accord.Policy().Version
+	known := s.holder.Policy().Version
 	s.mu.Unlock()
 	var list relay.Watermark
 	if s.hooks.ListMark != nil {
