--- a/internal/fleet/transport/session.go
+++ b/internal/fleet/transport/session.go
@@ -70,14 +70,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Since(s.epoch)
-	held, p := s.holder.Admission(now), s.holder.Policy()
+	admission, p := s.holder.Admission(now), s.holder.Policy()
 	switch {
 	case s.holder.HoldsLease(now):
-		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", held.Version, p.Digest, s.holder.LeaseRemaining(now).Round(time.Millisecond))
-	case held.Allowed:
-		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", held.Version, p.Digest, s.holder.NoLeaseReason)
+		return fmt.Sprintf("version %d (%.12s) in force here, lease for %v more", admission.Version, p.Digest, s.holder.LeaseRemaining(now).Round(time.Millisecond))
+	case admission.Allowed:
+		return fmt.Sprintf("version %d (%.12s), the last that was heard of: no lease; %s", admission.Version, p.Digest, s.holder.NoLeaseReason)
 	}
-	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", held.Version, s.holder.NoLeaseReason)
+	return fmt.Sprintf("version %d, admitting nothing: no lease; %s", admission.Version, s.holder.NoLeaseReason)
 }
 
 // Do has a command of this dispatcher's applied, within callTimeout. After an error it may have been applied, or may
