--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -33,24 +33,24 @@
 func under(base *config.Config, doc policy.Document) (*config.Config, error) {
 	own := *base
 	if doc.MaxAttempts > 0 {
-		own.Module.MaxAttempts = min(own.Module.MaxAttempts, doc.MaxAttempts)
+		own.Dispatch.MaxAttempts = min(own.Dispatch.MaxAttempts, doc.MaxAttempts)
 	}
 	if doc.MergeRule != "" {
 		own.Membership.Rule = doc.MergeRule
 	}
 	if doc.Reservations != nil {
-		own.Module.Backfill = doc.Reservations.Settings()
+		own.Dispatch.Backfill = doc.Reservations.Settings()
 	}
 	if len(doc.Contracts) > 0 {
 		own.SSE.Contracts = nil
 		for _, k := range doc.Contracts {
 			own.SSE.Contracts = append(own.SSE.Contracts, config.Contract(k))
 		}
-		if err := own.CheckContracts("", own.SSE.Contracts); err != nil {
+		if err := own.ValidateContracts("", own.SSE.Contracts); err != nil {
 			return nil, err
 		}
 	}
-	return &own, own.Module.Validate()
+	return &own, own.Dispatch.Validate()
 }
 
 // put puts a configuration in force, under a policy. The caller holds policyMu.
@@ -62,7 +62,7 @@
 		pools, err = pool.NewSet(doc.Pools, own.Kinds, own.Zones)
 	}
 	if err == nil {
-		err = n.broker.Reconfigure(own.Module)
+		err = n.broker.Reconfigure(own.Dispatch)
 	}
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 		n.flows.ApplyPolicy(len(doc.Workflows) > 0, pools)
 	}
 	if own.Membership.Rule != was.Membership.Rule {
-		return n.sources.Retune()
+		return n.sources.Reconfigure()
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	n.sources.Ban(slices.Concat(ids, doc.BannedWorkers))
+	n.sources.SetBanned(slices.Concat(ids, doc.BannedWorkers))
 	if err := n.put(n.base, doc); err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	n.broker.SetOutlierReporter(n.witness)
 	// What the keepers have said of workers is not used for longer than a lease.
 	n.stale = time.AfterFunc(time.Hour, func() { n.broker.ApplyEjections(nil, false) })
-	fence, _ := statemachine.ParseLeaseLossMode(cfg.Keepers.Fence) // checked with the file
+	fence, _ := statemachine.ParseLeaseLossMode(cfg.Coordinators.OnLeaseLoss) // checked with the file
 	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.FormatVersion()), fence)
 	var more transport.Hooks
 	n.carry(cfg, half.Incarnation(), &more)
@@ -158,9 +158,9 @@
 	// waited for as long as a list may be old. Else but a moment.
 	patience := time.Second
 	if fence == statemachine.RefuseWork {
-		patience = max(cfg.Module.ListRefreshInterval, patience)
+		patience = max(cfg.Dispatch.ListRefreshInterval, patience)
 	}
-	n.starts = coldstart.NewClient(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
+	n.starts = coldstart.NewClient(n.deskNow, patience+backoff.BeforeFirstCall(cfg.Dispatch.DispatcherCount, rand.Float64()))
 	if kept := hotrestart.OpenPolicyFile(dir, cfg.Name); fence == statemachine.KeepLastPolicy {
 		if p, ok := n.lastPolicy(kept); ok {
 			half.RestorePolicy(p)
@@ -180,7 +180,7 @@
 			return nil
 		}
 	}
-	var carrier *relayedlist.Carrier
+	var carrier *relayedlist.Relay
 	hooks := transport.Hooks{
 		CheckPolicy: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
 		ApplyPolicy: apply, Log: func(s string) { log.Print(s) },
@@ -193,16 +193,16 @@
 			n.desk.SetShares(n.deskNow(), until, parts)
 			n.broker.RefreshWorkerLimits()
 		},
-		Zone: cfg.Module.Zone, ColdStartRequest: n.starts.NextRequest, ListMark: n.starts.Watermark,
+		Zone: cfg.Dispatch.Zone, ColdStartRequest: n.starts.NextRequest, ListMark: n.starts.Watermark,
 		ColdStartGranted: func(asked, until time.Duration, w *coldstart.Response) {
 			list, speeds := n.starts.HandleResponse(asked, until, w)
-			carrier.Take(list)
+			carrier.Apply(list)
 			if speeds != nil {
 				n.broker.Restore(speeds.Encode())
 				log.Printf("speeds: told of %d kinds and %d classes by the fleet", len(speeds.Kinds), len(speeds.Classes))
 			}
 		},
-		ListReceived:   func(u *relay.Update) { carrier.Take(n.starts.HandleUpdate(u)) },
+		ListReceived:   func(u *relay.Update) { carrier.Apply(n.starts.HandleUpdate(u)) },
 		QuotaExhausted: func() bool { return n.desk.Exhausted() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
 		AddReports: func(hold *statemachine.LeaseRequest) {
 			if n.judged.Load() {
@@ -211,9 +211,9 @@
 		},
 		ReportsUndelivered: n.witness.Undelivered,
 		VerdictsReceived:   n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
-	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
-	carrier = relayedlist.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
-	n.table.EnableSharing(n.starts, carrier.Told)
+	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Coordinators.Fleet, cfg.Coordinators.Addresses), half, began, hooks)
+	carrier = relayedlist.New(cfg.Name, cfg.Dispatch.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
+	n.table.EnableSharing(n.starts, carrier.Publish)
 	n.reader.SetAdmissionGate(func() (uint64, time.Time, bool) {
 		held, at := n.holder.Admits()
 		return held.Version, at, held.Allowed
@@ -255,7 +255,7 @@
 		return
 	}
 	own := slices.DeleteFunc(slices.Clone(all), func(v outlier.EjectionNotice) bool {
-		return v.Zone != outlier.AllZones && v.Zone != n.cfg.Module.Zone
+		return v.Zone != outlier.AllZones && v.Zone != n.cfg.Dispatch.Zone
 	})
 	n.witness.Reinstated(n.verdicts, own)
 	n.verdicts = own
@@ -263,7 +263,7 @@
 	if !news {
 		n.witness.SetSuspects(accused)
 	}
-	n.stale.Reset(timers.Ahead(until - n.deskNow()))
+	n.stale.Reset(timers.Positive(until - n.deskNow()))
 }
 
 // lastPolicy takes up the policy that the process before ran by, if there is one.
--- a/cmd/yardflow/door.go
+++ b/cmd/yardflow/door.go
@@ -31,14 +31,14 @@
 func (d door) Exclude(id string) error { return d.n.ban(id, true) }
 func (d door) Include(id string) error { return d.n.ban(id, false) }
 
-func (d door) Sources() (string, error) {
+func (d door) DescribeSources() (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
 	return d.n.sources.Describe() + "; by the " + d.n.table.DescribeList(), nil
 }
 
-func (d door) Room() (string, error) {
+func (d door) DescribeReservations() (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
@@ -56,7 +56,7 @@
 	return strings.Join(out, "; "), nil
 }
 
-func (d door) Policy() (string, error) {
+func (d door) DescribePolicy() (string, error) {
 	switch {
 	case !d.n.serving.Load():
 		return "", errStarting
@@ -66,9 +66,9 @@
 	return d.n.holder.Describe(), nil
 }
 
-func (d door) Worker(name string) (string, error) {
+func (d door) DescribeWorker(name string) (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
-	return d.n.sources.Worker(name)
+	return d.n.sources.DescribeWorker(name)
 }
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -67,7 +67,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if b := invariant.Broken(); len(b) > 0 {
+		if b := invariant.Violations(); len(b) > 0 {
 			t.Errorf("broken invariants: %v", b)
 		}
 	})
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -40,12 +40,12 @@
 
 // node is one running dispatcher.
 type node struct {
-	cfg         *config.Config // as at the start
-	live        *config.Live   // in force
-	longest     time.Duration  // longest deadline of any request that may be open
+	cfg         *config.Config  // as at the start
+	live        *config.InForce // in force
+	longest     time.Duration   // longest deadline of any request that may be open
 	broker      *broker.Broker
 	table       *httpfront.ServerTable
-	sources     *sources.Sources
+	sources     *sources.Merger
 	guard       *httpfront.ConnLimiter
 	reader      *httpfront.RequestReader
 	lines       *httpfront.WorkerConns
@@ -97,20 +97,20 @@
 	}
 	if len(before.Table) > 0 {
 		own := *cfg
-		cfg, own.Known, own.KnownIsFresh = &own, before.Table, true
+		cfg, own.KnownList, own.KnownListInherited = &own, before.Table, true
 		n.cfg = cfg
 	}
-	n.live, n.longest, n.base = config.NewLive(cfg), longest(cfg), cfg
+	n.live, n.longest, n.base = config.NewInForce(cfg), longest(cfg), cfg
 	limitMemory(n.memory(1 + n.peers.Count()))
 	var err error
-	if n.broker, err = broker.New(cfg.Module, cfg.Seed, contracts(cfg), logLine); err != nil {
+	if n.broker, err = broker.New(cfg.Dispatch, cfg.Seed, contracts(cfg), logLine); err != nil {
 		return nil, err
 	}
 	if cfg.Trace {
 		n.broker.SetTrace(logLine)
 	}
-	if cfg.Talks() {
-		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.ReceivePeerMessage, n.peers.ForwardPeerMessage); err != nil {
+	if cfg.PeersEnabled() {
+		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersBroadcast, cfg.Peers, n.broker.ReceivePeerMessage, n.peers.ForwardPeerMessage); err != nil {
 			return nil, err
 		}
 		n.broker.SetBroadcast(n.talk.Broadcast)
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	hooks := sources.Hooks{Log: logLine, Moved: func(addr string) { n.lines.RetireConnections(addr) }}
+	hooks := sources.Hooks{Log: logLine, AddressRetired: func(addr string) { n.lines.RetireConnections(addr) }}
 	clients, workers := n.sockets(1 + n.peers.Count())
 	n.lines = httpfront.NewWorkerConns(n.live, workers)
 	if n.sources, err = sources.New(n.live, n.broker, hooks); err != nil {
@@ -142,19 +142,19 @@
 			log.Printf("what the process before tells is left out: %v", err)
 		}
 	}
-	n.sources.Ban(banned)
+	n.sources.SetBanned(banned)
 	n.broker.SetReservationShare(1 / float64(1+n.peers.Count()))
 	if len(before.Learned) > 0 {
 		n.broker.Restore(before.Learned)
 	}
-	if n.table, err = httpfront.NewServerTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
+	if n.table, err = httpfront.NewServerTable(n.live, n.broker, n.sources.UpdateRoster, logLine); err != nil {
 		return nil, err
 	}
 	n.guard = httpfront.NewConnLimiter(clients)
 	n.reader = httpfront.NewRequestReader(n.live, n.guard)
 	n.front = httpfront.NewFrontend(n.broker, n.lines, n.reader)
 	n.front.SetReadiness(n.table.Ready)
-	if len(cfg.Keepers.Addresses) > 0 {
+	if len(cfg.Coordinators.Addresses) > 0 {
 		n.hold(cfg, dir)
 	}
 	l, err := frontListener(cfg)
@@ -180,7 +180,7 @@
 	var follow context.Context
 	follow, n.unfollow = context.WithCancel(context.Background())
 	go n.table.Run(follow)
-	n.sources.Follow()
+	n.sources.SyncResolvers()
 	n.serving.Store(true)
 	// The name in dir goes over last: a process that failed before is not met.
 	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, SiblingsChanged: n.share, BansChanged: n.rereadBans, PeerMessage: n.broker.ReceivePeerMessage}); err != nil {
@@ -197,7 +197,7 @@
 }
 
 func (n *node) inheritance() []byte {
-	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(300 * time.Millisecond), n.sources.State()})
+	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(300 * time.Millisecond), n.sources.Snapshot()})
 	if err != nil {
 		log.Printf("the next process gets nothing from this one: %v", err)
 	}
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -125,7 +125,7 @@
 	s.limits = map[string]any{"sockets": 64}
 	s.step("list", "s-1 DRAINING")
 	n := s.node
-	room := 64 - 64/3 - reserve - console.Sockets
+	room := 64 - 64/3 - reserve - console.MaxSockets
 	dial := func() *client {
 		conn, err := net.Dial("tcp", n.addr.String())
 		s.must(err)
--- a/cmd/yardflow/share.go
+++ b/cmd/yardflow/share.go
@@ -17,7 +17,7 @@
 	all := n.cfg.Limits.Sockets / processes
 	workers = all / 3
 	if clients = all - workers - reserve; n.cfg.Console != "" {
-		clients -= console.Sockets
+		clients -= console.MaxSockets
 	}
 	return max(clients, 4), workers
 }
@@ -54,7 +54,7 @@
 		return errStarting
 	}
 	// One that was taken out may have left every list since: it can be called back.
-	if !n.broker.KnowsWorker(id) && !n.sources.Knows(id) && (out || !n.bans.Contains(id)) {
+	if !n.broker.KnowsWorker(id) && !n.sources.KnowsWorker(id) && (out || !n.bans.Contains(id)) {
 		return errors.New("no such loan worker")
 	}
 	ids, err := n.bans.Set(id, out)
@@ -71,5 +71,5 @@
 func (n *node) takeOut(ids []string) {
 	n.policyMu.Lock()
 	defer n.policyMu.Unlock()
-	n.sources.Ban(slices.Concat(ids, n.policy.BannedWorkers))
+	n.sources.SetBanned(slices.Concat(ids, n.policy.BannedWorkers))
 }
--- a/internal/fleet/transport/handler.go
+++ b/internal/fleet/transport/handler.go
@@ -121,7 +121,7 @@
 	if err := errors.Join(err, err2, err3); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(timers.Ahead(time.Duration(wait)*time.Millisecond), maxWatchWait))
+	ctx, cancel := context.WithTimeout(r.Context(), min(timers.Positive(time.Duration(wait)*time.Millisecond), maxWatchWait))
 	defer cancel()
 	h.coordinator.WaitForRevision(ctx, past)
 	var answer []byte
--- a/internal/fleet/transport/session.go
+++ b/internal/fleet/transport/session.go
@@ -153,7 +153,7 @@
 			next, quotaCheck = check, true
 		}
 	}
-	wait := time.NewTimer(timers.Ahead(time.Until(next)))
+	wait := time.NewTimer(timers.Positive(time.Until(next)))
 	defer wait.Stop()
 	select {
 	case <-wait.C:
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -212,7 +212,7 @@
 		if due, ok := b.nextWake(); ok {
 			wait = due - b.now()
 		}
-		alarm.Reset(timers.Ahead(wait))
+		alarm.Reset(timers.Positive(wait))
 		select {
 		case <-b.done:
 			return
@@ -241,7 +241,7 @@
 	if !invariant.Debug {
 		defer func() {
 			if r := recover(); r != nil {
-				invariant.Hold(false, fmt.Sprint("the module panics: ", r))
+				invariant.Check(false, fmt.Sprint("the module panics: ", r))
 			}
 		}()
 	}
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -136,7 +136,7 @@
 	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Reject(o.ID, time.Second) }}
 	b := with(t, s)
-	before := invariant.Broken()
+	before := invariant.Violations()
 	for class, want := range []AnswerKind{AnswerFailed, AnswerRejected} {
 		got := b.Serve(t.Context(), Request{Class: class, Deadline: time.Now().Add(time.Minute)},
 			func(context.Context, *Attempt) Outcome { return Outcome{Code: ConnectionLost} })
@@ -144,8 +144,8 @@
 			t.Errorf("class %d: got %+v, want verdict %d", class, got, want)
 		}
 	}
-	if invariant.Broken()["refused what may have run"] != before["refused what may have run"]+1 {
-		t.Error("not counted:", invariant.Broken())
+	if invariant.Violations()["refused what may have run"] != before["refused what may have run"]+1 {
+		t.Error("not counted:", invariant.Violations())
 	}
 }
 
@@ -161,12 +161,12 @@
 		}
 		out.Send(r.ID, workerID("w"), 0)
 	}}
-	b, before := with(t, s), invariant.Broken()
+	b, before := with(t, s), invariant.Violations()
 	got := b.Serve(t.Context(), Request{Class: 0, Deadline: time.Now().Add(200 * time.Millisecond)}, never(t))
 	next := b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(time.Minute)},
 		func(context.Context, *Attempt) Outcome { return Outcome{Code: OK} })
-	if got.Kind != AnswerRejected || next.Kind != AnswerServed || invariant.Broken()["the module panics: a fault"] != before["the module panics: a fault"]+1 {
-		t.Errorf("got %+v, then %+v; counted %v", got, next, invariant.Broken())
+	if got.Kind != AnswerRejected || next.Kind != AnswerServed || invariant.Violations()["the module panics: a fault"] != before["the module panics: a fault"]+1 {
+		t.Errorf("got %+v, then %+v; counted %v", got, next, invariant.Violations())
 	}
 }
 
--- a/internal/gateway/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -85,7 +85,7 @@
 			}
 			b.places[id] = p
 		}
-		if !invariant.Hold(p.name == w.ID, "two workers share an id") {
+		if !invariant.Check(p.name == w.ID, "two workers share an id") {
 			continue
 		}
 		if w.Addr != "" {
--- a/internal/gateway/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -255,9 +255,9 @@
 // try runs one attempt under its own time-out and the module's right to call it off.
 func (s *session) try(ctx context.Context, a *Attempt, d decision, do AttemptFunc) Outcome {
 	s.attempts++
-	ok := invariant.Hold(s.attempts <= d.limit, "more attempts than allowed")
+	ok := invariant.Check(s.attempts <= d.limit, "more attempts than allowed")
 	ok = ok && s.attempts <= s.b.settings.Load().MaxAttempts // fewer since then
-	ok = invariant.Hold(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
+	ok = invariant.Check(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
 	if !ok || a.Addr == "" || ctx.Err() != nil {
 		return Outcome{Code: NotSent}
 	}
@@ -313,7 +313,7 @@
 // check keeps the rule on refusals whatever was decided: never tell a client
 // that a retry is harmless when the request may have run and is not repeatable.
 func (s *session) check(a Answer) Answer {
-	if a.Kind == AnswerRejected && !invariant.Hold(!s.mayRun || s.refusable(), "refused what may have run") {
+	if a.Kind == AnswerRejected && !invariant.Check(!s.mayRun || s.refusable(), "refused what may have run") {
 		return Answer{Kind: AnswerFailed}
 	}
 	return a
--- a/internal/gateway/broker/sink.go
+++ b/internal/gateway/broker/sink.go
@@ -29,7 +29,7 @@
 	select {
 	case s.next <- d:
 	default:
-		invariant.Hold(false, "a decision while another stands")
+		invariant.Check(false, "a decision while another stands")
 	}
 }
 
--- a/internal/gateway/httpfront/dispatch.go
+++ b/internal/gateway/httpfront/dispatch.go
@@ -73,7 +73,7 @@
 	var req *http.Request
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			invariant.Hold(conn == nil, "the transport sent a dispatch twice")
+			invariant.Check(conn == nil, "the transport sent a dispatch twice")
 			conn, _ = info.Conn.(*workerConn)
 			l.carries(conn, true)
 			reused = info.Reused
@@ -196,7 +196,7 @@
 }
 
 // ParseLoad reads a load report that came as a JSON object.
-func (x *Exchange) ParseLoad(text []byte) []float64 { return load(x.cfg.Columns, text) }
+func (x *Exchange) ParseLoad(text []byte) []float64 { return load(x.cfg.LoadColumns, text) }
 
 // otherName gives the name that a value has on the other of the two wires: the
 // settings use the simulator's, loan workers the ones of their own pages.
--- a/internal/gateway/httpfront/endings_test.go
+++ b/internal/gateway/httpfront/endings_test.go
@@ -39,7 +39,7 @@
 		change(cfg)
 	}
 	e := &endings{T: t, guard: NewConnLimiter(8), worker: script.NewWorker(t), broker: testBroker(t, cfg)}
-	live := config.NewLive(cfg)
+	live := config.NewInForce(cfg)
 	e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
 	e.lines = NewWorkerConns(live, 8)
 	e.front = NewFrontend(e.broker, e.lines, NewRequestReader(live, e.guard))
@@ -413,8 +413,8 @@
 func TestARepeatIsNotSentPastItsWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	e := newEndings(t, func(cfg *config.Config) {
-		cfg.Classes, cfg.Module.Classes[0].Name = []string{"keyed"}, "keyed"
-		cfg.Module.Classes[0].Semantics, cfg.Module.Classes[0].DedupScope, cfg.Module.Classes[0].DedupWindow = dispatch.Deduplicated, dispatch.ScopeCell, window
+		cfg.Classes, cfg.Dispatch.Classes[0].Name = []string{"keyed"}, "keyed"
+		cfg.Dispatch.Classes[0].Semantics, cfg.Dispatch.Classes[0].DedupScope, cfg.Dispatch.Classes[0].DedupWindow = dispatch.Deduplicated, dispatch.ScopeCell, window
 	})
 	var over atomic.Int64 // when the window is, in Unix nanoseconds; 0: nothing has run
 	e.slowDial(func() time.Time { return time.Unix(0, over.Load()) })
--- a/internal/gateway/httpfront/frontend.go
+++ b/internal/gateway/httpfront/frontend.go
@@ -93,7 +93,7 @@
 
 // RequestReader reads requests off the wire.
 type RequestReader struct {
-	live  *config.Live
+	live  *config.InForce
 	guard *ConnLimiter
 	gate  AdmissionGate // nil: all are admitted
 	mu    sync.Mutex
@@ -102,7 +102,7 @@
 }
 
 // NewRequestReader makes a Reader; both fronts share one.
-func NewRequestReader(live *config.Live, g *ConnLimiter) *RequestReader {
+func NewRequestReader(live *config.InForce, g *ConnLimiter) *RequestReader {
 	return &RequestReader{live: live, guard: g, open: map[string]bool{}}
 }
 
@@ -124,7 +124,7 @@
 
 // noPolicy is what is told where no policy may be served under. It has not run.
 func noPolicy(cfg *config.Config) *Rejection {
-	return &Rejection{http.StatusServiceUnavailable, "no policy is in force here", min(cfg.Module.MaxRetryAfter, 500*time.Millisecond)}
+	return &Rejection{http.StatusServiceUnavailable, "no policy is in force here", min(cfg.Dispatch.MaxRetryAfter, 500*time.Millisecond)}
 }
 
 // single are the headers that say what a request is. Twice, one copy would be
@@ -162,7 +162,7 @@
 	if s.ID == "" || len(s.ID) > 200 {
 		return bad("X-Request-ID: missing or too long")
 	}
-	s.Request.Settings = &cfg.Module
+	s.Request.Settings = &cfg.Dispatch
 	name := r.Header.Get("X-Priority-Class")
 	if s.Request.Class = slices.Index(cfg.Classes, name); s.Request.Class < 0 {
 		return bad("X-Priority-Class: missing or unknown")
@@ -175,7 +175,7 @@
 			return bad("X-Tenant-Id: missing or unknown")
 		}
 	}
-	left := cfg.Module.Classes[s.Request.Class].Deadline
+	left := cfg.Dispatch.Classes[s.Request.Class].Deadline
 	if text := r.Header.Get("X-Timeout"); text != "" {
 		var ok bool
 		if left, ok = seconds(text); !ok {
--- a/internal/gateway/httpfront/move_test.go
+++ b/internal/gateway/httpfront/move_test.go
@@ -70,12 +70,12 @@
 
 // testTable makes a table that tells a broker of its own.
 func testTable(t *testing.T, cfg *config.Config, log func(string)) (*ServerTable, *broker.Broker) {
-	b, live := testBroker(t, cfg), config.NewLive(cfg)
-	merged, err := sources.New(live, b, sources.Hooks{Log: func(string) {}, Moved: func(string) {}})
+	b, live := testBroker(t, cfg), config.NewInForce(cfg)
+	merged, err := sources.New(live, b, sources.Hooks{Log: func(string) {}, AddressRetired: func(string) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := NewServerTable(live, b, merged.Roster, log)
+	table, err := NewServerTable(live, b, merged.UpdateRoster, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,15 +105,15 @@
 				began := time.Now()
 				discoveryTransport = func() http.RoundTripper { return c.d }
 				cfg := testConfig()
-				cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-				cfg.Module.DispatcherCount = 300
+				cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+				cfg.Dispatch.DispatcherCount = 300
 				rnd := rand.New(rand.NewPCG(3, 5))
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				late, last := 0, time.Duration(0)
 				for i := range 300 {
 					own := *cfg
-					own.Module.DispatcherIndex = i
+					own.Dispatch.DispatcherIndex = i
 					table, b := testTable(t, &own, func(string) {})
 					table.draw = rand.New(rand.NewPCG(7, uint64(i))).Float64 // the same pauses in every play
 					go table.Run(t.Context())
--- a/internal/gateway/httpfront/relayed_test.go
+++ b/internal/gateway/httpfront/relayed_test.go
@@ -57,8 +57,8 @@
 			})
 		}
 		cfg := testConfig()
-		cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-		cfg.Module.DispatcherCount, cfg.Module.MustSubscribe = dispatchers, true
+		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe = dispatchers, true
 		table, b := testTable(t, cfg, func(string) {})
 		table.EnableSharing(open{}, func(ListUpdate) {})
 		go table.Run(t.Context())
--- a/internal/gateway/httpfront/shared.go
+++ b/internal/gateway/httpfront/shared.go
@@ -49,7 +49,7 @@
 			break
 		}
 		t.carry = false // it has waited: whatever comes next is a call anew
-		timer := time.NewTimer(timers.Ahead(wait))
+		timer := time.NewTimer(timers.Positive(wait))
 		select {
 		case <-timer.C:
 		case <-changed:
@@ -168,12 +168,12 @@
 // entryOf words a worker as discovery does.
 func entryOf(w membership.Worker) tableEntry {
 	e := tableEntry{InstanceID: w.ID, HostPort: w.Addr, Zone: w.Zone, MachineType: w.Kind, Cell: w.Cell, Weight: w.Weight, Priority: w.Priority,
-		Lifecycle: map[membership.State]string{membership.Serving: "SERVING", membership.Gone: "DELETED"}[w.State]}
+		Lifecycle: map[membership.State]string{membership.Serving: "SERVING", membership.Removed: "DELETED"}[w.State]}
 	if e.Lifecycle == "" {
 		e.Lifecycle = "DRAINING"
 	}
-	if !w.Started.IsZero() {
-		e.StartedAtMs = float64(w.Started.UnixMicro()) / 1000
+	if !w.StartedAt.IsZero() {
+		e.StartedAtMs = float64(w.StartedAt.UnixMicro()) / 1000
 	}
 	return e
 }
--- a/internal/gateway/httpfront/staleness.go
+++ b/internal/gateway/httpfront/staleness.go
@@ -90,7 +90,7 @@
 
 // grace is how long past its moment a word that is missing may still be without effect: half of
 // what the settings allow after a drain is told.
-func (t *ServerTable) grace() time.Duration { return t.live.Get().Module.DrainGrace / 2 }
+func (t *ServerTable) grace() time.Duration { return t.live.Get().Dispatch.DrainGrace / 2 }
 
 // missed notes that a call was silent: what it missed is due at that moment.
 func (t *ServerTable) missed(at time.Time) {
@@ -106,7 +106,7 @@
 // serves on. Where lists are pushed the agent's counts as told from the first moment.
 func (t *ServerTable) start() {
 	cfg := t.live.Get()
-	if cfg.Discovery == "" || cfg.KnownIsFresh {
+	if cfg.Discovery == "" || cfg.KnownListInherited {
 		return
 	}
 	cause := justStarted
--- a/internal/gateway/httpfront/table.go
+++ b/internal/gateway/httpfront/table.go
@@ -23,7 +23,7 @@
 
 // ServerTable follows discovery.
 type ServerTable struct {
-	live   *config.Live
+	live   *config.InForce
 	broker *broker.Broker
 	tell   func(dispatch.ListForm, []membership.Worker)
 	log    func(string)
@@ -123,13 +123,13 @@
 
 // NewServerTable makes the table and tells the list last known. The broker says when to
 // ask; tell takes what the roster says, in the form in which it said it.
-func NewServerTable(live *config.Live, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*ServerTable, error) {
+func NewServerTable(live *config.InForce, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*ServerTable, error) {
 	cfg := live.Get()
 	t := &ServerTable{live: live, broker: b, tell: tell, log: log, by: "kept", draw: rand.Float64, now: newSource(cfg.Discovery), heard: make(chan struct{}),
 		followed: make(chan struct{}, 1)}
 	var known tableReply
-	if len(cfg.Known) > 0 {
-		if err := json.Unmarshal(cfg.Known, &known); err != nil {
+	if len(cfg.KnownList) > 0 {
+		if err := json.Unmarshal(cfg.KnownList, &known); err != nil {
 			return nil, &KnownListError{err}
 		}
 	}
@@ -191,12 +191,12 @@
 		case "SERVING":
 			w.State = membership.Serving
 		case "DELETED":
-			w.State = membership.Gone
+			w.State = membership.Removed
 		default:
 			w.State = membership.Draining // an unknown state is not one to send to
 		}
 		if e.StartedAtMs > 0 {
-			w.Started = time.UnixMicro(int64(e.StartedAtMs * 1000))
+			w.StartedAt = time.UnixMicro(int64(e.StartedAtMs * 1000))
 		}
 		out = append(out, w)
 	}
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -40,9 +40,9 @@
 
 // pushed tells that lists come unprompted: discovery's word is that of an agent close by, which
 // none need be spared, and what it holds counts as told whether a watch is open or not.
-func (t *ServerTable) pushed() bool { return !t.live.Get().Module.MustSubscribe }
+func (t *ServerTable) pushed() bool { return !t.live.Get().Dispatch.MustSubscribe }
 
-func (t *ServerTable) dispatchers() int { return t.live.Get().Module.DispatcherCount }
+func (t *ServerTable) dispatchers() int { return t.live.Get().Dispatch.DispatcherCount }
 
 // first is the pause before the first call at a place.
 func (t *ServerTable) first() time.Duration {
@@ -50,9 +50,9 @@
 		return 0
 	}
 	if left := t.left(); left > 0 {
-		return backoff.Due(t.dispatchers(), left, t.seen, t.draw())
+		return backoff.BeforeFirstCallWithin(t.dispatchers(), left, t.seen, t.draw())
 	}
-	return backoff.First(t.dispatchers(), t.draw())
+	return backoff.BeforeFirstCall(t.dispatchers(), t.draw())
 }
 
 // Run follows discovery until ctx ends. A watch goes on for as long as the next
@@ -80,7 +80,7 @@
 			}
 		}
 		select {
-		case <-time.After(timers.Ahead(time.Until(next))):
+		case <-time.After(timers.Positive(time.Until(next))):
 		case <-on.ctx.Done():
 			ask = false
 			continue
@@ -168,7 +168,7 @@
 		return false, time.Duration((0.5 + t.draw()) * float64(time.Second))
 	case isSilent && silent.Watch:
 		t.silent++ // broken, and begun anew: the module has no part in it
-		return false, backoff.Anew(t.dispatchers(), t.left(), t.draw())
+		return false, backoff.BeforeReplacingWatch(t.dispatchers(), t.left(), t.draw())
 	}
 	select {
 	case <-t.followed: // what was relayed before says nothing of this failure
@@ -178,24 +178,24 @@
 	if t.waited <= listWait { // a watch was open until it failed
 		t.failTime = time.Since(began)
 	}
-	t.strain = min(t.strain+1, backoff.MostStrain)
+	t.strain = min(t.strain+1, backoff.MaxStrain)
 	t.tell(dispatch.ListFailed, nil)
 	left := t.left()
-	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.Hurries(t.dispatchers(), t.hurried+1) {
+	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.hurried+1) {
 		t.hurried++
-		return false, backoff.Again(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
+		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
 	}
 	if t.failed > t.hurried+1 {
 		t.outage()
 	}
 	// Beside the module's own pause, which ends with its asking again.
-	return true, backoff.AfterFailure(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
+	return true, backoff.BeforeRetry(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
 }
 
 // patience is the wait that the next call names, and how long it is given in all.
 func (t *ServerTable) patience(known bool) (wait, limit time.Duration) {
 	switch {
-	case !known && t.dispatchers() > backoff.Few && !t.pushed():
+	case !known && t.dispatchers() > backoff.FewDispatchers && !t.pushed():
 		// A queue at discovery is likelier than a call lost without a sign, and one given
 		// up has taken its turn all the same.
 		return 0, max(listWait, t.left())
@@ -209,7 +209,7 @@
 	case awaits || t.turns != nil && !t.carry:
 		return time.Millisecond, listWait
 	}
-	wait = backoff.Wait(t.dispatchers(), t.strain, t.draw())
+	wait = backoff.LongPollTimeout(t.dispatchers(), t.strain, t.draw())
 	return wait, wait + watchSlack
 }
 
--- a/internal/gateway/httpfront/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -83,12 +83,12 @@
 		discoveryTransport = func() http.RoundTripper { return d }
 		d.began = time.Now()
 		cfg := testConfig()
-		cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-		cfg.Module.DispatcherCount, cfg.Module.MustSubscribe, cfg.Module.DrainGrace = tables, !pushed, 500*time.Millisecond
+		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe, cfg.Dispatch.DrainGrace = tables, !pushed, 500*time.Millisecond
 		var wg sync.WaitGroup
 		for i := range tables {
 			own := *cfg
-			own.Module.DispatcherIndex = i
+			own.Dispatch.DispatcherIndex = i
 			table, b := testTable(t, &own, func(string) {})
 			table.draw = rand.New(rand.NewPCG(9, uint64(i))).Float64
 			go table.Run(t.Context())
@@ -340,7 +340,7 @@
 	if !table.ApplyRelayed(5, true, one) || b.Stats().Workers != 1 || !strings.HasPrefix(table.DescribeList(), "relayed") {
 		t.Error("the first relayed list is not served by")
 	}
-	if table.ApplyRelayed(4, true, nil) || !table.ApplyRelayed(6, false, []membership.Worker{{ID: "s1", State: membership.Gone}}) || b.Stats().Ready != 0 {
+	if table.ApplyRelayed(4, true, nil) || !table.ApplyRelayed(6, false, []membership.Worker{{ID: "s1", State: membership.Removed}}) || b.Stats().Ready != 0 {
 		t.Error("an older list is taken in, or a newer change is not")
 	}
 	table.missed(time.Now().Add(-time.Second)) // a call of its own was silent, and what it missed is due
@@ -371,7 +371,7 @@
 // may drain. Workers that only the other source names serve on.
 func TestAListThatIsOutOfDateBindsBesideOtherSources(t *testing.T) {
 	cfg := testConfig()
-	cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+	cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
 	table, b := testTable(t, cfg, func(string) {})
 	cfg.SRV = []config.SRV{{Name: "loans"}}
 	table.failing(syscall.ECONNRESET, time.Now(), 0) // the first call has ended, and the list of before serves
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -21,7 +21,7 @@
 
 // WorkerConns carries dispatches to loan workers.
 type WorkerConns struct {
-	live      *config.Live
+	live      *config.InForce
 	transport *http.Transport
 	once      *http.Transport // a connection for each dispatch, closed after it
 	doubt     atomic.Int64    // Unix nanoseconds up to which kept connections are in doubt
@@ -34,7 +34,7 @@
 }
 
 // NewWorkerConns makes the connections' owner; sockets bounds how many it may hold.
-func NewWorkerConns(live *config.Live, sockets int) *WorkerConns {
+func NewWorkerConns(live *config.InForce, sockets int) *WorkerConns {
 	l := &WorkerConns{live: live, max: sockets, open: map[*workerConn]struct{}{}}
 	l.transport, l.once = l.transports()
 	return l
@@ -50,7 +50,7 @@
 		MaxIdleConnsPerHost: l.max / 4,
 		// A loan worker closes an idle connection at IdleCloseMs at the latest;
 		// what is written to it from then on is lost. Close well before.
-		IdleConnTimeout:        l.live.Get().IdleClose * 3 / 4,
+		IdleConnTimeout:        l.live.Get().IdleTimeout * 3 / 4,
 		MaxResponseHeaderBytes: 64 << 10,
 	}
 	once = kept.Clone()
@@ -63,7 +63,7 @@
 func (l *WorkerConns) Reconfigure() {
 	l.mu.Lock()
 	old := l.transport
-	if old.IdleConnTimeout != l.live.Get().IdleClose*3/4 {
+	if old.IdleConnTimeout != l.live.Get().IdleTimeout*3/4 {
 		l.transport, l.once = l.transports()
 	}
 	changed := old != l.transport
@@ -79,7 +79,7 @@
 func (l *WorkerConns) carrier(s *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Module.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
+	if s.cfg.Dispatch.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
 		return l.once
 	}
 	return l.transport
--- a/internal/gateway/ssefront/front.go
+++ b/internal/gateway/ssefront/front.go
@@ -34,14 +34,14 @@
 
 // Front answers clients with event streams.
 type Front struct {
-	live   *config.Live
+	live   *config.InForce
 	broker *broker.Broker
 	lines  *httpfront.WorkerConns
 	reader *httpfront.RequestReader
 }
 
 // New makes the front.
-func New(live *config.Live, b *broker.Broker, l *httpfront.WorkerConns, rd *httpfront.RequestReader) *Front {
+func New(live *config.InForce, b *broker.Broker, l *httpfront.WorkerConns, rd *httpfront.RequestReader) *Front {
 	return &Front{live, b, l, rd}
 }
 
@@ -219,7 +219,7 @@
 	}
 	st.count++
 	e.ID = strconv.Itoa(st.count)
-	if len(st.queue) >= st.cfg.Buffer {
+	if len(st.queue) >= st.cfg.BufferEvents {
 		st.queue = slices.Delete(st.queue, 0, 1)
 	}
 	st.queue = append(st.queue, e)
@@ -240,7 +240,7 @@
 // finish sends the one final event and waits until it is out.
 func (st *stream) finish(e Event) {
 	st.mu.Lock()
-	if !invariant.Hold(!st.final, "a second final event") {
+	if !invariant.Check(!st.final, "a second final event") {
 		st.mu.Unlock()
 		return
 	}
--- a/internal/gateway/ssefront/sse_test.go
+++ b/internal/gateway/ssefront/sse_test.go
@@ -106,7 +106,7 @@
 }
 
 func streamConfig() config.SSE {
-	return config.SSE{Buffer: 4, WriteTimeout: config.Duration{Duration: 200 * time.Millisecond},
+	return config.SSE{BufferEvents: 4, WriteTimeout: config.Duration{Duration: 200 * time.Millisecond},
 		Heartbeat: config.Duration{Duration: 20 * time.Millisecond}}
 }
 
--- a/internal/gateway/workflowsteps/flows.go
+++ b/internal/gateway/workflowsteps/flows.go
@@ -37,7 +37,7 @@
 	AdmissionGate   httpfront.AdmissionGate                                                        // whether new work is admitted now
 	Now             func() time.Duration                                                           // the clock that stays are told by
 	Log             func(line string)
-	Settings        *config.Live
+	Settings        *config.InForce
 	Workers         *httpfront.WorkerConns
 }
 
@@ -92,7 +92,7 @@
 	if r.hand.Renew(asked, r.h.Now(), length, era) {
 		r.doubt()
 	}
-	r.lapse.Reset(timers.Ahead(r.hand.LeaseExpiry() - r.h.Now()))
+	r.lapse.Reset(timers.Positive(r.hand.LeaseExpiry() - r.h.Now()))
 	if r.ready = r.ready || ready; ready || r.hand.NeedsResync() {
 		signal(r.want)
 	}
@@ -281,7 +281,7 @@
 
 // WaitUntilIdle waits until all that was claimed has ended and is told of, or a moment has come.
 func (r *Runner) WaitUntilIdle(until time.Time) {
-	end := time.NewTimer(timers.Ahead(time.Until(until)))
+	end := time.NewTimer(timers.Positive(time.Until(until)))
 	defer end.Stop()
 	for {
 		r.mu.Lock()
--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -55,7 +55,7 @@
 		r.h.Log("flows: " + fault.Text(&SettingsError{t}))
 		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: 2 * time.Second} // another's settings may have them
 	}
-	c := &cfg.Module.Classes[class]
+	c := &cfg.Dispatch.Classes[class]
 	version, at, admits := r.h.AdmissionGate()
 	r.mu.Lock()
 	bit := r.pools.Bit(t.Pool)
@@ -67,7 +67,7 @@
 	case !admits || t.Pool != "" && bit == 0:
 		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: time.Second}
 	}
-	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, WorkflowStep: true, BestEffort: !t.Overdue, Pools: bit, PolicyVersion: version, AdmittedAt: at,
+	q := broker.Request{Settings: &cfg.Dispatch, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, WorkflowStep: true, BestEffort: !t.Overdue, Pools: bit, PolicyVersion: version, AdmittedAt: at,
 		Deadline: time.Now().Add(c.Deadline)}
 	if c.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
 		left := t.RepeatWindowLeft - (r.h.Now() - told)
