--- a/internal/fleet/policylease/explore_test.go
+++ b/internal/fleet/policylease/explore_test.go
@@ -2,30 +2,27 @@
 
 package policylease
 
-import (
-	"testing"
-)
+import "testing"
 
-// It runs on one goroutine, and ten times as long under the race detector, which would find
-// nothing there. Every order of events with two holders keeps the promise, and walks far beyond do; each
-// planted fault is found: an explorer that finds none of them would say nothing by finding
-// nothing.
-func TestExplore(t *testing.T) {
+// Every order of events with two holders keeps the invariant, and so do random walks far beyond; each planted fault is
+// found, since an exploration that finds none of them would prove nothing by finding nothing. It runs on one goroutine,
+// so the race detector would find nothing, and takes ten times as long under it.
+func TestExplorationFindsEachPlantedFaultAndNothingElse(t *testing.T) {
 	t.Parallel()
 	if got := Explore(2, 9, 10000, NoFault); got.Violation != nil {
-		t.Errorf("broken by %q", got.Violation)
+		t.Errorf("violated by %q", got.Violation)
 	}
 	for n := 2; n <= 3; n++ {
 		got := RandomWalks(n, 1500, 90, NoFault)
 		if got.Violation != nil {
-			t.Errorf("%d holders: broken by %q", n, got.Violation)
+			t.Errorf("%d holders: violated by %q", n, got.Violation)
 		}
 		t.Logf("%d holders: %d steps", n, got.States)
 	}
-	for _, f := range Faults {
-		t.Run(string(f), func(t *testing.T) {
+	for _, fault := range Faults {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			got := RandomWalks(2, 50000, 90, f)
+			got := RandomWalks(2, 50000, 90, fault)
 			if got.Violation == nil {
 				t.Errorf("not found in %d steps", got.States)
 			}
