--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -179,9 +179,10 @@
 				}
 			case d.pendingLease != 0:
 				expiry := d.requestedAt + leaseTime*98/100
-				if planted == sharesNeverExpire {
+				switch planted {
+				case sharesNeverExpire:
 					expiry = 1 << 60
-				} else if planted == countsFromAnswer {
+				case countsFromAnswer:
 					expiry = f.now + leaseTime*98/100
 				}
 				f.receive(d, expiry)
--- a/internal/fleet/quota/meter.go
+++ b/internal/fleet/quota/meter.go
@@ -75,7 +75,7 @@
 	case Concurrency:
 		m.peakDemand = max(m.peakDemand, m.inUse+Unit)
 		return concurrencyRetryAfter, m.inUse+Unit <= m.usable(now, sharesExpiry)
-	case WarmingShare: // the dispatch honors it, and waits there: no request is refused for want of it
+	case WarmingShare: // placement keeps to it, and makes jobs wait: no request is rejected here
 		m.demanded += work
 	case RequestRate, WorkRate:
 		m.refill(now, sharesExpiry)
