--- a/internal/fleet/policy/policy_test.go
+++ b/internal/fleet/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestParse(t *testing.T) {
+func TestParseNamesEachProblemByItsKeyOrLine(t *testing.T) {
 	d, err := Parse([]byte("attempts = 3\nban = [\"s-2\", \"s-1\", \"s-2\"]\n"))
 	if diff := cmp.Diff(Document{BannedWorkers: []string{"s-1", "s-2"}, MaxAttempts: 3}, d); diff != "" || err != nil {
 		t.Error(diff, err)
@@ -22,7 +22,7 @@
 	} {
 		_, err := Parse([]byte(text))
 		if err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 			continue
 		}
 		for _, w := range want {
@@ -37,8 +37,8 @@
 	}
 }
 
-// A program that knows older forms alone can't run a document with a newer key, and says so.
-func TestForms(t *testing.T) {
+// A program that knows older format versions alone can't run a document with a newer key, and says so.
+func TestKeysOfNewerFormatsAreRejected(t *testing.T) {
 	defer func(was string) { form = was }(form)
 	form = "1"
 	if _, err := Parse([]byte("attempts = 3\n")); err != nil {
@@ -82,13 +82,13 @@
 class = "package-file"
 `
 
-// Templates are refused by line, a cycle by its path.
-func TestFlows(t *testing.T) {
+// Problems of workflows are named by line, a cycle by its path.
+func TestWorkflowsAreRejectedByLine(t *testing.T) {
 	d, err := Parse([]byte(course))
 	if err != nil || len(d.Templates()) != 1 || len(d.Templates()[0].Steps) != 4 {
 		t.Fatal(err, d.Templates())
 	}
-	for _, c := range []struct{ was, is, want string }{
+	for _, edit := range []struct{ before, after, want string }{
 		{`needs = ["package"]`, `needs = ["packages"]`, `21: flow "course", step "collect": needs: "packages" is none; expected steps of this template`},
 		{"each = \"titles\"\non_failed", "each = \"titles\"\nneeds = [\"package\"]\non_failed", "needs: loan needs package needs loan; expected no cycle"},
 		{`pool = "packers"`, `pool = "packer"`, `14: flow "course", step "package": pool: "packer"; expected a pool`},
@@ -99,9 +99,9 @@
 		{`kinds = ["triple-slow"]`, ``, `pool "packers": kinds: none`},
 		{`class = "issue-loan"`, ``, `9: flow "course", step "loan": class: missing`},
 	} {
-		text := strings.Replace(course, c.was, c.is, 1)
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q in the place of %q: %v; want %q", c.is, c.was, err, c.want)
+		text := strings.Replace(course, edit.before, edit.after, 1)
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), edit.want) {
+			t.Errorf("%q in the place of %q: %v; want %q", edit.after, edit.before, err, edit.want)
 		}
 	}
 }
