--- a/internal/fleet/coldstart/admission/admission.go
+++ b/internal/fleet/coldstart/admission/admission.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s: %s; expected %s", e.Key, e.Got, e.Want)
 }
 
-// Code is the fault's word in the operators' table.
+// Code is the fault's code in the operators' table.
 func (e *SettingsError) Code() string { return "start-settings" }
 
 // Advice is what an operator can do.
--- a/internal/fleet/coldstart/coldstart.go
+++ b/internal/fleet/coldstart/coldstart.go
@@ -1,12 +1,12 @@
 // Package coldstart is how a fleet of dispatchers starts when none knows the list of workers, and spares the list service
 // that it starts on: who may call it when (package admission), the list that one reader of a zone publishes for all
-// others (package relay), and what a newcomer is told of the speeds of workers (package speeds). The Granter is the
-// coordinators' half, the Client a dispatcher's. docs/START.md describes it for operators.
+// others (package relay), and the speeds of workers for a newcomer that has learned none (package speeds). The Granter is
+// the coordinators' half, the Client a dispatcher's. docs/START.md describes it for operators.
 //
 // Invariants:
 //
-//   - All that a dispatcher is told here hangs on its lease: without one it goes by none of it, and calls the list service
-//     by its own random pauses, as without coordinators.
+//   - All that the coordinators grant here hangs on the lease: without one a dispatcher ignores it, and calls the list
+//     service by its own random pauses, as without coordinators.
 //   - One dispatcher of a zone reads at a time. Its fencing token grows with each reader, and an earlier one publishes
 //     nothing.
 //
@@ -36,7 +36,7 @@
 	LearnedSpeeds        *speeds.Estimates `cbor:"6,keyasint,omitempty"`
 }
 
-// Response is what a dispatcher is told with its lease.
+// Response is what a dispatcher gets with its lease.
 type Response struct {
 	Admission    admission.Token   `cbor:"1,keyasint,omitempty"` // Number 0: none
 	FencingToken uint64            `cbor:"2,keyasint,omitempty"` // under which it reads the list for its zone; 0: it does not
--- a/internal/fleet/coldstart/granter.go
+++ b/internal/fleet/coldstart/granter.go
@@ -84,7 +84,7 @@
 	return list
 }
 
-// Publish takes in what the reader of a zone was told by the list service. Its error is one of package relay's.
+// Publish takes in what the reader of a zone has received from the list service. Its error is one of package relay's.
 func (g *Granter) Publish(holder string, zone int, fencingToken uint64, p relay.Publication) error {
 	list := g.Lists[zone]
 	if list == nil || !g.RelayList {
--- a/internal/fleet/coldstart/relay/errors.go
+++ b/internal/fleet/coldstart/relay/errors.go
@@ -9,7 +9,7 @@
 	return fmt.Sprintf("published under fencing token %d; the reader's is %d", e.FencingToken, e.Current)
 }
 
-// Code is the fault's word in the operators' table.
+// Code is the fault's code in the operators' table.
 func (e *FenceError) Code() string { return "relay-fence" }
 
 // Advice is what an operator can do.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("a list of generation %d; %d is relayed already", e.Generation, e.Current)
 }
 
-// Code is the fault's word in the operators' table.
+// Code is the fault's code in the operators' table.
 func (e *OutdatedListError) Code() string { return "relay-older" }
 
 // Advice is what an operator can do.
@@ -39,7 +39,7 @@
 	return "a change before the complete list under this fencing token"
 }
 
-// Code is the fault's word in the operators' table.
+// Code is the fault's code in the operators' table.
 func (*NeedsCompleteListError) Code() string { return "relay-part" }
 
 // Advice is what an operator can do.
--- a/internal/fleet/coldstart/relay/list.go
+++ b/internal/fleet/coldstart/relay/list.go
@@ -46,7 +46,7 @@
 	l.Reader = ""
 }
 
-// Publish takes in what a holder was told by the list service, under its fencing token. The first publication under a
+// Publish takes in what a holder has received from the list service, under its fencing token. The first publication under a
 // token has to be a complete list. Its error is a FenceError, an OutdatedListError or a NeedsCompleteListError.
 func (l *List) Publish(holder string, fencingToken uint64, p Publication) error {
 	switch {
--- a/internal/fleet/coldstart/relay/relay.go
+++ b/internal/fleet/coldstart/relay/relay.go
@@ -38,7 +38,7 @@
 	Entries      []Entry
 }
 
-// Publication is what the list service told a reader.
+// Publication is what a reader has received from the list service.
 type Publication struct {
 	Generation uint64 // of the list service
 	Complete   bool   `cbor:"Whole"`  // the complete list; else what has changed
--- a/internal/fleet/coldstart/relay/relay_test.go
+++ b/internal/fleet/coldstart/relay/relay_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
@@ -12,79 +13,95 @@
 // is at the latest watermark has the reader's list, however far behind it was.
 func TestDispatchersAtTheWatermarkHaveTheList(t *testing.T) {
 	for seed := range uint64(300) {
-		rnd := rand.New(rand.NewPCG(seed, 11))
-		var list List
-		truth := map[string]Entry{}
-		lists := make([]map[string]Entry, 8)
-		watermarks := make([]Watermark, len(lists))
-		for i := range lists {
-			lists[i] = map[string]Entry{}
-		}
-		generation, complete := uint64(1), true
-		list.Appoint("r0")
+		z := newZone(seed)
 		for step := range 400 {
-			if rnd.IntN(20) == 0 {
-				list.Vacate(false)
-				list.Appoint(fmt.Sprint("r", step))
-				complete = true
-			}
-			var published []Entry
-			for range rnd.IntN(4) {
-				e := Entry{ID: fmt.Sprint("s-", rnd.IntN(30)), Addr: "a", State: uint8(rnd.IntN(2)), Removed: rnd.IntN(4) == 0}
-				if published = append(published, e); e.Removed {
-					delete(truth, e.ID)
-				} else {
-					truth[e.ID] = e
-				}
-			}
-			seen := map[string]bool{}
-			for i := len(published) - 1; i >= 0; i-- { // each once, as it came last
-				if seen[published[i].ID] {
-					published = append(published[:i], published[i+1:]...)
-				} else {
-					seen[published[i].ID] = true
-				}
-			}
-			if complete {
-				published = nil
-				for _, e := range truth {
-					published = append(published, e)
-				}
+			if z.rnd.IntN(20) == 0 {
+				z.list.Vacate(false)
+				z.list.Appoint(fmt.Sprint("r", step))
+				z.complete = true
 			}
-			generation++
-			if err := list.Publish(list.Reader, list.FencingToken, Publication{Generation: generation, Complete: complete, Entries: published}); err != nil {
+			if err := z.publish(); err != nil {
 				t.Fatal(err)
 			}
-			complete = rnd.IntN(10) == 0
-			if complete {
-				continue // the next is
+			if z.complete = z.rnd.IntN(10) == 0; z.complete {
+				continue // the next publication is a complete list
 			}
-			for i := range lists {
-				if rnd.IntN(1+i*20) > 0 {
+			for i := range z.dispatchers {
+				if z.rnd.IntN(1+i*20) > 0 {
 					continue
 				}
-				u := list.UpdateSince(watermarks[i])
-				if u == nil {
-					continue
-				}
-				if u.Complete {
-					clear(lists[i])
-				}
-				for _, e := range u.Entries {
-					if e.Removed {
-						delete(lists[i], e.ID)
-					} else {
-						lists[i][e.ID] = e
-					}
-				}
-				if watermarks[i].Seq = u.Seq; !maps.Equal(lists[i], truth) {
-					t.Fatalf("seed %d, step %d: dispatcher %d has %v, the list is %v", seed, step, i, lists[i], truth)
+				if d := &z.dispatchers[i]; d.update(&z.list) && !maps.Equal(d.entries, z.truth) {
+					t.Fatalf("seed %d, step %d: dispatcher %d has %v, the list is %v", seed, step, i, d.entries, z.truth)
 				}
 			}
 		}
 	}
 }
 
+// zone is one zone's list, and the dispatchers that have it.
+type zone struct {
+	rnd         *rand.Rand
+	list        List
+	truth       map[string]Entry // the list service's list, by ID
+	generation  uint64
+	complete    bool // the next publication has to be a complete list
+	dispatchers [8]dispatcher
+}
+
+func newZone(seed uint64) *zone {
+	z := &zone{rnd: rand.New(rand.NewPCG(seed, 11)), truth: map[string]Entry{}, generation: 1, complete: true}
+	for i := range z.dispatchers {
+		z.dispatchers[i].entries = map[string]Entry{}
+	}
+	z.list.Appoint("r0")
+	return z
+}
+
+// publish changes the truth, and has the reader publish the changes or the complete list.
+func (z *zone) publish() error {
+	var published []Entry
+	for range z.rnd.IntN(4) {
+		e := Entry{ID: fmt.Sprint("s-", z.rnd.IntN(30)), Addr: "a", State: uint8(z.rnd.IntN(2)), Removed: z.rnd.IntN(4) == 0}
+		published = slices.DeleteFunc(published, func(earlier Entry) bool { return earlier.ID == e.ID })
+		if published = append(published, e); e.Removed {
+			delete(z.truth, e.ID)
+		} else {
+			z.truth[e.ID] = e
+		}
+	}
+	if z.complete {
+		published = slices.Collect(maps.Values(z.truth))
+	}
+	z.generation++
+	return z.list.Publish(z.list.Reader, z.list.FencingToken, Publication{Generation: z.generation, Complete: z.complete, Entries: published})
+}
+
+// dispatcher has the list up to a watermark.
+type dispatcher struct {
+	entries   map[string]Entry // by ID
+	watermark Watermark
+}
+
+// update takes what is new of the list, and reports whether there was anything.
+func (d *dispatcher) update(list *List) bool {
+	u := list.UpdateSince(d.watermark)
+	if u == nil {
+		return false
+	}
+	if u.Complete {
+		clear(d.entries)
+	}
+	for _, e := range u.Entries {
+		if e.Removed {
+			delete(d.entries, e.ID)
+		} else {
+			d.entries[e.ID] = e
+		}
+	}
+	d.watermark.Seq = u.Seq
+	return true
+}
+
 // A reader that was replaced, and one with an older list, are rejected, each with its error.
 func TestOutdatedPublicationsAreRejected(t *testing.T) {
 	var list List
--- a/internal/fleet/outlier/outlier.go
+++ b/internal/fleet/outlier/outlier.go
@@ -42,7 +42,7 @@
 	forgottenAfter = 10
 )
 
-// ErrDisabled is what operators are told where no outliers are detected.
+// ErrDisabled says to operators that no outliers are detected.
 var ErrDisabled = errors.New("no verdicts: the policy in force has no [verdicts] enabled")
 
 // Incarnation is one incarnation of a worker: its ID, and when it started.
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -178,7 +178,7 @@
 	free := limit.Amount - static*max(limit.MaxHolders, int64(len(a.Holders))) - ofOthers
 	extra := a.dividedShare(state, usage.Demand)
 	if limit.Kind.countsConcurrency() {
-		extra += Unit - 1 // rounded up, so that no whole one is left over: the last to ask gets less
+		extra += Unit - 1 // rounded up, so that no unit is left over: the last to ask gets less
 	}
 	extra = min(extra, max(free, 0))
 	if limit.Kind.countsConcurrency() {
--- a/internal/fleet/quota/limit.go
+++ b/internal/fleet/quota/limit.go
@@ -31,7 +31,7 @@
 
 func (e *LimitError) Error() string { return e.Key + ": " + e.Got + "; expected " + e.Want }
 
-// Code is the fault's word in the operators' table.
+// Code is the fault's code in the operators' table.
 func (e *LimitError) Code() string { return "limit" }
 
 // Advice is what an operator can do.
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -24,7 +24,7 @@
 	"strconv"
 )
 
-// Unit is how many of the whole numbers in this package make one request, one slot-second or one whole share.
+// Unit is one request, one slot-second, or all of a share, in the millionths of which amounts are counted.
 const Unit = 1_000_000
 
 // Kind is what a limit counts.
