--- a/internal/fleet/workflow/simulation/race_test.go
+++ b/internal/fleet/workflow/simulation/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package storm
+package simulation
 
 const plays = uint64(8)
--- a/internal/fleet/workflow/template/template.go
+++ b/internal/fleet/workflow/template/template.go
@@ -1,141 +1,110 @@
-// Package template is what operators write of a workflow: its steps, what each needs, over what it
-// fans out, and what becomes of it where one fails or is not known to have run. It is a value; it
-// must never hold the state of a flow (package expand), and has no clock, draw or I/O.
+// Package template holds workflow templates as operators write them in a policy (section [[flow]]): the steps, the steps
+// that each of them needs, the lists that it fans out over, and what happens when it fails or may have run without a
+// known outcome.
+//
+// A template is an immutable value. Package graph validates and compiles it, package expansion holds the run state of
+// one workflow that was submitted for it. This package has no run state, clock, randomness or I/O.
+//
+// Templates are part of the coordinators' replicated state and of policy proposals: a field whose Go name changes keeps
+// its stored name by tag.
 package template
 
-import (
-	"fmt"
-	"strings"
-	"time"
-)
+import "time"
 
-// Bounds of any template.
+// Values that stand for a key of the policy file that is not set.
 const (
-	MaxSteps           = 64
-	MaxFanOutDepth     = 3       // fan-outs within each other
-	MaxFanOut          = 1 << 20 // items of one fan-out
-	MaxUnwindowedItems = 10000   // of one whose items wait for each other
-	MaxResultBytes     = 1024    // bytes of a result that goes to later steps
-	MaxInputBytes      = 512 << 10
-	MaxAttempts        = 10
+	defaultLiveItems    = 64
+	defaultFanOut       = 10_000
+	defaultStepDuration = time.Second
+	defaultAttempts     = 3
 )
 
-// ValidName tells whether a text can name a flow, a template or a step: 1 to 100 of A-Z, a-z, 0-9 and
-// any of . _ : @ -, since names go into headers and files.
-func ValidName(text string) bool {
-	return len(text) > 0 && len(text) <= 100 && !strings.ContainsFunc(text, func(c rune) bool {
-		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && !strings.ContainsRune("._:@-", c)
-	})
-}
-
-// TriggerRule is on which ends of what it needs a step runs; else it is skipped.
+// TriggerRule says which outcomes of the steps that a step needs let it run. Where they do not, it is skipped.
 type TriggerRule uint8
 
-// The conditions.
+// The trigger rules. All of them wait until every needed step has ended, except that AllDone skips at the first that
+// has not ended as done.
 const (
-	AllDone    TriggerRule = iota // all are done
-	AnyNotDone                    // one at least is not
-	AllEnded                      // all have ended, however
+	AllDone    TriggerRule = iota // "done": all needed steps are done
+	AnyNotDone                    // "failed": at least one needed step has ended other than as done
+	AllEnded                      // "any": all needed steps have ended, with whatever outcome
 )
 
-// Action is what becomes of a flow where a step fails, or is unknown.
+// Action is what happens to a workflow when one of its steps fails, or may have run without a known outcome.
 type Action uint8
 
-// The reactions.
+// The actions.
 const (
-	FailWorkflow    Action = iota // nothing more is begun; the flow ends as failed
-	HoldForOperator               // nothing more is begun until an operator has settled it
-	RunAlternative                // another step is run instead, and the flow goes on
-	Compensate                    // another step is run, and the flow ends as failed
-	Continue                      // the flow goes on; what needs the step sees how it ended
+	FailWorkflow    Action = iota // "stop": no further step is started, and the workflow ends as failed
+	HoldForOperator               // "hold": no further step is started until an operator has resolved the step
+	RunAlternative                // "go STEP": another step runs instead, and the workflow goes on
+	Compensate                    // "undo STEP": another step takes back what was done, and the workflow ends as failed
+	Continue                      // "pass": the workflow goes on, and steps that need this one see its outcome
 )
 
-// Reaction is an act, with the step that it runs.
+// Reaction is an action together with the step that it runs.
 type Reaction struct {
 	Action Action `cbor:"Act" json:"Act"`
-	Step   string
+	Step   string // the handler that RunAlternative and Compensate run; empty for other actions
 }
 
 // Step is one step of a template.
 type Step struct {
 	Name            string
-	Class           string // of jobs, in the settings
-	Pool            string // of workers; empty: any
-	Needs           []string
-	FanOutOver      string        `cbor:"Each" json:"Each"`           // an input, or a step's result: one of this step for each item; empty: one
-	Trigger         TriggerRule   `cbor:"When" json:"When"`           // on which ends of its needs
-	StartDelay      time.Duration `cbor:"NotBefore" json:"NotBefore"` // after all it needs has ended
-	StartMoment     string        `cbor:"At" json:"At"`               // a moment given at submission, before which it does not run
-	TypicalDuration time.Duration `cbor:"Runs" json:"Runs"`           // a typical run, by which the critical path is reckoned; 0: a second
-	MaxAttempts     int           `cbor:"Tries" json:"Tries"`         // that may have run, where it may be repeated; 0: 3
+	Class           string        // job class in the dispatchers' settings, which says whether the step may be repeated
+	Pool            string        // pool of workers that it runs in; empty: any worker
+	Needs           []string      // names of the steps that have to end before it
+	FanOutOver      string        `cbor:"Each" json:"Each"`           // name of an input, or of a step whose result lists the items; empty: no fan-out
+	Trigger         TriggerRule   `cbor:"When" json:"When"`           // which outcomes of Needs let it run
+	StartDelay      time.Duration `cbor:"NotBefore" json:"NotBefore"` // minimum time between the end of all it needs and its start
+	StartMoment     string        `cbor:"At" json:"At"`               // name of a moment given at submission, before which it does not start; empty: none
+	TypicalDuration time.Duration `cbor:"Runs" json:"Runs"`           // expected run time, for the critical path; 0: 1 s
+	MaxAttempts     int           `cbor:"Tries" json:"Tries"`         // attempts that may have run, where its class may be repeated; 0: 3
 	OnFailed        Reaction
 	OnUnknown       Reaction
 }
 
-// Template is one kind of workflow.
-type Template struct {
-	Name            string
-	Tenant          string        // whose jobs its steps are
-	Team            string        // under whose contract they come; empty: none
-	TargetMakespan  time.Duration `cbor:"Wanted" json:"Wanted"` // from submission to its end
-	MaxLiveItems    int           `cbor:"Most" json:"Most"`     // items under way at once; 0: 64
-	MaxFanOut       int           `cbor:"Fan" json:"Fan"`       // items of a fan-out at the most; 0: 10000
-	DispatcherShare float64       `cbor:"Share" json:"Share"`   // of a dispatcher's open jobs that may be its steps while others want the room; 0: 0.2
-	Steps           []Step
-}
-
-// Window is how many items may be under way at once.
-func (t *Template) Window() int {
-	if t.MaxLiveItems == 0 {
-		return 64
-	}
-	return t.MaxLiveItems
-}
-
-// FanOutLimit is how many items a fan-out may have.
-func (t *Template) FanOutLimit() int {
-	if t.MaxFanOut == 0 {
-		return 10000
-	}
-	return t.MaxFanOut
-}
-
-// ExpectedDuration is a step's typical run.
+// ExpectedDuration returns how long the step typically runs, which the critical path is computed from.
 func (s *Step) ExpectedDuration() time.Duration {
 	if s.TypicalDuration == 0 {
-		return time.Second
+		return defaultStepDuration
 	}
 	return s.TypicalDuration
 }
 
-// MaxLiveItems is how often a step that may be repeated is tried.
+// AttemptLimit returns how many attempts of the step may have run before it counts as failed. It applies only where the
+// step's class may be repeated.
 func (s *Step) AttemptLimit() int {
 	if s.MaxAttempts == 0 {
-		return 3
+		return defaultAttempts
 	}
 	return s.MaxAttempts
 }
 
-// Error is a template that can't be run.
-type Error struct {
-	Template  string
-	StepIndex int    // its place among the steps; under 0: the template itself is at fault
-	StepName  string // of the step
-	Key       string // that is wrong
-	Problem   string
-	Expected  string
+// Template is one kind of workflow.
+type Template struct {
+	Name            string
+	Tenant          string        // tenant that its steps are accounted to; empty where the settings have no tenants
+	Team            string        // team whose contract its steps run under; empty: none
+	TargetMakespan  time.Duration `cbor:"Wanted" json:"Wanted"` // wanted time from submission to end; 0: none, steps are ordered by age alone
+	MaxLiveItems    int           `cbor:"Most" json:"Most"`     // items of all fan-outs that may be live at once; 0: 64
+	MaxFanOut       int           `cbor:"Fan" json:"Fan"`       // items of one fan-out; 0: 10,000
+	DispatcherShare float64       `cbor:"Share" json:"Share"`   // fraction of a dispatcher's open requests that may be its steps while clients' requests queue; 0: 0.2
+	Steps           []Step
 }
 
-func (e *Error) Error() string {
-	where := fmt.Sprintf("flow %q", e.Template)
-	if e.StepIndex >= 0 {
-		where += fmt.Sprintf(", step %q", e.StepName)
+// Window returns how many items of fan-outs may be live at once.
+func (t *Template) Window() int {
+	if t.MaxLiveItems == 0 {
+		return defaultLiveItems
 	}
-	return fmt.Sprintf("%s: %s: %s; expected %s", where, e.Key, e.Problem, e.Expected)
+	return t.MaxLiveItems
 }
 
-// Advice says what an operator can do.
-func (e *Error) Advice() string { return "correct the template and propose again; nothing was changed" }
-
-// Code is its word.
-func (e *Error) Code() string { return "flow-template" }
+// FanOutLimit returns how many items one fan-out may have.
+func (t *Template) FanOutLimit() int {
+	if t.MaxFanOut == 0 {
+		return defaultFanOut
+	}
+	return t.MaxFanOut
+}
