--- a/internal/fleet/workflow/claims/command.go
+++ b/internal/fleet/workflow/claims/command.go
@@ -110,13 +110,13 @@
 	Template      string
 	Submitter     string `cbor:"Who" json:"Who"`
 	State         string
-	Reason        string        `cbor:"Why" json:"Why"`
-	Age, Makespan time.Duration // since its submission; from it to its end
-	EndCounts     [4]int        `cbor:"Ends" json:"Ends"` // steps that have ended: done, failed, unknown, skipped
-	OpenClaims    int           `cbor:"Out" json:"Out"`
-	LiveItems     int           `cbor:"Live" json:"Live"` // claims that are out; items of fan-outs under way
-	RunUncertain  bool          `cbor:"Doubt" json:"Doubt"`
-	Steps         []StepStatus  // that are under way, of one shown by key; 200 at most
+	Reason        string              `cbor:"Why" json:"Why"`
+	Age, Makespan time.Duration       // since its submission; from it to its end
+	EndCounts     expansion.EndCounts `cbor:"Ends" json:"Ends"` // steps that have ended: done, failed, unknown, skipped
+	OpenClaims    int                 `cbor:"Out" json:"Out"`
+	LiveItems     int                 `cbor:"Live" json:"Live"` // claims that are out; items of fan-outs under way
+	RunUncertain  bool                `cbor:"Doubt" json:"Doubt"`
+	Steps         []StepStatus        // that are under way, of one shown by key; 200 at most
 }
 
 // StepStatus is how far a step is.
--- a/internal/fleet/workflow/claims/ledger.go
+++ b/internal/fleet/workflow/claims/ledger.go
@@ -60,15 +60,15 @@
 	SubmittedAt     time.Duration `cbor:"At" json:"At"` // of its submission, in the state's time
 	Moments         map[string]time.Duration
 	State           WorkflowState
-	FinalState      WorkflowState   `cbor:"Then" json:"Then"` // what Closing ends as
-	Reason          string          `cbor:"Why" json:"Why"`
-	Tree            *expansion.Tree // nil: it has ended
-	OpenClaims      int             `cbor:"Out" json:"Out"`     // claims that are out
-	ResumeCount     uint64          `cbor:"Turn" json:"Turn"`   // how often it has gone on after it was held
-	HeldSteps       int             `cbor:"Stuck" json:"Stuck"` // steps to be settled
-	RunUncertain    bool            `cbor:"Doubt" json:"Doubt"` // it may have run further, before the keepers were restored
-	EndedAt         time.Duration   `cbor:"Ended" json:"Ended"`
-	EndCounts       [4]int          `cbor:"Ends" json:"Ends"` // steps by how they have ended, of one that has ended
+	FinalState      WorkflowState       `cbor:"Then" json:"Then"` // what Closing ends as
+	Reason          string              `cbor:"Why" json:"Why"`
+	Tree            *expansion.Tree     // nil: it has ended
+	OpenClaims      int                 `cbor:"Out" json:"Out"`     // claims that are out
+	ResumeCount     uint64              `cbor:"Turn" json:"Turn"`   // how often it has gone on after it was held
+	HeldSteps       int                 `cbor:"Stuck" json:"Stuck"` // steps to be settled
+	RunUncertain    bool                `cbor:"Doubt" json:"Doubt"` // it may have run further, before the keepers were restored
+	EndedAt         time.Duration       `cbor:"Ended" json:"Ended"`
+	EndCounts       expansion.EndCounts `cbor:"Ends" json:"Ends"` // steps by how they have ended, of one that has ended
 	Makespan        time.Duration
 	g               *graph.Graph
 }
