--- a/internal/fleet/workflow/claims/claims.go
+++ b/internal/fleet/workflow/claims/claims.go
@@ -1,10 +1,27 @@
+// Package claims is the workflows' part of the coordinators' replicated state: which workflows there are, which of their
+// steps are ready, which dispatcher has claimed which step, and how each step has ended.
+//
+// The life of a step: it becomes ready (package expansion), a dispatcher claims it ([ClaimRequest]), has the intent to
+// dispatch it recorded before the first byte is sent to a worker ([DispatchIntent]: from then on it counts as possibly
+// executed), and reports its end ([StepEnd]). When the dispatcher's claim lease expires, its claims are reclaimed
+// ([Table.ReclaimFrom]).
+//
+// Invariants, checked by the tests of this package and by package simulation:
+//   - a step is claimed by one dispatcher at a time, and a claim is reclaimed only after its holder must have seen its
+//     lease expire;
+//   - a step of an at-most-once class that is possibly executed is never handed out again: whatever fails then, it ends
+//     as done, failed or unknown;
+//   - a repeatable step is repeated only in the cell and within the deduplication window of its recorded intent;
+//   - a report under a claim that is no longer held changes nothing: the claim's number is its fencing token;
+//   - a step is not ready before all that it depends on has ended;
+//   - a workflow whose submission was acknowledged ends as done, failed or cancelled, or is held for an operator.
+//
+// The [Table] is a pure state machine: each coordinator applies the same commands in the same order and must reach the
+// same state, byte for byte. It has no clock, randomness or I/O, and no order of a map may show in its state or answers.
+// A field whose Go name changes keeps its stored name by tag.
 package claims
 
-// This file owns claims: who runs which step, until when, and what becomes of a step whose holder
-// is lost. It must never give out one that may have run and is not to be repeated.
-
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
@@ -16,309 +33,256 @@
 	"yardflow/internal/fleet/workflow/template"
 )
 
-// DispatcherKey names one life of a dispatcher.
-func DispatcherKey(name string, life uint64) string { return fmt.Sprintf("%s/%d", name, life) }
+// Limits of the table. They bound the memory and the snapshot of each coordinator.
+const (
+	MaxWorkflows      = 20_000 // workflows that have not ended; a further submission is rejected
+	MaxEndedWorkflows = 20_000 // ended workflows that are remembered; the oldest is forgotten beyond it
+
+	// MaxClaimsPerAnswer bounds the steps of one answer, and so its size. A dispatcher that wants more asks again.
+	MaxClaimsPerAnswer = 256
+)
+
+// WorkflowState is how far a workflow has come.
+type WorkflowState uint8
 
-// LeaseChecks tells of lives of dispatchers, by Who, what they may do now.
-type LeaseChecks struct {
-	MayClaim func(who string) bool // take up new work: it holds a lease under the policy in force
-	MayHold  func(who string) bool // go on with what it has claimed
+// The states, in the order of their encoding. From WorkflowDone on a workflow has ended, which is final.
+const (
+	WorkflowRunning WorkflowState = iota
+	WorkflowHeld                  // no step is started until an operator has resolved the steps that hold it
+	WorkflowClosing               // no step is started; it ends once its open claims have
+	WorkflowDone
+	WorkflowFailed
+	WorkflowCancelled
+)
+
+// String returns the state's word on the operators' console.
+func (s WorkflowState) String() string {
+	return [...]string{"running", "held", "closing", "done", "failed", "cancelled"}[min(s, WorkflowCancelled)]
 }
 
-func (l *Table) claim(now time.Duration, grants uint64, c *ClaimRequest, may LeaseChecks) (a Answer, err error) {
-	who := DispatcherKey(c.Dispatcher, c.Incarnation)
-	if !may.MayHold(who) {
-		return a, &LeaseError{c.Dispatcher}
-	}
-	own := l.of[who]
-	for _, no := range own {
-		if h := l.Claims[no]; no > c.LastSeenClaim && len(a.Claimed) < MaxClaimsPerAnswer {
-			h.Grant = grants // its holder counts from this telling, not from an earlier one that was lost
-			a.Claimed = append(a.Claimed, l.task(now, l.Workflows[h.Key], h.Ref, no))
-		}
-	}
-	for n := len(own); may.MayClaim(who) && n < c.WantedSteps && len(a.Claimed) < MaxClaimsPerAnswer; n++ {
-		f, s, run, ok := l.take(c.Pools)
-		if !ok {
-			break
-		}
-		l.LastNumber++
-		run.State, run.StateSince, run.ClaimNumber, run.IntentSequence = expansion.Claimed, now, l.LastNumber, 0
-		l.Claims[l.LastNumber] = &held{f.Key, who, s.ref, grants}
-		l.of[who] = append(l.of[who], l.LastNumber)
-		f.OpenClaims++
-		a.Claimed = append(a.Claimed, l.task(now, f, s.ref, l.LastNumber))
-	}
-	a.MoreReady = l.more(c.Pools)
-	return a, nil
+// Workflow is one submitted workflow. Times are the replicated state's own.
+type Workflow struct {
+	Key             string                   // chosen by the submitter; a second submission under it is the same
+	Number          uint64                   `cbor:"No" json:"No"`     // of its submission, among all claims and submissions
+	TemplateVersion string                   `cbor:"Form" json:"Form"` // key in Table.Templates
+	Submitter       string                   `cbor:"Who" json:"Who"`
+	SubmittedAt     time.Duration            `cbor:"At" json:"At"`
+	Moments         map[string]time.Duration // by name, before which steps do not start
+	State           WorkflowState
+	FinalState      WorkflowState       `cbor:"Then" json:"Then"` // what it ends as: of WorkflowClosing; WorkflowFailed while it is compensated
+	Reason          string              `cbor:"Why" json:"Why"`   // why it is held, closing or ended, for operators
+	Tree            *expansion.Tree     // nil: it has ended
+	OpenClaims      int                 `cbor:"Out" json:"Out"`
+	ResumeCount     uint64              `cbor:"Turn" json:"Turn"`   // how often it was held and resumed
+	HeldSteps       int                 `cbor:"Stuck" json:"Stuck"` // steps that an operator has to resolve
+	RunUncertain    bool                `cbor:"Doubt" json:"Doubt"` // the coordinators were restored from an older state: steps may have run that it does not know of
+	EndedAt         time.Duration       `cbor:"Ended" json:"Ended"`
+	EndCounts       expansion.EndCounts `cbor:"Ends" json:"Ends"` // set once it has ended; before, see Tree.EndCounts
+	Makespan        time.Duration       // from submission to end; set once it has ended
+
+	graph *graph.Graph // nil: it has ended
 }
 
-func (l *Table) task(now time.Duration, f *Workflow, r expansion.StepRef, no uint64) ClaimedStep {
-	n := &f.g.Nodes[r.Step]
-	run := f.Tree.StepRun(r)
-	t := ClaimedStep{ClaimNumber: no, Workflow: f.Key, Template: f.g.Template.Name, Tenant: f.g.Template.Tenant, Team: f.g.Template.Team, Step: n.Name, Class: n.Class, Pool: n.Pool,
-		Ref: r, ItemValues: f.Tree.ItemValues(r), PinnedCell: run.PinnedCell, RunUncertain: f.RunUncertain && !run.ConfirmedNotRun, DispatcherShare: f.g.Template.DispatcherShare, ResultUsed: n.ResultUsed, Overdue: now >= run.EligibleSince+aging.MaxDelay}
-	if run.RepeatableUntil > 0 {
-		t.RepeatWindowLeft = max(run.RepeatableUntil-now, 1)
-	}
-	t.Results, t.FanOutCounts = f.Tree.DependencyResults(r)
-	return t
+// compensating reports whether a workflow starts only the steps that take back what a failed one has done.
+func (w *Workflow) compensating() bool {
+	return w.State < WorkflowClosing && w.FinalState == WorkflowFailed
 }
 
-// held is a claim that a dispatcher holds; nil: it does not.
-func (l *Table) held(who string, no uint64) (*Workflow, *held, *expansion.StepRun) {
-	h := l.Claims[no]
-	if h == nil || h.Who != who {
-		l.StaleReports++
-		return nil, nil, nil
-	}
-	f := l.Workflows[h.Key]
-	return f, h, f.Tree.StepRun(h.Ref)
+// ended reports whether a workflow's state is final.
+func (w *Workflow) ended() bool { return w.Tree == nil }
+
+// heldClaim is a claim that a dispatcher holds on a step.
+type heldClaim struct {
+	Workflow string            `cbor:"Key" json:"Key"`
+	Holder   string            `cbor:"Who" json:"Who"` // DispatcherKey
+	Step     expansion.StepRef `cbor:"Ref" json:"Ref"`
+	GrantNo  uint64            `cbor:"Grant" json:"Grant"` // number, among all grants of the coordinators, of the latest answer that told the holder of it
 }
 
-func (l *Table) mark(now time.Duration, c *DispatchIntents, may LeaseChecks) (a Answer, err error) {
-	who := DispatcherKey(c.Dispatcher, c.Incarnation)
-	if !may.MayHold(who) {
-		return a, &LeaseError{c.Dispatcher}
-	}
-	for _, m := range c.Intents {
-		f, h, run := l.held(who, m.ClaimNumber)
-		if f == nil {
-			a.Rejected = append(a.Rejected, m.ClaimNumber)
-			continue
-		}
-		if run.IntentSequence == 0 && f.State != WorkflowRunning { // one of a flow that goes on no more is not begun
-			a.Rejected = append(a.Rejected, m.ClaimNumber)
-			l.drop(f, m.ClaimNumber)
-			if run.PossiblyExecutedAt > 0 && f.State > WorkflowHeld {
-				l.over(now, f, h.Ref, expansion.Unknown, nil, nil, "its flow was ended before it was repeated")
-			} else {
-				l.back(now, f, h.Ref, run, 0)
-			}
-			l.look(now, f)
-			continue
-		}
-		if m.Sequence < run.IntentSequence {
-			continue // it was overtaken
-		}
-		again := m.Sequence == run.IntentSequence // asked twice
-		if run.RepeatableUntil > 0 && run.RepeatableUntil < forever && !m.NotRunBefore {
-			// It is to be repeated while repeats are dropped. How much time has passed is known only by a
-			// clock that was read after it was claimed.
-			if h.Grant > l.GrantsSeen {
-				continue // asked again
-			}
-			if run.RepeatableUntil <= now && !again {
-				l.drop(f, m.ClaimNumber)
-				l.over(now, f, h.Ref, expansion.Unknown, nil, nil, "the time is over in which it may be repeated")
-				l.look(now, f)
-				a.Rejected = append(a.Rejected, m.ClaimNumber)
-				continue
-			}
-			if a.RepeatWindows == nil {
-				a.RepeatWindows = map[uint64]time.Duration{}
-			}
-			a.RepeatWindows[m.ClaimNumber] = max(run.RepeatableUntil-now, 1)
-		}
-		a.Recorded = append(a.Recorded, m.ClaimNumber)
-		if again {
-			continue
-		}
-		if run.IntentSequence == 0 {
-			run.Attempts++
-		}
-		run.IntentSequence = m.Sequence
-		if run.StateSince = max(now, 1); run.PossiblyExecutedAt == 0 || m.NotRunBefore {
-			run.PinnedCell = m.PinnedCell
-			switch {
-			case m.AtMostOnce:
-				run.RepeatableUntil = 0
-			case m.DedupWindow > 0:
-				run.RepeatableUntil = run.StateSince + m.DedupWindow
-			default:
-				run.RepeatableUntil = forever
-			}
-		}
-		run.PossiblyExecutedAt = run.StateSince
-	}
-	return a, nil
+// VersionedTemplate is a template of one version of the policy.
+type VersionedTemplate struct {
+	Template  template.Template
+	Workflows int `cbor:"Flows" json:"Flows"` // active workflows that run by it
+}
+
+// Table is the replicated state of all workflows. The zero value is not ready: see [New] and [Table.RebuildIndexes].
+type Table struct {
+	Templates        map[string]*VersionedTemplate `cbor:"Forms" json:"Forms"` // by "VERSION/NAME": those in force, and those that active workflows run by
+	CurrentTemplates map[string]string             `cbor:"Live" json:"Live"`   // keys in Templates of those in force, by name
+	Workflows        map[string]*Workflow          `cbor:"Flows" json:"Flows"` // by key
+	EndedKeys        []string                      `cbor:"Over" json:"Over"`   // keys of ended workflows, the oldest first
+	Claims           map[uint64]*heldClaim         // by number
+	LastNumber       uint64                        `cbor:"No" json:"No"` // of the latest claim or submission
+	ActiveWorkflows  int                           `cbor:"Active" json:"Active"`
+	ExpiredClaims    int                           `cbor:"Expired" json:"Expired"` // claims reclaimed so far
+	StaleReports     int                           `cbor:"Late" json:"Late"`       // intents and ends so far under claims that were not held any more
+
+	// The state's time, see AdvanceTime.
+	Now        time.Duration `cbor:"At" json:"At"`
+	GrantsSeen uint64        `cbor:"Seen" json:"Seen"` // grants that were given before the latest tick's clock was read
+	LeaderTerm uint64        `cbor:"Lead" json:"Lead"` // of the leader that sent the latest tick
+	TickNumber uint64        `cbor:"Told" json:"Told"` // of the latest tick, among those of its leader
+
+	// Indexes, which follow from the rest.
+	claimsByHolder map[string][]uint64                // ascending
+	readyByPool    map[string]*aging.Queue[readyStep] // steps that can be claimed, by pool
+	delayed        aging.Queue[readyStep]             // ready steps that must not be claimed before a moment
+	graphs         map[string]*graph.Graph            // by key in Templates
+	readyNews      bool                               // a pool that had no ready step has one since takeReadyNews was called
 }
 
-// forever is of steps that may be repeated at any time.
-const forever = time.Duration(1<<63 - 1)
+// New returns an empty table.
+func New() *Table {
+	t := &Table{}
+	t.RebuildIndexes()
+	return t
+}
 
-func (l *Table) end(now time.Duration, c *StepEnds, may LeaseChecks) (a Answer, err error) {
-	who := DispatcherKey(c.Dispatcher, c.Incarnation)
-	if !may.MayHold(who) {
-		return a, &LeaseError{c.Dispatcher}
+// RebuildIndexes derives from a decoded snapshot what the snapshot leaves out.
+func (t *Table) RebuildIndexes() {
+	t.makeMaps()
+	t.claimsByHolder = map[string][]uint64{}
+	for _, number := range slices.Sorted(maps.Keys(t.Claims)) {
+		holder := t.Claims[number].Holder
+		t.claimsByHolder[holder] = append(t.claimsByHolder[holder], number)
 	}
-	for _, e := range c.Ends {
-		f, h, run := l.held(who, e.ClaimNumber)
-		if f == nil {
-			a.Rejected = append(a.Rejected, e.ClaimNumber)
-			continue
+	t.graphs = map[string]*graph.Graph{}
+	for _, name := range slices.Sorted(maps.Keys(t.Templates)) {
+		g, err := graph.Compile(t.Templates[name].Template)
+		if err != nil {
+			continue // cannot be: it was compiled before it was in force
 		}
-		l.drop(f, e.ClaimNumber)
-		switch e.Outcome {
-		case OutcomeDone:
-			items, bad := results(&f.g.Nodes[h.Ref.Step], &f.g.Template, e.Result)
-			if bad != nil {
-				l.over(now, f, h.Ref, expansion.Failed, nil, nil, bad.Error())
-			} else {
-				l.over(now, f, h.Ref, expansion.Done, e.Result, items, "")
-			}
-		case OutcomeFailed:
-			l.again(now, f, h.Ref, run, expansion.Failed, e.Reason, e.Repeatable)
-		case OutcomeUnknown:
-			l.again(now, f, h.Ref, run, expansion.Unknown, e.Reason, e.Repeatable)
-		case OutcomeRequeue:
-			// It has not run under this claim; where it had under none before, it never has.
-			if run.IntentSequence > 0 {
-				if run.Attempts--; run.Attempts == 0 {
-					run.PossiblyExecutedAt, run.RepeatableUntil, run.PinnedCell = 0, 0, 0
-				}
-			}
-			l.back(now, f, h.Ref, run, e.RetryAfter)
+		t.graphs[name] = g
+	}
+	t.readyByPool, t.delayed = map[string]*aging.Queue[readyStep]{}, aging.Queue[readyStep]{}
+	for _, key := range slices.Sorted(maps.Keys(t.Workflows)) {
+		if w := t.Workflows[key]; !w.ended() {
+			w.graph = t.graphs[w.TemplateVersion]
+			w.Tree.Graph = w.graph
+			t.enqueueAllReady(w)
 		}
-		l.look(now, f)
 	}
-	return a, nil
+	t.readyNews = false // it was announced when it happened
 }
 
-// results checks a step's result, and reads the items of a fan-out over it.
-func results(n *graph.Node, t *template.Template, text []byte) (items []string, err error) {
-	if len(text) > template.MaxResultBytes {
-		return nil, &ResultError{Step: n.Name, Bytes: len(text), Limit: template.MaxResultBytes}
+// makeMaps replaces the nil maps of a decoded table: an empty map is encoded as none.
+func (t *Table) makeMaps() {
+	if t.CurrentTemplates == nil {
+		t.CurrentTemplates = map[string]string{}
 	}
-	if len(n.FanOuts) > 0 && (json.Unmarshal(text, &items) != nil || len(items) > t.FanOutLimit()) {
-		return nil, &ResultError{Step: n.Name, Limit: t.FanOutLimit()}
+	if t.Templates == nil {
+		t.Templates = map[string]*VersionedTemplate{}
 	}
-	return items, nil
-}
-
-// drop lets go of a claim.
-func (l *Table) drop(f *Workflow, no uint64) {
-	who := l.Claims[no].Who
-	if i, ok := slices.BinarySearch(l.of[who], no); ok {
-		l.of[who] = slices.Delete(l.of[who], i, i+1)
+	if t.Workflows == nil {
+		t.Workflows = map[string]*Workflow{}
 	}
-	if len(l.of[who]) == 0 {
-		delete(l.of, who)
+	if t.Claims == nil {
+		t.Claims = map[uint64]*heldClaim{}
 	}
-	delete(l.Claims, no)
-	f.OpenClaims--
 }
 
-// back makes a step ready again that has not run under its last claim.
-func (l *Table) back(now time.Duration, f *Workflow, r expansion.StepRef, run *expansion.StepRun, after time.Duration) {
-	if f.State > WorkflowHeld {
-		run.State = expansion.Waiting // its flow begins nothing more
-		return
+// Idle reports whether no workflow is active, so that no time has to pass here.
+func (t *Table) Idle() bool { return t.ActiveWorkflows == 0 }
+
+// Apply executes a command. grants is how many grants of any kind the coordinators have given, this command counted as
+// one. readyNews reports whether dispatchers that wait for steps should ask.
+func (t *Table) Apply(now time.Duration, grants uint64, c Command, leases LeaseChecks) (a Answer, readyNews bool, err error) {
+	t.Now = now
+	t.releaseDelayed()
+	switch {
+	case c.Submit != nil:
+		a, err = t.submit(now, c.Submit)
+	case c.Claim != nil:
+		a, err = t.claimSteps(now, grants, c.Claim, leases)
+	case c.RecordIntents != nil:
+		a, err = t.recordIntents(now, c.RecordIntents, leases)
+	case c.EndSteps != nil:
+		a, err = t.endSteps(now, c.EndSteps, leases)
+	case c.Cancel != nil:
+		err = t.cancel(now, c.Cancel)
+	case c.Resolve != nil:
+		err = t.resolve(now, c.Resolve)
+	case c.Query != nil:
+		a, err = t.Query(now, c.Query)
+	default:
+		err = &StateError{"", "no command that this program knows", "one of submit, claim, mark, end, cancel, settle, show"}
 	}
-	run.State, run.StateSince = expansion.Ready, now+min(max(after, 0), time.Minute)
-	l.queue(f, r, run)
+	return a, t.takeReadyNews(), err
 }
 
-// again is for a step that has failed, or of which nobody knows: it is tried again where its class
-// may be repeated, in the time that is left for that and as often as its template lets it.
-func (l *Table) again(now time.Duration, f *Workflow, r expansion.StepRef, run *expansion.StepRun, how expansion.StepState, why string, repeats bool) {
-	n := &f.g.Nodes[r.Step]
-	if repeats && f.State == WorkflowRunning && run.RepeatableUntil > now && run.Attempts < n.AttemptLimit() {
-		l.back(now, f, r, run, 100*time.Millisecond<<run.Attempts)
-		return
+// AdvanceTime sets the state's time, and makes claimable what was not to be claimed before now. It reports whether
+// dispatchers that wait for steps should ask.
+//
+// The leader of a term sends numbered ticks; grantsSeen is how many grants it knew of when it read its clock. Between two
+// leaders, and where a tick was lost, more time may have passed than the ticks say. Nobody knows then whether the window
+// of a recorded intent is over, so that no step with such a window is repeated any more.
+func (t *Table) AdvanceTime(now time.Duration, leaderTerm, tickNumber, grantsSeen uint64) (readyNews bool) {
+	t.Now = now
+	t.releaseDelayed()
+	contiguous := t.LeaderTerm == leaderTerm && t.TickNumber+1 == tickNumber
+	t.GrantsSeen, t.LeaderTerm, t.TickNumber = grantsSeen, leaderTerm, tickNumber
+	if !contiguous {
+		t.closeRepeatWindows(now)
 	}
-	if repeats && run.Attempts >= n.AttemptLimit() && how == expansion.Unknown {
-		how, why = expansion.Failed, fmt.Sprintf("tried %d times, the last time: %s", run.Attempts, why)
-	}
-	l.over(now, f, r, how, nil, nil, why)
+	return t.takeReadyNews()
 }
 
-// over ends a step, and does to its flow what the template says.
-func (l *Table) over(now time.Duration, f *Workflow, r expansion.StepRef, how expansion.StepState, result []byte, items []string, why string) {
-	n := &f.g.Nodes[r.Step]
-	act := n.OnFailed.Action
-	if how == expansion.Unknown {
-		act = n.OnUnknown.Action
-	}
-	run := f.Tree.StepRun(r)
-	run.Reason = why
-	if how == expansion.Done || f.State == WorkflowClosing {
-		f.Tree.EndStep(now, r, how, result, items)
-		l.fresh(f)
-		return
-	}
-	where := n.Name
-	if at := f.Tree.ItemValues(r); len(at) > 0 {
-		where += fmt.Sprint(" ", at)
-	}
-	switch act {
-	case template.HoldForOperator:
-		if run.State, run.OutcomeBeforeHold, run.StateSince = expansion.AwaitingOperator, how, now; f.HeldSteps == 0 {
-			f.State, f.Reason = WorkflowHeld, fmt.Sprintf("%s is %v: %s", where, how, why)
+func (t *Table) closeRepeatWindows(now time.Duration) {
+	for _, w := range t.Workflows { // each by itself: the order does not matter
+		if w.ended() {
+			continue
 		}
-		f.HeldSteps++
-		f.Tree.NoNewSteps = true
-		return
-	case template.FailWorkflow:
-		l.shut(f, WorkflowFailed, fmt.Sprintf("%s is %v: %s", where, how, why))
-	case template.Compensate:
-		f.Tree.NoNewSteps = false // for the step that undoes this one, which an earlier one's may have shut out
-	}
-	f.Tree.EndStep(now, r, how, nil, nil)
-	if act == template.Compensate {
-		l.undo(f, fmt.Sprintf("%s is %v: %s", where, how, why))
+		w.Tree.ForEachStep(func(_ expansion.StepRef, run *expansion.StepRun) {
+			if hasRepeatWindow(run) {
+				run.RepeatableUntil = min(run.RepeatableUntil, now)
+			}
+		})
 	}
-	l.fresh(f)
 }
 
-// undo lets the steps run that take back what failed ones have left, and nothing else; then the
-// flow has failed.
-func (l *Table) undo(f *Workflow, why string) {
-	f.Tree.NoNewSteps, f.FinalState = true, WorkflowFailed
-	if f.State == WorkflowRunning {
-		f.Reason = why
-	}
-	f.Tree.ForEachStep(func(o expansion.StepRef, run *expansion.StepRun) {
-		if run.State == expansion.Ready && !f.g.Nodes[o.Step].Compensates {
-			run.State = expansion.Waiting
+// SetTemplates puts the templates of a policy version in force. Active workflows go on by the template that they were
+// submitted for.
+func (t *Table) SetTemplates(version uint64, all []template.Template) {
+	clear(t.CurrentTemplates)
+	for _, form := range all {
+		g, err := graph.Compile(form)
+		if err != nil {
+			continue // cannot be: it was compiled when the policy was proposed
 		}
-	})
+		name := fmt.Sprintf("%d/%s", version, form.Name)
+		t.graphs[name] = g
+		if t.Templates[name] == nil {
+			t.Templates[name] = &VersionedTemplate{Template: form}
+		}
+		t.CurrentTemplates[form.Name] = name
+	}
+	t.dropUnusedTemplates()
 }
 
-// undoing tells whether nothing of a flow is begun any more but what undoes it.
-func (f *Workflow) undoing() bool { return f.State < WorkflowClosing && f.FinalState == WorkflowFailed }
-
-// shut begins no more of a flow, which ends so once nothing of it is out.
-func (l *Table) shut(f *Workflow, as WorkflowState, why string) {
-	if f.State == WorkflowClosing {
-		return
-	}
-	f.State, f.FinalState, f.Reason, f.Tree.NoNewSteps = WorkflowClosing, as, why, true
-	f.Tree.ForEachStep(func(_ expansion.StepRef, run *expansion.StepRun) {
-		if run.State == expansion.Ready {
-			run.State = expansion.Waiting
+// CheckPools returns a PoolInUseError where an active workflow would wait for ever under a policy that has these pools
+// alone. It is no guarantee: a workflow that is submitted before the policy is in force waits until a later policy has
+// its pool.
+func (t *Table) CheckPools(pools []string) error {
+	for _, key := range slices.Sorted(maps.Keys(t.Workflows)) {
+		w := t.Workflows[key]
+		if w.ended() {
+			continue
 		}
-	})
+		for _, n := range w.graph.Nodes {
+			if n.Pool != "" && !slices.Contains(pools, n.Pool) {
+				return &PoolInUseError{n.Pool, key}
+			}
+		}
+	}
+	return nil
 }
 
-// ReclaimFrom takes back the claims of a dispatcher's life whose lease is over: a step that may have run
-// and is never to be repeated is unknown from here on, any other is ready again.
-func (l *Table) ReclaimFrom(now time.Duration, who string) (news bool) {
-	for _, no := range slices.Clone(l.of[who]) {
-		h := l.Claims[no]
-		f := l.Workflows[h.Key]
-		run := f.Tree.StepRun(h.Ref)
-		l.drop(f, no)
-		l.ExpiredClaims++
-		if run.IntentSequence == 0 {
-			l.back(now, f, h.Ref, run, 0)
-		} else {
-			l.again(now, f, h.Ref, run, expansion.Unknown, "its dispatcher "+who+" was lost while it may have run", run.RepeatableUntil > 0)
+// dropUnusedTemplates forgets the templates that are not in force and that no active workflow runs by.
+func (t *Table) dropUnusedTemplates() {
+	for name, v := range t.Templates { // each by itself: the order does not matter
+		if v.Workflows == 0 && t.CurrentTemplates[v.Template.Name] != name {
+			delete(t.Templates, name)
+			delete(t.graphs, name)
 		}
-		l.look(now, f)
 	}
-	return l.news()
 }
-
-// Holders are the lives that hold claims.
-func (l *Table) Holders() []string { return slices.Sorted(maps.Keys(l.of)) }
--- a/internal/fleet/workflow/claims/command.go
+++ b/internal/fleet/workflow/claims/command.go
@@ -1,15 +1,12 @@
 package claims
 
-// This file owns what the ledger is asked and what it answers, each a small typed value. It must
-// never act on one.
-
 import (
 	"time"
 
 	"yardflow/internal/fleet/workflow/expansion"
 )
 
-// Command is one of the commands below; just one of its parts is set.
+// Command is a command on workflows in the coordinators' log; exactly one of its fields is set.
 type Command struct {
 	Submit        *Submission      `cbor:"1,keyasint,omitempty"`
 	Claim         *ClaimRequest    `cbor:"2,keyasint,omitempty"`
@@ -17,40 +14,40 @@
 	EndSteps      *StepEnds        `cbor:"4,keyasint,omitempty" json:"End"`
 	Cancel        *Cancellation    `cbor:"5,keyasint,omitempty"`
 	Resolve       *Resolution      `cbor:"6,keyasint,omitempty" json:"Settle"`
-	Query         *StatusQuery     `cbor:"7,keyasint,omitempty" json:"Show"`
+	Query         *StatusQuery     `cbor:"7,keyasint,omitempty" json:"Show"` // changes nothing
 }
 
-// Submission asks for a flow. Asked twice by one key it is asked for once.
+// Submission starts a workflow. It is idempotent by its key.
 type Submission struct {
-	Key       string
+	Key       string // names the workflow, see template.ValidName
 	Template  string
 	Inputs    map[string]expansion.Input `cbor:",omitempty"`
-	Moments   map[string]time.Duration   `cbor:",omitempty"` // from now on
+	Moments   map[string]time.Duration   `cbor:",omitempty"` // by name, as a time from now on
 	Submitter string                     `cbor:"Who" json:"Who"`
 }
 
-// ClaimRequest asks for ready steps, by a dispatcher that has a lease. What it was told already and has not
-// heard of is told again.
+// ClaimRequest claims ready steps for a dispatcher that holds a lease. Claims that it holds and has not seen are told
+// again.
 type ClaimRequest struct {
 	Dispatcher    string   `cbor:"Name" json:"Name"`
 	Incarnation   uint64   `cbor:"Life" json:"Life"`
-	WantedSteps   int      `cbor:"Want" json:"Want"`   // steps it would have at once
-	LastSeenClaim uint64   `cbor:"Heard" json:"Heard"` // the latest claim it has heard of
-	Pools         []string // that it has workers in now
+	WantedSteps   int      `cbor:"Want" json:"Want"`   // claims to hold at once, those held already counted
+	LastSeenClaim uint64   `cbor:"Heard" json:"Heard"` // number of the latest claim that it knows of; 0: it wants to be told of all
+	Pools         []string // those that it has usable workers in; "" is of steps that run anywhere
 }
 
-// DispatchIntent says of one claim that its step may have run from now on.
+// DispatchIntent says that a claimed step is about to be sent to a worker, and how far it may be repeated then.
 type DispatchIntent struct {
 	ClaimNumber  uint64        `cbor:"1,keyasint" json:"No"`
-	AtMostOnce   bool          `cbor:"2,keyasint,omitempty" json:"Once"`   // never to be repeated
-	PinnedCell   int           `cbor:"3,keyasint,omitempty" json:"Cell"`   // one more than that of the worker, where only it drops a repeat; 0: all do
-	DedupWindow  time.Duration `cbor:"4,keyasint,omitempty" json:"Window"` // for which repeats are dropped; 0: it may be repeated at any time
-	NotRunBefore bool          `cbor:"5,keyasint,omitempty" json:"Anew"`   // it has run nowhere so far: this mark goes before earlier ones
-	Sequence     int           `cbor:"6,keyasint,omitempty" json:"Turn"`   // among the claim's marks, from 1 on: one that is late changes nothing
+	AtMostOnce   bool          `cbor:"2,keyasint,omitempty" json:"Once"`   // it must never be sent again
+	PinnedCell   int           `cbor:"3,keyasint,omitempty" json:"Cell"`   // one more than the worker's cell, where only that cell drops a repeat; 0: all do
+	DedupWindow  time.Duration `cbor:"4,keyasint,omitempty" json:"Window"` // for how long workers drop repeats; 0: it may be repeated at any time
+	NotRunBefore bool          `cbor:"5,keyasint,omitempty" json:"Anew"`   // the step has run nowhere so far: cell and window replace those of earlier intents
+	Sequence     int           `cbor:"6,keyasint,omitempty" json:"Turn"`   // among the claim's intents, from 1 on; one older than the last recorded changes nothing
 }
 
-// DispatchIntents is written before the first byte leaves. One whose claim is not held any more is refused,
-// and its step must not be sent.
+// DispatchIntents records intents before the first byte of any of the steps is sent. A step whose claim is no longer held
+// is answered as rejected, and must not be sent.
 type DispatchIntents struct {
 	Dispatcher  string           `cbor:"Name" json:"Name"`
 	Incarnation uint64           `cbor:"Life" json:"Life"`
@@ -60,107 +57,75 @@
 // Outcome is how a claimed step has ended at its dispatcher.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes, in the order of their encoding.
 const (
 	OutcomeDone    Outcome = iota
-	OutcomeFailed          // by the worker's own word
-	OutcomeUnknown         // it may have run, and may yet
-	OutcomeRequeue         // it has not run: it is to be claimed again
+	OutcomeFailed          // the worker answered that it has failed
+	OutcomeUnknown         // it may have run, and may still be running
+	OutcomeRequeue         // it has not run under this claim, and is to be handed out again
 )
 
-// StepEnd is one claim's end.
+// StepEnd reports the end of one claim.
 type StepEnd struct {
 	ClaimNumber uint64        `cbor:"1,keyasint" json:"No"`
 	Outcome     Outcome       `cbor:"2,keyasint,omitempty" json:"How"`
-	Result      []byte        `cbor:"3,keyasint,omitempty"`
-	RetryAfter  time.Duration `cbor:"4,keyasint,omitempty" json:"After"` // of Back: not again before
-	Reason      string        `cbor:"5,keyasint,omitempty" json:"Why"`
-	Repeatable  bool          `cbor:"6,keyasint,omitempty" json:"Repeats"` // of Unknown: its class may be repeated
+	Result      []byte        `cbor:"3,keyasint,omitempty"`                // of OutcomeDone, where later steps use it
+	RetryAfter  time.Duration `cbor:"4,keyasint,omitempty" json:"After"`   // of OutcomeRequeue: how long it is not handed out; a minute at most
+	Reason      string        `cbor:"5,keyasint,omitempty" json:"Why"`     // for operators
+	Repeatable  bool          `cbor:"6,keyasint,omitempty" json:"Repeats"` // of OutcomeFailed and OutcomeUnknown: its class may be repeated
 }
 
-// StepEnds tells ends.
+// StepEnds reports ends of claims.
 type StepEnds struct {
 	Dispatcher  string    `cbor:"Name" json:"Name"`
 	Incarnation uint64    `cbor:"Life" json:"Life"`
 	Ends        []StepEnd `cbor:"All" json:"All"`
 }
 
-// Cancellation ends a flow: nothing more of it is begun.
+// Cancellation cancels a workflow: no further step of it is started.
 type Cancellation struct {
 	Workflow    string `cbor:"Flow" json:"Flow"`
 	RequestedBy string `cbor:"Who" json:"Who"`
 }
 
-// Resolve says how a step has ended that nobody knows of, or has a held flow go on.
+// Resolution is an operator's decision on a step that holds its workflow.
 type Resolution struct {
 	Workflow    string            `cbor:"Flow" json:"Flow"`
 	RequestedBy string            `cbor:"Who" json:"Who"`
 	Step        expansion.StepRef `cbor:"Ref" json:"Ref"`
-	Outcome     Outcome           `cbor:"As" json:"As"` // Done or Failed; Back: it is sent again, at the operator's word
-}
-
-// Query asks how far a flow is; without a key, for all in short.
-type StatusQuery struct {
-	Workflow string `cbor:"Flow" json:"Flow"`
-}
-
-// WorkflowStatus is how far a flow is.
-type WorkflowStatus struct {
-	Key           string
-	Template      string
-	Submitter     string `cbor:"Who" json:"Who"`
-	State         string
-	Reason        string              `cbor:"Why" json:"Why"`
-	Age, Makespan time.Duration       // since its submission; from it to its end
-	EndCounts     expansion.EndCounts `cbor:"Ends" json:"Ends"` // steps that have ended: done, failed, unknown, skipped
-	OpenClaims    int                 `cbor:"Out" json:"Out"`
-	LiveItems     int                 `cbor:"Live" json:"Live"` // claims that are out; items of fan-outs under way
-	RunUncertain  bool                `cbor:"Doubt" json:"Doubt"`
-	Steps         []StepStatus        // that are under way, of one shown by key; 200 at most
-}
-
-// StepStatus is how far a step is.
-type StepStatus struct {
-	Name             string
-	Ref              expansion.StepRef
-	ItemValues       []string `cbor:"Values" json:"Values"`
-	State            string
-	InStateFor       time.Duration `cbor:"For" json:"For"`
-	ClaimedBy        string        `cbor:"Who" json:"Who"` // that has claimed it
-	Reason           string        `cbor:"Why" json:"Why"`
-	PossiblyExecuted bool          `cbor:"MayRun" json:"MayRun"` // it has been marked
+	Outcome     Outcome           `cbor:"As" json:"As"` // OutcomeDone, OutcomeFailed, or OutcomeRequeue: it has not run, and is handed out again
 }
 
-// ClaimedStep is one claimed step as its dispatcher is told.
+// ClaimedStep describes a claimed step to the dispatcher that holds the claim.
 type ClaimedStep struct {
-	ClaimNumber      uint64                             `cbor:"1,keyasint" json:"No"`
+	ClaimNumber      uint64                             `cbor:"1,keyasint" json:"No"` // fencing token of all that the dispatcher reports of the step
 	Workflow         string                             `cbor:"2,keyasint" json:"Flow"`
 	Template         string                             `cbor:"3,keyasint"`
 	Tenant           string                             `cbor:"4,keyasint,omitempty"`
 	Team             string                             `cbor:"17,keyasint,omitempty"`
 	Step             string                             `cbor:"5,keyasint"`
 	Class            string                             `cbor:"6,keyasint"`
-	Pool             string                             `cbor:"7,keyasint,omitempty"`
+	Pool             string                             `cbor:"7,keyasint,omitempty"` // empty: any worker
 	Ref              expansion.StepRef                  `cbor:"8,keyasint"`
-	ItemValues       []string                           `cbor:"9,keyasint,omitempty" json:"Values"` // the items around it
-	Results          map[string]string                  `cbor:"10,keyasint,omitempty"`
-	FanOutCounts     map[string]expansion.OutcomeCounts `cbor:"11,keyasint,omitempty" json:"Tallies"`
-	PinnedCell       int                                `cbor:"12,keyasint,omitempty" json:"Cell"`  // one more than the one that it may be repeated in; 0: any
-	RepeatWindowLeft time.Duration                      `cbor:"13,keyasint,omitempty" json:"Left"`  // in which it may be repeated; 0: no matter
-	RunUncertain     bool                               `cbor:"14,keyasint,omitempty" json:"Doubt"` // it may have run before the keepers were restored
+	ItemValues       []string                           `cbor:"9,keyasint,omitempty" json:"Values"`   // of the items around it, the outermost first
+	Results          map[string]string                  `cbor:"10,keyasint,omitempty"`                // of the steps it depends on, by name
+	FanOutCounts     map[string]expansion.OutcomeCounts `cbor:"11,keyasint,omitempty" json:"Tallies"` // of the steps in whole fan-outs that it depends on, by name
+	PinnedCell       int                                `cbor:"12,keyasint,omitempty" json:"Cell"`    // one more than the only cell that it may be repeated in; 0: any
+	RepeatWindowLeft time.Duration                      `cbor:"13,keyasint,omitempty" json:"Left"`    // for how long it may be repeated, from when the claim was asked for; 0: it has not run
+	RunUncertain     bool                               `cbor:"14,keyasint,omitempty" json:"Doubt"`   // it may have run before the coordinators were restored
 	DispatcherShare  float64                            `cbor:"15,keyasint,omitempty" json:"Share"`
-	ResultUsed       bool                               `cbor:"16,keyasint,omitempty" json:"Takes"` // its result goes to later steps
-	Overdue          bool                               `cbor:"18,keyasint,omitempty" json:"Aged"`  // it has waited for its age: it is due among fresh work
+	ResultUsed       bool                               `cbor:"16,keyasint,omitempty" json:"Takes"` // its result is to be reported: later steps use it
+	Overdue          bool                               `cbor:"18,keyasint,omitempty" json:"Aged"`  // it has waited for aging.MaxDelay, and competes with clients' requests as an equal
 }
 
-// Answer is what came of a command.
+// Answer is the result of a command.
 type Answer struct {
 	Claimed          []ClaimedStep            `cbor:"1,keyasint,omitempty" json:"Tasks"`
-	Rejected         []uint64                 `cbor:"2,keyasint,omitempty" json:"Refused"` // claims that are not held any more
-	Recorded         []uint64                 `cbor:"7,keyasint,omitempty" json:"Written"` // of Mark: claims whose mark is; others are to be asked again
-	RepeatWindows    map[uint64]time.Duration `cbor:"8,keyasint,omitempty" json:"Lefts"`   // of them: from when they were claimed, how long they may be repeated
-	MoreReady        bool                     `cbor:"3,keyasint,omitempty" json:"More"`    // others wait
-	AlreadySubmitted bool                     `cbor:"4,keyasint,omitempty" json:"Known"`   // of Submit: it was asked for before
-	Statuses         []WorkflowStatus         `cbor:"5,keyasint,omitempty" json:"Views"`   // of Show; the newest 200 where no key was given
-	CountsByState    map[string]int           `cbor:"6,keyasint,omitempty" json:"Counts"`  // of Show: flows by state
+	Rejected         []uint64                 `cbor:"2,keyasint,omitempty" json:"Refused"` // claims that the dispatcher does not hold, or that were taken back
+	Recorded         []uint64                 `cbor:"7,keyasint,omitempty" json:"Written"` // of RecordIntents: claims whose intent is recorded; for one that is in neither list it asks again
+	RepeatWindows    map[uint64]time.Duration `cbor:"8,keyasint,omitempty" json:"Lefts"`   // of RecordIntents: for how long the step may be repeated, from when the claim was asked for
+	MoreReady        bool                     `cbor:"3,keyasint,omitempty" json:"More"`    // of Claim: further steps could be claimed
+	AlreadySubmitted bool                     `cbor:"4,keyasint,omitempty" json:"Known"`   // of Submit: the key was taken, nothing has changed
+	Statuses         []WorkflowStatus         `cbor:"5,keyasint,omitempty" json:"Views"`   // of Query: the workflow asked for, or the latest 200
+	CountsByState    map[string]int           `cbor:"6,keyasint,omitempty" json:"Counts"`  // of Query for all: workflows by state
 }
--- a/internal/fleet/workflow/claims/faults.go
+++ b/internal/fleet/workflow/claims/errors.go
@@ -1,15 +1,13 @@
 package claims
 
-// This file owns the ledger's faults, each with what an operator can do.
-
 import (
 	"fmt"
 	"strings"
 )
 
-// NotFoundError names what the ledger does not have.
+// NotFoundError rejects a command on a workflow or template that does not exist.
 type NotFoundError struct {
-	Kind     string // a flow, a template, a step
+	Kind     string // "flow" or "template"
 	Name     string
 	Existing []string
 }
@@ -18,15 +16,15 @@
 	return fmt.Sprintf("no such %s: %q; expected one of %s", e.Kind, e.Name, strings.Join(e.Existing, ", "))
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *NotFoundError) Advice() string {
 	return "see keeper flow show, and the templates of the policy in force"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *NotFoundError) Code() string { return "flow-unknown" }
 
-// InputError is a submission that its template can't take.
+// InputError rejects a submission that does not fit its template.
 type InputError struct {
 	Template, Input   string
 	Problem, Expected string
@@ -36,60 +34,61 @@
 	return fmt.Sprintf("flow %q: %s: %s; expected %s", e.Template, e.Input, e.Problem, e.Expected)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *InputError) Advice() string {
 	return "correct the submission and send it again under the same key"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *InputError) Code() string { return "flow-input" }
 
-// LimitError refuses a submission for want of room.
+// LimitError rejects a submission while too many workflows are active.
 type LimitError struct{ Limit int }
 
 func (e *LimitError) Error() string { return fmt.Sprintf("%d flows are under way, the most", e.Limit) }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *LimitError) Advice() string {
 	return "submit it again under the same key once some have ended, or cancel some"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *LimitError) Code() string { return "flow-full" }
 
-// StateError is a call that the flow, or its step, is in no state for.
+// StateError rejects a command that the workflow, or its step, is in no state for.
 type StateError struct{ Workflow, Actual, Expected string }
 
 func (e *StateError) Error() string {
 	return fmt.Sprintf("flow %q: %s; expected %s", e.Workflow, e.Actual, e.Expected)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *StateError) Advice() string { return "see keeper flow show for how far it is" }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *StateError) Code() string { return "flow-state" }
 
-// LeaseError refuses a dispatcher that holds no lease.
+// LeaseError rejects a command of a dispatcher whose claim lease has expired.
 type LeaseError struct{ Dispatcher string }
 
 func (e *LeaseError) Error() string {
 	return fmt.Sprintf("%s holds no lease: it claims, marks and ends nothing", e.Dispatcher)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *LeaseError) Advice() string {
 	return "nothing: it asks again once it holds one; if it comes often, see why it loses its lease"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *LeaseError) Code() string { return "flow-lease" }
 
-// ResultError is a step's result that can't go to later steps.
+// ResultError says why a step's result cannot be passed on to later steps. Its text is stored as the reason why the step
+// has failed, and must not change (see reasonRestored).
 type ResultError struct {
 	Step  string
-	Bytes int // 0: it is no list
-	Limit int
+	Bytes int // the result's size where it is too large; 0: it is no list, or has too many items
+	Limit int // in bytes, or in items
 }
 
 func (e *ResultError) Error() string {
@@ -99,36 +98,36 @@
 	return fmt.Sprintf("step %q: its result is no list of %d items at the most", e.Step, e.Limit)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *ResultError) Advice() string {
 	return "have the worker keep the result elsewhere and give where it is; the step counts as failed"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *ResultError) Code() string { return "flow-result" }
 
-// NoWorkflowsError is a call for workflows where no policy ever had any.
+// NoWorkflowsError rejects a command on workflows where no policy has had any so far.
 type NoWorkflowsError struct{}
 
 func (e *NoWorkflowsError) Error() string { return "no workflows: no policy in force has had any yet" }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *NoWorkflowsError) Advice() string { return "propose a policy with a section [[flow]]" }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *NoWorkflowsError) Code() string { return "flow-none" }
 
-// PoolInUseError is a policy without a pool that a flow under way needs.
+// PoolInUseError rejects a policy that lacks a pool which an active workflow needs.
 type PoolInUseError struct{ Pool, Workflow string }
 
 func (e *PoolInUseError) Error() string {
 	return fmt.Sprintf("pool %q: not in the policy, and flow %q, which is under way, needs it", e.Pool, e.Workflow)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do now.
 func (e *PoolInUseError) Advice() string {
 	return "leave the pool in until that flow has ended, or cancel the flow"
 }
 
-// Code is its word.
+// Code returns the word for this error in the operators' table.
 func (e *PoolInUseError) Code() string { return "flow-pool-needed" }
