--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -1,8 +1,5 @@
 package workflowsteps
 
-// This file owns one step at this dispatcher, from its claim to its end. It must never let more than
-// one try of a claim reach a worker.
-
 import (
 	"context"
 	"encoding/json"
@@ -15,161 +12,212 @@
 	"yardflow/internal/fleet/workflow/template"
 	"yardflow/internal/gateway/broker"
 	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/platform/config"
 	"yardflow/internal/platform/fault"
 	"yardflow/scheduling/dispatch"
 )
 
-// job is what a worker is sent of a step.
-type job struct {
-	Flow    string                             `json:"flow"`
-	Step    string                             `json:"step"`
-	Items   []string                           `json:"items,omitempty"`
-	Results map[string]string                  `json:"results,omitempty"`
-	Tallies map[string]expansion.OutcomeCounts `json:"tallies,omitempty"`
+// Pauses before a step is handed out again that cannot run here now.
+const (
+	notInSettingsPause = 2 * time.Second // another dispatcher's settings may have its class and tenant
+	notAdmittedPause   = time.Second     // no work is admitted here, or the policy in force here lacks its pool
+)
+
+// jobBody is the body of the job that a worker is sent for a step.
+type jobBody struct {
+	Workflow     string                             `json:"flow"`
+	Step         string                             `json:"step"`
+	ItemValues   []string                           `json:"items,omitempty"`
+	Results      map[string]string                  `json:"results,omitempty"`
+	FanOutCounts map[string]expansion.OutcomeCounts `json:"tallies,omitempty"`
 }
 
-// key names a step, the same for all its tries.
-func key(t *claims.ClaimedStep) string {
+// idempotencyKey names a step, the same for all its attempts.
+func idempotencyKey(t *claims.ClaimedStep) string {
 	return fmt.Sprintf("%s/%s%v", t.Workflow, t.Step, t.Ref.Path)
 }
 
-// step carries one step to its end.
-func (r *Runner) step(ctx context.Context, o *run, t claims.ClaimedStep, told time.Duration) {
-	defer o.stop()
-	e := r.carry(ctx, o, &t, told)
-	e.ClaimNumber = t.ClaimNumber
+// runStep runs a claimed step and notes its end, to be reported.
+func (r *Runner) runStep(ctx context.Context, running *runningStep, t claims.ClaimedStep, askedAt time.Duration) {
+	defer running.cancel()
+	end := r.serve(ctx, running, &t, askedAt)
+	end.ClaimNumber = t.ClaimNumber
 	r.mu.Lock()
-	delete(r.out, t.ClaimNumber)
-	r.hand.EndStep(e)
+	delete(r.running, t.ClaimNumber)
+	r.claimant.EndStep(end)
 	r.mu.Unlock()
-	signal(r.poke)
+	signal(r.reportSignal)
 }
 
-func (r *Runner) carry(ctx context.Context, o *run, t *claims.ClaimedStep, told time.Duration) claims.StepEnd {
-	cfg := r.h.Settings.Get()
-	class, tenant := slices.Index(cfg.Classes, t.Class), 0
-	if len(cfg.Tenants) > 0 {
-		tenant = slices.Index(cfg.Tenants, t.Tenant)
+// serve has the broker serve a step, and returns how it has ended.
+func (r *Runner) serve(ctx context.Context, running *runningStep, t *claims.ClaimedStep, askedAt time.Duration) claims.StepEnd {
+	settings := r.config.Settings.Get()
+	classIndex, tenant, ok := lookupSettings(settings, t)
+	if !ok {
+		r.config.Log("workflow steps: " + fault.Text(&SettingsError{t}))
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: notInSettingsPause}
 	}
-	if class < 0 || tenant < 0 {
-		r.h.Log("flows: " + fault.Text(&SettingsError{t}))
-		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: 2 * time.Second} // another's settings may have them
-	}
-	c := &cfg.Module.Classes[class]
-	version, at, admits := r.h.AdmissionGate()
-	r.mu.Lock()
-	bit := r.pools.Bit(t.Pool)
-	o.once = c.Semantics == dispatch.AtMostOnce
-	r.mu.Unlock()
+	class := &settings.Module.Classes[classIndex]
+	policyVersion, admittedAt, admits := r.config.AdmissionGate()
+	poolBit := r.begin(running, t, class)
 	switch {
-	case t.RunUncertain && c.Semantics != dispatch.Retryable:
-		return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "it may have run before the keepers were restored"}
-	case !admits || t.Pool != "" && bit == 0:
-		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: time.Second}
+	case t.RunUncertain && class.Semantics != dispatch.Retryable:
+		return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "it may have run before the coordinators were restored"}
+	case !admits || t.Pool != "" && poolBit == 0:
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: notAdmittedPause}
 	}
-	q := broker.Request{Settings: &cfg.Module, Class: class, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Overdue, Pools: bit, Policy: version, Admitted: at,
-		Deadline: time.Now().Add(c.Deadline)}
-	if c.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
-		left := t.RepeatWindowLeft - (r.h.Now() - told)
+	request := broker.Request{Settings: &settings.Module, Class: classIndex, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Overdue, Pools: poolBit, Policy: policyVersion,
+		Admitted: admittedAt, Deadline: time.Now().Add(class.Deadline)}
+	if class.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
+		left := t.RepeatWindowLeft - (r.config.Now() - askedAt)
 		if left <= 0 {
 			return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "the time is over in which it may be repeated"}
 		}
-		q.Ran, q.RanFor = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}, max(c.DedupWindow-left, 0)
-		q.Deadline = time.Now().Add(min(c.Deadline, left))
+		restrictRepeat(&request, t, class, left)
 	}
-	body, err := json.Marshal(job{t.Workflow, t.Step, t.ItemValues, t.Results, t.FanOutCounts})
+	job, err := r.newJob(running, t, class)
 	if err != nil {
 		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: err.Error()}
 	}
-	j := httpfront.Job{ID: fmt.Sprintf("%s#%d", key(t), t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.may(o, t.ClaimNumber) }}
-	if c.Semantics == dispatch.Deduplicated {
-		j.Key = key(t)
-	}
-	s := httpfront.NewJob(cfg, j, q)
-	do := r.h.Workers.Do(s)
-	var last *broker.Outcome // of the one try that may have run
-	answer := r.b.Serve(ctx, q, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		if last != nil || !a.In(t.Pool) || !r.mark(ctx, t, c, a) {
+	send := r.config.Workers.Do(httpfront.NewJob(settings, job, request))
+	var ran *broker.Outcome // of the one attempt that may have run
+	answer := r.broker.Serve(ctx, request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
+		if ran != nil || !a.In(t.Pool) || !r.recordIntent(ctx, t, class, a) {
 			return broker.Outcome{Code: broker.NeverSent}
 		}
-		out := do(ctx, a)
-		if out.Ran() {
-			last = &out
-			o.stop() // another try is another claim's: the ledger counts them
+		outcome := send(ctx, a)
+		if outcome.Ran() {
+			ran = &outcome
+			running.cancel() // a further attempt needs a new claim: the coordinators count attempts
 		} else {
-			r.mu.Lock()
-			o.sent = false
-			r.mu.Unlock()
+			r.setNotSent(running)
 		}
-		return out
+		return outcome
 	})
-	return ended(t, c, answer, last)
+	return stepEnd(t, class, answer, ran)
 }
 
-// ended words how a step has ended.
-func ended(t *claims.ClaimedStep, c *dispatch.Class, answer broker.Answer, last *broker.Outcome) claims.StepEnd {
-	e := claims.StepEnd{Repeatable: c.Semantics != dispatch.AtMostOnce}
-	switch {
-	case last == nil:
-		e.Outcome, e.RetryAfter = claims.OutcomeRequeue, max(answer.ComeBack, pause)
-	case last.Code == broker.OK && t.ResultUsed && len(last.Result) > template.MaxResultBytes:
-		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(last.Result), Limit: template.MaxResultBytes})
-	case last.Code == broker.OK:
-		if e.Outcome = claims.OutcomeDone; t.ResultUsed {
-			e.Result = last.Result
-		}
-	case last.Code == broker.Rejected:
-		e.Outcome, e.Repeatable, e.Reason = claims.OutcomeFailed, false, "the worker found it unusable"
-	case last.Code == broker.Failed:
-		e.Outcome, e.Reason = claims.OutcomeFailed, "the worker says that it has failed"
-	case last.Code == broker.TimedOut:
-		e.Outcome, e.Reason = claims.OutcomeUnknown, "no answer in its time"
-	default:
-		e.Outcome, e.Reason = claims.OutcomeUnknown, "its connection broke"
+// lookupSettings returns the indices of a step's class and tenant in the settings, false where they lack one.
+func lookupSettings(settings *config.Config, t *claims.ClaimedStep) (class, tenant int, ok bool) {
+	class = slices.Index(settings.Classes, t.Class)
+	if len(settings.Tenants) > 0 {
+		tenant = slices.Index(settings.Tenants, t.Tenant)
 	}
-	return e
+	return class, tenant, class >= 0 && tenant >= 0
 }
 
-// mark has the keepers write that a step may run at a worker; true once they have.
-func (r *Runner) mark(ctx context.Context, t *claims.ClaimedStep, c *dispatch.Class, a *broker.Attempt) bool {
-	m := claims.DispatchIntent{ClaimNumber: t.ClaimNumber, AtMostOnce: c.Semantics == dispatch.AtMostOnce, NotRunBefore: t.RepeatWindowLeft == 0}
-	if c.Semantics == dispatch.Deduplicated {
-		m.DedupWindow = c.DedupWindow * 9 / 10 // as long as the module would send it again
-		switch c.DedupScope {
-		case dispatch.ScopeCell:
-			m.PinnedCell = a.Cell + 1
-		case dispatch.ScopeZone:
-			m.PinnedCell = a.Zone + 1
-		}
+// begin notes how a running step may be cancelled, and returns the bit of its pool.
+func (r *Runner) begin(running *runningStep, t *claims.ClaimedStep, class *dispatch.Class) (poolBit uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	running.atMostOnce = class.Semantics == dispatch.AtMostOnce
+	return r.pools.Bit(t.Pool)
+}
+
+// restrictRepeat restricts the repeat of a step to the cell, or zone, that it may have run in, and to the time left in
+// which workers there drop a repeat.
+func restrictRepeat(request *broker.Request, t *claims.ClaimedStep, class *dispatch.Class, left time.Duration) {
+	request.Ran = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}
+	request.RanFor = max(class.DedupWindow-left, 0)
+	request.Deadline = time.Now().Add(min(class.Deadline, left))
+}
+
+// newJob returns what is sent to a worker.
+func (r *Runner) newJob(running *runningStep, t *claims.ClaimedStep, class *dispatch.Class) (httpfront.Job, error) {
+	body, err := json.Marshal(jobBody{t.Workflow, t.Step, t.ItemValues, t.Results, t.FanOutCounts})
+	if err != nil {
+		return httpfront.Job{}, err
+	}
+	key := idempotencyKey(t)
+	job := httpfront.Job{ID: fmt.Sprintf("%s#%d", key, t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.maySend(running, t.ClaimNumber) }}
+	if class.Semantics == dispatch.Deduplicated {
+		job.Key = key
 	}
+	return job, nil
+}
+
+// maySend reports whether a step's first byte may be sent now, and if so notes that it may have been.
+func (r *Runner) maySend(running *runningStep, claim uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hand.RequestIntent(m)
-	signal(r.poke)
-	for !r.hand.IntentRecorded(t.ClaimNumber) {
-		changed := r.changed
-		gone := r.hand.Revoked(t.ClaimNumber)
+	running.sent = r.claimant.MaySend(r.config.Now(), claim)
+	return running.sent
+}
+
+// setNotSent notes that no byte of a step has reached a worker after all.
+func (r *Runner) setNotSent(running *runningStep) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	running.sent = false
+}
+
+// recordIntent has the coordinators record that a step is about to be sent, and reports true once they have. It gives up
+// where the claim is revoked or ctx ends.
+func (r *Runner) recordIntent(ctx context.Context, t *claims.ClaimedStep, class *dispatch.Class, a *broker.Attempt) bool {
+	intent := newIntent(t, class, a)
+	r.mu.Lock()
+	r.claimant.RequestIntent(intent)
+	r.mu.Unlock()
+	signal(r.reportSignal)
+	for {
+		r.mu.Lock()
+		recorded, revoked, changed := r.claimant.IntentRecorded(t.ClaimNumber), r.claimant.Revoked(t.ClaimNumber), r.changed
 		r.mu.Unlock()
-		if gone {
-			r.mu.Lock()
+		if recorded {
+			return true
+		}
+		if revoked {
 			return false
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
 		}
-		r.mu.Lock()
 		if ctx.Err() != nil {
 			return false
 		}
 	}
-	return true
 }
 
-// may tells whether a step's first byte may leave now.
-func (r *Runner) may(o *run, no uint64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	o.sent = r.hand.MaySend(r.h.Now(), no)
-	return o.sent
+// newIntent returns the intent to send a step in an attempt. Where workers drop repeats, it names the cell that does.
+func newIntent(t *claims.ClaimedStep, class *dispatch.Class, a *broker.Attempt) claims.DispatchIntent {
+	intent := claims.DispatchIntent{ClaimNumber: t.ClaimNumber, AtMostOnce: class.Semantics == dispatch.AtMostOnce, NotRunBefore: t.RepeatWindowLeft == 0}
+	if class.Semantics != dispatch.Deduplicated {
+		return intent
+	}
+	intent.DedupWindow = class.DedupWindow * 9 / 10 // as long as the decision module would send it again
+	switch class.DedupScope {
+	case dispatch.ScopeCell:
+		intent.PinnedCell = a.Cell + 1
+	case dispatch.ScopeZone:
+		intent.PinnedCell = a.Zone + 1
+	}
+	return intent
+}
+
+// stepEnd returns how a step has ended, from the broker's answer and the outcome of the attempt that may have run (nil:
+// none has).
+func stepEnd(t *claims.ClaimedStep, class *dispatch.Class, answer broker.Answer, ran *broker.Outcome) claims.StepEnd {
+	repeatable := class.Semantics != dispatch.AtMostOnce
+	if ran == nil {
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: max(answer.ComeBack, retryPause), Repeatable: repeatable}
+	}
+	switch ran.Code {
+	case broker.OK:
+		if !t.ResultUsed {
+			return claims.StepEnd{Outcome: claims.OutcomeDone, Repeatable: repeatable}
+		}
+		if len(ran.Result) > template.MaxResultBytes {
+			return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(ran.Result), Limit: template.MaxResultBytes})}
+		}
+		return claims.StepEnd{Outcome: claims.OutcomeDone, Result: ran.Result, Repeatable: repeatable}
+	case broker.Rejected:
+		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: "the worker rejected it"}
+	case broker.Failed:
+		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: "the worker answered that it has failed", Repeatable: repeatable}
+	case broker.TimedOut:
+		return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "no answer before its deadline", Repeatable: repeatable}
+	default:
+		return claims.StepEnd{Outcome: claims.OutcomeUnknown, Reason: "the connection to the worker broke", Repeatable: repeatable}
+	}
 }
