--- a/internal/fleet/workflow/simulation/faults.go
+++ b/internal/fleet/workflow/simulation/faults.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file owns what goes wrong, and what is judged while it does.
-
 import (
 	"maps"
 	"slices"
@@ -12,122 +10,124 @@
 	"yardflow/internal/fleet/workflow/expansion"
 )
 
-// harm draws what goes wrong next.
-func (p *play) harm() {
-	if !p.stormy() {
+// faultCases is of how many equally likely cases injectFault draws one; most of them are none.
+const faultCases = 40
+
+// injectFault draws what goes wrong next, and with whom.
+func (s *simulation) injectFault() {
+	if !s.faultsActive() {
 		return
 	}
-	d := p.all[p.rnd.IntN(len(p.all))]
-	switch p.rnd.IntN(40) {
+	d := s.dispatchers[s.rand.IntN(len(s.dispatchers))]
+	switch s.rand.IntN(faultCases) {
 	case 0:
-		p.kill(d)
-		p.after(p.pause(2*lease), func() {
-			if !d.up {
-				p.begin(d)
-			}
-		})
+		s.killAndRestart(d)
 	case 1, 2:
-		d.thaw = max(d.thaw, p.now+p.pause(3*lease))
+		d.frozenUntil = max(d.frozenUntil, s.now+s.randomDuration(3*leaseDuration))
 	case 3, 4:
-		d.cut = max(d.cut, p.now+p.pause(3*lease))
+		d.partitionedUntil = max(d.partitionedUntil, s.now+s.randomDuration(3*leaseDuration))
 	case 5:
-		if p.rnd.IntN(3) > 0 {
-			break
+		if s.oneIn(3) {
+			s.noLeaderUntil = max(s.noLeaderUntil, s.now+s.randomDuration(leaseDuration))
 		}
-		p.still = max(p.still, p.now+p.pause(lease)) // the leader is lost
 	case 6, 7:
-		p.lookBack()
-	case 13, 14:
-		p.operate()
-	case 11, 12:
-		// The last word that gets through is answered late; then it is cut off, with something out.
-		d = p.longest(d)
-		d.slow = max(d.slow, p.now+20*time.Millisecond)
-		p.hold(d, d.life)
-		p.after(20*time.Millisecond, func() { d.cut = max(d.cut, p.now+lease+p.pause(lease)) })
-	case 10:
-		p.stalled = p.now + p.pause(lease)
+		s.restoreFromSnapshot()
 	case 8:
-		if p.plant == EarlyReclaim {
-			p.s.Workflows.ReclaimFrom(p.s.Now, claims.DispatcherKey(d.name, d.life))
+		if s.planted == EarlyReclaim {
+			s.state.Workflows.ReclaimFrom(s.state.Now, claims.DispatcherKey(d.name, d.incarnation))
 		}
 	case 9:
-		if p.plant == RequeuePossiblyRun {
-			p.forget()
+		if s.planted == RequeuePossiblyRun {
+			s.requeuePossiblyRun()
 		}
+	case 10:
+		s.ticksStalledUntil = s.now + s.randomDuration(leaseDuration)
+	case 11, 12:
+		s.partitionAfterSlowAnswer(s.longestRunning(d))
+	case 13, 14:
+		s.actAsOperator()
 	}
 }
 
-// watch judges what is out: one that could call it off has done so before the keepers take it back.
-func (p *play) watch() {
-	for _, d := range p.all {
-		for _, no := range d.held() {
-			t := d.out[no]
-			if d.up && p.now >= d.thaw && t.at != nil && !t.over && t.task.Class != "once" && p.now < t.at.to && p.s.Workflows.Claims[no] == nil {
-				p.wrong("%s is still out from %s, which has not called it off", name(&t.task), d.name)
-			}
+// killAndRestart kills a dispatcher, and with its connections what it has at workers that cancel it; it starts again
+// later.
+func (s *simulation) killAndRestart(d *dispatcher) {
+	d.up, d.frozenUntil = false, 0
+	for _, number := range d.claimNumbers() {
+		if a := d.attempts[number]; a.execution != nil && a.step.Class != classOnce {
+			a.execution.end = min(a.execution.end, s.now)
 		}
 	}
+	s.after(s.randomDuration(2*leaseDuration), func() {
+		if !d.up {
+			s.start(d)
+		}
+	})
+}
+
+// partitionAfterSlowAnswer has the last lease request of a dispatcher that gets through answered late, and partitions the
+// dispatcher then: the lease that it believes in must not outlast the coordinators' count.
+func (s *simulation) partitionAfterSlowAnswer(d *dispatcher) {
+	d.slowAnswersUntil = max(d.slowAnswersUntil, s.now+20*time.Millisecond)
+	s.renewLease(d, d.incarnation)
+	s.after(20*time.Millisecond, func() {
+		d.partitionedUntil = max(d.partitionedUntil, s.now+leaseDuration+s.randomDuration(leaseDuration))
+	})
 }
 
-// longest is the dispatcher whose try of what may be repeated runs longest; d where none has any.
-func (p *play) longest(d *dispatcher) *dispatcher {
-	most := time.Duration(0)
-	for _, o := range p.all {
-		for _, no := range o.held() {
-			if t := o.out[no]; t.at != nil && t.task.Class != "once" && t.at.to-p.now > most {
-				d, most = o, t.at.to-p.now
+// longestRunning returns the dispatcher whose execution of a repeatable step runs longest from now; d where there is
+// none.
+func (s *simulation) longestRunning(d *dispatcher) *dispatcher {
+	longest := time.Duration(0)
+	for _, o := range s.dispatchers {
+		for _, number := range o.claimNumbers() {
+			if a := o.attempts[number]; a.execution != nil && a.step.Class != classOnce && a.execution.end-s.now > longest {
+				d, longest = o, a.execution.end-s.now
 			}
 		}
 	}
 	return d
 }
 
-// operate is what an operator does now and then: one settles a step that is stuck, or cancels a flow.
-func (p *play) operate() {
-	for _, key := range slices.Sorted(maps.Keys(p.s.Workflows.Workflows)) {
-		f := p.s.Workflows.Workflows[key]
-		var stuck *expansion.StepRef
-		if f.Tree != nil && f.State == claims.WorkflowHeld {
-			f.Tree.ForEachStep(func(r expansion.StepRef, run *expansion.StepRun) {
-				if run.State == expansion.AwaitingOperator {
-					stuck = &r
-				}
-			})
+// actAsOperator resolves a step that waits for an operator, or now and then cancels a workflow.
+func (s *simulation) actAsOperator() {
+	for _, key := range slices.Sorted(maps.Keys(s.state.Workflows.Workflows)) {
+		w := s.state.Workflows.Workflows[key]
+		if w.Tree == nil {
+			continue
 		}
-		if stuck != nil {
-			p.apply(statemachine.Command{Workflow: &claims.Command{Resolve: &claims.Resolution{Workflow: key, RequestedBy: "o", Step: *stuck, Outcome: claims.OutcomeFailed}}})
+		if waiting := awaitingOperator(w); waiting != nil {
+			s.apply(statemachine.Command{Workflow: &claims.Command{Resolve: &claims.Resolution{Workflow: key, RequestedBy: "o", Step: *waiting, Outcome: claims.OutcomeFailed}}})
 			return
 		}
-		if f.Tree != nil && p.rnd.IntN(60) == 0 {
-			p.apply(statemachine.Command{Workflow: &claims.Command{Cancel: &claims.Cancellation{Workflow: key, RequestedBy: "o"}}})
+		if s.oneIn(60) {
+			s.apply(statemachine.Command{Workflow: &claims.Command{Cancel: &claims.Cancellation{Workflow: key, RequestedBy: "o"}}})
 			return
 		}
 	}
 }
 
-// forget is what a ledger would do that did not know that a step may have run.
-func (p *play) forget() {
-	for _, f := range p.s.Workflows.Workflows {
-		if f.Tree != nil {
-			f.Tree.ForEachStep(func(_ expansion.StepRef, r *expansion.StepRun) {
-				if r.State == expansion.Claimed {
-					r.PossiblyExecutedAt, r.IntentSequence = 0, 0
-				}
-			})
-		}
-	}
-	for _, who := range p.s.Workflows.Holders() {
-		p.s.Workflows.ReclaimFrom(p.s.Now, who)
+// awaitingOperator returns the last step that holds a workflow; nil: it is not held.
+func awaitingOperator(w *claims.Workflow) (step *expansion.StepRef) {
+	if w.State != claims.WorkflowHeld {
+		return nil
 	}
+	w.Tree.ForEachStep(func(ref expansion.StepRef, run *expansion.StepRun) {
+		if run.State == expansion.AwaitingOperator {
+			step = &ref
+		}
+	})
+	return step
 }
 
-// kill ends a dispatcher, and with its connections what it has out.
-func (p *play) kill(d *dispatcher) {
-	d.up, d.thaw = false, 0
-	for _, no := range d.held() {
-		if t := d.out[no]; t.at != nil && t.task.Class != "once" {
-			t.at.to = min(t.at.to, p.now)
+// requeuePossiblyRun does what coordinators would do that did not know that a step may have run.
+func (s *simulation) requeuePossiblyRun() {
+	s.forEachStep(func(run *expansion.StepRun) {
+		if run.State == expansion.Claimed {
+			run.PossiblyExecutedAt, run.IntentSequence = 0, 0
 		}
+	})
+	for _, holder := range s.state.Workflows.Holders() {
+		s.state.Workflows.ReclaimFrom(s.state.Now, holder)
 	}
 }
--- a/internal/fleet/workflow/simulation/planted_test.go
+++ b/internal/fleet/workflow/simulation/planted_test.go
@@ -4,10 +4,11 @@
 
 import "testing"
 
-// plays are how many storms are played; under the race detector few, since one goroutine plays each.
-const plays = uint64(60)
+// seedCount is how many seeds are run without a planted fault; few under the race detector, which slows a run and sees
+// only one goroutine in each.
+const seedCount = uint64(60)
 
-// Each fault that is planted is found.
+// TestPlantedFaultsAreFound checks that each planted fault violates an invariant under some seed.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for _, f := range AllFaults {
 		t.Run(string(f), func(t *testing.T) {
--- a/internal/fleet/workflow/simulation/race_test.go
+++ b/internal/fleet/workflow/simulation/race_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const plays = uint64(8)
+const seedCount = uint64(8) // see planted_test.go
