--- a/internal/fleet/workflow/claims/claim.go
+++ b/internal/fleet/workflow/claims/claim.go
@@ -31,7 +31,7 @@
 	for _, number := range held {
 		if number > c.LastSeenClaim && len(a.Claimed) < MaxClaimsPerAnswer {
 			claim := t.Claims[number]
-			claim.GrantNo = grants // the holder's repeat window starts at this answer, not at the one that was lost
+			claim.GrantNumber = grants // the holder's repeat window starts at this answer, not at the one that was lost
 			a.Claimed = append(a.Claimed, t.claimedStep(now, t.Workflows[claim.Workflow], claim.Step, number))
 		}
 	}
--- a/internal/fleet/workflow/claims/claims.go
+++ b/internal/fleet/workflow/claims/claims.go
@@ -93,10 +93,10 @@
 
 // heldClaim is a claim that a dispatcher holds on a step.
 type heldClaim struct {
-	Workflow string            `cbor:"Key" json:"Key"`
-	Holder   string            `cbor:"Who" json:"Who"` // DispatcherKey
-	Step     expansion.StepRef `cbor:"Ref" json:"Ref"`
-	GrantNo  uint64            `cbor:"Grant" json:"Grant"` // number, among all grants of the coordinators, of the latest answer that told the holder of it
+	Workflow    string            `cbor:"Key" json:"Key"`
+	Holder      string            `cbor:"Who" json:"Who"` // DispatcherKey
+	Step        expansion.StepRef `cbor:"Ref" json:"Ref"`
+	GrantNumber uint64            `cbor:"Grant" json:"Grant"` // number, among all grants of the coordinators, of the latest answer that told the holder of it
 }
 
 // VersionedTemplate is a template of one version of the policy.
@@ -242,19 +242,19 @@
 
 // SetTemplates puts the templates of a policy version in force. Active workflows go on by the template that they were
 // submitted for.
-func (t *Table) SetTemplates(version uint64, all []template.Template) {
+func (t *Table) SetTemplates(version uint64, templates []template.Template) {
 	clear(t.CurrentTemplates)
-	for _, form := range all {
-		g, err := graph.Compile(form)
+	for _, tmpl := range templates {
+		g, err := graph.Compile(tmpl)
 		if err != nil {
 			continue // cannot be: it was compiled when the policy was proposed
 		}
-		name := fmt.Sprintf("%d/%s", version, form.Name)
+		name := fmt.Sprintf("%d/%s", version, tmpl.Name)
 		t.graphs[name] = g
 		if t.Templates[name] == nil {
-			t.Templates[name] = &VersionedTemplate{Template: form}
+			t.Templates[name] = &VersionedTemplate{Template: tmpl}
 		}
-		t.CurrentTemplates[form.Name] = name
+		t.CurrentTemplates[tmpl.Name] = name
 	}
 	t.dropUnusedTemplates()
 }
--- a/internal/fleet/workflow/claims/intent.go
+++ b/internal/fleet/workflow/claims/intent.go
@@ -65,7 +65,7 @@
 	if hasRepeatWindow(run) && !intent.NotRunBefore {
 		// It is sent again while workers drop repeats. How much of that time has passed is known only by a tick whose
 		// clock was read after the claim was granted.
-		if claim.GrantNo > t.GrantsSeen {
+		if claim.GrantNumber > t.GrantsSeen {
 			return intentDeferred, 0
 		}
 		if run.RepeatableUntil <= now && !duplicate {
