--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -79,10 +79,10 @@
 func (h *host) deliver(now time.Duration) error {
 	e := &h.event
 	switch e.Code {
-	case simwire.Select:
+	case simwire.EventSelect:
 		h.current, h.named = e.Instance, false
 		return nil
-	case simwire.Up:
+	case simwire.EventUp:
 		s, err := config.ParseSettings(e.Settings)
 		if err != nil {
 			return fmt.Errorf("settings at offset 18: %w", err)
@@ -93,7 +93,7 @@
 		}
 		h.dispatchers[h.current] = d
 		return nil
-	case simwire.Exit:
+	case simwire.EventExit:
 		delete(h.dispatchers, h.current)
 		return nil
 	}
@@ -103,7 +103,7 @@
 	}
 	id := dispatch.RequestID(e.Xid)
 	switch e.Code {
-	case simwire.Targets:
+	case simwire.EventTargets:
 		h.workers = h.workers[:0]
 		for _, t := range e.Entries {
 			h.workers = append(h.workers, dispatch.Worker{
@@ -111,27 +111,27 @@
 				State: state(t.Status), Weight: float64(t.Capacity), Launched: ms(t.LaunchedMillis)})
 		}
 		d.UpdateWorkers(now, form(e.Form), h.workers, h)
-	case simwire.Ask:
+	case simwire.EventAsk:
 		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), TimeLeft: ms(e.LeftMs),
 			Slots: float64(e.Slots), Memory: float64(e.Memory), ClientRetry: e.Flags&simwire.FlagRetry != 0}
 		if e.Flags&simwire.FlagHint != 0 {
 			r.WorkHint = ms(e.HintMs)
 		}
 		d.Arrive(now, r, h)
-	case simwire.HeadReceived:
+	case simwire.EventHeadReceived:
 		d.StreamStarted(now, id, int(e.Copy), h)
-	case simwire.Settled:
+	case simwire.EventSettled:
 		d.AttemptEnded(now, dispatch.Outcome{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
 			Code: code(e.State), Latency: ms(e.Latency), Answered: e.Ended, Load: h.floats(e.Load)}, h)
-	case simwire.TimedOutClient:
+	case simwire.EventTimedOutClient:
 		d.ClientDisconnected(now, id, h)
-	case simwire.Alarm:
+	case simwire.EventAlarm:
 		d.Timer(now, e.Tag, h)
-	case simwire.Pong:
+	case simwire.EventPong:
 		d.ProbeAnswered(now, dispatch.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
-	case simwire.PeerData:
+	case simwire.EventPeerData:
 		d.PeerMessage(now, int(e.Sender), e.Content, h)
-	case simwire.HintUpdate:
+	case simwire.EventHintUpdate:
 		d.Notify(now, dispatch.Notification{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
 			Kind: note(e.Topic), FractionDone: float64(e.Value)}, h)
 	}
--- a/cmd/coordinator/config.go
+++ b/cmd/coordinator/config.go
@@ -85,9 +85,9 @@
 		}
 		return nil, errors.Join(all...)
 	}
-	lines := config.Lines(text)
+	lines := config.IndexKeys(text)
 	line := func(key string) int {
-		if row := lines.Of(key); row > 1 || lines.Has(key) {
+		if row := lines.Line(key); row > 1 || lines.Has(key) {
 			return row
 		}
 		return 0
--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -33,24 +33,24 @@
 func under(base *config.Config, doc policy.Document) (*config.Config, error) {
 	own := *base
 	if doc.MaxAttempts > 0 {
-		own.Module.MaxAttempts = min(own.Module.MaxAttempts, doc.MaxAttempts)
+		own.Dispatch.MaxAttempts = min(own.Dispatch.MaxAttempts, doc.MaxAttempts)
 	}
 	if doc.MergeRule != "" {
 		own.Membership.Rule = doc.MergeRule
 	}
 	if doc.Reservations != nil {
-		own.Module.Backfill = doc.Reservations.Settings()
+		own.Dispatch.Backfill = doc.Reservations.Settings()
 	}
 	if len(doc.Contracts) > 0 {
 		own.SSE.Contracts = nil
 		for _, k := range doc.Contracts {
 			own.SSE.Contracts = append(own.SSE.Contracts, config.Contract(k))
 		}
-		if err := own.CheckContracts("", own.SSE.Contracts); err != nil {
+		if err := own.ValidateContracts("", own.SSE.Contracts); err != nil {
 			return nil, err
 		}
 	}
-	return &own, own.Module.Validate()
+	return &own, own.Dispatch.Validate()
 }
 
 // put puts a configuration in force, under a policy. The caller holds policyMu.
@@ -62,26 +62,26 @@
 		pools, err = pool.NewSet(doc.Pools, own.Kinds, own.Zones)
 	}
 	if err == nil {
-		err = n.broker.Retune(own.Module)
+		err = n.broker.Reconfigure(own.Dispatch)
 	}
 	if err != nil {
 		return err
 	}
-	n.broker.Contracts(contracts(own))
+	n.broker.SetContracts(contracts(own))
 	n.base, n.policy = base, doc
 	n.live.Set(own)
 	if n.flows != nil {
 		n.flows.ApplyPolicy(len(doc.Workflows) > 0, pools)
 	}
 	if own.Membership.Rule != was.Membership.Rule {
-		return n.sources.Retune()
+		return n.sources.Reconfigure()
 	}
 	return nil
 }
 
 func contracts(cfg *config.Config) (out []broker.Contract) {
 	for _, k := range cfg.SSE.Contracts {
-		out = append(out, broker.Contract{Team: k.Team, Rate: k.Rate, Burst: k.Burst, MaxOpen: k.MaxOpen})
+		out = append(out, broker.Contract{Team: k.Team, RequestsPerSecond: k.Rate, Burst: k.Burst, MaxInFlight: k.MaxOpen})
 	}
 	return out
 }
@@ -118,11 +118,11 @@
 	}
 	n.policyMu.Lock()
 	defer n.policyMu.Unlock()
-	ids, err := n.bans.Read()
+	ids, err := n.bans.Reload()
 	if err != nil {
 		return err
 	}
-	n.sources.Ban(slices.Concat(ids, doc.BannedWorkers))
+	n.sources.SetBanned(slices.Concat(ids, doc.BannedWorkers))
 	if err := n.put(n.base, doc); err != nil {
 		return err
 	}
@@ -132,9 +132,9 @@
 		n.witness.SetHalfLife(p.OutlierSettings.HalfLife)
 	} else {
 		n.witness.SetHalfLife(0)
-		n.broker.Judged(nil, false)
+		n.broker.ApplyEjections(nil, false)
 	}
-	n.broker.Rebound()
+	n.broker.RefreshWorkerLimits()
 	return nil
 }
 
@@ -143,13 +143,13 @@
 func (n *node) hold(cfg *config.Config, dir string) {
 	began := time.Now()
 	n.desk, n.deskNow = quota.NewLimiter(), func() time.Duration { return time.Since(began) }
-	n.broker.Limit(n.desk, n.deskNow)
+	n.broker.SetLimiter(n.desk, n.deskNow)
 	n.witness = outlier.NewReporter(outlier.DefaultSettings().HalfLife, uint64(began.UnixNano()))
 	n.witness.SetHalfLife(0) // until a policy has workers judged
-	n.broker.Witness(n.witness)
+	n.broker.SetOutlierReporter(n.witness)
 	// What the keepers have said of workers is not used for longer than a lease.
-	n.stale = time.AfterFunc(time.Hour, func() { n.broker.Judged(nil, false) })
-	fence, _ := statemachine.ParseLeaseLossMode(cfg.Keepers.Fence) // checked with the file
+	n.stale = time.AfterFunc(time.Hour, func() { n.broker.ApplyEjections(nil, false) })
+	fence, _ := statemachine.ParseLeaseLossMode(cfg.Coordinators.OnLeaseLoss) // checked with the file
 	half := policylease.New(cfg.Name, uint64(time.Now().UnixNano()), fmt.Sprint("policies of form ", policy.FormatVersion()), fence)
 	var more transport.Hooks
 	n.carry(cfg, half.Incarnation(), &more)
@@ -158,10 +158,10 @@
 	// waited for as long as a list may be old. Else but a moment.
 	patience := time.Second
 	if fence == statemachine.RefuseWork {
-		patience = max(cfg.Module.ListRefreshInterval, patience)
+		patience = max(cfg.Dispatch.ListRefreshInterval, patience)
 	}
-	n.starts = coldstart.NewClient(n.deskNow, patience+backoff.First(cfg.Module.DispatcherCount, rand.Float64()))
-	if kept := hotrestart.OpenPolicy(dir, cfg.Name); fence == statemachine.KeepLastPolicy {
+	n.starts = coldstart.NewClient(n.deskNow, patience+backoff.BeforeFirstCall(cfg.Dispatch.DispatcherCount, rand.Float64()))
+	if kept := hotrestart.OpenPolicyFile(dir, cfg.Name); fence == statemachine.KeepLastPolicy {
 		if p, ok := n.lastPolicy(kept); ok {
 			half.RestorePolicy(p)
 			log.Printf("policy: version %d (%.12s) of the process before, until the keepers are asked", p.Version, p.Digest)
@@ -174,47 +174,47 @@
 			if err != nil {
 				return err
 			}
-			if err := kept.Keep(text); err != nil {
+			if err := kept.Save(text); err != nil {
 				log.Printf("policy: version %d is not kept for the next process: %v", p.Version, err)
 			}
 			return nil
 		}
 	}
-	var carrier *relayedlist.Carrier
+	var carrier *relayedlist.Relay
 	hooks := transport.Hooks{
 		CheckPolicy: func(p statemachine.Policy) error { _, err := n.weigh(p); return err },
 		ApplyPolicy: apply, Log: func(s string) { log.Print(s) },
 		QuotaRequests: func() []quota.Request {
-			n.desk.ObserveBusiestWorker(int64(n.broker.Fullest()))
-			n.broker.Rebound()
+			n.desk.ObserveBusiestWorker(int64(n.broker.BusiestWorkerInFlight()))
+			n.broker.RefreshWorkerLimits()
 			return n.desk.Requests(n.deskNow())
 		},
 		QuotaGranted: func(until time.Duration, parts []quota.Share) {
 			n.desk.SetShares(n.deskNow(), until, parts)
-			n.broker.Rebound()
+			n.broker.RefreshWorkerLimits()
 		},
-		Zone: cfg.Module.Zone, ColdStartRequest: n.starts.NextRequest, ListMark: n.starts.Watermark,
+		Zone: cfg.Dispatch.Zone, ColdStartRequest: n.starts.NextRequest, ListMark: n.starts.Watermark,
 		ColdStartGranted: func(asked, until time.Duration, w *coldstart.Response) {
 			list, speeds := n.starts.HandleResponse(asked, until, w)
-			carrier.Take(list)
+			carrier.Apply(list)
 			if speeds != nil {
-				n.broker.Recall(speeds.Encode())
+				n.broker.Restore(speeds.Encode())
 				log.Printf("speeds: told of %d kinds and %d classes by the fleet", len(speeds.Kinds), len(speeds.Classes))
 			}
 		},
-		ListReceived:   func(u *relay.Update) { carrier.Take(n.starts.HandleUpdate(u)) },
+		ListReceived:   func(u *relay.Update) { carrier.Apply(n.starts.HandleUpdate(u)) },
 		QuotaExhausted: func() bool { return n.desk.Exhausted() || n.starts.Urgent() || n.judged.Load() && n.witness.Urgent() },
 		AddReports: func(hold *statemachine.LeaseRequest) {
 			if n.judged.Load() {
-				hold.WorkerCount, hold.OutlierReports = n.broker.Workers(), n.witness.Reports(n.deskNow())
+				hold.WorkerCount, hold.OutlierReports = n.broker.ListedWorkers(), n.witness.Reports(n.deskNow())
 			}
 		},
 		ReportsUndelivered: n.witness.Undelivered,
 		VerdictsReceived:   n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
-	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Keepers.Fleet, cfg.Keepers.Addresses), half, began, hooks)
-	carrier = relayedlist.New(cfg.Name, cfg.Module.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
-	n.table.Share(n.starts, carrier.Told)
-	n.reader.Gate(func() (uint64, time.Time, bool) {
+	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Coordinators.Fleet, cfg.Coordinators.Addresses), half, began, hooks)
+	carrier = relayedlist.New(cfg.Name, cfg.Dispatch.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
+	n.table.EnableSharing(n.starts, carrier.Publish)
+	n.reader.SetAdmissionGate(func() (uint64, time.Time, bool) {
 		held, at := n.holder.Admits()
 		return held.Version, at, held.Allowed
 	})
@@ -241,7 +241,7 @@
 		select {
 		case <-tick.C:
 			if n.starts.Enabled() {
-				n.starts.SetLearnedSpeeds(speeds.Decode(n.broker.Memory(200 * time.Millisecond)))
+				n.starts.SetLearnedSpeeds(speeds.Decode(n.broker.Snapshot(200 * time.Millisecond)))
 			}
 		case <-ctx.Done():
 			return
@@ -255,19 +255,19 @@
 		return
 	}
 	own := slices.DeleteFunc(slices.Clone(all), func(v outlier.EjectionNotice) bool {
-		return v.Zone != outlier.AllZones && v.Zone != n.cfg.Module.Zone
+		return v.Zone != outlier.AllZones && v.Zone != n.cfg.Dispatch.Zone
 	})
 	n.witness.Reinstated(n.verdicts, own)
 	n.verdicts = own
-	n.broker.Judged(own, news)
+	n.broker.ApplyEjections(own, news)
 	if !news {
 		n.witness.SetSuspects(accused)
 	}
-	n.stale.Reset(timers.Ahead(until - n.deskNow()))
+	n.stale.Reset(timers.Positive(until - n.deskNow()))
 }
 
 // lastPolicy takes up the policy that the process before ran by, if there is one.
-func (n *node) lastPolicy(kept *hotrestart.Policy) (p statemachine.Policy, ok bool) {
+func (n *node) lastPolicy(kept *hotrestart.PolicyFile) (p statemachine.Policy, ok bool) {
 	text, err := kept.Read()
 	if err == nil && len(text) > 0 {
 		if err = statemachine.Decode(text, &p); err == nil {
--- a/cmd/yardflow/door.go
+++ b/cmd/yardflow/door.go
@@ -22,7 +22,7 @@
 		return errStarting
 	case d.n.front.Draining():
 		return errors.New("stopping")
-	case !d.n.reader.Admits():
+	case !d.n.reader.Admitting():
 		return errors.New("no policy is in force here: ask with policy")
 	}
 	return nil
@@ -31,32 +31,32 @@
 func (d door) Exclude(id string) error { return d.n.ban(id, true) }
 func (d door) Include(id string) error { return d.n.ban(id, false) }
 
-func (d door) Sources() (string, error) {
+func (d door) DescribeSources() (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
-	return d.n.sources.Describe() + "; by the " + d.n.table.Serves(), nil
+	return d.n.sources.Describe() + "; by the " + d.n.table.DescribeList(), nil
 }
 
-func (d door) Room() (string, error) {
+func (d door) DescribeReservations() (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
-	held, err := d.n.broker.RoomHeld(500 * time.Millisecond)
+	held, err := d.n.broker.Reservations(500 * time.Millisecond)
 	if err != nil {
 		return "", err
 	}
 	out := []string{fmt.Sprintf("%d held, %.2f%% of the slot time idle by it; since the start %d made, %d used, %d lapsed, %d jobs backfilled, %d kept waiting",
 		len(held.Reservations), 100*held.IdleShare, held.Created, held.Fulfilled, held.Expired, held.Backfilled, held.Delayed)}
-	clock := func(at time.Duration) string { return d.n.broker.Clock(at).UTC().Format("15:04:05.000") }
+	clock := func(at time.Duration) string { return d.n.broker.WallTime(at).UTC().Format("15:04:05.000") }
 	for _, r := range held.Reservations {
 		out = append(out, fmt.Sprintf("%v slots at %s for job %d since %s, free by %s, until %s, %.1f slot seconds idle", r.Slots,
-			d.n.broker.Name(dispatch.WorkerID(r.Worker)), r.Job, clock(r.CreatedAt), clock(r.ShadowTime), clock(r.ExpiresAt), r.IdleSlotSeconds))
+			d.n.broker.WorkerName(dispatch.WorkerID(r.Worker)), r.Job, clock(r.CreatedAt), clock(r.ShadowTime), clock(r.ExpiresAt), r.IdleSlotSeconds))
 	}
 	return strings.Join(out, "; "), nil
 }
 
-func (d door) Policy() (string, error) {
+func (d door) DescribePolicy() (string, error) {
 	switch {
 	case !d.n.serving.Load():
 		return "", errStarting
@@ -66,9 +66,9 @@
 	return d.n.holder.Describe(), nil
 }
 
-func (d door) Worker(name string) (string, error) {
+func (d door) DescribeWorker(name string) (string, error) {
 	if !d.n.serving.Load() {
 		return "", errStarting
 	}
-	return d.n.sources.Worker(name)
+	return d.n.sources.DescribeWorker(name)
 }
--- a/cmd/yardflow/endings_test.go
+++ b/cmd/yardflow/endings_test.go
@@ -25,7 +25,7 @@
 	pieces, silent := script.Dial(t, s.node.addr), script.Dial(t, s.node.addr)
 	first := fmt.Sprintf(whole, "pieces")
 	pieces.Send(first[:40])
-	for s.node.guard.Open() < 3 {
+	for s.node.guard.OpenConnections() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan error, 1)
--- a/cmd/yardflow/exchange_test.go
+++ b/cmd/yardflow/exchange_test.go
@@ -67,7 +67,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if b := invariant.Broken(); len(b) > 0 {
+		if b := invariant.Violations(); len(b) > 0 {
 			t.Errorf("broken invariants: %v", b)
 		}
 	})
@@ -430,7 +430,7 @@
 	case "sends the end":
 		_, err := io.WriteString(d.conn, "0\r\n\r\n")
 		s.must(err)
-		s.node.lines.Settle() // the connection is free again
+		s.node.lines.AwaitDrained() // the connection is free again
 	case "closes ":
 		d.conn.Close()
 	case "sees close":
--- a/cmd/yardflow/main.go
+++ b/cmd/yardflow/main.go
@@ -88,7 +88,7 @@
 	}
 	log.Print("stopping")
 	err = n.stop()
-	log.Printf("stopped; %+v; broken invariants: %v", n.broker.Stats(), invariant.Broken())
+	log.Printf("stopped; %+v; broken invariants: %v", n.broker.Stats(), invariant.Violations())
 	return err
 }
 
@@ -101,7 +101,7 @@
 	now := n.base
 	var next *config.Config
 	if err == nil {
-		next, err = now.Retuned(cfg)
+		next, err = now.Reloaded(cfg)
 	}
 	if err == nil {
 		err = n.put(next, n.policy)
@@ -110,7 +110,7 @@
 		log.Printf("reload: the old settings stay: %v", err)
 		return
 	}
-	for _, key := range now.Fixed(cfg) {
+	for _, key := range now.RestartKeys(cfg) {
 		log.Printf("reload: %s: takes effect at the next start", key)
 	}
 	n.mu.Lock()
@@ -118,20 +118,20 @@
 	n.mu.Unlock()
 	if !slices.Equal(now.Zones, next.Zones) || !slices.Equal(now.Kinds, next.Kinds) ||
 		!reflect.DeepEqual(now.Membership, next.Membership) || !reflect.DeepEqual(now.SRV, next.SRV) {
-		if err := n.sources.Retune(); err != nil { // checked before; nothing has changed then
+		if err := n.sources.Reconfigure(); err != nil { // checked before; nothing has changed then
 			log.Printf("reload: the sources stay as they were: %v", err)
 		}
 	}
-	n.lines.Retune()
+	n.lines.Reconfigure()
 	if next.Discovery != "" { // a fixed list of workers has none
-		n.table.Follow(next.Discovery)
+		n.table.SwitchSource(next.Discovery)
 	}
-	log.Printf("reload: discovery at %s; classes %v, %d attempts", next.Discovery, next.Classes, next.Module.MaxAttempts)
+	log.Printf("reload: discovery at %s; classes %v, %d attempts", next.Discovery, next.Classes, next.Dispatch.MaxAttempts)
 }
 
 // longest is the longest deadline of a configuration's classes.
 func longest(cfg *config.Config) (d time.Duration) {
-	for _, c := range cfg.Module.Classes {
+	for _, c := range cfg.Dispatch.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
--- a/cmd/yardflow/node.go
+++ b/cmd/yardflow/node.go
@@ -40,14 +40,14 @@
 
 // node is one running dispatcher.
 type node struct {
-	cfg         *config.Config // as at the start
-	live        *config.Live   // in force
-	longest     time.Duration  // longest deadline of any request that may be open
+	cfg         *config.Config  // as at the start
+	live        *config.InForce // in force
+	longest     time.Duration   // longest deadline of any request that may be open
 	broker      *broker.Broker
-	table       *httpfront.Table
-	sources     *sources.Sources
-	guard       *httpfront.Guard
-	reader      *httpfront.Reader
+	table       *httpfront.ServerTable
+	sources     *sources.Merger
+	guard       *httpfront.ConnLimiter
+	reader      *httpfront.RequestReader
 	lines       *httpfront.WorkerConns
 	front       *httpfront.Frontend
 	mu          sync.Mutex
@@ -55,8 +55,8 @@
 	listeners   []*httpfront.Listener
 	console     *console.Console
 	limitMemory func(bytes int64)
-	bans        *hotrestart.Bans
-	peers       *hotrestart.Peers
+	bans        *hotrestart.BanList
+	peers       *hotrestart.Siblings
 	holder      *transport.LeaseSession // of the policy agreed on with keepers; nil: none is
 	release     func()                  // gives its lease back
 	base        *config.Config          // in force, before the policy; reloads' and the policy's, under policyMu
@@ -69,7 +69,7 @@
 	verdicts    []outlier.EjectionNotice // that hold here; the holder's alone
 	stale       *time.Timer              // ends them
 	policy      policy.Document
-	talk        *datagram.Link        // with the other dispatchers; nil: they don't talk
+	talk        *datagram.Conn        // with the other dispatchers; nil: they don't talk
 	flows       *workflowsteps.Runner // of workflows' steps; nil: no keepers
 	serving     atomic.Bool
 
@@ -88,7 +88,7 @@
 	// Before anything grows: from here on a process that runs already keeps to its
 	// half. It knows a newer list than the configuration's.
 	var state []byte
-	n.peers, state = hotrestart.Meet(dir, cfg.Name, logLine)
+	n.peers, state = hotrestart.Join(dir, cfg.Name, logLine)
 	var before inheritance
 	if len(state) > 0 {
 		if err := json.Unmarshal(state, &before); err != nil {
@@ -97,25 +97,25 @@
 	}
 	if len(before.Table) > 0 {
 		own := *cfg
-		cfg, own.Known, own.KnownIsFresh = &own, before.Table, true
+		cfg, own.KnownList, own.KnownListInherited = &own, before.Table, true
 		n.cfg = cfg
 	}
-	n.live, n.longest, n.base = config.NewLive(cfg), longest(cfg), cfg
-	limitMemory(n.memory(1 + n.peers.Others()))
+	n.live, n.longest, n.base = config.NewInForce(cfg), longest(cfg), cfg
+	limitMemory(n.memory(1 + n.peers.Count()))
 	var err error
-	if n.broker, err = broker.New(cfg.Module, cfg.Seed, contracts(cfg), logLine); err != nil {
+	if n.broker, err = broker.New(cfg.Dispatch, cfg.Seed, contracts(cfg), logLine); err != nil {
 		return nil, err
 	}
 	if cfg.Trace {
-		n.broker.Trace(logLine)
+		n.broker.SetTrace(logLine)
 	}
-	if cfg.Talks() {
-		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, n.broker.Heard, n.peers.TellSaid); err != nil {
+	if cfg.PeersEnabled() {
+		if n.talk, err = datagram.Open(cfg.PeerListen, cfg.PeersBroadcast, cfg.Peers, n.broker.ReceivePeerMessage, n.peers.ForwardPeerMessage); err != nil {
 			return nil, err
 		}
-		n.broker.Peers(n.talk.Tell)
+		n.broker.SetBroadcast(n.talk.Broadcast)
 	}
-	if n.bans, err = hotrestart.OpenBans(dir, cfg.Name); err != nil {
+	if n.bans, err = hotrestart.OpenBanList(dir, cfg.Name); err != nil {
 		return nil, err
 	}
 	// The console comes first: whoever asks while the rest starts gets a no.
@@ -127,12 +127,12 @@
 		n.console, n.consoleAddr = console.New(l, door{n}), l.Addr()
 		go n.console.Serve()
 	}
-	banned, err := n.bans.Read()
+	banned, err := n.bans.Reload()
 	if err != nil {
 		return nil, err
 	}
-	hooks := sources.Hooks{Log: logLine, Moved: func(addr string) { n.lines.Part(addr) }}
-	clients, workers := n.sockets(1 + n.peers.Others())
+	hooks := sources.Hooks{Log: logLine, AddressRetired: func(addr string) { n.lines.RetireConnections(addr) }}
+	clients, workers := n.sockets(1 + n.peers.Count())
 	n.lines = httpfront.NewWorkerConns(n.live, workers)
 	if n.sources, err = sources.New(n.live, n.broker, hooks); err != nil {
 		return nil, err
@@ -142,19 +142,19 @@
 			log.Printf("what the process before tells is left out: %v", err)
 		}
 	}
-	n.sources.Ban(banned)
-	n.broker.ShareRoom(1 / float64(1+n.peers.Others()))
+	n.sources.SetBanned(banned)
+	n.broker.SetReservationShare(1 / float64(1+n.peers.Count()))
 	if len(before.Learned) > 0 {
-		n.broker.Recall(before.Learned)
+		n.broker.Restore(before.Learned)
 	}
-	if n.table, err = httpfront.NewTable(n.live, n.broker, n.sources.Roster, logLine); err != nil {
+	if n.table, err = httpfront.NewServerTable(n.live, n.broker, n.sources.UpdateRoster, logLine); err != nil {
 		return nil, err
 	}
-	n.guard = httpfront.NewGuard(clients)
-	n.reader = httpfront.NewReader(n.live, n.guard)
+	n.guard = httpfront.NewConnLimiter(clients)
+	n.reader = httpfront.NewRequestReader(n.live, n.guard)
 	n.front = httpfront.NewFrontend(n.broker, n.lines, n.reader)
-	n.front.AwaitStart(n.table.Started)
-	if len(cfg.Keepers.Addresses) > 0 {
+	n.front.SetReadiness(n.table.Ready)
+	if len(cfg.Coordinators.Addresses) > 0 {
 		n.hold(cfg, dir)
 	}
 	l, err := frontListener(cfg)
@@ -163,12 +163,12 @@
 	}
 	n.addr = n.serve(l, n.front.Server())
 	if cfg.SSE.Enabled {
-		server := n.front.Serve(ssefront.New(n.live, n.broker, n.lines, n.reader).Session)
+		server := n.front.NewServer(ssefront.New(n.live, n.broker, n.lines, n.reader).ServeHTTP)
 		l, err := net.Listen("tcp", cfg.SSE.Listen)
 		switch {
 		case err == nil:
 			n.sseAddr = n.serve(l, server)
-		case errors.Is(err, syscall.EADDRINUSE) && n.peers.Others() > 0:
+		case errors.Is(err, syscall.EADDRINUSE) && n.peers.Count() > 0:
 			// The process before has the port until it stops. That must not stop an
 			// upgrade: the first front is up, this one follows.
 			log.Printf("event streams: %v; taken over once it is free", err)
@@ -180,10 +180,10 @@
 	var follow context.Context
 	follow, n.unfollow = context.WithCancel(context.Background())
 	go n.table.Run(follow)
-	n.sources.Follow()
+	n.sources.SyncResolvers()
 	n.serving.Store(true)
 	// The name in dir goes over last: a process that failed before is not met.
-	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, Shared: n.share, Bans: n.rereadBans, Said: n.broker.Heard}); err != nil {
+	if err := n.peers.Serve(hotrestart.Hooks{State: n.inheritance, SiblingsChanged: n.share, BansChanged: n.rereadBans, PeerMessage: n.broker.ReceivePeerMessage}); err != nil {
 		log.Printf("the next process can't meet this one: %v", err)
 	}
 	return n, nil
@@ -197,7 +197,7 @@
 }
 
 func (n *node) inheritance() []byte {
-	text, err := json.Marshal(inheritance{n.table.State(), n.broker.Memory(300 * time.Millisecond), n.sources.State()})
+	text, err := json.Marshal(inheritance{n.table.Snapshot(), n.broker.Snapshot(300 * time.Millisecond), n.sources.Snapshot()})
 	if err != nil {
 		log.Printf("the next process gets nothing from this one: %v", err)
 	}
--- a/cmd/yardflow/node_test.go
+++ b/cmd/yardflow/node_test.go
@@ -125,7 +125,7 @@
 	s.limits = map[string]any{"sockets": 64}
 	s.step("list", "s-1 DRAINING")
 	n := s.node
-	room := 64 - 64/3 - reserve - console.Sockets
+	room := 64 - 64/3 - reserve - console.MaxSockets
 	dial := func() *client {
 		conn, err := net.Dial("tcp", n.addr.String())
 		s.must(err)
@@ -175,7 +175,7 @@
 	for _, c := range all { // the others leave; their sockets are free again
 		c.conn.Close()
 	}
-	for limit := time.Now().Add(patience); n.guard.Full() || n.broker.Stats().Open > 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(patience); n.guard.OverLimit() || n.broker.Stats().Open > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("%d requests stay open", n.broker.Stats().Open)
 		}
@@ -393,11 +393,11 @@
 		if err == nil {
 			resp.Body.Close()
 		}
-		if s.node.peers.Others() == 0 && err == nil {
+		if s.node.peers.Count() == 0 && err == nil {
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the new one does not take over all:", s.node.peers.Others(), err)
+			t.Fatal("the new one does not take over all:", s.node.peers.Count(), err)
 		}
 	}
 }
@@ -408,7 +408,7 @@
 	s.step("list", "s-1 SERVING")
 	s.step("client a sends", fmt.Sprintf(job, "r1"))
 	s.dispatches["A"] = s.arrival()
-	s.node.broker.EndAll()
+	s.node.broker.ExpireAll()
 	if status, _ := s.clients["a"].answer(t); status != 504 {
 		t.Errorf("got %d", status)
 	}
--- a/cmd/yardflow/share.go
+++ b/cmd/yardflow/share.go
@@ -17,7 +17,7 @@
 	all := n.cfg.Limits.Sockets / processes
 	workers = all / 3
 	if clients = all - workers - reserve; n.cfg.Console != "" {
-		clients -= console.Sockets
+		clients -= console.MaxSockets
 	}
 	return max(clients, 4), workers
 }
@@ -33,13 +33,13 @@
 	clients, workers := n.sockets(processes)
 	n.guard.Resize(clients)
 	n.lines.Resize(workers)
-	n.broker.ShareRoom(1 / float64(processes))
+	n.broker.SetReservationShare(1 / float64(processes))
 	n.limitMemory(n.memory(processes))
 }
 
 // rereadBans takes in what another process took out or called back.
 func (n *node) rereadBans() {
-	ids, err := n.bans.Read()
+	ids, err := n.bans.Reload()
 	if err != nil {
 		log.Print(err)
 		return
@@ -54,7 +54,7 @@
 		return errStarting
 	}
 	// One that was taken out may have left every list since: it can be called back.
-	if !n.broker.Knows(id) && !n.sources.Knows(id) && (out || !n.bans.Has(id)) {
+	if !n.broker.KnowsWorker(id) && !n.sources.KnowsWorker(id) && (out || !n.bans.Contains(id)) {
 		return errors.New("no such loan worker")
 	}
 	ids, err := n.bans.Set(id, out)
@@ -62,7 +62,7 @@
 		return err
 	}
 	n.takeOut(ids)
-	n.peers.TellBans()
+	n.peers.NotifyBans()
 	log.Printf("console: out of use now: %v", ids)
 	return nil
 }
@@ -71,5 +71,5 @@
 func (n *node) takeOut(ids []string) {
 	n.policyMu.Lock()
 	defer n.policyMu.Unlock()
-	n.sources.Ban(slices.Concat(ids, n.policy.BannedWorkers))
+	n.sources.SetBanned(slices.Concat(ids, n.policy.BannedWorkers))
 }
--- a/cmd/yardflow/sources_test.go
+++ b/cmd/yardflow/sources_test.go
@@ -59,7 +59,7 @@
 		name, is := strings.CutPrefix(call, "worker ")
 		var err error
 		if got = s.node.sources.Describe(); is {
-			if got, err = s.node.sources.Worker(name); err != nil {
+			if got, err = s.node.sources.DescribeWorker(name); err != nil {
 				got = err.Error()
 			}
 		}
--- a/cmd/yardflow/stop.go
+++ b/cmd/yardflow/stop.go
@@ -35,22 +35,22 @@
 		n.flows.Drain()
 	}
 	var errs []error
-	over := n.peers.Succeeded()
+	over := n.peers.HasSuccessor()
 	if over {
 		// Another process has taken over and listens on the same socket: nothing new
 		// is accepted here, and every answer is its connection's last.
-		n.front.Leave()
+		n.front.DisableKeepAlives()
 		// What is out shortly before the kill is answered then: a reset would leave
 		// the client to find out for itself.
-		defer time.AfterFunc(kill-killMargin, n.broker.EndAll).Stop()
+		defer time.AfterFunc(kill-killMargin, n.broker.ExpireAll).Stop()
 	} else {
 		time.Sleep(lameDuck)
-		n.reader.Limit(began.Add(kill - killMargin))
+		n.reader.LimitDeadlines(began.Add(kill - killMargin))
 	}
 	for i, l := range n.listeners {
 		end := l.Close
 		if over && i == 0 { // the clients' socket, which the other process listens on too
-			end = l.Release
+			end = l.CloseNow
 		}
 		if err := end(); !errors.Is(err, net.ErrClosed) {
 			errs = append(errs, err)
@@ -60,19 +60,19 @@
 	if over {
 		stand = kill - killMargin
 	}
-	for time.Since(began) < stand && n.guard.Open() > 0 {
+	for time.Since(began) < stand && n.guard.OpenConnections() > 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	// Every answer is its connection's last from here on, and the idle are closed by the guard.
 	// The server's own ways (SetKeepAlivesEnabled, Shutdown) look and then close: a request that
 	// is read between the two would be sent on and never answered.
-	n.front.Leave()
+	n.front.DisableKeepAlives()
 	end := began.Add(longest + time.Second)
-	for n.guard.Open()+n.guard.Lingering() > 0 && time.Now().Before(end) {
-		n.guard.CloseIdle()
+	for n.guard.OpenConnections()+n.guard.LingeringConnections() > 0 && time.Now().Before(end) {
+		n.guard.CloseIdleConnections()
 		time.Sleep(5 * time.Millisecond)
 	}
-	if open := n.guard.Open(); open > 0 {
+	if open := n.guard.OpenConnections(); open > 0 {
 		errs = append(errs, fmt.Errorf("%d connections stay open", open))
 	}
 	for _, server := range n.servers {
@@ -86,7 +86,7 @@
 	n.peers.Close()
 	n.unfollow()
 	n.sources.Close()
-	n.lines.CloseIdle()
+	n.lines.CloseIdleConnections()
 	if n.flows != nil {
 		n.flows.WaitUntilIdle(began.Add(kill - killMargin))
 	}
--- a/internal/discovery/backoff/cadence.go
+++ b/internal/discovery/backoff/cadence.go
@@ -24,8 +24,8 @@
 import "time"
 
 const (
-	// Few is how many dispatchers need not wait for each other.
-	Few = 6
+	// FewDispatchers is how many dispatchers need not wait for each other.
+	FewDispatchers = 6
 	// part is what one dispatcher's first call may take of the service. An old list is
 	// all that a dispatcher knows until then, so it is not much.
 	part = 75 * time.Millisecond
@@ -42,12 +42,12 @@
 
 // base is the pause that the dispatchers need to have their calls one after the other.
 func base(dispatchers int) time.Duration {
-	return min(time.Duration(max(dispatchers-Few, 0))*part, longest)
+	return min(time.Duration(max(dispatchers-FewDispatchers, 0))*part, longest)
 }
 
-// First is the pause before the first call after a start, draw being uniform in [0, 1):
+// BeforeFirstCall is the pause before the first call after a start, draw being uniform in [0, 1):
 // many may have started together. 0 to 3 s; none for few.
-func First(dispatchers int, draw float64) time.Duration {
+func BeforeFirstCall(dispatchers int, draw float64) time.Duration {
 	return time.Duration(draw * float64(min(base(dispatchers), firstLongest)))
 }
 
@@ -55,31 +55,33 @@
 // least that is left for one before its word is due.
 const turn = 1500 * time.Millisecond
 
-// Due is the pause before the first call where its word is due in so long, as after a
+// BeforeFirstCallWithin is the pause before the first call where its word is due in so long, as after a
 // move of the service: drawn over what a call's own time leaves of that. seen is how long
 // calls have lately taken (0: none was seen); a service that was slow has to be asked sooner.
-func Due(dispatchers int, left, seen time.Duration, draw float64) time.Duration {
-	if dispatchers <= Few {
+func BeforeFirstCallWithin(dispatchers int, left, seen time.Duration, draw float64) time.Duration {
+	if dispatchers <= FewDispatchers {
 		return 0
 	}
 	return time.Duration(draw * float64(min(base(dispatchers), max(left-max(turn, 2*seen), 0))))
 }
 
-// MostHurried is how many calls after a failure are made by the time their word is due, where
+// MaxDeadlineRetries is how many calls after a failure are made by the time their word is due, where
 // dispatchers are many. From then on the service is not late but overbooked, and is spared as
-// AfterFailure says.
-const MostHurried = 4
+// BeforeRetry says.
+const MaxDeadlineRetries = 4
 
-// Hurries tells whether the n-th call after a failure (1 or more) is made by the time its word is due.
-func Hurries(dispatchers, n int) bool { return dispatchers <= Few || n <= MostHurried }
+// RetriesWithinDeadline tells whether the n-th call after a failure (1 or more) is made by the time its word is due.
+func RetriesWithinDeadline(dispatchers, n int) bool {
+	return dispatchers <= FewDispatchers || n <= MaxDeadlineRetries
+}
 
-// Again is the pause after a call that failed, the n-th in a row (1 or more), where its word is
+// BeforeRetryWithin is the pause after a call that failed, the n-th in a row (1 or more), where its word is
 // due in left: the next call is made by then, and has failed again by then if it takes as long as
 // the last one did. took is that, draw is uniform in [0, 1). Few dispatchers pause for 50 ms to 2 s,
 // many draw over all that there is.
-func Again(dispatchers, n int, left, took time.Duration, draw float64) time.Duration {
+func BeforeRetryWithin(dispatchers, n int, left, took time.Duration, draw float64) time.Duration {
 	most := max(left-took*5/4, left/8)
-	if dispatchers <= Few {
+	if dispatchers <= FewDispatchers {
 		return min(time.Duration((0.5+draw)*float64(firstAgain<<min(n, 4))), most)
 	}
 	return time.Duration(draw * float64(min(base(dispatchers), most)))
@@ -88,38 +90,38 @@
 // firstAgain is half of the mean pause after the first failure where dispatchers are few.
 const firstAgain = 50 * time.Millisecond
 
-// AfterFailure is the pause after so many failed calls in a row (1 or more), draw being
+// BeforeRetry is the pause after so many failed calls in a row (1 or more), draw being
 // uniform in [0, 1), where none is due by a stated time. 0 to 21 s, from the third on to 168 s;
 // none for few, since the module has waited its own time then.
-func AfterFailure(dispatchers, failed int, draw float64) time.Duration {
+func BeforeRetry(dispatchers, failed int, draw float64) time.Duration {
 	most := min(backedOff<<min(max(failed-2, 0), 8), givenUp)
 	return time.Duration((0.6 + 0.8*draw) * float64(min(base(dispatchers)<<min(failed, 8), most)))
 }
 
-// Wait is how long a watch may wait at the service before it is to end with nothing, draw being
+// LongPollTimeout is how long a watch may wait at the service before it is to end with nothing, draw being
 // uniform in [0, 1). A call lost without a sign is known for one only once its wait is over, so
 // the shorter the better; but what it misses counts as told 6 s after at the soonest, and 2 s
 // after the wait where that is later, so less than shortest buys no time. Doubled for many by each strain,
 // as one that ends costs the service a call; and drawn for them, so that those which fell silent
 // together are not begun anew together.
-func Wait(dispatchers, strain int, draw float64) time.Duration {
-	if dispatchers <= Few {
+func LongPollTimeout(dispatchers, strain int, draw float64) time.Duration {
+	if dispatchers <= FewDispatchers {
 		return shortest
 	}
-	wait := shortest << min(max(strain, 0), MostStrain)
+	wait := shortest << min(max(strain, 0), MaxStrain)
 	return wait - time.Duration(draw*float64(wait)/4)
 }
 
 const (
 	shortest = 4 * time.Second
-	// MostStrain bounds the doubling: 16 s, so that a silence is over by the time at which all
+	// MaxStrain bounds the doubling: 16 s, so that a silence is over by the time at which all
 	// that is listed counts as told in any case.
-	MostStrain = 2
+	MaxStrain = 2
 )
 
-// Anew is the pause before the call in the place of a watch that fell silent, draw being uniform
+// BeforeReplacingWatch is the pause before the call in the place of a watch that fell silent, draw being uniform
 // in [0, 1) and left the time until what it missed is due: within half of it, since the call has
 // to be answered by then.
-func Anew(dispatchers int, left time.Duration, draw float64) time.Duration {
+func BeforeReplacingWatch(dispatchers int, left time.Duration, draw float64) time.Duration {
 	return time.Duration(draw * float64(min(base(dispatchers), left/2)))
 }
--- a/internal/discovery/backoff/cadence_test.go
+++ b/internal/discovery/backoff/cadence_test.go
@@ -35,7 +35,7 @@
 	rnd := rand.New(rand.NewPCG(7, uint64(told)))
 	var due []call
 	for range dispatchers {
-		due = append(due, call{at: First(told, rnd.Float64())})
+		due = append(due, call{at: BeforeFirstCall(told, rnd.Float64())})
 	}
 	for done := 0; len(due) > 0; {
 		slices.SortFunc(due, func(a, b call) int { return cmp.Compare(a.at, b.at) })
@@ -44,9 +44,9 @@
 			failed++
 			due[0].fails++
 			if n := due[0].fails; n <= hurried {
-				due[0].at = end + Again(told, n, wordDue-s.patience, s.patience, rnd.Float64())
+				due[0].at = end + BeforeRetryWithin(told, n, wordDue-s.patience, s.patience, rnd.Float64())
 			} else {
-				due[0].at = end + AfterFailure(told, n-hurried, rnd.Float64())
+				due[0].at = end + BeforeRetry(told, n-hurried, rnd.Float64())
 			}
 			continue
 		}
@@ -75,7 +75,7 @@
 // it takes it longer: while they go on the dispatchers serve by the list of before.
 func TestHurriedCallsEnd(t *testing.T) {
 	for _, told := range []int{40, 80, 160} {
-		half, last, failed := play(56, told, MostHurried, service{cost: 180 * time.Millisecond, patience: 2 * time.Second})
+		half, last, failed := play(56, told, MaxDeadlineRetries, service{cost: 180 * time.Millisecond, patience: 2 * time.Second})
 		if half > 90*time.Second || last > 2*time.Minute || failed > 350 {
 			t.Errorf("told of %d: half of 56 dispatchers have their watch after %v, the last after %v; %d calls failed", told, half, last, failed)
 		}
@@ -86,10 +86,10 @@
 	if _, last, failed := play(80, 80, 0, service{cost: 34 * time.Millisecond, patience: 3 * time.Second}); failed > 0 || last > 7*time.Second {
 		t.Errorf("a service that can do it: the last watch stands after %v, %d calls failed", last, failed)
 	}
-	if First(Few, 0.9) != 0 || AfterFailure(3, 5, 0.9) != 0 || Due(Few, 4*time.Second, 0, 0.9) != 0 {
+	if BeforeFirstCall(FewDispatchers, 0.9) != 0 || BeforeRetry(3, 5, 0.9) != 0 || BeforeFirstCallWithin(FewDispatchers, 4*time.Second, 0, 0.9) != 0 {
 		t.Error("few dispatchers wait for each other")
 	}
-	if p := AfterFailure(80, 2, 0.999); p > 22*time.Second || AfterFailure(80, 100, 0.999) > 3*time.Minute {
+	if p := BeforeRetry(80, 2, 0.999); p > 22*time.Second || BeforeRetry(80, 100, 0.999) > 3*time.Minute {
 		t.Errorf("%v pass after a failed call: 2 s past the wait it asked for, its news counts as told", p)
 	}
 }
--- a/internal/discovery/membership/membership.go
+++ b/internal/discovery/membership/membership.go
@@ -14,15 +14,15 @@
 //     holds on for the source's Stale time (RFC 8767), and then ends or is kept, as
 //     the source's setting says. A worker that comes back after a silence is the
 //     one it was: it has not newly started.
-//   - A list of names that shrinks by more than ShrinkPart at one moment is held:
-//     what it lacks stays for ShrinkHold, while it answers. Sources that tell of
+//   - A list of names that shrinks by more than ShrinkThreshold at one moment is held:
+//     what it lacks stays for ShrinkHoldTime, while it answers. Sources that tell of
 //     drains (rosters) are never held.
 //   - Workers of a worse priority are listed while no worker of a better one in the
 //     same pool can serve: none is listed as serving, or every one of them has
-//     failed FailAfter connects in a row, or one connect FailFor ago, and answered
+//     failed FailureThreshold connects in a row, or one connect UnreachableAfter ago, and answered
 //     nothing since (one that fails is soon sent little, so that a count alone
 //     would take long). They leave once one of the better has been able to serve
-//     for BackupSettle.
+//     for FailbackDelay.
 //   - An id is one worker. Two workers that claim one id are a fault; the one that
 //     claimed it first keeps it, and the other is not listed.
 //
@@ -49,22 +49,22 @@
 const (
 	Serving State = iota
 	Draining
-	Gone
+	Removed
 )
 
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// Rule says which sources may add a worker, and which may take one out.
-type Rule string
+// MergeRule says which sources may add a worker, and which may take one out.
+type MergeRule string
 
-// The rules. Under RosterVetoes every source may add, and the roster alone takes
+// The rules. Under RuleRosterVetoes every source may add, and the roster alone takes
 // out what it has named; a name that a list of names drops is out once no other
 // source has it. Under Any every source may do both. Under All a worker needs
 // every source that has told anything, and each may take it out.
 const (
-	RosterVetoes Rule = "roster-vetoes"
-	Any          Rule = "any"
-	All          Rule = "all"
+	RuleRosterVetoes MergeRule = "roster-vetoes"
+	RuleAny          MergeRule = "any"
+	RuleAll          MergeRule = "all"
 )
 
 // Identity says how a source's entry finds the worker it speaks of.
@@ -78,42 +78,42 @@
 	ByLabel    Identity = "target-label"
 )
 
-// Roster is the reserved name of the one source that tells of drains.
-const Roster = "roster"
+// RosterSource is the reserved name of the one source that tells of drains.
+const RosterSource = "roster"
 
 // Source declares a source.
 type Source struct {
 	Name     string
 	Identity Identity
-	// Stale is how long past its lifetime a name holds while the source is silent,
+	// StaleTTL is how long past its lifetime a name holds while the source is silent,
 	// 0 or more. Keep: it holds on after that too; else it is drained.
-	Stale time.Duration
-	Keep  bool
-	// ShrinkPart is the part of a list, over 0 to 1, by which it may shrink at one
-	// moment without being held; ShrinkHold is for how long it is; 0: not at all.
-	ShrinkPart float64
-	ShrinkHold time.Duration
-	// ColdNames: a name first seen in a later list than the first, or at another
+	StaleTTL  time.Duration
+	KeepStale bool
+	// ShrinkThreshold is the part of a list, over 0 to 1, by which it may shrink at one
+	// moment without being held; ShrinkHoldTime is for how long it is; 0: not at all.
+	ShrinkThreshold float64
+	ShrinkHoldTime  time.Duration
+	// InferStart: a name first seen in a later list than the first, or at another
 	// address, counts as started then, if no source tells its start.
-	ColdNames bool
+	InferStart bool
 }
 
 // Config is the whole of the settings.
 type Config struct {
-	Rule         Rule
-	Sources      []Source // in the order of preference; the roster comes first
-	FailAfter    int      // connects failed in a row that make a worker unable to serve; 1 or more
-	BackupSettle time.Duration
+	Rule             MergeRule
+	Sources          []Source // in the order of preference; the roster comes first
+	FailureThreshold int      // connects failed in a row that make a worker unable to serve; 1 or more
+	FailbackDelay    time.Duration
 }
 
-// Check reports settings under which no list can be made.
-func (c *Config) Check() error {
+// Validate reports settings under which no list can be made.
+func (c *Config) Validate() error {
 	switch {
-	case c.Rule != RosterVetoes && c.Rule != Any && c.Rule != All:
-		return fmt.Errorf("rule: %q is none of %s, %s, %s", c.Rule, RosterVetoes, Any, All)
-	case c.FailAfter < 1:
-		return fmt.Errorf("fail_after: %d is under 1", c.FailAfter)
-	case c.BackupSettle < 0:
+	case c.Rule != RuleRosterVetoes && c.Rule != RuleAny && c.Rule != RuleAll:
+		return fmt.Errorf("rule: %q is none of %s, %s, %s", c.Rule, RuleRosterVetoes, RuleAny, RuleAll)
+	case c.FailureThreshold < 1:
+		return fmt.Errorf("fail_after: %d is under 1", c.FailureThreshold)
+	case c.FailbackDelay < 0:
 		return errors.New("backup_settle: must not be negative")
 	}
 	seen := map[string]bool{}
@@ -125,10 +125,10 @@
 			return fmt.Errorf("source %q comes twice", s.Name)
 		case s.Identity != ByID && s.Identity != ByHostPort && s.Identity != ByLabel:
 			return fmt.Errorf("source %q: identity: %q is none of %s, %s, %s", s.Name, s.Identity, ByID, ByHostPort, ByLabel)
-		case s.Stale < 0 || s.ShrinkHold < 0:
+		case s.StaleTTL < 0 || s.ShrinkHoldTime < 0:
 			return fmt.Errorf("source %q: times must not be negative", s.Name)
-		case s.ShrinkHold > 0 && (s.ShrinkPart <= 0 || s.ShrinkPart > 1):
-			return fmt.Errorf("source %q: shrink_part: %v is not over 0 and up to 1", s.Name, s.ShrinkPart)
+		case s.ShrinkHoldTime > 0 && (s.ShrinkThreshold <= 0 || s.ShrinkThreshold > 1):
+			return fmt.Errorf("source %q: shrink_part: %v is not over 0 and up to 1", s.Name, s.ShrinkThreshold)
 		}
 		seen[s.Name] = true
 	}
@@ -137,17 +137,17 @@
 
 // Worker is what one source says of one worker.
 type Worker struct {
-	ID       string    `json:"id,omitempty"`     // instance id, where the source has ids
-	Target   string    `json:"target,omitempty"` // full name, where it has names
-	Addr     string    `json:"addr"`             // host:port
-	Zone     string    `json:"zone,omitempty"`
-	Kind     string    `json:"kind,omitempty"`
-	Cell     int       `json:"cell,omitempty"`
-	Weight   float64   `json:"weight,omitempty"`   // relative size; 1 is usual
-	Priority int       `json:"priority,omitempty"` // the lower the better
-	State    State     `json:"state,omitempty"`
-	Started  time.Time `json:"started,omitzero"` // latest start; zero: long ago
-	Until    time.Time `json:"until,omitzero"`   // the end of its lifetime; zero: none
+	ID        string    `json:"id,omitempty"`     // instance id, where the source has ids
+	Target    string    `json:"target,omitempty"` // full name, where it has names
+	Addr      string    `json:"addr"`             // host:port
+	Zone      string    `json:"zone,omitempty"`
+	Kind      string    `json:"kind,omitempty"`
+	Cell      int       `json:"cell,omitempty"`
+	Weight    float64   `json:"weight,omitempty"`   // relative size; 1 is usual
+	Priority  int       `json:"priority,omitempty"` // the lower the better
+	State     State     `json:"state,omitempty"`
+	StartedAt time.Time `json:"started,omitzero"` // latest start; zero: long ago
+	ExpiresAt time.Time `json:"until,omitzero"`   // the end of its lifetime; zero: none
 }
 
 // key tells a source's entries apart.
@@ -182,29 +182,29 @@
 
 // Entry is one worker of the merged list.
 type Entry struct {
-	ID, Addr   string
-	Zone, Kind string
-	Cell       int
-	Weight     float64
-	Priority   int
-	State      State // with bans
-	Told       State // by the sources alone
-	Banned     bool
-	Started    time.Time
-	Reason     string // whose word won, and since when
-	pool       string
-	names      []string // every id, address and target it goes by
+	ID, Addr    string
+	Zone, Kind  string
+	Cell        int
+	Weight      float64
+	Priority    int
+	State       State // with bans
+	SourceState State // by the sources alone
+	Banned      bool
+	StartedAt   time.Time
+	Reason      string // whose word won, and since when
+	pool        string
+	names       []string // every id, address and target it goes by
 }
 
 // List is the merged list at one moment.
 type List struct {
-	Entries []Entry // by id; none is Gone
-	Faults  []string
-	Next    time.Time // when it may change without a new fact; zero: never
+	Entries    []Entry // by id; none is Gone
+	Faults     []string
+	NextChange time.Time // when it may change without a new fact; zero: never
 }
 
-// Book holds what the sources have said. It is not safe for concurrent use.
-type Book struct {
+// Catalog holds what the sources have said. It is not safe for concurrent use.
+type Catalog struct {
 	cfg    Config
 	voices []*voice
 	by     map[string]*voice
@@ -213,9 +213,9 @@
 	open   map[string]*openness // by pool
 }
 
-// FailFor is how long after one failed connect without an answer since a worker
+// UnreachableAfter is how long after one failed connect without an answer since a worker
 // counts as unable to serve.
-const FailFor = time.Second
+const UnreachableAfter = time.Second
 
 // failing is a row of failed connects.
 type failing struct {
@@ -230,16 +230,16 @@
 }
 
 // New makes an empty book. The settings must be sound.
-func New(cfg Config) (*Book, error) {
-	b := &Book{banned: map[string]bool{}, fails: map[string]failing{}, open: map[string]*openness{}, by: map[string]*voice{}}
+func New(cfg Config) (*Catalog, error) {
+	b := &Catalog{banned: map[string]bool{}, fails: map[string]failing{}, open: map[string]*openness{}, by: map[string]*voice{}}
 	return b, b.Configure(cfg)
 }
 
 // Configure puts other settings in force, or returns an error and changes
 // nothing. What a source has told stays while its name does; a source that is no
 // longer there takes its words and its tombstones with it.
-func (b *Book) Configure(cfg Config) error {
-	if err := cfg.Check(); err != nil {
+func (b *Catalog) Configure(cfg Config) error {
+	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	b.cfg, b.voices = cfg, nil
@@ -262,11 +262,11 @@
 // bytes each. Past it the oldest that nobody else names is forgotten.
 const maxTombstones = 8192
 
-// Tell takes in what a source says: its whole list, or changed entries only.
+// Update takes in what a source says: its whole list, or changed entries only.
 // Words of one source must come in the order in which it spoke them. An entry
 // without a name or an address that can be used is left out and named in the
 // error; the others count.
-func (b *Book) Tell(now time.Time, source string, whole bool, workers []Worker) error {
+func (b *Catalog) Update(now time.Time, source string, whole bool, workers []Worker) error {
 	v := b.by[source]
 	if v == nil {
 		return fmt.Errorf("no source is called %q", source)
@@ -294,47 +294,47 @@
 func (v *voice) enter(now time.Time, k string, w Worker) {
 	r := v.records[k]
 	if r == nil {
-		if w.State == Gone && v.Identity != ByID {
+		if w.State == Removed && v.Identity != ByID {
 			return
 		}
 		r = &record{Since: now, Named: now}
-		if v.ColdNames && v.told {
+		if v.InferStart && v.told {
 			r.Inferred = now
 		}
 		r.Worker = w
 		v.records[k] = r
-		if w.State == Gone {
+		if w.State == Removed {
 			v.empty++
 		}
 		return
 	}
-	if r.State == Gone {
+	if r.State == Removed {
 		v.empty--
-		if r.Named = now; v.ColdNames {
+		if r.Named = now; v.InferStart {
 			r.Inferred = now
 		}
-	} else if v.ColdNames && r.Addr != w.Addr {
+	} else if v.InferStart && r.Addr != w.Addr {
 		r.Inferred = now // the name stands for another process now
 	}
 	if w.Addr == "" {
 		w.Addr = r.Addr // a removal may come without
 	}
-	if w.State == Gone {
+	if w.State == Removed {
 		v.empty++
 	}
-	if r.State != w.State || w.Started.After(r.Started) {
+	if r.State != w.State || w.StartedAt.After(r.StartedAt) {
 		r.Since = now
 	}
 	r.Worker, r.HeldFrom = w, time.Time{}
 }
 
 // missing deals with what a whole list lacks.
-func (b *Book) missing(v *voice, now time.Time, seen map[string]bool) {
+func (b *Catalog) missing(v *voice, now time.Time, seen map[string]bool) {
 	var lacks []string
 	had := 0
 	for _, k := range slices.Sorted(maps.Keys(v.records)) {
 		r := v.records[k]
-		if r.State == Gone {
+		if r.State == Removed {
 			continue
 		}
 		had++
@@ -343,11 +343,11 @@
 		}
 	}
 	// Told drains are never held: rosters tell who is gone, name lists only who is there.
-	hold := v.Identity != ByID && v.ShrinkHold > 0 && float64(len(lacks)) > v.ShrinkPart*float64(had)
+	hold := v.Identity != ByID && v.ShrinkHoldTime > 0 && float64(len(lacks)) > v.ShrinkThreshold*float64(had)
 	for _, k := range lacks {
 		r := v.records[k]
 		switch {
-		case !r.HeldFrom.IsZero() && now.Before(r.HeldFrom.Add(v.ShrinkHold)): // held already
+		case !r.HeldFrom.IsZero() && now.Before(r.HeldFrom.Add(v.ShrinkHoldTime)): // held already
 		case hold && r.HeldFrom.IsZero():
 			r.HeldFrom = now
 		default:
@@ -359,12 +359,12 @@
 
 // bury makes a record a tombstone.
 func (v *voice) bury(now time.Time, r *record) {
-	r.State, r.Since, r.HeldFrom = Gone, now, time.Time{}
+	r.State, r.Since, r.HeldFrom = Removed, now, time.Time{}
 	v.empty++
 }
 
 // prune forgets the oldest tombstones past the bound that no other source meets.
-func (b *Book) prune(v *voice) {
+func (b *Catalog) prune(v *voice) {
 	if v.empty <= maxTombstones {
 		return
 	}
@@ -372,7 +372,7 @@
 	for _, o := range b.voices {
 		if o != v {
 			for _, r := range o.records {
-				if r.State != Gone {
+				if r.State != Removed {
 					met[o.claim(r)], met[r.Addr] = true, true
 				}
 			}
@@ -380,7 +380,7 @@
 	}
 	var old []string
 	for k, r := range v.records {
-		if r.State == Gone && !met[v.claim(r)] && !met[r.Addr] {
+		if r.State == Removed && !met[v.claim(r)] && !met[r.Addr] {
 			old = append(old, k)
 		}
 	}
@@ -393,8 +393,8 @@
 	}
 }
 
-// Silent notes that a source does not answer, as of now, or that it does again.
-func (b *Book) Silent(now time.Time, source string, silent bool) {
+// SetUnresponsive notes that a source does not answer, as of now, or that it does again.
+func (b *Catalog) SetUnresponsive(now time.Time, source string, silent bool) {
 	v := b.by[source]
 	switch {
 	case v == nil:
@@ -405,26 +405,26 @@
 	}
 }
 
-// Ban makes exactly these names (ids, addresses or targets) the banned ones.
-func (b *Book) Ban(names []string) {
+// SetBanned makes exactly these names (ids, addresses or targets) the banned ones.
+func (b *Catalog) SetBanned(names []string) {
 	clear(b.banned)
 	for _, n := range names {
 		b.banned[n] = true
 	}
 }
 
-// Heard notes how a connect to the worker of that id ended. It tells whether the
+// ObserveConnect notes how a connect to the worker of that id ended. It tells whether the
 // list may have changed by it, or will.
-func (b *Book) Heard(now time.Time, id string, answered bool) (changed bool) {
+func (b *Catalog) ObserveConnect(now time.Time, id string, answered bool) (changed bool) {
 	f := b.fails[id]
 	switch {
 	case !answered:
 		if f.n++; f.n == 1 {
 			f.since = now
 		}
-		f.n = min(f.n, b.cfg.FailAfter+1)
+		f.n = min(f.n, b.cfg.FailureThreshold+1)
 		b.fails[id] = f
-		return f.n == 1 || f.n == b.cfg.FailAfter
+		return f.n == 1 || f.n == b.cfg.FailureThreshold
 	case f.n > 0:
 		delete(b.fails, id)
 		return true
@@ -433,4 +433,4 @@
 }
 
 // down tells that so many connects failed in a row that the worker is gone.
-func (b *Book) down(id string) bool { return b.fails[id].n >= b.cfg.FailAfter }
+func (b *Catalog) down(id string) bool { return b.fails[id].n >= b.cfg.FailureThreshold }
--- a/internal/discovery/membership/membership_test.go
+++ b/internal/discovery/membership/membership_test.go
@@ -18,16 +18,16 @@
 }
 
 // shop has a roster, a list by label and one by host:port.
-func shop(rule Rule) Config {
-	names := Source{Stale: 60 * time.Second, ShrinkPart: 0.5, ShrinkHold: 30 * time.Second, ColdNames: true}
+func shop(rule MergeRule) Config {
+	names := Source{StaleTTL: 60 * time.Second, ShrinkThreshold: 0.5, ShrinkHoldTime: 30 * time.Second, InferStart: true}
 	byLabel, byAddr := names, names
 	byLabel.Name, byLabel.Identity = "label", ByLabel
 	byAddr.Name, byAddr.Identity = "addr", ByHostPort
-	return Config{Rule: rule, FailAfter: 3, BackupSettle: 10 * time.Second,
-		Sources: []Source{{Name: Roster, Identity: ByID}, byLabel, byAddr}}
+	return Config{Rule: rule, FailureThreshold: 3, FailbackDelay: 10 * time.Second,
+		Sources: []Source{{Name: RosterSource, Identity: ByID}, byLabel, byAddr}}
 }
 
-func book(t interface{ Fatal(...any) }, cfg Config) *Book {
+func book(t interface{ Fatal(...any) }, cfg Config) *Catalog {
 	b, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 // named are SRV names x.z at x:1, with a lifetime of 10 s from the moment.
 func named(now time.Time, names ...string) (out []Worker) {
 	for _, n := range names {
-		out = append(out, Worker{Target: n + ".z", Addr: n + ":1", Until: now.Add(10 * time.Second)})
+		out = append(out, Worker{Target: n + ".z", Addr: n + ":1", ExpiresAt: now.Add(10 * time.Second)})
 	}
 	return out
 }
@@ -61,7 +61,7 @@
 // script plays facts against a book and checks the list after each.
 type script struct {
 	t *testing.T
-	b *Book
+	b *Catalog
 }
 
 func (s script) list(sec float64, want string) List {
@@ -75,7 +75,7 @@
 
 func (s script) tell(sec float64, source string, whole bool, w ...Worker) {
 	s.t.Helper()
-	if err := s.b.Tell(at(sec), source, whole, w); err != nil {
+	if err := s.b.Update(at(sec), source, whole, w); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -91,44 +91,44 @@
 // The roster's drain wins over a name with lifetime left, and over the name told
 // anew, until the roster itself takes it back or tells of a later start.
 func TestDrainWinsAndStaysWon(t *testing.T) {
-	for _, rule := range []Rule{RosterVetoes, Any} {
+	for _, rule := range []MergeRule{RuleRosterVetoes, RuleAny} {
 		s := script{t, book(t, shop(rule))}
-		s.tell(0, Roster, true, serving("a", "b")...)
+		s.tell(0, RosterSource, true, serving("a", "b")...)
 		s.tell(0, "label", true, named(at(0), "a", "b", "c")...)
 		s.list(0, "a serving, b serving, c serving")
-		s.tell(1, Roster, false, Worker{ID: "a", Addr: "a:1", State: Draining})
+		s.tell(1, RosterSource, false, Worker{ID: "a", Addr: "a:1", State: Draining})
 		s.list(1, "a draining, b serving, c serving")
 		s.tell(2, "label", true, named(at(2), "a", "b", "c")...)
 		s.list(2, "a draining, b serving, c serving")
 		s.reason(2, "a", "roster: draining since 08:00:01")
-		s.tell(3, Roster, false, Worker{ID: "a", State: Gone}, Worker{ID: "b", State: Gone})
+		s.tell(3, RosterSource, false, Worker{ID: "a", State: Removed}, Worker{ID: "b", State: Removed})
 		s.tell(4, "label", true, named(at(4), "a", "b", "c")...)
 		s.list(4, "a draining, b draining, c serving")
 		s.reason(4, "a", "roster: gone since 08:00:03")
-		s.tell(5, Roster, false, Worker{ID: "a", Addr: "a:1", Started: at(4.5)})
+		s.tell(5, RosterSource, false, Worker{ID: "a", Addr: "a:1", StartedAt: at(4.5)})
 		l := s.list(5, "a serving, b draining, c serving")
-		if e, _ := l.Find("a"); !e.Started.Equal(at(4.5)) {
-			t.Error("started", e.Started)
+		if e, _ := l.Find("a"); !e.StartedAt.Equal(at(4.5)) {
+			t.Error("started", e.StartedAt)
 		}
-		s.tell(6, Roster, true) // absent from a whole list: removed
+		s.tell(6, RosterSource, true) // absent from a whole list: removed
 		s.list(6, "a draining, b draining, c serving")
 	}
 }
 
 // By host:port a worker has the roster's id; the veto finds it by its address.
 func TestIdentityByHostPort(t *testing.T) {
-	s := script{t, book(t, shop(RosterVetoes))}
+	s := script{t, book(t, shop(RuleRosterVetoes))}
 	s.tell(0, "addr", true, named(at(0), "x", "y")...)
 	s.list(0, "x:1 serving, y:1 serving")
-	s.tell(1, Roster, true, Worker{ID: "s-1", Addr: "x:1"})
+	s.tell(1, RosterSource, true, Worker{ID: "s-1", Addr: "x:1"})
 	s.list(1, "s-1 serving, y:1 serving")
-	s.tell(2, Roster, false, Worker{ID: "s-1", State: Gone}) // without its address
+	s.tell(2, RosterSource, false, Worker{ID: "s-1", State: Removed}) // without its address
 	s.list(2, "s-1 draining, y:1 serving")
 	s.tell(3, "addr", true, named(at(3), "x", "y")...)
 	s.list(3, "s-1 draining, y:1 serving")
-	s.tell(4, Roster, false, Worker{ID: "s-2", Addr: "x:1"}) // another has the address now
+	s.tell(4, RosterSource, false, Worker{ID: "s-2", Addr: "x:1"}) // another has the address now
 	s.list(4, "s-2 serving, y:1 serving")
-	s.b.Ban([]string{"x:1", "y.z"}) // any of its names will do
+	s.b.SetBanned([]string{"x:1", "y.z"}) // any of its names will do
 	s.list(4, "s-2 draining, y:1 draining")
 	s.reason(4, "y:1", "operator: called out")
 }
@@ -136,18 +136,18 @@
 // One worker at two addresses is one; two workers with one id are a fault, and the
 // first keeps the place until it leaves.
 func TestOneIdIsOneWorker(t *testing.T) {
-	s := script{t, book(t, shop(RosterVetoes))}
-	s.tell(0, Roster, true, Worker{ID: "a", Addr: "net1:1"})
+	s := script{t, book(t, shop(RuleRosterVetoes))}
+	s.tell(0, RosterSource, true, Worker{ID: "a", Addr: "net1:1"})
 	s.tell(0, "label", true, Worker{Target: "a.z", Addr: "net2:1"})
 	if l := s.list(0, "a serving"); l.Entries[0].Addr != "net1:1" || len(l.Faults) > 0 {
 		t.Errorf("%+v", l)
 	}
-	s.tell(1, Roster, true)
+	s.tell(1, RosterSource, true)
 	s.tell(1, "addr", true, Worker{Target: "a.z", Addr: "net2:1"}) // in two lists, known by name here and by address there
 	if l := s.list(1, "a draining"); len(l.Faults) > 0 {
 		t.Errorf("%+v", l)
 	}
-	cfg := shop(RosterVetoes)
+	cfg := shop(RuleRosterVetoes)
 	cfg.Sources = append(cfg.Sources, Source{Name: "label2", Identity: ByLabel})
 	s.b = book(t, cfg)
 	s.tell(0, "label", true, named(at(0), "a")...)
@@ -163,7 +163,7 @@
 		t.Errorf("%+v", l)
 	}
 	// The roster knows whose an address is; a label that says otherwise is not listed.
-	s.tell(34, Roster, true, Worker{ID: "r", Addr: "c:1"})
+	s.tell(34, RosterSource, true, Worker{ID: "r", Addr: "c:1"})
 	if l = s.list(34, "a serving, b serving, d serving, r serving"); len(l.Faults) != 1 {
 		t.Error(l.Faults)
 	}
@@ -174,29 +174,29 @@
 // that is reached elsewhere, has.
 func TestSilenceAndStarts(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		cfg := shop(RosterVetoes)
-		cfg.Sources[1].Keep = keep
+		cfg := shop(RuleRosterVetoes)
+		cfg.Sources[1].KeepStale = keep
 		s := script{t, book(t, cfg)}
-		s.tell(0, Roster, true, serving("a")...)
+		s.tell(0, RosterSource, true, serving("a")...)
 		s.tell(0, "label", true, named(at(0), "a", "b")...)
-		s.b.Silent(at(9), "label", true)
-		if l := s.list(22, "a serving, b serving"); !l.Next.Equal(at(70)) {
-			t.Error("looks again at", l.Next)
+		s.b.SetUnresponsive(at(9), "label", true)
+		if l := s.list(22, "a serving, b serving"); !l.NextChange.Equal(at(70)) {
+			t.Error("looks again at", l.NextChange)
 		}
 		s.reason(22, "b", "label: lapsed 12s ago, kept: resolver silent")
-		s.tell(30, Roster, false, Worker{ID: "a", State: Draining}) // the roster's word still wins
+		s.tell(30, RosterSource, false, Worker{ID: "a", State: Draining}) // the roster's word still wins
 		s.list(30, "a draining, b serving")
 		end := map[bool]string{false: "a draining, b draining", true: "a draining, b serving"}[keep]
 		s.list(71, end)
 		s.tell(80, "label", true, named(at(80), "a", "b", "c")...)
 		l := s.list(80, "a draining, b serving, c serving")
 		for name, want := range map[string]time.Time{"b": {}, "c": at(80)} {
-			if e, _ := l.Find(name); !e.Started.Equal(want) {
-				t.Errorf("%s started %v, want %v", name, e.Started, want)
+			if e, _ := l.Find(name); !e.StartedAt.Equal(want) {
+				t.Errorf("%s started %v, want %v", name, e.StartedAt, want)
 			}
 		}
 		s.tell(81, "label", true, Worker{Target: "b.z", Addr: "b2:1"}, named(at(81), "c")[0], named(at(81), "a")[0])
-		if e, _ := s.list(81, "a draining, b serving, c serving").Find("b"); e.Addr != "b2:1" || !e.Started.Equal(at(81)) {
+		if e, _ := s.list(81, "a draining, b serving, c serving").Find("b"); e.Addr != "b2:1" || !e.StartedAt.Equal(at(81)) {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -205,21 +205,21 @@
 // A list that shrinks too much at once is held while its workers answer; the
 // roster's shrink never is.
 func TestShrinkIsHeld(t *testing.T) {
-	s := script{t, book(t, shop(RosterVetoes))}
-	s.tell(0, Roster, true, serving("a")...)
+	s := script{t, book(t, shop(RuleRosterVetoes))}
+	s.tell(0, RosterSource, true, serving("a")...)
 	s.tell(0, "label", true, named(at(0), "a", "b", "c", "d")...)
 	s.tell(1, "label", true, named(at(1), "a", "b", "c")...) // a quarter: believed
 	s.list(1, "a serving, b serving, c serving")
 	s.tell(2, "label", true) // nothing: not believed
-	if l := s.list(2, "a serving, b serving, c serving"); !l.Next.Equal(at(32)) {
-		t.Error("looks again at", l.Next)
+	if l := s.list(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(32)) {
+		t.Error("looks again at", l.NextChange)
 	}
 	s.reason(2, "b", "held")
 	for range 3 {
-		s.b.Heard(at(2.5), "b", false)
+		s.b.ObserveConnect(at(2.5), "b", false)
 	}
 	s.list(3, "a serving, c serving") // b answers no more
-	s.tell(4, Roster, false, Worker{ID: "a", State: Gone})
+	s.tell(4, RosterSource, false, Worker{ID: "a", State: Removed})
 	s.list(4, "a draining, c serving")
 	s.tell(10, "label", true) // still nothing: the hold runs on from its first moment
 	s.list(31, "a draining, c serving")
@@ -228,15 +228,15 @@
 	s.list(33, "c serving")
 	s.tell(34, "label", true)
 	s.tell(35, "label", true, named(at(35), "c")...) // the zone file is mended: not newly started
-	if e, _ := s.list(70, "c serving").Find("c"); !e.Started.Equal(at(33)) {
-		t.Error("started", e.Started)
+	if e, _ := s.list(70, "c serving").Find("c"); !e.StartedAt.Equal(at(33)) {
+		t.Error("started", e.StartedAt)
 	}
 }
 
 // A worse priority is listed only while no better one can serve, and for a while
 // after; a worker that fails connects stays listed, so that it can show it answers.
 func TestPriorities(t *testing.T) {
-	s := script{t, book(t, shop(RosterVetoes))}
+	s := script{t, book(t, shop(RuleRosterVetoes))}
 	list := named(at(0), "a", "b", "c")
 	list[2].Priority = 1
 	s.tell(0, "label", true, list...)
@@ -244,33 +244,33 @@
 	s.reason(0, "c", "standby: priority 1")
 	for _, id := range []string{"a", "b"} {
 		for range 3 {
-			s.b.Heard(at(0.5), id, false)
+			s.b.ObserveConnect(at(0.5), id, false)
 		}
 	}
 	s.list(1, "a serving, b serving, c serving")
-	if !s.b.Heard(at(2), "b", true) {
+	if !s.b.ObserveConnect(at(2), "b", true) {
 		t.Error("b's answer changes nothing")
 	}
-	if l := s.list(2, "a serving, b serving, c serving"); !l.Next.Equal(at(10)) && !l.Next.Equal(at(12)) {
-		t.Error("looks again at", l.Next)
+	if l := s.list(2, "a serving, b serving, c serving"); !l.NextChange.Equal(at(10)) && !l.NextChange.Equal(at(12)) {
+		t.Error("looks again at", l.NextChange)
 	}
 	s.list(12, "a serving, b serving, c draining")
 	// One failed connect and nothing since is enough, after a while; an answer ends it.
-	s.b.Heard(at(13), "b", false)
-	if l := s.list(13.9, "a serving, b serving, c draining"); !l.Next.Equal(at(14)) {
-		t.Error("looks again at", l.Next)
+	s.b.ObserveConnect(at(13), "b", false)
+	if l := s.list(13.9, "a serving, b serving, c draining"); !l.NextChange.Equal(at(14)) {
+		t.Error("looks again at", l.NextChange)
 	}
 	s.list(14, "a serving, b serving, c serving")
-	s.b.Heard(at(15), "b", true)
+	s.b.ObserveConnect(at(15), "b", true)
 	s.list(15, "a serving, b serving, c serving")
 	s.list(25, "a serving, b serving, c draining")
-	s.b.Ban([]string{"a", "b"}) // taken out by whatever word: not able to serve
+	s.b.SetBanned([]string{"a", "b"}) // taken out by whatever word: not able to serve
 	s.list(26, "a draining, b draining, c serving")
 }
 
 func TestRuleAll(t *testing.T) {
-	s := script{t, book(t, shop(All))}
-	s.tell(0, Roster, true, serving("a", "b")...)
+	s := script{t, book(t, shop(RuleAll))}
+	s.tell(0, RosterSource, true, serving("a", "b")...)
 	s.list(0, "a serving, b serving") // nobody else has told anything
 	s.tell(1, "label", true, named(at(1), "a", "c")...)
 	s.list(1, "a serving, b draining, c draining")
@@ -280,25 +280,25 @@
 func TestSettingsAreChecked(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"rule":                 func(c *Config) { c.Rule = "most" },
-		"fail_after":           func(c *Config) { c.FailAfter = 0 },
-		"backup_settle":        func(c *Config) { c.BackupSettle = -1 },
+		"fail_after":           func(c *Config) { c.FailureThreshold = 0 },
+		"backup_settle":        func(c *Config) { c.FailbackDelay = -1 },
 		"comes twice":          func(c *Config) { c.Sources[2].Name = "label" },
 		"has no name":          func(c *Config) { c.Sources[2].Name = "" },
 		"identity":             func(c *Config) { c.Sources[2].Identity = "face" },
-		"must not be negative": func(c *Config) { c.Sources[1].Stale = -1 },
-		"shrink_part":          func(c *Config) { c.Sources[1].ShrinkPart = 2 },
+		"must not be negative": func(c *Config) { c.Sources[1].StaleTTL = -1 },
+		"shrink_part":          func(c *Config) { c.Sources[1].ShrinkThreshold = 2 },
 	} {
-		cfg := shop(Any)
+		cfg := shop(RuleAny)
 		spoil(&cfg)
 		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q in it", err, want)
 		}
 	}
-	b := book(t, shop(Any))
-	if err := b.Tell(zero, "nobody", true, nil); err == nil {
+	b := book(t, shop(RuleAny))
+	if err := b.Update(zero, "nobody", true, nil); err == nil {
 		t.Error("an unknown source is heard")
 	}
-	if err := b.Tell(zero, Roster, true, []Worker{{Addr: "x:1"}, {ID: "a", Addr: "a:1"}}); err == nil || show(b.Merge(zero)) != "a serving" {
+	if err := b.Update(zero, RosterSource, true, []Worker{{Addr: "x:1"}, {ID: "a", Addr: "a:1"}}); err == nil || show(b.Merge(zero)) != "a serving" {
 		t.Error(err, show(b.Merge(zero)))
 	}
 	if err := b.Restore([]byte(`{"roster":{"records":[null]}}`)); err == nil {
@@ -308,19 +308,19 @@
 
 // Tombstones are bounded, and those that still matter are the last to go.
 func TestTombstonesAreBounded(t *testing.T) {
-	b := book(t, shop(RosterVetoes))
-	b.Tell(zero, Roster, true, serving("kept"))
-	b.Tell(zero, "label", true, named(zero, "kept"))
-	b.Tell(zero, Roster, true, nil)
+	b := book(t, shop(RuleRosterVetoes))
+	b.Update(zero, RosterSource, true, serving("kept"))
+	b.Update(zero, "label", true, named(zero, "kept"))
+	b.Update(zero, RosterSource, true, nil)
 	for i := range maxTombstones + 100 {
 		id := fmt.Sprint("w", i)
-		b.Tell(at(float64(i)), Roster, false, serving(id))
-		b.Tell(at(float64(i)), Roster, false, []Worker{{ID: id, State: Gone}})
+		b.Update(at(float64(i)), RosterSource, false, serving(id))
+		b.Update(at(float64(i)), RosterSource, false, []Worker{{ID: id, State: Removed}})
 	}
-	if n := len(b.by[Roster].records); n > maxTombstones || n != b.by[Roster].empty {
-		t.Errorf("%d records, %d counted", n, b.by[Roster].empty)
+	if n := len(b.by[RosterSource].records); n > maxTombstones || n != b.by[RosterSource].empty {
+		t.Errorf("%d records, %d counted", n, b.by[RosterSource].empty)
 	}
-	b.Tell(at(1e5), "label", true, named(at(1e5), "kept"))
+	b.Update(at(1e5), "label", true, named(at(1e5), "kept"))
 	if got := show(b.Merge(at(1e5))); got != "kept draining" {
 		t.Error(got)
 	}
@@ -329,7 +329,7 @@
 // fact is one thing told at a moment: to a book that stands for several copies.
 type fact struct {
 	source string // whose order must be kept; a ban's is the operator's
-	do     func(*Book)
+	do     func(*Catalog)
 }
 
 // Random interleavings of sources, drains, bans, lapses, reloads and upgrades:
@@ -337,9 +337,9 @@
 // same list in whatever order facts of one moment came from different sources.
 func TestNoVetoedWorkerIsReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := rapid.SampledFrom([]Rule{RosterVetoes, Any, All}).Draw(t, "rule")
+		rule := rapid.SampledFrom([]MergeRule{RuleRosterVetoes, RuleAny, RuleAll}).Draw(t, "rule")
 		cfg := shop(rule)
-		cfg.Sources[1].Keep = rapid.Bool().Draw(t, "keep")
+		cfg.Sources[1].KeepStale = rapid.Bool().Draw(t, "keep")
 		one, two := book(t, cfg), book(t, cfg)
 		hosts := []string{"a", "b", "c", "d"}
 		// What must hold, kept apart from the book: the roster's last word by id.
@@ -349,51 +349,51 @@
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 5, 11, 40, 90}).Draw(t, "step")) * time.Second)
 			var facts []fact
 			for range rapid.IntRange(1, 5).Draw(t, "facts") {
-				source := rapid.SampledFrom([]string{Roster, "label", "addr", "operator", "answers"}).Draw(t, "source")
+				source := rapid.SampledFrom([]string{RosterSource, "label", "addr", "operator", "answers"}).Draw(t, "source")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(hosts), 0, 4, rapid.ID).Draw(t, "some")
 				switch source {
-				case Roster:
+				case RosterSource:
 					whole := rapid.Bool().Draw(t, "whole")
 					var list []Worker
 					if whole {
 						for id := range said {
-							said[id] = Gone
+							said[id] = Removed
 						}
 					}
 					for _, id := range some {
 						w := Worker{ID: id, Addr: id + ":1", State: State(rapid.IntRange(0, 2).Draw(t, "state"))}
-						if w.State != Gone || !whole {
+						if w.State != Removed || !whole {
 							said[id] = w.State
 							list = append(list, w)
 						}
 					}
-					facts = append(facts, fact{source, func(b *Book) { b.Tell(now, Roster, whole, list) }})
+					facts = append(facts, fact{source, func(b *Catalog) { b.Update(now, RosterSource, whole, list) }})
 				case "operator":
 					clear(banned)
 					for _, id := range some {
 						banned[id] = true
 					}
-					facts = append(facts, fact{source, func(b *Book) { b.Ban(some) }})
+					facts = append(facts, fact{source, func(b *Catalog) { b.SetBanned(some) }})
 				case "answers":
 					id, ok := rapid.SampledFrom(hosts).Draw(t, "id"), rapid.Bool().Draw(t, "answered")
-					facts = append(facts, fact{source, func(b *Book) { b.Heard(now, id, ok) }})
+					facts = append(facts, fact{source, func(b *Catalog) { b.ObserveConnect(now, id, ok) }})
 				default:
 					if rapid.IntRange(0, 4).Draw(t, "silent") == 0 {
-						facts = append(facts, fact{source, func(b *Book) { b.Silent(now, source, true) }})
+						facts = append(facts, fact{source, func(b *Catalog) { b.SetUnresponsive(now, source, true) }})
 						continue
 					}
 					list := named(now, some...)
 					for i := range list {
 						list[i].Priority = rapid.IntRange(0, 1).Draw(t, "priority")
 					}
-					facts = append(facts, fact{source, func(b *Book) { b.Tell(now, source, true, list) }})
+					facts = append(facts, fact{source, func(b *Catalog) { b.Update(now, source, true, list) }})
 				}
 			}
 			for _, f := range facts {
 				f.do(one)
 			}
 			// The other book hears the sources in another order, each in its own.
-			order := rapid.Permutation([]string{Roster, "label", "addr", "operator", "answers"}).Draw(t, "order")
+			order := rapid.Permutation([]string{RosterSource, "label", "addr", "operator", "answers"}).Draw(t, "order")
 			slices.SortStableFunc(facts, func(x, y fact) int { return slices.Index(order, x.source) - slices.Index(order, y.source) })
 			for _, f := range facts {
 				f.do(two)
@@ -421,17 +421,17 @@
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "then") {
 			case 0: // a reload: another rule, and a source that goes and may come back
-				cfg = shop(rapid.SampledFrom([]Rule{RosterVetoes, Any, All}).Draw(t, "rule after"))
+				cfg = shop(rapid.SampledFrom([]MergeRule{RuleRosterVetoes, RuleAny, RuleAll}).Draw(t, "rule after"))
 				if rapid.Bool().Draw(t, "without a source") {
 					cfg.Sources = cfg.Sources[:2]
 				}
-				for _, b := range []*Book{one, two} {
+				for _, b := range []*Catalog{one, two} {
 					if err := b.Configure(cfg); err != nil {
 						t.Fatal(err)
 					}
 				}
 			case 1: // an upgrade
-				text, err := one.State()
+				text, err := one.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -443,7 +443,7 @@
 				for id := range banned {
 					bans = append(bans, id)
 				}
-				next.Ban(bans)
+				next.SetBanned(bans)
 				// What it has seen of answers and of standby is learned anew.
 				next.fails, next.open = one.fails, one.open
 				if diff := cmp.Diff(l, next.Merge(now), cmp.AllowUnexported(Entry{})); diff != "" {
@@ -456,12 +456,12 @@
 }
 
 func BenchmarkMerge2000(b *testing.B) {
-	m := book(b, shop(RosterVetoes))
+	m := book(b, shop(RuleRosterVetoes))
 	var list []Worker
 	for i := range 2000 {
 		list = append(list, named(zero, fmt.Sprint("w", i))...)
 	}
-	m.Tell(zero, "label", true, list)
+	m.Update(zero, "label", true, list)
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Merge(zero)
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -35,7 +35,7 @@
 }
 
 // Merge makes the list of this moment.
-func (b *Book) Merge(now time.Time) List {
+func (b *Catalog) Merge(now time.Time) List {
 	m := merging{b: b, now: now, groups: map[string][]word{}, addrs: map[string]string{}}
 	for _, v := range b.voices {
 		m.sweep(v)
@@ -62,7 +62,7 @@
 }
 
 type merging struct {
-	b      *Book
+	b      *Catalog
 	now    time.Time
 	groups map[string][]word // by id
 	addrs  map[string]string // id by address, of sources with ids
@@ -75,8 +75,8 @@
 
 // again notes when the list must be looked at again.
 func (m *merging) again(at time.Time) {
-	if at.After(m.now) && (m.list.Next.IsZero() || at.Before(m.list.Next)) {
-		m.list.Next = at
+	if at.After(m.now) && (m.list.NextChange.IsZero() || at.Before(m.list.NextChange)) {
+		m.list.NextChange = at
 	}
 }
 
@@ -86,7 +86,7 @@
 		if r.HeldFrom.IsZero() {
 			continue
 		}
-		if end := r.HeldFrom.Add(v.ShrinkHold); m.now.Before(end) && !m.b.down(m.b.idOf(v, r)) {
+		if end := r.HeldFrom.Add(v.ShrinkHoldTime); m.now.Before(end) && !m.b.down(m.b.idOf(v, r)) {
 			m.again(end)
 			continue
 		}
@@ -96,22 +96,22 @@
 }
 
 // drop forgets a tombstone that no rule would look at.
-func (b *Book) drop(v *voice, k string, r *record) {
-	if r.State == Gone && v.Identity != ByID && b.cfg.Rule == RosterVetoes {
+func (b *Catalog) drop(v *voice, k string, r *record) {
+	if r.State == Removed && v.Identity != ByID && b.cfg.Rule == RuleRosterVetoes {
 		delete(v.records, k)
 		v.empty--
 	}
 }
 
 // idOf is the id under which a record was last listed, as Heard has it.
-func (b *Book) idOf(v *voice, r *record) string {
+func (b *Catalog) idOf(v *voice, r *record) string {
 	if v.Identity == ByHostPort {
 		for _, o := range b.voices {
 			if o.Identity == ByHostPort {
 				continue
 			}
 			for _, k := range slices.Sorted(maps.Keys(o.records)) {
-				if other := o.records[k]; other.Addr == r.Addr && other.State != Gone {
+				if other := o.records[k]; other.Addr == r.Addr && other.State != Removed {
 					return o.claim(other)
 				}
 			}
@@ -135,7 +135,7 @@
 			continue
 		}
 		for _, r := range v.records {
-			o := owner{v.claim(r), r.State == Gone, v.rank, r.Since}
+			o := owner{v.claim(r), r.State == Removed, v.rank, r.Since}
 			old, ok := best[r.Addr]
 			if better := cmp.Or(compareBool(o.gone, old.gone), cmp.Compare(o.rank, old.rank),
 				-o.since.Compare(old.since), strings.Compare(o.id, old.id)); !ok || better < 0 {
@@ -160,27 +160,27 @@
 
 // place finds the worker that a record speaks of.
 func (m *merging) place(v *voice, r *record) {
-	w := word{v: v, r: r, state: r.State, listed: r.State != Gone}
+	w := word{v: v, r: r, state: r.State, listed: r.State != Removed}
 	at := func(t time.Time) string { return t.UTC().Format("15:04:05") }
 	w.why = fmt.Sprintf("%s: %s since %s", v.Name, r.State, at(r.Since))
 	switch {
-	case r.State == Gone:
+	case r.State == Removed:
 	case !r.HeldFrom.IsZero():
 		w.why = fmt.Sprintf("%s: missing since %s, held: the list shrank too much at once", v.Name, at(r.HeldFrom))
-	case !r.Until.IsZero() && m.now.Before(r.Until):
-		m.again(r.Until)
-	case !r.Until.IsZero():
-		end := r.Until.Add(v.Stale)
-		lapsed := m.now.Sub(r.Until).Truncate(time.Second)
+	case !r.ExpiresAt.IsZero() && m.now.Before(r.ExpiresAt):
+		m.again(r.ExpiresAt)
+	case !r.ExpiresAt.IsZero():
+		end := r.ExpiresAt.Add(v.StaleTTL)
+		lapsed := m.now.Sub(r.ExpiresAt).Truncate(time.Second)
 		switch {
 		case m.now.Before(end):
 			m.again(end)
 			w.why = fmt.Sprintf("%s: lapsed %v ago, kept: resolver silent", v.Name, lapsed)
-		case v.Keep:
+		case v.KeepStale:
 			w.why = fmt.Sprintf("%s: lapsed %v ago, kept without end: resolver silent", v.Name, lapsed)
 		default:
 			w.state, w.listed = Draining, false
-			w.why = fmt.Sprintf("%s: lapsed %v ago, past its stale time of %v", v.Name, lapsed, v.Stale)
+			w.why = fmt.Sprintf("%s: lapsed %v ago, past its stale time of %v", v.Name, lapsed, v.StaleTTL)
 		}
 	}
 	id := v.claim(r)
@@ -197,17 +197,17 @@
 
 // rosterHas tells whether the roster has that id at that address, and not gone.
 func (m *merging) rosterHas(id, addr string) bool {
-	v := m.b.by[Roster]
+	v := m.b.by[RosterSource]
 	if v == nil {
 		return false
 	}
 	r := v.records[id]
-	return r != nil && r.State != Gone && r.Addr == addr
+	return r != nil && r.State != Removed && r.Addr == addr
 }
 
 // authoritative tells whether a source may take a worker out that it has named.
 func (m *merging) authoritative(v *voice) bool {
-	return m.b.cfg.Rule != RosterVetoes || v.Identity == ByID
+	return m.b.cfg.Rule != RuleRosterVetoes || v.Identity == ByID
 }
 
 // entry makes one worker's line of the list; not if no source names it any more.
@@ -246,22 +246,22 @@
 	}
 	switch {
 	case veto != nil:
-		e.Told, e.Reason = Draining, veto.why
+		e.SourceState, e.Reason = Draining, veto.why
 	case serving != nil:
-		e.Told, e.Reason = Serving, serving.why
+		e.SourceState, e.Reason = Serving, serving.why
 	default:
-		e.Told, e.Reason = Draining, lapsed.why
+		e.SourceState, e.Reason = Draining, lapsed.why
 	}
-	if m.b.cfg.Rule == All && e.Told == Serving {
+	if m.b.cfg.Rule == RuleAll && e.SourceState == Serving {
 		for _, v := range m.b.voices {
 			if v.told && !slices.ContainsFunc(words, func(w word) bool { return w.v == v && w.listed }) {
-				e.Told, e.Reason = Draining, v.Name+": does not name it, and the rule asks for all"
+				e.SourceState, e.Reason = Draining, v.Name+": does not name it, and the rule asks for all"
 				break
 			}
 		}
 	}
 	m.describe(&e, lead, words)
-	e.State = e.Told
+	e.State = e.SourceState
 	if slices.ContainsFunc(e.names, func(n string) bool { return m.b.banned[n] }) {
 		e.Banned, e.State, e.Reason = true, Draining, "operator: called out"
 	}
@@ -282,8 +282,8 @@
 		if !w.listed {
 			continue
 		}
-		if e.Started = later(e.Started, w.r.Started); lead.v.Identity != ByID {
-			e.Started = later(e.Started, w.r.Inferred)
+		if e.StartedAt = later(e.StartedAt, w.r.StartedAt); lead.v.Identity != ByID {
+			e.StartedAt = later(e.StartedAt, w.r.Inferred)
 		}
 		// Weights and priorities mean something among the names of one list.
 		if w.v.Identity != ByID && !ranked {
@@ -337,7 +337,7 @@
 	if f.n == 0 || m.b.down(id) {
 		return f.n > 0
 	}
-	end := f.since.Add(FailFor)
+	end := f.since.Add(UnreachableAfter)
 	m.again(end)
 	return !m.now.Before(end)
 }
@@ -379,7 +379,7 @@
 			o.able = m.now
 		}
 		if !o.able.IsZero() {
-			if end := o.able.Add(m.b.cfg.BackupSettle); m.now.Before(end) {
+			if end := o.able.Add(m.b.cfg.FailbackDelay); m.now.Before(end) {
 				m.again(end)
 			} else {
 				o.upTo, o.able = need, time.Time{}
@@ -390,7 +390,7 @@
 	for i := range m.list.Entries {
 		e := &m.list.Entries[i]
 		if upTo, ok := limit[e.pool]; ok && e.Priority > upTo && e.State == Serving {
-			e.State, e.Told = Draining, Draining
+			e.State, e.SourceState = Draining, Draining
 			e.Reason = fmt.Sprintf("standby: priority %d, and one of %d can serve; %s", e.Priority, upTo, e.Reason)
 		}
 	}
@@ -406,9 +406,9 @@
 	return Entry{}, false
 }
 
-// Says tells what each source says of a worker, tombstones included, in the order
+// Explain tells what each source says of a worker, tombstones included, in the order
 // of the sources; empty if none knows the name.
-func (b *Book) Says(now time.Time, name string) []string {
+func (b *Catalog) Explain(now time.Time, name string) []string {
 	m := merging{b: b, now: now, groups: map[string][]word{}, addrs: map[string]string{}}
 	m.owners()
 	for _, v := range b.voices {
@@ -422,8 +422,8 @@
 		for _, w := range m.groups[id] {
 			hit = hit || w.r.Addr == name || w.r.Target == name
 			text := w.why + " at " + w.r.Addr
-			if !w.r.Until.IsZero() && w.r.State != Gone {
-				text += ", until " + w.r.Until.UTC().Format("15:04:05")
+			if !w.r.ExpiresAt.IsZero() && w.r.State != Removed {
+				text += ", until " + w.r.ExpiresAt.UTC().Format("15:04:05")
 			}
 			says = append(says, text)
 		}
@@ -438,24 +438,24 @@
 type Summary struct {
 	Name                          string
 	Serving, Draining, Tombstones int
-	Held                          int
-	Told                          bool
-	Silent                        time.Time // since; zero: it answers
+	Retained                      int
+	Reported                      bool
+	UnresponsiveSince             time.Time // since; zero: it answers
 }
 
 // Summaries tells each source's figures, in the order of the sources.
-func (b *Book) Summaries() []Summary {
+func (b *Catalog) Summaries() []Summary {
 	var out []Summary
 	for _, v := range b.voices {
-		s := Summary{Name: v.Name, Told: v.told, Silent: v.silent}
+		s := Summary{Name: v.Name, Reported: v.told, UnresponsiveSince: v.silent}
 		for _, r := range v.records {
 			switch {
-			case r.State == Gone:
+			case r.State == Removed:
 				s.Tombstones++
 			case r.State == Draining:
 				s.Draining++
 			case !r.HeldFrom.IsZero():
-				s.Held++
+				s.Retained++
 			default:
 				s.Serving++
 			}
--- a/internal/discovery/membership/state.go
+++ b/internal/discovery/membership/state.go
@@ -19,8 +19,8 @@
 	Records []*record `json:"records"`
 }
 
-// State is all that the sources have said, for Restore.
-func (b *Book) State() ([]byte, error) {
+// Snapshot is all that the sources have said, for Restore.
+func (b *Catalog) Snapshot() ([]byte, error) {
 	out := map[string]saved{}
 	for _, v := range b.voices {
 		s := saved{Told: v.told, Silent: v.silent}
@@ -35,14 +35,14 @@
 // Restore takes in another book's State. Sources that are not in these settings,
 // or that have told something here already, keep what they have. An error leaves
 // the book as it was.
-func (b *Book) Restore(text []byte) error {
+func (b *Catalog) Restore(text []byte) error {
 	var in map[string]saved
 	if err := json.Unmarshal(text, &in); err != nil {
 		return fmt.Errorf("membership state: %w", err)
 	}
 	for name, s := range in {
 		for i, r := range s.Records {
-			if r == nil || r.key() == "" || r.State > Gone {
+			if r == nil || r.key() == "" || r.State > Removed {
 				return fmt.Errorf("membership state: %s: records[%d] can't be read", name, i)
 			}
 		}
@@ -55,10 +55,10 @@
 		v.told, v.silent = s.Told, s.Silent
 		for _, r := range s.Records {
 			k := r.key()
-			if old := v.records[k]; old != nil && old.State == Gone {
+			if old := v.records[k]; old != nil && old.State == Removed {
 				v.empty--
 			}
-			if r.State == Gone {
+			if r.State == Removed {
 				v.empty++
 			}
 			v.records[k] = r
--- a/internal/discovery/relayedlist/relayed.go
+++ b/internal/discovery/relayedlist/relayed.go
@@ -17,24 +17,24 @@
 	"yardflow/internal/platform/fault"
 )
 
-// Keepers are where lists are handed on.
-type Keepers interface {
+// Coordinators are where lists are handed on.
+type Coordinators interface {
 	Do(ctx context.Context, cmd statemachine.Command) (statemachine.Result, error)
 	Incarnation() uint64
 }
 
 // Table is the dispatcher's list.
 type Table interface {
-	Relayed(generation uint64, whole bool, list []membership.Worker) bool
+	ApplyRelayed(generation uint64, whole bool, list []membership.Worker) bool
 }
 
-// Carrier is one dispatcher's.
-type Carrier struct {
+// Relay is one dispatcher's.
+type Relay struct {
 	name    string
 	zone    int
 	desk    *coldstart.Client
 	table   Table
-	keepers Keepers
+	keepers Coordinators
 	log     func(string)
 
 	mu      sync.Mutex
@@ -46,32 +46,32 @@
 }
 
 // New makes the carrier of a dispatcher in a zone.
-func New(name string, zone int, desk *coldstart.Client, table Table, keepers Keepers, log func(string)) *Carrier {
-	return &Carrier{name: name, zone: zone, desk: desk, table: table, keepers: keepers, log: log, poke: make(chan struct{}, 1)}
+func New(name string, zone int, desk *coldstart.Client, table Table, keepers Coordinators, log func(string)) *Relay {
+	return &Relay{name: name, zone: zone, desk: desk, table: table, keepers: keepers, log: log, poke: make(chan struct{}, 1)}
 }
 
-// Told hands on what the table was told, if this dispatcher reads for its zone. The table calls
+// Publish hands on what the table was told, if this dispatcher reads for its zone. The table calls
 // it while it takes a word in, so it returns at once.
-func (c *Carrier) Told(t httpfront.Told) {
+func (c *Relay) Publish(t httpfront.ListUpdate) {
 	seat, whole := c.desk.CallSucceeded()
 	if seat == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next != nil || whole || t.Afresh {
+	if c.next != nil || whole || t.NewSource {
 		// Whatever waits is told with it, as a whole: it was not taken in yet.
-		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.Afresh || c.next != nil && c.next.NewSource, Entries: entries(t.All())}
+		c.next = &relay.Publication{Generation: t.Generation, Complete: true, NewSource: t.NewSource || c.next != nil && c.next.NewSource, Entries: entries(t.WholeList())}
 	} else {
 		c.next = &relay.Publication{Generation: t.Generation, Entries: entries(t.Changed)}
 	}
-	c.seat, c.all = seat, t.All
+	c.seat, c.all = seat, t.WholeList
 	c.wake()
 }
 
 // Run hands on until ctx ends. What does not arrive is told again, as a whole, with what came
 // meanwhile; under a seat that is another's by then it is refused.
-func (c *Carrier) Run(ctx context.Context) {
+func (c *Relay) Run(ctx context.Context) {
 	for {
 		select {
 		case <-c.poke:
@@ -117,19 +117,19 @@
 	}
 }
 
-func (c *Carrier) wake() {
+func (c *Relay) wake() {
 	select {
 	case c.poke <- struct{}{}:
 	default:
 	}
 }
 
-// Take takes in what came of another's list.
-func (c *Carrier) Take(u *relay.Update) {
+// Apply takes in what came of another's list.
+func (c *Relay) Apply(u *relay.Update) {
 	if u == nil {
 		return
 	}
-	if !c.table.Relayed(u.Generation, u.Complete, workers(u.Entries)) {
+	if !c.table.ApplyRelayed(u.Generation, u.Complete, workers(u.Entries)) {
 		c.desk.ResetList()
 	}
 }
@@ -137,9 +137,9 @@
 func entries(list []membership.Worker) []relay.Entry {
 	out := make([]relay.Entry, 0, len(list))
 	for _, w := range list {
-		e := relay.Entry{ID: w.ID, Addr: w.Addr, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, Weight: w.Weight, State: uint8(w.State), Removed: w.State == membership.Gone}
-		if !w.Started.IsZero() {
-			e.Started = w.Started.UnixMicro()
+		e := relay.Entry{ID: w.ID, Addr: w.Addr, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, Weight: w.Weight, State: uint8(w.State), Removed: w.State == membership.Removed}
+		if !w.StartedAt.IsZero() {
+			e.Started = w.StartedAt.UnixMicro()
 		}
 		out = append(out, e)
 	}
@@ -151,10 +151,10 @@
 	for _, e := range list {
 		w := membership.Worker{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, State: membership.State(e.State)}
 		if e.Removed {
-			w.State = membership.Gone
+			w.State = membership.Removed
 		}
 		if e.Started != 0 {
-			w.Started = time.UnixMicro(e.Started)
+			w.StartedAt = time.UnixMicro(e.Started)
 		}
 		out = append(out, w)
 	}
--- a/internal/discovery/sources/sources.go
+++ b/internal/discovery/sources/sources.go
@@ -3,7 +3,7 @@
 //
 // It owns the book, its clock and its one timer, the followers of DNS lists, and
 // the log's lines about members. The roster's word and an operator's are handed on
-// at once, changes from lists of names at most once every TellEvery. It must never
+// at once, changes from lists of names at most once every PublishInterval. It must never
 // decide who is a member, that is membership's, and never keep a drain back.
 package sources
 
@@ -27,19 +27,19 @@
 
 // Hooks are what the list's changes mean to others.
 type Hooks struct {
-	Log   func(string)
-	Moved func(addr string) // a worker is no longer reached there
+	Log            func(string)
+	AddressRetired func(addr string) // a worker is no longer reached there
 }
 
-// Sources merges and hands on. Its methods may be called from any goroutine.
-type Sources struct {
-	live   *config.Live
+// Merger merges and hands on. Its methods may be called from any goroutine.
+type Merger struct {
+	live   *config.InForce
 	broker *broker.Broker
 	hooks  Hooks
 	watch  atomic.Bool // whether connects bear on the list
 
 	mu       sync.Mutex
-	book     *membership.Book
+	book     *membership.Catalog
 	bans     []string // as spoken by operators
 	list     membership.List
 	shown    map[string]membership.Entry // as the broker has them, by id
@@ -64,41 +64,41 @@
 }
 
 // New makes the merger under the settings in force. Nothing is followed yet.
-func New(live *config.Live, b *broker.Broker, hooks Hooks) (*Sources, error) {
-	book, err := membership.New(live.Get().Sources())
+func New(live *config.InForce, b *broker.Broker, hooks Hooks) (*Merger, error) {
+	book, err := membership.New(live.Get().MembershipConfig())
 	if err != nil {
 		return nil, err
 	}
-	s := &Sources{live: live, broker: b, hooks: hooks, book: book, shown: map[string]membership.Entry{},
+	s := &Merger{live: live, broker: b, hooks: hooks, book: book, shown: map[string]membership.Entry{},
 		names: map[string]*follower{}, held: map[string]bool{}}
-	b.Observe(s.heard)
+	b.SetOutcomeObserver(s.heard)
 	return s, nil
 }
 
 // Restore takes over what another process's sources had said, before Follow.
-func (s *Sources) Restore(state []byte) error {
+func (s *Merger) Restore(state []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Restore(state)
 }
 
-// State is all that the sources have said, for the process that takes over.
-func (s *Sources) State() []byte {
+// Snapshot is all that the sources have said, for the process that takes over.
+func (s *Merger) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.names) == 0 {
 		return nil // the roster's list goes over by itself
 	}
-	text, err := s.book.State()
+	text, err := s.book.Snapshot()
 	if err != nil {
 		s.hooks.Log("membership: what the sources said is not handed over: " + err.Error())
 	}
 	return text
 }
 
-// Follow begins to follow the lists in DNS that the settings name, and ends those
+// SyncResolvers begins to follow the lists in DNS that the settings name, and ends those
 // that they no longer do.
-func (s *Sources) Follow() {
+func (s *Merger) SyncResolvers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -116,9 +116,9 @@
 			old.stop()
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		f := &follower{cfg: c, resolver: srv.New(c.Resolver()), stop: stop}
+		f := &follower{cfg: c, resolver: srv.New(c.ResolverConfig()), stop: stop}
 		s.names[c.Name] = f
-		go f.resolver.Follow(ctx, func(u srv.Update) { s.update(f, u) })
+		go f.resolver.Run(ctx, func(u srv.Update) { s.update(f, u) })
 	}
 	for name, f := range s.names {
 		if !keep[name] {
@@ -129,7 +129,7 @@
 }
 
 // Close ends all followers; the list stays as it is.
-func (s *Sources) Close() {
+func (s *Merger) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -141,45 +141,45 @@
 	}
 }
 
-// Retune puts the settings now in force to use: the rule, the sources, and the
+// Reconfigure puts the settings now in force to use: the rule, the sources, and the
 // places of zones and kinds. The settings must be sound.
-func (s *Sources) Retune() error {
+func (s *Merger) Reconfigure() error {
 	s.mu.Lock()
-	err := s.book.Configure(s.live.Get().Sources())
+	err := s.book.Configure(s.live.Get().MembershipConfig())
 	if err == nil {
 		clear(s.shown) // places may be others: all is told anew
 		s.publish(dispatch.ListOverride, nil)
 	}
 	s.mu.Unlock()
-	s.Follow()
+	s.SyncResolvers()
 	return err
 }
 
-// Roster takes in the roster's word, of the given form, and hands it on at once.
-func (s *Sources) Roster(form dispatch.ListForm, workers []membership.Worker) {
+// UpdateRoster takes in the roster's word, of the given form, and hands it on at once.
+func (s *Merger) UpdateRoster(form dispatch.ListForm, workers []membership.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if form == dispatch.ListFailed {
-		s.book.Silent(time.Now(), membership.Roster, true)
-		s.broker.List(form, nil)
+		s.book.SetUnresponsive(time.Now(), membership.RosterSource, true)
+		s.broker.UpdateWorkers(form, nil)
 		return
 	}
 	whole := form == dispatch.ListFull || form == dispatch.ListCached
-	if err := s.book.Tell(time.Now(), membership.Roster, whole, workers); err != nil {
+	if err := s.book.Update(time.Now(), membership.RosterSource, whole, workers); err != nil {
 		s.hooks.Log("server table: " + err.Error())
 	}
 	s.publish(form, workers)
 }
 
 // update takes in what a resolver has found.
-func (s *Sources) update(f *follower, u srv.Update) {
+func (s *Merger) update(f *follower, u srv.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.names[f.cfg.Name] != f {
 		return // replaced meanwhile
 	}
 	if u.Err != nil {
-		if s.book.Silent(u.At, f.cfg.Name, true); !f.failing {
+		if s.book.SetUnresponsive(u.At, f.cfg.Name, true); !f.failing {
 			f.failing = true
 			s.hooks.Log(fmt.Sprintf("source %s: no answer, going on with what is known: %s", f.cfg.Name, oneLine(u.Err)))
 		}
@@ -190,7 +190,7 @@
 		f.failing = false
 		s.hooks.Log(fmt.Sprintf("source %s: answers again", f.cfg.Name))
 	}
-	if err := s.book.Tell(u.At, f.cfg.Name, true, workers(f.cfg, u.Records)); err != nil {
+	if err := s.book.Update(u.At, f.cfg.Name, true, workers(f.cfg, u.Records)); err != nil {
 		s.hooks.Log(fmt.Sprintf("source %s: %s", f.cfg.Name, oneLine(err)))
 	}
 	s.due()
@@ -214,15 +214,15 @@
 			weight = max(float64(r.Weight)*n[r.Priority]/total, 0.05)
 		}
 		out = append(out, membership.Worker{Target: r.Target, Addr: r.Addr.String(), Zone: cfg.Zone, Kind: cfg.Kind, Cell: cfg.Cell,
-			Weight: weight, Priority: int(r.Priority), Until: r.Until})
+			Weight: weight, Priority: int(r.Priority), ExpiresAt: r.ExpiresAt})
 	}
 	return out
 }
 
-// due hands on what has changed, now or once TellEvery has passed. The caller
+// due hands on what has changed, now or once PublishInterval has passed. The caller
 // holds mu.
-func (s *Sources) due() {
-	if rest := time.Until(s.told.Add(s.live.Get().Membership.TellEvery.Duration)); rest > 0 {
+func (s *Merger) due() {
+	if rest := time.Until(s.told.Add(s.live.Get().Membership.PublishInterval.Duration)); rest > 0 {
 		s.look(rest)
 		return
 	}
@@ -230,7 +230,7 @@
 }
 
 // look sets the timer, unless it fires sooner already. The caller holds mu.
-func (s *Sources) look(in time.Duration) {
+func (s *Merger) look(in time.Duration) {
 	if s.timer == nil {
 		s.timer = time.AfterFunc(in, func() {
 			s.mu.Lock()
@@ -246,7 +246,7 @@
 
 // publish merges, and hands the broker the list in the given form: whole, or what
 // has changed together with those that the roster named. The caller holds mu.
-func (s *Sources) publish(form dispatch.ListForm, named []membership.Worker) {
+func (s *Merger) publish(form dispatch.ListForm, named []membership.Worker) {
 	now := time.Now()
 	list := s.book.Merge(now)
 	whole := form == dispatch.ListFull || form == dispatch.ListCached
@@ -268,8 +268,8 @@
 		if known && old.Addr != e.Addr {
 			moved = append(moved, old.Addr)
 		}
-		if !known || old.Told != e.Told {
-			if e.Told == membership.Serving {
+		if !known || old.SourceState != e.SourceState {
+			if e.SourceState == membership.Serving {
 				s.plus++
 			} else if known {
 				s.minus++
@@ -300,80 +300,80 @@
 	if form != dispatch.ListOverride || len(out) > 0 {
 		s.told = now
 		s.times++
-		s.broker.List(form, out)
+		s.broker.UpdateWorkers(form, out)
 	}
 	for _, addr := range moved {
-		s.hooks.Moved(addr)
+		s.hooks.AddressRetired(addr)
 	}
 	s.report(now)
-	if !list.Next.IsZero() {
-		s.look(max(time.Until(list.Next), time.Millisecond))
+	if !list.NextChange.IsZero() {
+		s.look(max(time.Until(list.NextChange), time.Millisecond))
 	}
 }
 
 func same(a, b membership.Entry) bool {
 	return a.Addr == b.Addr && a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell && a.Weight == b.Weight &&
-		a.Told == b.Told && a.Started.Equal(b.Started)
+		a.SourceState == b.SourceState && a.StartedAt.Equal(b.StartedAt)
 }
 
 // worker words an entry for the broker, which knows zones and kinds by their
 // places and holds bans itself.
-func (s *Sources) worker(e membership.Entry) broker.Worker {
+func (s *Merger) worker(e membership.Entry) broker.Worker {
 	cfg := s.live.Get()
-	w := broker.Worker{ID: e.ID, Addr: e.Addr, Cell: e.Cell, Weight: e.Weight, Started: e.Started,
+	w := broker.Worker{ID: e.ID, Addr: e.Addr, Cell: e.Cell, Weight: e.Weight, StartedAt: e.StartedAt,
 		Zone: slices.Index(cfg.Zones, e.Zone), Kind: slices.Index(cfg.Kinds, e.Kind), State: dispatch.Draining}
-	if e.Told == membership.Serving {
+	if e.SourceState == membership.Serving {
 		w.State = dispatch.Ready
 	}
 	return w
 }
 
-// Ban makes exactly these names the ones that get nothing new, from this call on.
+// SetBanned makes exactly these names the ones that get nothing new, from this call on.
 // A worker may be named by its id, address or target.
-func (s *Sources) Ban(names []string) {
+func (s *Merger) SetBanned(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bans = slices.Clone(names)
-	s.book.Ban(names)
+	s.book.SetBanned(names)
 	s.publish(dispatch.ListOverride, nil)
 }
 
 // ban tells the broker whom the operators' words concern. The caller holds mu.
-func (s *Sources) ban(ids []string) {
+func (s *Merger) ban(ids []string) {
 	all := slices.Concat(s.bans, ids)
 	slices.Sort(all)
-	for _, addr := range s.broker.Ban(slices.Compact(all)) {
-		s.hooks.Moved(addr)
+	for _, addr := range s.broker.SetBanned(slices.Compact(all)) {
+		s.hooks.AddressRetired(addr)
 	}
 }
 
-// Knows tells whether a worker goes by that name.
-func (s *Sources) Knows(name string) bool {
+// KnowsWorker tells whether a worker goes by that name.
+func (s *Merger) KnowsWorker(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.list.Find(name)
-	return ok || len(s.book.Says(time.Now(), name)) > 0
+	return ok || len(s.book.Explain(time.Now(), name)) > 0
 }
 
 // heard takes in how an attempt ended, where that bears on the list.
-func (s *Sources) heard(worker string, code broker.Code) {
+func (s *Merger) heard(worker string, code broker.Code) {
 	if !s.watch.Load() {
 		return
 	}
-	answered := code == broker.OK || code == broker.Failed || code == broker.Full || code == broker.Rejected
+	answered := code == broker.OK || code == broker.Failed || code == broker.Rejected || code == broker.BadRequest
 	if !answered && code != broker.ConnectFailed {
 		return // it tells nothing of whether the worker can be reached
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Heard(time.Now(), worker, answered) && !s.closed {
+	if s.book.ObserveConnect(time.Now(), worker, answered) && !s.closed {
 		s.due()
 	}
 }
 
 // report writes what has changed to the log, a line a second at most. The caller
 // holds mu.
-func (s *Sources) report(now time.Time) {
+func (s *Merger) report(now time.Time) {
 	if len(s.names) == 0 && len(s.list.Faults) == 0 {
 		return // the roster alone: its own lines tell of it
 	}
@@ -384,10 +384,10 @@
 	}
 	s.faults = s.list.Faults
 	for _, sum := range s.book.Summaries() {
-		if held := sum.Held > 0; held != s.held[sum.Name] {
+		if held := sum.Retained > 0; held != s.held[sum.Name] {
 			s.held[sum.Name] = held
 			if held {
-				s.hooks.Log(fmt.Sprintf("membership: %s: the list shrank by %d of %d at once: held while they answer", sum.Name, sum.Held, sum.Held+sum.Serving))
+				s.hooks.Log(fmt.Sprintf("membership: %s: the list shrank by %d of %d at once: held while they answer", sum.Name, sum.Retained, sum.Retained+sum.Serving))
 			} else {
 				s.hooks.Log(fmt.Sprintf("membership: %s: nothing is held any more", sum.Name))
 			}
@@ -407,22 +407,22 @@
 }
 
 // Describe is one line on every source.
-func (s *Sources) Describe() string {
+func (s *Merger) Describe() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := []string{fmt.Sprintf("rule %s, told %d times", s.live.Get().Membership.Rule, s.times)}
 	for _, sum := range s.book.Summaries() {
-		text := fmt.Sprintf("%s: %d serving, %d draining, %d held, %d tombstones", sum.Name, sum.Serving, sum.Draining, sum.Held, sum.Tombstones)
+		text := fmt.Sprintf("%s: %d serving, %d draining, %d held, %d tombstones", sum.Name, sum.Serving, sum.Draining, sum.Retained, sum.Tombstones)
 		switch {
-		case !sum.Told && !sum.Silent.IsZero():
-			text += fmt.Sprintf(", never answered, asked since %s", clock(sum.Silent))
-		case !sum.Told:
+		case !sum.Reported && !sum.UnresponsiveSince.IsZero():
+			text += fmt.Sprintf(", never answered, asked since %s", clock(sum.UnresponsiveSince))
+		case !sum.Reported:
 			text += ", not heard yet"
-		case !sum.Silent.IsZero():
-			text += ", silent since " + clock(sum.Silent)
+		case !sum.UnresponsiveSince.IsZero():
+			text += ", silent since " + clock(sum.UnresponsiveSince)
 		}
 		if f := s.names[sum.Name]; f != nil {
-			c := &f.resolver.Counts
+			c := &f.resolver.Counters
 			text += fmt.Sprintf(", %d questions (%d over TCP, %d timed out, %d refused, %d server failures, %d not answers, %d targets without address)",
 				c.Questions.Load(), c.OverTCP.Load(), c.TimedOut.Load(), c.Refused.Load(), c.ServerFailed.Load(), c.Dropped(), c.Unresolved.Load())
 		}
@@ -436,11 +436,11 @@
 
 func clock(t time.Time) string { return t.UTC().Format("15:04:05") }
 
-// Worker is one line on one worker: who says what, and which word won.
-func (s *Sources) Worker(name string) (string, error) {
+// DescribeWorker is one line on one worker: who says what, and which word won.
+func (s *Merger) DescribeWorker(name string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	says := s.book.Says(time.Now(), name)
+	says := s.book.Explain(time.Now(), name)
 	e, ok := s.list.Find(name)
 	if !ok && len(says) == 0 {
 		return "", errors.New("no such loan worker")
--- a/internal/discovery/sources/sources_test.go
+++ b/internal/discovery/sources/sources_test.go
@@ -22,7 +22,7 @@
 
 // desk is a merger over a real broker, with one list in DNS that the test words.
 type desk struct {
-	*Sources
+	*Merger
 	b     *broker.Broker
 	f     *follower
 	log   []string
@@ -51,15 +51,15 @@
 		t.Fatal(err)
 	}
 	d := &desk{}
-	if d.b, err = broker.New(cfg.Module, 1, nil, func(string) {}); err != nil {
+	if d.b, err = broker.New(cfg.Dispatch, 1, nil, func(string) {}); err != nil {
 		t.Fatal(err)
 	}
-	d.Sources, err = New(config.NewLive(cfg), d.b, Hooks{Log: func(s string) { d.log = append(d.log, s) }, Moved: func(a string) { d.moved = append(d.moved, a) }})
+	d.Merger, err = New(config.NewInForce(cfg), d.b, Hooks{Log: func(s string) { d.log = append(d.log, s) }, AddressRetired: func(a string) { d.moved = append(d.moved, a) }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Its resolver is not run: the test says what it finds.
-	d.f = &follower{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].Resolver()), stop: func() {}}
+	d.f = &follower{cfg: cfg.SRV[0], resolver: srv.New(cfg.SRV[0].ResolverConfig()), stop: func() {}}
 	d.names["loans"] = d.f
 	t.Cleanup(func() {
 		d.Close()
@@ -89,7 +89,7 @@
 		if !other {
 			addr = "10.0.0.1:7"
 		}
-		out = append(out, srv.Record{Target: name + ".z", Addr: netip.MustParseAddrPort(addr), Weight: 1, Until: time.Now().Add(life)})
+		out = append(out, srv.Record{Target: name + ".z", Addr: netip.MustParseAddrPort(addr), Weight: 1, ExpiresAt: time.Now().Add(life)})
 	}
 	d.update(d.f, srv.Update{Records: out, At: time.Now()})
 }
@@ -106,15 +106,15 @@
 func TestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(dispatch.ListFull, roster(membership.Serving, "a", "b"))
+		d.UpdateRoster(dispatch.ListFull, roster(membership.Serving, "a", "b"))
 		before, after := 0, 0
 		d.locked(func() { before = d.times })
 		for i := range 200 {
 			d.finds(time.Second, "a=10.0.0.1:1", "e=10.0.0.1:3", []string{"c=10.0.0.1:2", "d=10.0.0.1:4"}[i%2])
 			time.Sleep(100 * time.Millisecond)
 			if i == 101 { // between two tellings
-				d.Roster(dispatch.ListDelta, roster(membership.Draining, "a"))
-				if text, err := d.Worker("a"); err != nil || !strings.Contains(text, "draining, by roster") {
+				d.UpdateRoster(dispatch.ListDelta, roster(membership.Draining, "a"))
+				if text, err := d.DescribeWorker("a"); err != nil || !strings.Contains(text, "draining, by roster") {
 					t.Error(text, err)
 				}
 				if got := d.b.Stats().Ready; got != 3 { // b, e, and one that comes and goes
@@ -138,7 +138,7 @@
 func TestSilenceInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(dispatch.ListCached, nil)
+		d.UpdateRoster(dispatch.ListCached, nil)
 		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
 		ready := func(want int) {
 			t.Helper()
@@ -153,9 +153,9 @@
 		}
 		time.Sleep(64 * time.Second)
 		ready(2)
-		d.Ban([]string{"b.z"}) // an operator's word still counts
+		d.SetBanned([]string{"b.z"}) // an operator's word still counts
 		ready(1)
-		d.Ban(nil)
+		d.SetBanned(nil)
 		time.Sleep(2 * time.Second)
 		ready(0)
 		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
@@ -163,8 +163,8 @@
 		ready(2)
 		d.locked(func() {
 			for _, e := range d.list.Entries {
-				if !e.Started.IsZero() {
-					t.Errorf("%s counts as started at %v", e.ID, e.Started)
+				if !e.StartedAt.IsZero() {
+					t.Errorf("%s counts as started at %v", e.ID, e.StartedAt)
 				}
 			}
 		})
@@ -186,7 +186,7 @@
 func TestEmptyAnswerIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDesk(t)
-		d.Roster(dispatch.ListCached, nil)
+		d.UpdateRoster(dispatch.ListCached, nil)
 		d.finds(5*time.Second, "a", "b=10.0.0.2:7")
 		time.Sleep(time.Second)
 		d.finds(0)
@@ -205,7 +205,7 @@
 		if said := d.said(); !strings.Contains(said, "loans: the list shrank by 2 of 2 at once") {
 			t.Error(said)
 		}
-		if _, err := d.Worker("nobody"); err == nil {
+		if _, err := d.DescribeWorker("nobody"); err == nil {
 			t.Error("nobody is known")
 		}
 		if text := d.Describe(); !strings.Contains(text, "loans: 0 serving, 0 draining, 0 held, 0 tombstones") {
--- a/internal/discovery/srv/answer.go
+++ b/internal/discovery/srv/answer.go
@@ -26,7 +26,7 @@
 	Target           string // as the zone has it, in lower case, without the last dot
 	Addr             netip.AddrPort
 	Priority, Weight uint16
-	Until            time.Time // the end of its lifetime
+	ExpiresAt        time.Time // the end of its lifetime
 }
 
 // set is what one message says of one name and type.
--- a/internal/discovery/srv/client.go
+++ b/internal/discovery/srv/client.go
@@ -30,17 +30,17 @@
 // path without being cut up (DNS flag day 2020; RFC 6891).
 const udpSize = 1232
 
-// Counts are figures since the start.
-type Counts struct {
-	Questions, OverTCP                        atomic.Int64
-	OtherID, OtherQuestion, OtherAddr, Broken atomic.Int64 // datagrams dropped
-	TimedOut, Refused, ServerFailed, Chains   atomic.Int64
-	Unresolved                                atomic.Int64 // targets left out for want of an address
+// Counters are figures since the start.
+type Counters struct {
+	Questions, OverTCP                                            atomic.Int64
+	MismatchedID, MismatchedQuestion, MismatchedServer, Malformed atomic.Int64 // datagrams dropped
+	TimedOut, Refused, ServerFailed, BrokenChains                 atomic.Int64
+	Unresolved                                                    atomic.Int64 // targets left out for want of an address
 }
 
 // Dropped counts what was not taken for an answer.
-func (c *Counts) Dropped() int64 {
-	return c.OtherID.Load() + c.OtherQuestion.Load() + c.OtherAddr.Load() + c.Broken.Load()
+func (c *Counters) Dropped() int64 {
+	return c.MismatchedID.Load() + c.MismatchedQuestion.Load() + c.MismatchedServer.Load() + c.Malformed.Load()
 }
 
 // server is one name server and how it has done.
@@ -53,7 +53,7 @@
 // client asks a list of servers.
 type client struct {
 	timeout time.Duration // of one try
-	counts  *Counts
+	counts  *Counters
 
 	mu      sync.Mutex
 	servers []*server
@@ -67,7 +67,7 @@
 	return p
 }
 
-func newClient(addrs []netip.AddrPort, timeout time.Duration, counts *Counts) *client {
+func newClient(addrs []netip.AddrPort, timeout time.Duration, counts *Counters) *client {
 	c := &client{timeout: timeout, counts: counts}
 	for _, a := range addrs {
 		c.servers = append(c.servers, &server{addr: a, pause: newPause(time.Second, 30*time.Second)})
@@ -241,7 +241,7 @@
 			return nil, c.told(err)
 		}
 		if from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port()); from != to {
-			c.counts.OtherAddr.Add(1)
+			c.counts.MismatchedServer.Add(1)
 			continue
 		}
 		// Whatever does not fit is dropped, not taken as this server's failure:
@@ -263,7 +263,7 @@
 			head.Truncated = true
 			return &head
 		}
-		c.counts.Broken.Add(1)
+		c.counts.Malformed.Add(1)
 		return nil
 	}
 	if !c.answers(m, q) {
@@ -276,9 +276,9 @@
 func (c *client) answers(m, q *dns.Msg) bool {
 	switch {
 	case m.Id != q.Id:
-		c.counts.OtherID.Add(1)
+		c.counts.MismatchedID.Add(1)
 	case !m.Response || m.Opcode != dns.OpcodeQuery:
-		c.counts.Broken.Add(1)
+		c.counts.Malformed.Add(1)
 	case len(m.Question) == 1 && m.Question[0].Qtype == q.Question[0].Qtype &&
 		m.Question[0].Qclass == q.Question[0].Qclass && strings.EqualFold(m.Question[0].Name, q.Question[0].Name):
 		return true
@@ -286,7 +286,7 @@
 	case len(m.Question) == 0 && (m.Rcode == dns.RcodeFormatError || m.Rcode == dns.RcodeNotImplemented):
 		return true
 	default:
-		c.counts.OtherQuestion.Add(1)
+		c.counts.MismatchedQuestion.Add(1)
 	}
 	return false
 }
--- a/internal/discovery/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -23,11 +23,11 @@
 	Service string           // the full name, such as _loans._tcp.example.cz.
 	Servers []netip.AddrPort // name servers, in the order of preference
 	Timeout time.Duration    // of one try at one server
-	// Floor and Ceiling bound lifetimes: one of 0 would be asked for without end,
+	// MinTTL and Ceiling bound lifetimes: one of 0 would be asked for without end,
 	// one of 68 years would never be asked for again.
-	Floor, Ceiling time.Duration
-	Stale          time.Duration // how long an address is used past its lifetime while none can be had
-	Families       []uint16      // dns.TypeA, dns.TypeAAAA; the first that has an address counts
+	MinTTL, MaxTTL time.Duration
+	StaleTTL       time.Duration // how long an address is used past its lifetime while none can be had
+	AddressTypes   []uint16      // dns.TypeA, dns.TypeAAAA; the first that has an address counts
 	MaxRecords     int
 }
 
@@ -48,7 +48,7 @@
 
 // Resolver follows one service.
 type Resolver struct {
-	Counts Counts
+	Counters Counters
 
 	cfg    Config
 	client *client
@@ -65,14 +65,14 @@
 // New makes a resolver; Follow runs it.
 func New(cfg Config) *Resolver {
 	r := &Resolver{cfg: cfg, addrs: map[string]*cached{}, addrsHave: map[string]netip.Addr{}}
-	r.client = newClient(cfg.Servers, cfg.Timeout, &r.Counts)
+	r.client = newClient(cfg.Servers, cfg.Timeout, &r.Counters)
 	return r
 }
 
-// Follow asks until ctx ends, and tells each round's end. Rounds after a success
+// Run asks until ctx ends, and tells each round's end. Rounds after a success
 // come before the first lifetime ends, at a moment drawn anew each time; rounds
 // after a failure after a back-off with full jitter.
-func (r *Resolver) Follow(ctx context.Context, tell func(Update)) {
+func (r *Resolver) Run(ctx context.Context, tell func(Update)) {
 	pause := newPause(250*time.Millisecond, 10*time.Second)
 	for {
 		records, next, err := r.round(ctx)
@@ -93,7 +93,7 @@
 }
 
 func wait(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(timers.Ahead(d))
+	t := time.NewTimer(timers.Positive(d))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -105,7 +105,7 @@
 
 // span puts a lifetime between floor and ceiling.
 func (r *Resolver) span(ttl time.Duration) time.Duration {
-	return min(max(ttl, r.cfg.Floor), r.cfg.Ceiling)
+	return min(max(ttl, r.cfg.MinTTL), r.cfg.MaxTTL)
 }
 
 // ahead draws when to ask again for what holds for so long: after 60 to 85% of it.
@@ -157,7 +157,7 @@
 		if c.until.Before(until) {
 			until = c.until
 		}
-		out = append(out, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, Until: until})
+		out = append(out, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, ExpiresAt: until})
 	}
 	if least := now.Add(50 * time.Millisecond); next.Before(least) {
 		next = least
@@ -178,7 +178,7 @@
 			err = errChain
 		}
 		if err != nil {
-			r.Counts.Chains.Add(1)
+			r.Counters.BrokenChains.Add(1)
 			return set{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, err)
 		}
 		least = min(least, s.ttl)
@@ -207,8 +207,8 @@
 	}
 	now := time.Now()
 	if m != nil {
-		for i := len(r.cfg.Families) - 1; i >= 0; i-- { // the first family has the last word
-			for name, s := range glue(m, wanted, r.cfg.Families[i]) {
+		for i := len(r.cfg.AddressTypes) - 1; i >= 0; i-- { // the first family has the last word
+			for name, s := range glue(m, wanted, r.cfg.AddressTypes[i]) {
 				if addrs := addresses(s.records); len(addrs) > 0 {
 					life := r.span(s.ttl)
 					r.addrs[name] = &cached{addrs, now.Add(life), ahead(now, life)}
@@ -265,13 +265,13 @@
 	now = time.Now()
 	for name := range wanted {
 		c := r.addrs[name]
-		usable := c != nil && !now.After(c.until.Add(r.cfg.Stale))
+		usable := c != nil && !now.After(c.until.Add(r.cfg.StaleTTL))
 		switch {
 		case !usable:
-			r.Counts.Unresolved.Add(1)
-			r.addrs[name] = &cached{nil, now, now.Add(r.cfg.Floor / 2)}
+			r.Counters.Unresolved.Add(1)
+			r.addrs[name] = &cached{nil, now, now.Add(r.cfg.MinTTL / 2)}
 		case !now.Before(c.refresh):
-			c.refresh = now.Add(r.cfg.Floor / 2)
+			c.refresh = now.Add(r.cfg.MinTTL / 2)
 		}
 	}
 	return nil
@@ -280,7 +280,7 @@
 // addressesOf asks for a target's addresses, one family after the other.
 func (r *Resolver) addressesOf(ctx context.Context, name string) (*cached, error) {
 	least := time.Duration(1 << 62)
-	for _, kind := range r.cfg.Families {
+	for _, kind := range r.cfg.AddressTypes {
 		s, _, err := r.lookUp(ctx, dns.Fqdn(name), kind)
 		if err != nil {
 			return nil, err
--- a/internal/discovery/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -47,8 +47,8 @@
 }
 
 func resolver(servers ...*dnsserver.Server) *Resolver {
-	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, Floor: time.Second, Ceiling: time.Hour, Stale: time.Hour,
-		Families: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
+	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, MinTTL: time.Second, MaxTTL: time.Hour, StaleTTL: time.Hour,
+		AddressTypes: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
 	for _, s := range servers {
 		cfg.Servers = append(cfg.Servers, s.Addr)
 	}
@@ -68,24 +68,24 @@
 func TestAnswersInSpiteOfFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault dnsserver.Fault
-		count func(*Counts) int64
+		count func(*Counters) int64
 	}{
 		"none":            {dnsserver.Fault{}, nil},
 		"no glue":         {dnsserver.Fault{NoGlue: true}, nil},
-		"truncated":       {dnsserver.Fault{Truncate: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
-		"other id":        {dnsserver.Fault{OtherID: true}, func(c *Counts) int64 { return c.OtherID.Load() }},
-		"other question":  {dnsserver.Fault{OtherQuestion: true}, func(c *Counts) int64 { return c.OtherQuestion.Load() }},
-		"other address":   {dnsserver.Fault{OtherAddr: true}, func(c *Counts) int64 { return c.OtherAddr.Load() }},
-		"garbage":         {dnsserver.Fault{Garbage: true}, func(c *Counts) int64 { return c.Broken.Load() }},
-		"only other ids":  {dnsserver.Fault{OtherID: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"only garbage":    {dnsserver.Fault{Garbage: true, Only: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"cut short":       {dnsserver.Fault{Cut: true}, func(c *Counts) int64 { return c.Broken.Load() }},
-		"black hole":      {dnsserver.Fault{Drop: true}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"too slow":        {dnsserver.Fault{Delay: 400 * time.Millisecond}, func(c *Counts) int64 { return c.TimedOut.Load() }},
-		"SERVFAIL":        {dnsserver.Fault{Rcode: dns.RcodeServerFailure}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
-		"REFUSED":         {dnsserver.Fault{Rcode: dns.RcodeRefused}, func(c *Counts) int64 { return c.ServerFailed.Load() }},
-		"TCP closed":      {dnsserver.Fault{Truncate: true, RefuseTCP: true}, func(c *Counts) int64 { return c.OverTCP.Load() }},
-		"FORMERR to EDNS": {dnsserver.Fault{Rcode: dns.RcodeFormatError}, func(c *Counts) int64 { return c.Questions.Load() - 1 }},
+		"truncated":       {dnsserver.Fault{Truncate: true}, func(c *Counters) int64 { return c.OverTCP.Load() }},
+		"other id":        {dnsserver.Fault{OtherID: true}, func(c *Counters) int64 { return c.MismatchedID.Load() }},
+		"other question":  {dnsserver.Fault{OtherQuestion: true}, func(c *Counters) int64 { return c.MismatchedQuestion.Load() }},
+		"other address":   {dnsserver.Fault{OtherAddr: true}, func(c *Counters) int64 { return c.MismatchedServer.Load() }},
+		"garbage":         {dnsserver.Fault{Garbage: true}, func(c *Counters) int64 { return c.Malformed.Load() }},
+		"only other ids":  {dnsserver.Fault{OtherID: true, Only: true}, func(c *Counters) int64 { return c.TimedOut.Load() }},
+		"only garbage":    {dnsserver.Fault{Garbage: true, Only: true}, func(c *Counters) int64 { return c.TimedOut.Load() }},
+		"cut short":       {dnsserver.Fault{Cut: true}, func(c *Counters) int64 { return c.Malformed.Load() }},
+		"black hole":      {dnsserver.Fault{Drop: true}, func(c *Counters) int64 { return c.TimedOut.Load() }},
+		"too slow":        {dnsserver.Fault{Delay: 400 * time.Millisecond}, func(c *Counters) int64 { return c.TimedOut.Load() }},
+		"SERVFAIL":        {dnsserver.Fault{Rcode: dns.RcodeServerFailure}, func(c *Counters) int64 { return c.ServerFailed.Load() }},
+		"REFUSED":         {dnsserver.Fault{Rcode: dns.RcodeRefused}, func(c *Counters) int64 { return c.ServerFailed.Load() }},
+		"TCP closed":      {dnsserver.Fault{Truncate: true, RefuseTCP: true}, func(c *Counters) int64 { return c.OverTCP.Load() }},
+		"FORMERR to EDNS": {dnsserver.Fault{Rcode: dns.RcodeFormatError}, func(c *Counters) int64 { return c.Questions.Load() - 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -99,8 +99,8 @@
 			if left := time.Until(next); left < 30*time.Second || left > 52*time.Second {
 				t.Errorf("asks again in %v; the least lifetime is 60 s", left)
 			}
-			if c.count != nil && c.count(&r.Counts) == 0 {
-				t.Errorf("not counted: %+v", &r.Counts)
+			if c.count != nil && c.count(&r.Counters) == 0 {
+				t.Errorf("not counted: %+v", &r.Counters)
 			}
 		})
 	}
@@ -126,8 +126,8 @@
 	dead.Close()
 	r = resolver(dead, good)
 	began := time.Now()
-	if _, err := r.client.ask(t.Context(), service, dns.TypeSRV); err != nil || r.Counts.Refused.Load() != 1 {
-		t.Error(err, r.Counts.Refused.Load())
+	if _, err := r.client.ask(t.Context(), service, dns.TypeSRV); err != nil || r.Counters.Refused.Load() != 1 {
+		t.Error(err, r.Counters.Refused.Load())
 	}
 	if took := time.Since(began); took > r.client.timeout {
 		t.Errorf("took %v to go on from a closed port", took)
@@ -183,7 +183,7 @@
 	r := resolver(s)
 	r.cfg.Service, r.client.timeout = "_l._tcp.z.", 5*time.Second
 	records, _, err := r.round(t.Context())
-	if err != nil || len(records) != 2000 || r.Counts.OverTCP.Load() != 1 {
+	if err != nil || len(records) != 2000 || r.Counters.OverTCP.Load() != 1 {
 		t.Fatalf("%d records, %v", len(records), err)
 	}
 	r = resolver(s)
@@ -208,7 +208,7 @@
 	if diff := cmp.Diff(known[1:], lines(records)); diff != "" || err != nil {
 		t.Fatal(err, diff)
 	}
-	if left := time.Until(next); left > r.cfg.Floor {
+	if left := time.Until(next); left > r.cfg.MinTTL {
 		t.Errorf("the target left out is asked for again in %v", left)
 	}
 	s.Behave(nil)
@@ -251,11 +251,11 @@
 func TestFollow(t *testing.T) {
 	s := start(t, strings.ReplaceAll(zone, " 60 ", " 1 "))
 	r := resolver(s)
-	r.cfg.Floor, r.client.timeout = 200*time.Millisecond, 100*time.Millisecond
+	r.cfg.MinTTL, r.client.timeout = 200*time.Millisecond, 100*time.Millisecond
 	told := make(chan Update, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.Follow(ctx, func(u Update) { told <- u }); close(ended) }()
+	go func() { r.Run(ctx, func(u Update) { told <- u }); close(ended) }()
 	until := func(what string, sound bool) Update {
 		t.Helper()
 		for limit := time.After(20 * time.Second); ; {
@@ -270,7 +270,7 @@
 		}
 	}
 	first := until("told", true)
-	if second := until("told again", true); second.At.After(first.Records[0].Until) {
+	if second := until("told again", true); second.At.After(first.Records[0].ExpiresAt) {
 		t.Error("asked only after the end of the lifetime")
 	}
 	s.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
@@ -323,7 +323,7 @@
 		f.Add(text[:len(text)/2])
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var counts Counts
+		var counts Counters
 		c := newClient(nil, time.Second, &counts)
 		m := c.decode(text, q)
 		if m == nil {
--- a/internal/fleet/transport/holder.go
+++ b/internal/fleet/transport/holder.go
@@ -104,7 +104,7 @@
 				next = look
 			}
 		}
-		wait := time.NewTimer(timers.Ahead(time.Until(next)))
+		wait := time.NewTimer(timers.Positive(time.Until(next)))
 		select {
 		case <-wait.C:
 			if next != due && !h.hooks.QuotaExhausted() {
--- a/internal/fleet/transport/server.go
+++ b/internal/fleet/transport/server.go
@@ -93,7 +93,7 @@
 		if err := errors.Join(err, err2, err3); err != nil {
 			return err
 		}
-		ctx, stop := context.WithTimeout(r.Context(), min(timers.Ahead(time.Duration(wait)*time.Millisecond), maxWait))
+		ctx, stop := context.WithTimeout(r.Context(), min(timers.Positive(time.Duration(wait)*time.Millisecond), maxWait))
 		defer stop()
 		k.WaitForRevision(ctx, past)
 		var text []byte
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -27,10 +27,10 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// Margin is how long before a request's deadline its last attempt is ended:
+// DeadlineMargin is how long before a request's deadline its last attempt is ended:
 // room for the answer's way through a busy core and the network. Time is
 // counted from when the client sent the request, a little before we saw it.
-const Margin = 15 * time.Millisecond
+const DeadlineMargin = 15 * time.Millisecond
 
 // grace is how long past Margin the module may take to word the final answer.
 const grace = 10 * time.Millisecond
@@ -104,13 +104,13 @@
 	b.settings.Store(&s)
 	b.over, b.end = context.WithCancel(context.Background())
 	b.budgets.Store(&map[string]*budget{})
-	b.Contracts(contracts)
+	b.SetContracts(contracts)
 	go b.run()
 	return b, nil
 }
 
-// Retune puts new settings in force. Open requests keep their class.
-func (b *Broker) Retune(s dispatch.Settings) error {
+// Reconfigure puts new settings in force. Open requests keep their class.
+func (b *Broker) Reconfigure(s dispatch.Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Memory is what the module has learned; nothing if it does not say so in time.
-func (b *Broker) Memory(within time.Duration) []byte {
+// Snapshot is what the module has learned; nothing if it does not say so in time.
+func (b *Broker) Snapshot(within time.Duration) []byte {
 	told := make(chan []byte, 1)
 	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Snapshot() })
 	select {
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// RoomHeld is what the module holds for large jobs; an error where it holds none by
+// Reservations is what the module holds for large jobs; an error where it holds none by
 // its settings, or does not say so in time.
-func (b *Broker) RoomHeld(within time.Duration) (*dispatch.ReservationReport, error) {
+func (b *Broker) Reservations(within time.Duration) (*dispatch.ReservationReport, error) {
 	told := make(chan *dispatch.ReservationReport, 1)
 	b.post(func(time.Duration, dispatch.Actions) { told <- b.module.Reservations() })
 	select {
@@ -154,12 +154,12 @@
 }
 
 // SetReservationShare bounds what may be held to a part, where several processes hold room.
-func (b *Broker) ShareRoom(part float64) {
+func (b *Broker) SetReservationShare(part float64) {
 	b.post(func(time.Duration, dispatch.Actions) { b.module.SetReservationShare(part) })
 }
 
-// Name is a worker's name, by the number that the module knows it by.
-func (b *Broker) Name(id dispatch.WorkerID) string {
+// WorkerName is a worker's name, by the number that the module knows it by.
+func (b *Broker) WorkerName(id dispatch.WorkerID) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.places[id]; p != nil {
@@ -168,11 +168,11 @@
 	return fmt.Sprintf("%x", uint64(id))
 }
 
-// Clock is the time of the module's clock as the wall shows it.
-func (b *Broker) Clock(at time.Duration) time.Time { return b.anchor.Add(at - b.anchorUnix) }
+// WallTime is the time of the module's clock as the wall shows it.
+func (b *Broker) WallTime(at time.Duration) time.Time { return b.anchor.Add(at - b.anchorUnix) }
 
-// Recall hands the module what another process's learned, before the first list.
-func (b *Broker) Recall(memory []byte) {
+// Restore hands the module what another process's learned, before the first list.
+func (b *Broker) Restore(memory []byte) {
 	b.post(func(time.Duration, dispatch.Actions) { b.module.Restore(memory) })
 }
 
@@ -212,7 +212,7 @@
 		if due, ok := b.nextWake(); ok {
 			wait = due - b.now()
 		}
-		alarm.Reset(timers.Ahead(wait))
+		alarm.Reset(timers.Positive(wait))
 		select {
 		case <-b.done:
 			return
@@ -241,7 +241,7 @@
 	if !invariant.Debug {
 		defer func() {
 			if r := recover(); r != nil {
-				invariant.Hold(false, fmt.Sprint("the module panics: ", r))
+				invariant.Check(false, fmt.Sprint("the module panics: ", r))
 			}
 		}()
 	}
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -31,10 +31,10 @@
 	return b
 }
 
-func never(t *testing.T) Do {
+func never(t *testing.T) AttemptFunc {
 	return func(context.Context, *Attempt) Outcome {
 		t.Error("an attempt that must not be")
-		return Outcome{Code: NeverSent}
+		return Outcome{Code: NotSent}
 	}
 }
 
@@ -77,7 +77,7 @@
 	ready := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) { b.module = s; close(ready) })
 	<-ready
-	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
+	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	return b
 }
 
@@ -95,7 +95,7 @@
 	b := with(t, s)
 	deadline := time.Now().Add(300 * time.Millisecond)
 	got := b.Serve(t.Context(), Request{Deadline: deadline}, never(t))
-	if diff := cmp.Diff(Answer{Verdict: Refused}, got); diff != "" {
+	if diff := cmp.Diff(Answer{Kind: AnswerRejected}, got); diff != "" {
 		t.Error(diff)
 	}
 	settled(b)
@@ -119,10 +119,10 @@
 	b := with(t, s)
 	got := b.Serve(ctx, Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, _ *Attempt) Outcome {
 		<-ctx.Done()
-		return Outcome{Code: NeverSent}
+		return Outcome{Code: NotSent}
 	})
 	settled(b)
-	if got.Verdict != Gone || len(s.outcomes) != 1 || s.outcomes[0].Code != NeverSent || !s.outcomes[0].Answered {
+	if got.Kind != AnswerClientGone || len(s.outcomes) != 1 || s.outcomes[0].Code != NotSent || !s.outcomes[0].Answered {
 		t.Errorf("got %+v, module heard %+v", got, s.outcomes)
 	}
 }
@@ -136,16 +136,16 @@
 	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Reject(o.ID, time.Second) }}
 	b := with(t, s)
-	before := invariant.Broken()
-	for class, want := range []Verdict{Failure, Refused} {
+	before := invariant.Violations()
+	for class, want := range []AnswerKind{AnswerFailed, AnswerRejected} {
 		got := b.Serve(t.Context(), Request{Class: class, Deadline: time.Now().Add(time.Minute)},
-			func(context.Context, *Attempt) Outcome { return Outcome{Code: Broken} })
-		if got.Verdict != want {
+			func(context.Context, *Attempt) Outcome { return Outcome{Code: ConnectionLost} })
+		if got.Kind != want {
 			t.Errorf("class %d: got %+v, want verdict %d", class, got, want)
 		}
 	}
-	if invariant.Broken()["refused what may have run"] != before["refused what may have run"]+1 {
-		t.Error("not counted:", invariant.Broken())
+	if invariant.Violations()["refused what may have run"] != before["refused what may have run"]+1 {
+		t.Error("not counted:", invariant.Violations())
 	}
 }
 
@@ -161,12 +161,12 @@
 		}
 		out.Send(r.ID, workerID("w"), 0)
 	}}
-	b, before := with(t, s), invariant.Broken()
+	b, before := with(t, s), invariant.Violations()
 	got := b.Serve(t.Context(), Request{Class: 0, Deadline: time.Now().Add(200 * time.Millisecond)}, never(t))
 	next := b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(time.Minute)},
 		func(context.Context, *Attempt) Outcome { return Outcome{Code: OK} })
-	if got.Verdict != Refused || next.Verdict != Served || invariant.Broken()["the module panics: a fault"] != before["the module panics: a fault"]+1 {
-		t.Errorf("got %+v, then %+v; counted %v", got, next, invariant.Broken())
+	if got.Kind != AnswerRejected || next.Kind != AnswerServed || invariant.Violations()["the module panics: a fault"] != before["the module panics: a fault"]+1 {
+		t.Errorf("got %+v, then %+v; counted %v", got, next, invariant.Violations())
 	}
 }
 
@@ -176,11 +176,14 @@
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Fail(o.ID) }}
 	b := with(t, s)
 	got := b.Serve(t.Context(), Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, a *Attempt) Outcome {
-		b.post(func(_ time.Duration, out dispatch.Actions) { out.Cancel(a.s.id, a.N+1); out.Cancel(a.s.id, a.N) })
+		b.post(func(_ time.Duration, out dispatch.Actions) {
+			out.Cancel(a.s.id, a.Number+1)
+			out.Cancel(a.s.id, a.Number)
+		})
 		<-ctx.Done()
 		return Outcome{Code: Cancelled}
 	})
-	if got.Verdict != Failure || len(s.outcomes) != 1 || s.outcomes[0].Code != Cancelled {
+	if got.Kind != AnswerFailed || len(s.outcomes) != 1 || s.outcomes[0].Code != Cancelled {
 		t.Errorf("got %+v, module heard %+v", got, s.outcomes)
 	}
 }
@@ -188,18 +191,18 @@
 // A team over its rate, or over what it may have open, is refused at once with
 // the time to come back after; nothing of it reaches the module. Others go on.
 func TestContractsBoundATeam(t *testing.T) {
-	b := open(t, Contract{Team: "a", Rate: 0.5, Burst: 2, MaxOpen: 9}, Contract{Team: "b", Rate: 1000, Burst: 9, MaxOpen: 1})
-	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
+	b := open(t, Contract{Team: "a", RequestsPerSecond: 0.5, Burst: 2, MaxInFlight: 9}, Contract{Team: "b", RequestsPerSecond: 1000, Burst: 9, MaxInFlight: 1})
+	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	served := func(context.Context, *Attempt) Outcome { return Outcome{Code: OK, Result: []byte("r")} }
-	serve := func(team string, do Do) Answer {
+	serve := func(team string, do AttemptFunc) Answer {
 		return b.Serve(t.Context(), Request{Class: 1, Team: team, Deadline: time.Now().Add(time.Minute)}, do)
 	}
 	for range 2 {
-		if got := serve("a", served); got.Verdict != Served {
+		if got := serve("a", served); got.Kind != AnswerServed {
 			t.Fatalf("inside the budget: %+v", got)
 		}
 	}
-	if got := serve("a", never(t)); got.Verdict != Refused || !got.Over || got.ComeBack <= 0 || got.ComeBack > 2*time.Second {
+	if got := serve("a", never(t)); got.Kind != AnswerRejected || !got.OverBudget || got.RetryAfter <= 0 || got.RetryAfter > 2*time.Second {
 		t.Errorf("over the rate: %+v", got)
 	}
 	var inner Answer
@@ -207,16 +210,16 @@
 		inner = serve("b", never(t))
 		return Outcome{Code: OK}
 	})
-	if outer.Verdict != Served || inner.Verdict != Refused || !inner.Over || inner.ComeBack <= 0 {
+	if outer.Kind != AnswerServed || inner.Kind != AnswerRejected || !inner.OverBudget || inner.RetryAfter <= 0 {
 		t.Errorf("over what may be open: %+v in %+v", inner, outer)
 	}
-	if got := serve("b", served); got.Verdict != Served {
+	if got := serve("b", served); got.Kind != AnswerServed {
 		t.Errorf("after an answer there is room again: %+v", got)
 	}
 }
 
 func TestBudgetRefills(t *testing.T) {
-	b, now := newBudget(Contract{Rate: 2, Burst: 2, MaxOpen: 99}), time.Now()
+	b, now := newBudget(Contract{RequestsPerSecond: 2, Burst: 2, MaxInFlight: 99}), time.Now()
 	var got []bool
 	for _, after := range []time.Duration{0, 0, 0, 400, 600, 600, 5000, 5000, 5000} {
 		_, ok := b.take(now.Add(after * time.Millisecond))
@@ -238,7 +241,7 @@
 	seen := map[string]dispatch.WorkerID{}
 	for _, list := range [][]Worker{{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}}, {{ID: "b", Addr: "3"}, {ID: "a", Addr: "4"}}} {
 		b := open(t)
-		b.List(dispatch.ListFull, list)
+		b.UpdateWorkers(dispatch.ListFull, list)
 		for id, p := range b.places {
 			if old, ok := seen[p.name]; ok && old != id {
 				t.Errorf("%s is %x here and %x there", p.name, id, old)
@@ -260,8 +263,8 @@
 // time, and an unsafe one runs once.
 func TestPromisesUnderLoad(t *testing.T) {
 	b := open(t)
-	b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
-	codes := []Code{OK, OK, OK, Full, ConnectFailed, Failed, Broken}
+	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
+	codes := []Code{OK, OK, OK, Rejected, ConnectFailed, Failed, ConnectionLost}
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Go(func() {
@@ -278,8 +281,8 @@
 					t.Error("two attempts at once")
 				}
 				defer out.Add(-1)
-				a.Started()
-				a.Progress(0.5)
+				a.ReportStarted()
+				a.ReportProgress(0.5)
 				select {
 				case <-time.After(time.Duration(rnd.IntN(10)) * time.Millisecond):
 				case <-ctx.Done():
@@ -287,7 +290,7 @@
 					return Outcome{Code: TimedOut}
 				}
 				code := codes[rnd.IntN(len(codes))]
-				if code != Full && code != ConnectFailed && ran.Add(1) > 1 && class == 0 {
+				if code != Rejected && code != ConnectFailed && ran.Add(1) > 1 && class == 0 {
 					t.Error("an unsafe request ran twice")
 				}
 				return Outcome{Code: code}
@@ -325,22 +328,22 @@
 	})
 	<-ready
 	allowed := func() bool { return b.allowed(workerID("w"), "addr") }
-	if got := b.Ban([]string{"w", "other"}); len(got) != 1 || got[0] != "addr" || allowed() {
+	if got := b.SetBanned([]string{"w", "other"}); len(got) != 1 || got[0] != "addr" || allowed() {
 		t.Error("banned", got, allowed())
 	}
-	b.List(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
+	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
 	if allowed() || b.allowed(workerID("other"), "addr") || b.Stats().Ready != 0 {
 		t.Error("a list lifts a ban")
 	}
-	b.Ban(nil)
-	if !allowed() || !b.Knows("w") || b.Knows("x") {
+	b.SetBanned(nil)
+	if !allowed() || !b.KnowsWorker("w") || b.KnowsWorker("x") {
 		t.Error("not called back")
 	}
 	settled(b)
 	// A start that the list has told of since it was taken out is better known.
-	b.Ban([]string{"w"})
-	b.List(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Started: time.Now().Add(time.Hour)}})
-	b.Ban(nil)
+	b.SetBanned([]string{"w"})
+	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", StartedAt: time.Now().Add(time.Hour)}})
+	b.SetBanned(nil)
 	settled(b)
 	if last := heard[len(heard)-1]; last.State != dispatch.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
 		t.Errorf("called back as %+v, started %v", last, lastStart)
@@ -375,8 +378,8 @@
 	b.post(func(time.Duration, dispatch.Actions) {
 		b.module = &lists{Dispatcher: s, to: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { heard = append(heard, w) }}
 	})
-	b.List(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, Started: time.Unix(5, 0)}})
-	b.List(dispatch.ListDelta, []Worker{{ID: "w", State: dispatch.Removed}, {ID: "never seen", State: dispatch.Removed}})
+	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, StartedAt: time.Unix(5, 0)}})
+	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", State: dispatch.Removed}, {ID: "never seen", State: dispatch.Removed}})
 	if b.allowed(workerID("w"), "addr") {
 		t.Error("a gone worker may be sent to")
 	}
--- a/internal/gateway/broker/budget.go
+++ b/internal/gateway/broker/budget.go
@@ -15,10 +15,10 @@
 
 // Contract bounds what one team may ask for.
 type Contract struct {
-	Team    string
-	Rate    float64 // requests a second
-	Burst   int     // requests at once
-	MaxOpen int     // requests unanswered at once
+	Team              string
+	RequestsPerSecond float64 // requests a second
+	Burst             int     // requests at once
+	MaxInFlight       int     // requests unanswered at once
 }
 
 type budget struct {
@@ -29,9 +29,9 @@
 	open   int
 }
 
-// Contracts puts these in the place of all that were. What a team has open, and what is left of
+// SetContracts puts these in the place of all that were. What a team has open, and what is left of
 // its burst, goes on under its new one.
-func (b *Broker) Contracts(list []Contract) {
+func (b *Broker) SetContracts(list []Contract) {
 	next := map[string]*budget{}
 	for _, c := range list {
 		was := (*b.budgets.Load())[c.Team]
@@ -54,14 +54,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.at.IsZero() {
-		b.tokens = min(b.tokens+b.Rate*now.Sub(b.at).Seconds(), float64(b.Burst))
+		b.tokens = min(b.tokens+b.RequestsPerSecond*now.Sub(b.at).Seconds(), float64(b.Burst))
 	}
 	b.at = now
-	each := time.Duration(float64(time.Second) / b.Rate)
+	each := time.Duration(float64(time.Second) / b.RequestsPerSecond)
 	if b.tokens < 1 {
 		return time.Duration((1 - b.tokens) * float64(each)), false
 	}
-	if b.open >= b.MaxOpen {
+	if b.open >= b.MaxInFlight {
 		return each, false
 	}
 	b.tokens--
@@ -75,9 +75,9 @@
 	b.mu.Unlock()
 }
 
-// Limit has all requests come under the limits of the whole fleet that a desk keeps, by its
+// SetLimiter has all requests come under the limits of the whole fleet that a desk keeps, by its
 // clock. Before any request.
-func (b *Broker) Limit(d *quota.Limiter, now func() time.Duration) { b.desk, b.deskNow = d, now }
+func (b *Broker) SetLimiter(d *quota.Limiter, now func() time.Duration) { b.desk, b.deskNow = d, now }
 
 // admit takes a request in under the fleet's limits.
 func (b *Broker) admit(q *Request) (t quota.Ticket, short string, wait time.Duration) {
@@ -103,7 +103,7 @@
 	if p == nil {
 		return true
 	}
-	most, limited := b.Rebound()
+	most, limited := b.RefreshWorkerLimits()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !limited || p.open <= most
@@ -115,8 +115,8 @@
 	b.mu.Unlock()
 }
 
-// Fullest is how many attempts are out at the worker that has the most.
-func (b *Broker) Fullest() (most int) {
+// BusiestWorkerInFlight is how many attempts are out at the worker that has the most.
+func (b *Broker) BusiestWorkerInFlight() (most int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
@@ -125,8 +125,8 @@
 	return most
 }
 
-// Rebound tells the module what the limits at each worker and at cold ones are now, and returns the first.
-func (b *Broker) Rebound() (most int, limited bool) {
+// RefreshWorkerLimits tells the module what the limits at each worker and at cold ones are now, and returns the first.
+func (b *Broker) RefreshWorkerLimits() (most int, limited bool) {
 	most, limited = b.desk.PerWorkerLimit(b.deskNow())
 	told := int64(most)
 	if !limited {
--- a/internal/gateway/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -21,7 +21,7 @@
 	Zone, Kind, Cell int
 	State            dispatch.WorkerState
 	Weight           float64
-	Started          time.Time // zero: long ago
+	StartedAt        time.Time // zero: long ago
 }
 
 type place struct {
@@ -70,8 +70,8 @@
 	return dispatch.WorkerID(h.Sum64())
 }
 
-// List hands in what the list service told.
-func (b *Broker) List(form dispatch.ListForm, workers []Worker) {
+// UpdateWorkers hands in what the list service told.
+func (b *Broker) UpdateWorkers(form dispatch.ListForm, workers []Worker) {
 	list := make([]dispatch.Worker, 0, len(workers))
 	b.mu.Lock()
 	listed := map[dispatch.WorkerID]bool{}
@@ -85,7 +85,7 @@
 			}
 			b.places[id] = p
 		}
-		if !invariant.Hold(p.name == w.ID, "two workers share an id") {
+		if !invariant.Check(p.name == w.ID, "two workers share an id") {
 			continue
 		}
 		if w.Addr != "" {
@@ -101,8 +101,8 @@
 		p.ready = w.State == dispatch.Ready
 		listed[id] = true
 		l := dispatch.Worker{ID: id, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight}
-		if !w.Started.IsZero() {
-			l.Launched = time.Duration(w.Started.UnixNano())
+		if !w.StartedAt.IsZero() {
+			l.Launched = time.Duration(w.StartedAt.UnixNano())
 		}
 		p.told = l
 		list = append(list, b.entry(p))
@@ -116,9 +116,9 @@
 	}
 	b.hand(form, list)
 	b.mu.Unlock()
-	if b.Traced() {
+	if b.Tracing() {
 		for _, w := range workers {
-			b.Tracef("list form=%d %s state=%d started=%d zone=%d kind=%d cell=%d", form, w.ID, w.State, max(w.Started.UnixMilli(), 0), w.Zone, w.Kind, w.Cell)
+			b.Tracef("list form=%d %s state=%d started=%d zone=%d kind=%d cell=%d", form, w.ID, w.State, max(w.StartedAt.UnixMilli(), 0), w.Zone, w.Kind, w.Cell)
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	}
 }
 
-// Ban makes exactly these workers the ones that get nothing new, from this call
+// SetBanned makes exactly these workers the ones that get nothing new, from this call
 // on: Allowed sees it before the first byte, whatever the module has yet to hear.
 // It returns the addresses of those newly banned.
-func (b *Broker) Ban(names []string) (addrs []string) {
+func (b *Broker) SetBanned(names []string) (addrs []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.banned)
@@ -163,9 +163,9 @@
 	return addrs
 }
 
-// Pools has workers told by pools from here on. The bits of before mean nothing any more: no request
+// SetPools has workers told by pools from here on. The bits of before mean nothing any more: no request
 // with bits of another set may be open.
-func (b *Broker) Pools(set *pool.Set) {
+func (b *Broker) SetPools(set *pool.Set) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if set == nil && b.pools == nil {
@@ -179,8 +179,8 @@
 	b.hand(dispatch.ListOverride, list)
 }
 
-// Serving tells whether any worker is ready, and in which pools, by their bits.
-func (b *Broker) Serving() (any bool, pools uint64) {
+// ReadyPools tells whether any worker is ready, and in which pools, by their bits.
+func (b *Broker) ReadyPools() (any bool, pools uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
@@ -192,18 +192,18 @@
 	return any, pools
 }
 
-// Knows tells whether a worker of that name was ever listed.
-func (b *Broker) Knows(name string) bool {
+// KnowsWorker tells whether a worker of that name was ever listed.
+func (b *Broker) KnowsWorker(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.places[workerID(name)]
 	return p != nil && p.name == name
 }
 
-// ListStale says whether the list service's list counts as out of date, so that what has changed
+// SetListStale says whether the list service's list counts as out of date, so that what has changed
 // is not known. Like a ban it is a fact, and binds from this call on: while it lasts every worker
 // that the service has named drains, whatever was told of it. It returns whether that is new.
-func (b *Broker) ListStale(stale bool) bool {
+func (b *Broker) SetListStale(stale bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.listStale == stale {
@@ -218,9 +218,9 @@
 	return true
 }
 
-// NamedBy sets who tells whether the list service has ever named a worker; of others it has no
+// SetListedByDiscovery sets who tells whether the list service has ever named a worker; of others it has no
 // drain to tell. named must not call the broker. Before the first list; unset: it has named all.
-func (b *Broker) NamedBy(named func(worker string) bool) { b.named = named }
+func (b *Broker) SetListedByDiscovery(named func(worker string) bool) { b.named = named }
 
 // stale tells whether what is known of a worker counts as out of date; the caller holds mu.
 func (b *Broker) stale(p *place) bool {
@@ -230,8 +230,8 @@
 // usable tells whether a worker may be sent to; the caller holds mu.
 func (b *Broker) usable(p *place) bool { return p.ready && !p.banned && !b.stale(p) }
 
-// AwaitAsk blocks until the module wants to hear from the list service.
-func (b *Broker) AwaitAsk(ctx context.Context) error {
+// AwaitSubscribe blocks until the module wants to hear from the list service.
+func (b *Broker) AwaitSubscribe(ctx context.Context) error {
 	select {
 	case <-b.ask:
 		return nil
@@ -242,13 +242,13 @@
 	}
 }
 
-// Trace sets who is told, a line each, what came in and what was decided: lab/fleet
+// SetTrace sets who is told, a line each, what came in and what was decided: lab/fleet
 // counts it over a whole fleet. Before any request.
-func (b *Broker) Trace(f func(line string)) { b.trace = f }
+func (b *Broker) SetTrace(f func(line string)) { b.trace = f }
 
-// Traced tells whether lines are wanted. Callers ask first: a call of Tracef costs memory
+// Tracing tells whether lines are wanted. Callers ask first: a call of Tracef costs memory
 // for its values even where nothing is written.
-func (b *Broker) Traced() bool { return b.trace != nil }
+func (b *Broker) Tracing() bool { return b.trace != nil }
 
 // Tracef writes a line where lines are wanted.
 func (b *Broker) Tracef(format string, args ...any) {
@@ -257,15 +257,15 @@
 	}
 }
 
-// Peers sets who carries messages to the other dispatchers; it must not wait for anybody.
+// SetBroadcast sets who carries messages to the other dispatchers; it must not wait for anybody.
 // Before any request, and before the first list.
-func (b *Broker) Peers(tell func(msg []byte)) { b.tell = tell }
+func (b *Broker) SetBroadcast(tell func(msg []byte)) { b.tell = tell }
 
 // maxHeard bounds the messages that wait for the module: a flood costs those beyond it.
 const maxHeard = 64
 
-// Heard hands in what another dispatcher told. msg is the broker's from now on.
-func (b *Broker) Heard(msg []byte) {
+// ReceivePeerMessage hands in what another dispatcher told. msg is the broker's from now on.
+func (b *Broker) ReceivePeerMessage(msg []byte) {
 	if b.heardOf.Add(1) > maxHeard {
 		b.heardOf.Add(-1)
 		return
@@ -276,8 +276,8 @@
 	})
 }
 
-// Observe sets who is told how each attempt at a worker ended. Before any request.
-func (b *Broker) Observe(f func(worker string, code Code)) { b.observe = f }
+// SetOutcomeObserver sets who is told how each attempt at a worker ended. Before any request.
+func (b *Broker) SetOutcomeObserver(f func(worker string, code Code)) { b.observe = f }
 
 func (b *Broker) allowed(id dispatch.WorkerID, addr string) bool {
 	b.mu.Lock()
--- a/internal/gateway/broker/room_test.go
+++ b/internal/gateway/broker/room_test.go
@@ -35,9 +35,9 @@
 			engines[id] = worker.NewEngine(machine.New(2, 16, 1))
 			list = append(list, Worker{ID: id, Addr: id, Weight: 1})
 		}
-		b.List(dispatch.ListFull, list)
+		b.UpdateWorkers(dispatch.ListFull, list)
 		var twice atomic.Int64
-		do := func(class int, slots int, work time.Duration) Do {
+		do := func(class int, slots int, work time.Duration) AttemptFunc {
 			runs := 0
 			return func(ctx context.Context, a *Attempt) Outcome {
 				e := engines[a.Addr]
@@ -50,13 +50,13 @@
 							if runs++; runs > 1 && class == 0 {
 								twice.Add(1)
 							}
-							a.Started()
+							a.ReportStarted()
 						case machine.Done:
 							return Outcome{Code: OK}
 						case machine.Returned:
-							return Outcome{Code: Full}
+							return Outcome{Code: Rejected}
 						default:
-							return Outcome{Code: Broken}
+							return Outcome{Code: ConnectionLost}
 						}
 					case <-ctx.Done():
 						e.Cancel(id)
@@ -80,7 +80,7 @@
 						do(class, slots, work))
 				})
 				time.Sleep(62 * time.Millisecond)
-				if held, err := b.RoomHeld(time.Second); err == nil {
+				if held, err := b.Reservations(time.Second); err == nil {
 					most = max(most, len(held.Reservations))
 				}
 			}
@@ -89,24 +89,24 @@
 		if most != plan.MaxReservations {
 			t.Errorf("room is held for %d jobs at once, want %d", most, plan.MaxReservations)
 		}
-		b.ShareRoom(0.5) // a second process has come
+		b.SetReservationShare(0.5) // a second process has come
 		time.Sleep(plan.ReservationTTL)
 		if stretch(10 * time.Second); most != 1 {
 			t.Errorf("room is held for %d jobs by one of two processes, want 1", most)
 		}
 		off := s
 		off.Backfill = nil
-		if err := b.Retune(off); err != nil {
+		if err := b.Reconfigure(off); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
-		if _, err := b.RoomHeld(time.Second); err == nil {
+		if _, err := b.Reservations(time.Second); err == nil {
 			t.Error("room is held under settings without")
 		}
 		if stretch(3 * time.Second); most != 0 {
 			t.Errorf("room is held for %d jobs under settings without", most)
 		}
-		if err := b.Retune(s); err != nil {
+		if err := b.Reconfigure(s); err != nil {
 			t.Fatal(err)
 		}
 		if stretch(15 * time.Second); most != 1 { // still one of two processes
@@ -116,7 +116,7 @@
 		if n := twice.Load(); n > 0 {
 			t.Errorf("%d unsafe jobs ran twice", n)
 		}
-		if held, err := b.RoomHeld(time.Second); err != nil || len(held.Reservations) > 0 {
+		if held, err := b.Reservations(time.Second); err != nil || len(held.Reservations) > 0 {
 			t.Errorf("%+v is left, %v", held, err)
 		}
 		b.Close()
--- a/internal/gateway/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -48,17 +48,17 @@
 // Serve takes a request through its attempts to its one final answer, which is
 // returned the moment it is known. ctx ends when nobody waits any longer. Serve
 // returns only when no attempt is out.
-func (b *Broker) Serve(ctx context.Context, q Request, do Do) Answer {
+func (b *Broker) Serve(ctx context.Context, q Request, do AttemptFunc) Answer {
 	if q.Settings == nil {
 		q.Settings = b.settings.Load()
 	}
 	if q.Class < 0 || q.Class >= len(q.Settings.Classes) {
-		return Answer{Verdict: Failure}
+		return Answer{Kind: AnswerFailed}
 	}
 	if bu := (*b.budgets.Load())[q.Team]; bu != nil {
 		wait, ok := bu.take(time.Now())
 		if !ok {
-			return Answer{Verdict: Refused, ComeBack: wait, Over: true}
+			return Answer{Kind: AnswerRejected, RetryAfter: wait, OverBudget: true}
 		}
 		defer bu.release()
 	}
@@ -67,15 +67,15 @@
 	var in time.Time         // when it was let in, under the fleet's limits
 	tried := false           // a further try is taken, and not made yet
 	if b.desk != nil {
-		if b.Traced() {
+		if b.Tracing() {
 			in = time.Now()
 		}
 		t, short, wait := b.admit(&q)
 		if short != "" {
-			if b.Traced() {
+			if b.Tracing() {
 				b.Tracef("over limit=%s wait=%v", short, wait)
 			}
-			return Answer{Verdict: Refused, ComeBack: wait, Over: true}
+			return Answer{Kind: AnswerRejected, RetryAfter: wait, OverBudget: true}
 		}
 		ticket = &t
 		defer func() {
@@ -87,10 +87,10 @@
 	}
 	s := b.arrive(q, ticket)
 	defer s.leave()
-	if b.Traced() {
-		b.Tracef("arrive %d class=%d left=%.3f retry=%t policy=%d at=%d in=%d", s.id, q.Class, time.Until(q.Deadline).Seconds(), q.Retry, q.Policy, max(q.Admitted.UnixNano(), 0), max(in.UnixNano(), 0))
+	if b.Tracing() {
+		b.Tracef("arrive %d class=%d left=%.3f retry=%t policy=%d at=%d in=%d", s.id, q.Class, time.Until(q.Deadline).Seconds(), q.ClientRetry, q.PolicyVersion, max(q.AdmittedAt.UnixNano(), 0), max(in.UnixNano(), 0))
 	}
-	ctx, stop := context.WithDeadline(ctx, q.Deadline.Add(-Margin))
+	ctx, stop := context.WithDeadline(ctx, q.Deadline.Add(-DeadlineMargin))
 	defer stop()
 	ctx, cut := context.WithCancelCause(ctx)
 	defer context.AfterFunc(b.over, func() { cut(context.DeadlineExceeded) })()
@@ -98,13 +98,13 @@
 	for {
 		d := s.pick(ctx)
 		if !d.send {
-			d.answer.Late = d.answer.Late || late
-			if b.Traced() {
-				b.Tracef("answer %d verdict=%d", s.id, d.answer.Verdict)
+			d.answer.DeadlineMissed = d.answer.DeadlineMissed || late
+			if b.Tracing() {
+				b.Tracef("answer %d verdict=%d", s.id, d.answer.Kind)
 			}
 			return s.check(d.answer)
 		}
-		a := &Attempt{N: s.attempts, s: s, id: d.worker}
+		a := &Attempt{Number: s.attempts, s: s, id: d.worker}
 		b.mu.Lock()
 		p := b.places[d.worker]
 		var of outlier.Incarnation
@@ -115,8 +115,8 @@
 		}
 		b.mu.Unlock()
 		tried = false
-		if b.Traced() {
-			b.Tracef("send %d n=%d to=%s", s.id, a.N, a.Worker)
+		if b.Tracing() {
+			b.Tracef("send %d n=%d to=%s", s.id, a.Number, a.Worker)
 		}
 		var o Outcome
 		if b.desk == nil || p == nil {
@@ -128,14 +128,14 @@
 				o = s.try(ctx, a, d, do)
 			} else {
 				s.attempts++
-				o.Code = NeverSent
+				o.Code = NotSent
 			}
-			if b.exit(p); o.Ran() {
+			if b.exit(p); o.MayHaveRun() {
 				ran += time.Since(began)
 			}
 		}
-		if b.Traced() {
-			b.Tracef("end %d n=%d to=%s code=%d load=%v", s.id, a.N, a.Worker, o.Code, o.Load)
+		if b.Tracing() {
+			b.Tracef("end %d n=%d to=%s code=%d load=%v", s.id, a.Number, a.Worker, o.Code, o.Load)
 		}
 		if b.observe != nil {
 			b.observe(a.Worker, o.Code)
@@ -145,32 +145,32 @@
 		}
 		if o.Code == OK {
 			s.report(a, o, true, false)
-			return s.check(Answer{Verdict: Served, Result: o.Result})
+			return s.check(Answer{Kind: AnswerServed, Result: o.Result})
 		}
-		if o.Code == Rejected {
+		if o.Code == BadRequest {
 			// Told as a failure, a few clients' unusable requests would make sound
 			// workers look sick to all others.
 			o.Code = Cancelled
 			s.report(a, o, true, false)
-			return Answer{Verdict: Failure, Unusable: true}
+			return Answer{Kind: AnswerFailed, BadRequest: true}
 		}
 		gone := left(ctx)
 		late = o.Code == TimedOut
 		last := false
-		if b.desk != nil && !gone && o.Code != NeverSent {
+		if b.desk != nil && !gone && o.Code != NotSent {
 			tried = b.desk.TakeRetry(b.deskNow(), ticket)
 			last = !tried
 		}
 		s.report(a, o, gone, last)
 		if gone {
-			return Answer{Verdict: Gone}
+			return Answer{Kind: AnswerClientGone}
 		}
 	}
 }
 
-// EndAll makes the time of all requests up, those to come included: each gets its
+// ExpireAll makes the time of all requests up, those to come included: each gets its
 // final answer now.
-func (b *Broker) EndAll() { b.end() }
+func (b *Broker) ExpireAll() { b.end() }
 
 // left tells whether the one who asked has gone, rather than the time being up.
 func left(ctx context.Context) bool {
@@ -179,15 +179,15 @@
 
 func (b *Broker) arrive(q Request, t *quota.Ticket) *session {
 	s := &session{b: b, ticket: t, settings: q.Settings, class: &q.Settings.Classes[q.Class], next: make(chan decision, 2)}
-	if q.Ran != nil {
-		s.mayRunAt = time.Now().Add(-q.RanFor)
+	if q.EarlierWorker != nil {
+		s.mayRunAt = time.Now().Add(-q.EarlierRunAge)
 	}
 	b.mu.Lock()
 	b.lastID++
 	s.id = b.lastID
 	b.mu.Unlock()
 	b.count.Add(1)
-	if s.kind = &b.idle[0]; q.Step {
+	if s.kind = &b.idle[0]; q.WorkflowStep {
 		s.kind = &b.idle[1]
 		b.steps.Add(1)
 	}
@@ -199,7 +199,7 @@
 			tenant = slices.IndexFunc(b.heard.Tenants, func(t dispatch.Tenant) bool { return t.Name == name })
 		}
 		b.module.Arrive(now, dispatch.Request{ID: s.id, Class: q.Class, ResolvedClass: s.class, Tenant: tenant,
-			TimeLeft: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, ClientRetry: q.Retry, BestEffort: q.Spare, Pools: q.Pools, EarlierWorker: q.Ran, EarlierRunAge: q.RanFor}, out)
+			TimeLeft: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, ClientRetry: q.ClientRetry, BestEffort: q.BestEffort, Pools: q.Pools, EarlierWorker: q.EarlierWorker, EarlierRunAge: q.EarlierRunAge}, out)
 	})
 	return s
 }
@@ -215,7 +215,7 @@
 		for n := s.attempts; len(s.next) > 0; {
 			if d := <-s.next; d.send {
 				s.b.module.AttemptEnded(now, dispatch.Outcome{ID: s.id, Attempt: n, Worker: d.worker,
-					Code: NeverSent, Answered: true}, out)
+					Code: NotSent, Answered: true}, out)
 				n++
 			}
 		}
@@ -238,7 +238,7 @@
 	case <-ctx.Done():
 	}
 	if left(ctx) {
-		return decision{answer: Answer{Verdict: Gone}}
+		return decision{answer: Answer{Kind: AnswerClientGone}}
 	}
 	select {
 	case d := <-s.next:
@@ -247,19 +247,19 @@
 	case <-s.b.done:
 	}
 	if s.mayRun && !s.refusable() {
-		return decision{answer: Answer{Verdict: Failure, Late: true}}
+		return decision{answer: Answer{Kind: AnswerFailed, DeadlineMissed: true}}
 	}
-	return decision{answer: Answer{Verdict: Refused}}
+	return decision{answer: Answer{Kind: AnswerRejected}}
 }
 
 // try runs one attempt under its own time-out and the module's right to call it off.
-func (s *session) try(ctx context.Context, a *Attempt, d decision, do Do) Outcome {
+func (s *session) try(ctx context.Context, a *Attempt, d decision, do AttemptFunc) Outcome {
 	s.attempts++
-	ok := invariant.Hold(s.attempts <= d.limit, "more attempts than allowed")
+	ok := invariant.Check(s.attempts <= d.limit, "more attempts than allowed")
 	ok = ok && s.attempts <= s.b.settings.Load().MaxAttempts // fewer since then
-	ok = invariant.Hold(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
+	ok = invariant.Check(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
 	if !ok || a.Addr == "" || ctx.Err() != nil {
-		return Outcome{Code: NeverSent}
+		return Outcome{Code: NotSent}
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -268,29 +268,31 @@
 		defer stop()
 	}
 	s.mu.Lock()
-	s.stop, s.out = stop, a.N
+	s.stop, s.out = stop, a.Number
 	s.mu.Unlock()
 	began := time.Now()
 	o := do(ctx, a)
-	if o.Ran() && s.mayRunAt.IsZero() {
+	if o.MayHaveRun() && s.mayRunAt.IsZero() {
 		s.mayRunAt = began
 	}
-	s.mayRun = s.mayRun || o.Ran()
+	s.mayRun = s.mayRun || o.MayHaveRun()
 	return o
 }
 
 // inWindow tells whether a repeat that is sent now still comes to its worker inside the time in
 // which repeats are dropped there; of what never ran there is none.
 func (s *session) inWindow() bool {
-	return s.class.Semantics != dispatch.Deduplicated || s.mayRunAt.IsZero() || time.Now().Add(Margin).Before(s.mayRunAt.Add(s.class.DedupWindow))
+	return s.class.Semantics != dispatch.Deduplicated || s.mayRunAt.IsZero() || time.Now().Add(DeadlineMargin).Before(s.mayRunAt.Add(s.class.DedupWindow))
 }
 
-// Ran tells whether an attempt may have run.
-func (o *Outcome) Ran() bool { return o.Code != Full && o.Code != ConnectFailed && o.Code != NeverSent }
+// MayHaveRun tells whether an attempt may have run.
+func (o *Outcome) MayHaveRun() bool {
+	return o.Code != Rejected && o.Code != ConnectFailed && o.Code != NotSent
+}
 
 // report tells the module how an attempt ended.
 func (s *session) report(a *Attempt, o Outcome, ended, last bool) {
-	m := dispatch.Outcome{ID: s.id, Attempt: a.N, Worker: a.id, Code: o.Code, Answered: ended, FinalAttempt: last, Load: o.Load}
+	m := dispatch.Outcome{ID: s.id, Attempt: a.Number, Worker: a.id, Code: o.Code, Answered: ended, FinalAttempt: last, Load: o.Load}
 	s.b.post(func(now time.Duration, out dispatch.Actions) {
 		if ended {
 			s.ended.Store(true)
@@ -311,8 +313,8 @@
 // check keeps the rule on refusals whatever was decided: never tell a client
 // that a retry is harmless when the request may have run and is not repeatable.
 func (s *session) check(a Answer) Answer {
-	if a.Verdict == Refused && !invariant.Hold(!s.mayRun || s.refusable(), "refused what may have run") {
-		return Answer{Verdict: Failure}
+	if a.Kind == AnswerRejected && !invariant.Check(!s.mayRun || s.refusable(), "refused what may have run") {
+		return Answer{Kind: AnswerFailed}
 	}
 	return a
 }
--- a/internal/gateway/broker/sink.go
+++ b/internal/gateway/broker/sink.go
@@ -29,7 +29,7 @@
 	select {
 	case s.next <- d:
 	default:
-		invariant.Hold(false, "a decision while another stands")
+		invariant.Check(false, "a decision while another stands")
 	}
 }
 
@@ -38,11 +38,11 @@
 }
 
 func (k sink) Reject(id dispatch.RequestID, comeBack time.Duration) {
-	k.decide(id, decision{answer: Answer{Verdict: Refused, ComeBack: comeBack}})
+	k.decide(id, decision{answer: Answer{Kind: AnswerRejected, RetryAfter: comeBack}})
 }
 
 func (k sink) Fail(id dispatch.RequestID) {
-	k.decide(id, decision{answer: Answer{Verdict: Failure}})
+	k.decide(id, decision{answer: Answer{Kind: AnswerFailed}})
 }
 
 func (k sink) Cancel(id dispatch.RequestID, attempt int) {
--- a/internal/gateway/broker/verdicts.go
+++ b/internal/gateway/broker/verdicts.go
@@ -10,11 +10,11 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// Witness sets who notes what is seen of workers, by the clock of Limit. Before any request.
-func (b *Broker) Witness(w *outlier.Reporter) { b.witness = w }
+// SetOutlierReporter sets who notes what is seen of workers, by the clock of Limit. Before any request.
+func (b *Broker) SetOutlierReporter(w *outlier.Reporter) { b.witness = w }
 
-// Workers is how many workers the list has.
-func (b *Broker) Workers() (n int) {
+// ListedWorkers is how many workers the list has.
+func (b *Broker) ListedWorkers() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
@@ -25,9 +25,9 @@
 	return n
 }
 
-// Judged makes exactly these verdicts the ones that hold here. Trials that were given before go on
+// ApplyEjections makes exactly these verdicts the ones that hold here. Trials that were given before go on
 // where news tells of none.
-func (b *Broker) Judged(all []outlier.EjectionNotice, news bool) {
+func (b *Broker) ApplyEjections(all []outlier.EjectionNotice, news bool) {
 	next := map[outlier.Incarnation]outlier.EjectionNotice{}
 	for _, v := range all {
 		next[v.Subject] = v
@@ -75,7 +75,7 @@
 
 // weights are what an outcome tells against a worker, in thousandths of a job. What never reached
 // it whole may be the way's fault, and what was called off is nobody's.
-var weights = map[Code]int64{Failed: outlier.OneJob, TimedOut: outlier.OneJob, ConnectFailed: outlier.OneJob, Broken: outlier.OneJob / 2}
+var weights = map[Code]int64{Failed: outlier.OneJob, TimedOut: outlier.OneJob, ConnectFailed: outlier.OneJob, ConnectionLost: outlier.OneJob / 2}
 
 func (b *Broker) testify(of outlier.Incarnation, code Code) {
 	if weight := weights[code]; weight > 0 || code == OK {
--- a/internal/gateway/broker/verdicts_test.go
+++ b/internal/gateway/broker/verdicts_test.go
@@ -19,10 +19,10 @@
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
 		desk, witness := quota.NewLimiter(), outlier.NewReporter(10*time.Second, 1)
-		b.Limit(desk, now)
-		b.Witness(witness)
+		b.SetLimiter(desk, now)
+		b.SetOutlierReporter(witness)
 		life := time.UnixMilli(time.Now().Add(-time.Hour).UnixMilli())
-		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1, Started: life}, {ID: "b", Addr: "b:1", State: dispatch.Ready, Weight: 1}})
+		b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1, StartedAt: life}, {ID: "b", Addr: "b:1", State: dispatch.Ready, Weight: 1}})
 		of := outlier.Incarnation{Worker: "a", Started: life.UnixMilli()}
 		serve := func() (to string, a Answer) {
 			a = b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(5 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
@@ -31,36 +31,36 @@
 			})
 			return to, a
 		}
-		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, false)
+		b.ApplyEjections([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, false)
 		for range 20 {
 			if to, _ := serve(); to != "b" {
 				t.Fatalf("a job goes to %q", to)
 			}
 		}
-		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false)
+		b.ApplyEjections([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false)
 		if to, _ := serve(); to != "a" {
 			t.Errorf("the trial's job goes to %q", to)
 		}
-		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false) // told again
-		b.Judged([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, true)
+		b.ApplyEjections([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones, Trial: 7}}, false) // told again
+		b.ApplyEjections([]outlier.EjectionNotice{{Subject: of, Zone: outlier.AllZones}}, true)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("a second job of one trial goes to %q", to)
 		}
 		if all := witness.Reports(now()); len(all) != 1 || all[0].Trial != 7 || all[0].Subject != of || all[0].Failures != 0 || all[0].Successes == 0 {
 			t.Errorf("the trial's outcome is told as %+v", all)
 		}
-		b.Judged([]outlier.EjectionNotice{{Subject: outlier.Incarnation{Worker: "b", Started: 5}, Zone: outlier.AllZones}, {Subject: of, Zone: outlier.AllZones}}, false)
+		b.ApplyEjections([]outlier.EjectionNotice{{Subject: outlier.Incarnation{Worker: "b", Started: 5}, Zone: outlier.AllZones}, {Subject: of, Zone: outlier.AllZones}}, false)
 		if to, _ := serve(); to != "b" {
 			t.Errorf("%q is used: a verdict on another life of b holds", to)
 		}
 		desk.SetLimits(now(), []quota.Limit{{Name: "l", Kind: quota.Concurrency, Amount: 5 * quota.Unit, MaxHolders: 1}})
 		desk.SetShares(now(), now()+time.Hour, []quota.Share{{Limit: "l", Amount: 0}})
-		if _, a := serve(); a.Verdict != Refused || !a.Over || a.ComeBack <= 0 {
+		if _, a := serve(); a.Kind != AnswerRejected || !a.OverBudget || a.RetryAfter <= 0 {
 			t.Errorf("over a limit: %+v", a)
 		}
 		desk.SetShares(now(), now()+time.Hour, []quota.Share{{Limit: "l", Amount: quota.Unit}})
 		for range 5 { // each gives back what it took
-			if to, a := serve(); to == "" || a.Verdict != Served {
+			if to, a := serve(); to == "" || a.Kind != AnswerServed {
 				t.Errorf("within it: %+v", a)
 			}
 		}
@@ -77,21 +77,21 @@
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
 		desk := quota.NewLimiter()
-		b.Limit(desk, now)
+		b.SetLimiter(desk, now)
 		desk.SetLimits(now(), []quota.Limit{{Name: "each", Kind: quota.PerWorkerConcurrency, Amount: 14 * quota.Unit, MaxHolders: 7, ReclaimDelay: time.Second}})
 		desk.SetShares(now(), now()+2*time.Second, []quota.Share{{Limit: "each", Amount: 3 * quota.Unit}})
-		b.List(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1}})
+		b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "a", Addr: "a:1", State: dispatch.Ready, Weight: 1}})
 		attempts := 0
 		b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(10 * time.Second), Slots: 1}, func(_ context.Context, at *Attempt) Outcome {
 			attempts++
-			if !at.Allowed() {
+			if !at.MaySend() {
 				t.Error("not allowed while the lease holds")
 			}
 			time.Sleep(5 * time.Second) // the lease is over, and what it gave may be another's
-			if at.Allowed() {
+			if at.MaySend() {
 				t.Error("allowed when the lease is over")
 			}
-			return Outcome{Code: NeverSent}
+			return Outcome{Code: NotSent}
 		})
 		if attempts != 1 {
 			t.Errorf("%d attempts", attempts)
--- a/internal/gateway/datagram/peers.go
+++ b/internal/gateway/datagram/peers.go
@@ -24,8 +24,8 @@
 // waiting is how many messages may wait to be sent.
 const waiting = 16
 
-// Link is the way to the other dispatchers.
-type Link struct {
+// Conn is the way to the other dispatchers.
+type Conn struct {
 	conn   *net.UDPConn
 	to     []netip.AddrPort
 	from   map[netip.AddrPort]bool // empty: from anywhere
@@ -40,8 +40,8 @@
 // given each message that comes from one of peers; beside is given those, and those told,
 // for another process of this dispatcher. Addresses are host:port; the error names the one
 // that can't be used.
-func Open(listen, all string, peers []string, hear, beside func(msg []byte)) (*Link, error) {
-	l := &Link{hear: hear, beside: beside, from: map[netip.AddrPort]bool{}, out: make(chan []byte, waiting), done: make(chan struct{})}
+func Open(listen, all string, peers []string, hear, beside func(msg []byte)) (*Conn, error) {
+	l := &Conn{hear: hear, beside: beside, from: map[netip.AddrPort]bool{}, out: make(chan []byte, waiting), done: make(chan struct{})}
 	for _, p := range peers {
 		at, err := netip.ParseAddrPort(p)
 		if err != nil {
@@ -75,10 +75,10 @@
 }
 
 // Addr is where datagrams come.
-func (l *Link) Addr() net.Addr { return l.conn.LocalAddr() }
+func (l *Conn) Addr() net.Addr { return l.conn.LocalAddr() }
 
-// Tell sends a message to all others. It waits for nobody.
-func (l *Link) Tell(msg []byte) {
+// Broadcast sends a message to all others. It waits for nobody.
+func (l *Conn) Broadcast(msg []byte) {
 	select {
 	case l.out <- msg:
 	default:
@@ -86,12 +86,12 @@
 }
 
 // Close ends both ways.
-func (l *Link) Close() error {
+func (l *Conn) Close() error {
 	l.over.Do(func() { close(l.done) })
 	return l.conn.Close()
 }
 
-func (l *Link) write() {
+func (l *Conn) write() {
 	for {
 		select {
 		case <-l.done:
@@ -105,7 +105,7 @@
 	}
 }
 
-func (l *Link) read() {
+func (l *Conn) read() {
 	buf := make([]byte, gossip.MaxMessageBytes+1) // one that is longer shows by that
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
--- a/internal/gateway/datagram/peers_test.go
+++ b/internal/gateway/datagram/peers_test.go
@@ -9,7 +9,7 @@
 
 const patience = 10 * time.Second
 
-func open(t *testing.T, listen string, peers []string) (*Link, chan string, chan string) {
+func open(t *testing.T, listen string, peers []string) (*Conn, chan string, chan string) {
 	t.Helper()
 	heard, beside := make(chan string, 100), make(chan string, 100)
 	l, err := Open(listen, "", peers, func(m []byte) { heard <- string(m) }, func(m []byte) { beside <- string(m) })
@@ -54,8 +54,8 @@
 	if _, err := stranger.Write([]byte("stranger")); err != nil {
 		t.Fatal(err)
 	}
-	one.Tell([]byte(strings.Repeat("x", 257)))
-	one.Tell([]byte("hello"))
+	one.Broadcast([]byte(strings.Repeat("x", 257)))
+	one.Broadcast([]byte("hello"))
 	next(t, heard, "hello")
 	next(t, heardBeside, "hello")
 	next(t, toldBeside, strings.Repeat("x", 257))
@@ -86,9 +86,9 @@
 
 // What can't go out waits for nobody.
 func TestTellNeverWaits(t *testing.T) {
-	l := &Link{out: make(chan []byte, waiting)}
+	l := &Conn{out: make(chan []byte, waiting)}
 	for range 10 * waiting {
-		l.Tell([]byte("x"))
+		l.Broadcast([]byte("x"))
 	}
 }
 
--- a/internal/gateway/hotrestart/bans.go
+++ b/internal/gateway/hotrestart/bans.go
@@ -18,23 +18,23 @@
 	"syscall"
 )
 
-// Bans is the set of ids taken out, one a line in a file of dir. Without a dir
+// BanList is the set of ids taken out, one a line in a file of dir. Without a dir
 // it is kept in memory alone, and ends with the process.
-type Bans struct {
+type BanList struct {
 	path string
 
 	mu  sync.Mutex
 	ids []string // sorted
 }
 
-// OpenBans reads the set; a file that is not there is an empty one.
-func OpenBans(dir, name string) (*Bans, error) {
-	b := &Bans{}
+// OpenBanList reads the set; a file that is not there is an empty one.
+func OpenBanList(dir, name string) (*BanList, error) {
+	b := &BanList{}
 	if dir == "" {
 		return b, nil
 	}
 	b.path = filepath.Join(dir, fileName(name)+".bans")
-	_, err := b.Read()
+	_, err := b.Reload()
 	return b, err
 }
 
@@ -48,14 +48,14 @@
 	}, name)
 }
 
-// Read takes in what the file says now.
-func (b *Bans) Read() ([]string, error) {
+// Reload takes in what the file says now.
+func (b *BanList) Reload() ([]string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.read()
 }
 
-func (b *Bans) read() ([]string, error) {
+func (b *BanList) read() ([]string, error) {
 	if b.path != "" {
 		text, err := os.ReadFile(b.path)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -66,8 +66,8 @@
 	return slices.Clone(b.ids), nil
 }
 
-// Has tells whether the id is out, as last read.
-func (b *Bans) Has(id string) bool {
+// Contains tells whether the id is out, as last read.
+func (b *BanList) Contains(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Contains(b.ids, id)
@@ -75,7 +75,7 @@
 
 // Set takes an id out, or in again, and returns the whole set. The lock is the
 // system's, so it ends with a process that is killed in here.
-func (b *Bans) Set(id string, out bool) ([]string, error) {
+func (b *BanList) Set(id string, out bool) ([]string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.path != "" {
--- a/internal/gateway/hotrestart/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -12,7 +12,7 @@
 // The golden files were written at b99a1ea: the files outlast the process, and the next version reads them.
 func TestFilesOfBansAndPolicyDoNotChange(t *testing.T) {
 	dir := t.TempDir()
-	bans, err := OpenBans(dir, "n0 a/b")
+	bans, err := OpenBanList(dir, "n0 a/b")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := OpenPolicy(dir, "n0 a/b").Keep([]byte("attempts = 3\n")); err != nil {
+	if err := OpenPolicyFile(dir, "n0 a/b").Save([]byte("attempts = 3\n")); err != nil {
 		t.Fatal(err)
 	}
 	for file, golden := range map[string]string{"yardflow-n0_a_b.bans": "bans", "yardflow-n0_a_b.policy": "policy"} {
@@ -31,14 +31,14 @@
 		}
 		goldie.New(t).Assert(t, golden, written)
 	}
-	again, err := OpenBans(dir, "n0 a/b")
+	again, err := OpenBanList(dir, "n0 a/b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ids, err := again.Read(); err != nil || !slices.Equal(ids, []string{"w3", "w7"}) {
+	if ids, err := again.Reload(); err != nil || !slices.Equal(ids, []string{"w3", "w7"}) {
 		t.Errorf("the bans are read as %q, %v", ids, err)
 	}
-	if text, err := OpenPolicy(dir, "n0 a/b").Read(); err != nil || string(text) != "attempts = 3\n" {
+	if text, err := OpenPolicyFile(dir, "n0 a/b").Read(); err != nil || string(text) != "attempts = 3\n" {
 		t.Errorf("the policy is read as %q, %v", text, err)
 	}
 }
--- a/internal/gateway/hotrestart/handover_test.go
+++ b/internal/gateway/hotrestart/handover_test.go
@@ -18,7 +18,7 @@
 	dir := t.TempDir()
 	var wg sync.WaitGroup
 	for p := range 2 {
-		b, err := OpenBans(dir, "n/0")
+		b, err := OpenBanList(dir, "n/0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,19 +39,19 @@
 			want = append(want, fmt.Sprintf("s-%d%02d", p, i))
 		}
 	}
-	b, err := OpenBans(dir, "n/0")
+	b, err := OpenBanList(dir, "n/0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := b.Read()
-	if diff := cmp.Diff(want, got); diff != "" || err != nil || !b.Has("s-000") || b.Has("s-001") {
+	got, err := b.Reload()
+	if diff := cmp.Diff(want, got); diff != "" || err != nil || !b.Contains("s-000") || b.Contains("s-001") {
 		t.Error(diff, err)
 	}
 }
 
 // mate is one process at the meeting place.
 type mate struct {
-	*Peers
+	*Siblings
 	met    string
 	shared chan int
 	bans   chan bool
@@ -60,10 +60,10 @@
 func join(t *testing.T, dir, state string) *mate {
 	m := &mate{shared: make(chan int, 64), bans: make(chan bool, 64)}
 	var met []byte
-	m.Peers, met = Meet(dir, "n0", func(string) {})
+	m.Siblings, met = Join(dir, "n0", func(string) {})
 	m.met = string(met)
-	err := m.Serve(Hooks{State: func() []byte { return []byte(state) }, Shared: func(n int) { m.shared <- n },
-		Bans: func() { m.bans <- true }})
+	err := m.Serve(Hooks{State: func() []byte { return []byte(state) }, SiblingsChanged: func(n int) { m.shared <- n },
+		BansChanged: func() { m.bans <- true }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,12 +94,12 @@
 	first := join(t, dir, "one")
 	second := join(t, dir, "two")
 	first.wants(t, 2) // already in the channel: told before the state was
-	if second.met != "one" || !first.Succeeded() || second.Succeeded() || second.Others() != 1 {
-		t.Errorf("met %q; succeeded %v, %v", second.met, first.Succeeded(), second.Succeeded())
+	if second.met != "one" || !first.HasSuccessor() || second.HasSuccessor() || second.Count() != 1 {
+		t.Errorf("met %q; succeeded %v, %v", second.met, first.HasSuccessor(), second.HasSuccessor())
 	}
-	second.TellBans()
+	second.NotifyBans()
 	<-first.bans
-	first.TellBans()
+	first.NotifyBans()
 	<-second.bans
 	first.Close()
 	second.wants(t, 1)
@@ -121,7 +121,7 @@
 	}
 	second.Close()
 	fourth.Close()
-	if alone := join(t, dir, "five"); alone.met != "" || alone.Others() != 0 {
+	if alone := join(t, dir, "five"); alone.met != "" || alone.Count() != 0 {
 		t.Errorf("met %q after all have gone", alone.met)
 	}
 	select {
--- a/internal/gateway/hotrestart/peers.go
+++ b/internal/gateway/hotrestart/peers.go
@@ -28,14 +28,14 @@
 
 // Hooks are what a process does when another tells it something.
 type Hooks struct {
-	State  func() []byte // what the next process starts on
-	Shared func(n int)   // so many processes share the machine now; done when it returns
-	Bans   func()        // the banned ids have changed
-	Said   func([]byte)  // what it says to the other dispatchers, or heard of them
+	State           func() []byte // what the next process starts on
+	SiblingsChanged func(n int)   // so many processes share the machine now; done when it returns
+	BansChanged     func()        // the banned ids have changed
+	PeerMessage     func([]byte)  // what it says to the other dispatchers, or heard of them
 }
 
-// Peers are the other processes of this dispatcher, mostly none.
-type Peers struct {
+// Siblings are the other processes of this dispatcher, mostly none.
+type Siblings struct {
 	path  string // empty: none can be met
 	hooks Hooks
 	log   func(string)
@@ -46,10 +46,10 @@
 	closed bool
 }
 
-// Meet calls the process that runs already, if there is one, and returns its
+// Join calls the process that runs already, if there is one, and returns its
 // state. After that, that process uses its part of the machine alone.
-func Meet(dir, name string, log func(string)) (*Peers, []byte) {
-	p := &Peers{conns: map[net.Conn]bool{}, log: log}
+func Join(dir, name string, log func(string)) (*Siblings, []byte) {
+	p := &Siblings{conns: map[net.Conn]bool{}, log: log}
 	if dir == "" {
 		return p, nil
 	}
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
 }
 
-func (p *Peers) dial() (net.Conn, error) {
+func (p *Siblings) dial() (net.Conn, error) {
 	addr, done, err := short(p.path)
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 }
 
 // Serve lets the next process call, and listens to the one that was met.
-func (p *Peers) Serve(h Hooks) error {
+func (p *Siblings) Serve(h Hooks) error {
 	p.hooks = h
 	if p.path == "" {
 		return nil
@@ -129,15 +129,15 @@
 	return p.claim()
 }
 
-// Others counts the other processes.
-func (p *Peers) Others() int {
+// Count counts the other processes.
+func (p *Siblings) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// Succeeded tells whether a newer process runs beside this one.
-func (p *Peers) Succeeded() bool {
+// HasSuccessor tells whether a newer process runs beside this one.
+func (p *Siblings) HasSuccessor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, newer := range p.conns {
@@ -150,7 +150,7 @@
 
 // claim makes this process the one that the next one meets. The name goes over
 // in one step, whoever held it.
-func (p *Peers) claim() error {
+func (p *Siblings) claim() error {
 	own := fmt.Sprintf("%s.%d", p.path, os.Getpid())
 	os.Remove(own) // a killed process of the same number may have left it
 	addr, done, err := short(own)
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func (p *Peers) accept(l net.Listener) {
+func (p *Siblings) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -197,7 +197,7 @@
 
 // meet lets one process join. One that only looks whether somebody is here has
 // not joined, and is not counted.
-func (p *Peers) meet(conn net.Conn) {
+func (p *Siblings) meet(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(meetWithin))
 	word := make([]byte, len("join\n"))
 	if _, err := io.ReadFull(conn, word); err != nil || string(word) != "join\n" {
@@ -209,7 +209,7 @@
 	n := 1 + len(p.conns)
 	p.mu.Unlock()
 	// First smaller, then the answer: the other takes its part once it has it.
-	p.hooks.Shared(n)
+	p.hooks.SiblingsChanged(n)
 	state := p.hooks.State()
 	if _, err := fmt.Fprintf(conn, "%d\n%s", len(state), state); err != nil {
 		p.log("the next process does not take the state: " + err.Error())
@@ -219,14 +219,14 @@
 }
 
 // listen hears the other out; the end of the connection is the other's end.
-func (p *Peers) listen(conn net.Conn) {
+func (p *Siblings) listen(conn net.Conn) {
 	in := bufio.NewScanner(conn)
 	for in.Scan() {
 		if in.Text() == "bans" {
-			p.hooks.Bans()
-		} else if said, ok := strings.CutPrefix(in.Text(), "said "); ok && p.hooks.Said != nil {
+			p.hooks.BansChanged()
+		} else if said, ok := strings.CutPrefix(in.Text(), "said "); ok && p.hooks.PeerMessage != nil {
 			if msg, err := hex.DecodeString(said); err == nil {
-				p.hooks.Said(msg)
+				p.hooks.PeerMessage(msg)
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 		return
 	}
 	p.log("the other process has ended")
-	p.hooks.Shared(n)
+	p.hooks.SiblingsChanged(n)
 	if !newer {
 		return
 	}
@@ -252,17 +252,17 @@
 	}
 }
 
-// TellBans lets the others read the banned ids again.
-func (p *Peers) TellBans() { p.write("bans\n") }
+// NotifyBans lets the others read the banned ids again.
+func (p *Siblings) NotifyBans() { p.write("bans\n") }
 
-// TellSaid hands a datagram on: one socket gets it, and both processes are meant.
-func (p *Peers) TellSaid(msg []byte) {
-	if p.Others() > 0 {
+// ForwardPeerMessage hands a datagram on: one socket gets it, and both processes are meant.
+func (p *Siblings) ForwardPeerMessage(msg []byte) {
+	if p.Count() > 0 {
 		p.write("said " + hex.EncodeToString(msg) + "\n")
 	}
 }
 
-func (p *Peers) write(line string) {
+func (p *Siblings) write(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
@@ -272,7 +272,7 @@
 }
 
 // Close leaves the others.
-func (p *Peers) Close() {
+func (p *Siblings) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
--- a/internal/gateway/hotrestart/policy.go
+++ b/internal/gateway/hotrestart/policy.go
@@ -14,19 +14,19 @@
 	"path/filepath"
 )
 
-// Policy keeps the last policy's text in the folder that outlasts the process.
-type Policy struct{ path string }
+// PolicyFile keeps the last policy's text in the folder that outlasts the process.
+type PolicyFile struct{ path string }
 
-// OpenPolicy makes one for a dispatcher; without a folder nothing is kept.
-func OpenPolicy(dir, name string) *Policy {
+// OpenPolicyFile makes one for a dispatcher; without a folder nothing is kept.
+func OpenPolicyFile(dir, name string) *PolicyFile {
 	if dir == "" {
-		return &Policy{}
+		return &PolicyFile{}
 	}
-	return &Policy{filepath.Join(dir, fileName(name)+".policy")}
+	return &PolicyFile{filepath.Join(dir, fileName(name)+".policy")}
 }
 
 // Read is what was kept last; nothing if none was.
-func (p *Policy) Read() ([]byte, error) {
+func (p *PolicyFile) Read() ([]byte, error) {
 	if p.path == "" {
 		return nil, nil
 	}
@@ -44,8 +44,8 @@
 	return rest, nil
 }
 
-// Keep keeps a text: written whole, flushed and renamed.
-func (p *Policy) Keep(text []byte) error {
+// Save keeps a text: written whole, flushed and renamed.
+func (p *PolicyFile) Save(text []byte) error {
 	if p.path == "" {
 		return nil
 	}
--- a/internal/gateway/httpfront/clientconn.go
+++ b/internal/gateway/httpfront/clientconn.go
@@ -16,7 +16,7 @@
 // conn is one client's connection. The HTTP server reads from it on one goroutine at a time.
 type conn struct {
 	*net.TCPConn // embedded by type: the server wants its CloseWrite
-	g            *Guard
+	g            *ConnLimiter
 	ahead        *readAhead // nil: the client has sent nothing beside a request that is out
 
 	// Under g.mu.
--- a/internal/gateway/httpfront/dispatch.go
+++ b/internal/gateway/httpfront/dispatch.go
@@ -53,7 +53,7 @@
 
 // Exchange is one dispatch's open answer.
 type Exchange struct {
-	Reader *bufio.Reader
+	Body   *bufio.Reader
 	Header http.Header
 	ctx    context.Context
 	resp   *http.Response
@@ -64,26 +64,26 @@
 	cancel func()
 }
 
-// Open writes the request to the attempt's loan worker and reads the head of
+// StartAttempt writes the request to the attempt's loan worker and reads the head of
 // the answer. Without a 200 the exchange is nil and the outcome tells the end.
-func (l *WorkerConns) Open(ctx context.Context, a *broker.Attempt, s *JobRequest, accept string) (*Exchange, broker.Outcome) {
+func (l *WorkerConns) StartAttempt(ctx context.Context, a *broker.Attempt, s *JobRequest, accept string) (*Exchange, broker.Outcome) {
 	var conn *workerConn
 	var refused, wrote, answered atomic.Bool
 	reused := false
 	var req *http.Request
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			invariant.Hold(conn == nil, "the transport sent a dispatch twice")
+			invariant.Check(conn == nil, "the transport sent a dispatch twice")
 			conn, _ = info.Conn.(*workerConn)
 			l.carries(conn, true)
 			reused = info.Reused
-			if a.Traced() {
+			if a.Tracing() {
 				a.Tracef("conn to=%s reused=%t", a.Worker, reused)
 			}
 			// A slow connect can cross the time by which nothing new may go to a
 			// loan worker that drains, by which a repeat is dropped there, or at which
 			// the client leaves: ask again now that the bytes would flow.
-			if ctx.Err() != nil || !a.Allowed() || s.may != nil && !s.may() {
+			if ctx.Err() != nil || !a.MaySend() || s.may != nil && !s.may() {
 				refused.Store(true)
 				info.Conn.Close()
 			}
@@ -92,7 +92,7 @@
 		GotFirstResponseByte: func() { answered.Store(true) },
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
 			wrote.Store(info.Err == nil)
-			if a.Traced() {
+			if a.Tracing() {
 				a.Tracef("wrote to=%s err=%v", a.Worker, info.Err)
 			}
 		},
@@ -124,31 +124,31 @@
 		}
 		switch {
 		case refused.Load():
-			return nil, broker.Outcome{Code: broker.NeverSent}
+			return nil, broker.Outcome{Code: broker.NotSent}
 		case conn == nil || !wrote.Load() || conn.written.Load() == before:
 			if ctx.Err() != nil || errors.Is(err, errSockets) || gone {
-				return nil, broker.Outcome{Code: broker.NeverSent}
+				return nil, broker.Outcome{Code: broker.NotSent}
 			}
 			return nil, broker.Outcome{Code: broker.ConnectFailed}
 		case gone:
-			return nil, broker.Outcome{Code: broker.Dropped}
+			return nil, broker.Outcome{Code: broker.StaleConnection}
 		}
 		return nil, ended(ctx)
 	}
-	x := &Exchange{Reader: bufio.NewReaderSize(resp.Body, 4096), Header: resp.Header, ctx: ctx, resp: resp, conn: conn, lines: l, cfg: s.cfg,
+	x := &Exchange{Body: bufio.NewReaderSize(resp.Body, 4096), Header: resp.Header, ctx: ctx, resp: resp, conn: conn, lines: l, cfg: s.cfg,
 		unhook: unhook, cancel: cancel}
 	if resp.StatusCode == http.StatusOK {
 		return x, broker.Outcome{}
 	}
-	o := broker.Outcome{Code: broker.Failed, Load: x.Load([]byte(resp.Header.Get("X-Server-Load")))}
+	o := broker.Outcome{Code: broker.Failed, Load: x.ParseLoad([]byte(resp.Header.Get("X-Server-Load")))}
 	// Without the mark a 503 or 504 may come from behind the job: it may have run.
 	if (resp.StatusCode == 503 || resp.StatusCode == 504) && resp.Header.Get("X-Not-Processed") == "1" {
-		o.Code = broker.Full
+		o.Code = broker.Rejected
 	}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-		o.Code = broker.Rejected
+		o.Code = broker.BadRequest
 	}
-	x.Finish()
+	x.DrainAndReuse()
 	return nil, o
 }
 
@@ -160,7 +160,7 @@
 	case ctx.Err() != nil:
 		return broker.Outcome{Code: broker.Cancelled}
 	}
-	return broker.Outcome{Code: broker.Broken}
+	return broker.Outcome{Code: broker.ConnectionLost}
 }
 
 // Abort closes the connection and tells how the dispatch ended by that. The
@@ -175,9 +175,9 @@
 	return o
 }
 
-// Finish reads what is left of an answer that has ended, behind the caller's
+// DrainAndReuse reads what is left of an answer that has ended, behind the caller's
 // back, so that the connection can carry the next dispatch.
-func (x *Exchange) Finish() {
+func (x *Exchange) DrainAndReuse() {
 	x.unhook()
 	x.lines.finish(1)
 	go func() {
@@ -188,15 +188,15 @@
 				x.conn.Close()
 			}
 		})
-		io.Copy(io.Discard, io.LimitReader(x.Reader, maxLine))
+		io.Copy(io.Discard, io.LimitReader(x.Body, maxLine))
 		slow.Stop()
 		x.lines.carries(x.conn, false) // before the transport can lend it out again
 		x.resp.Body.Close()
 	}()
 }
 
-// Load reads a load report that came as a JSON object.
-func (x *Exchange) Load(text []byte) []float64 { return load(x.cfg.Columns, text) }
+// ParseLoad reads a load report that came as a JSON object.
+func (x *Exchange) ParseLoad(text []byte) []float64 { return load(x.cfg.LoadColumns, text) }
 
 // otherName gives the name that a value has on the other of the two wires: the
 // settings use the simulator's, loan workers the ones of their own pages.
@@ -270,14 +270,14 @@
 	Load   json.RawMessage `json:"load"`
 }
 
-// Do is the attempt function of the platform's front.
-func (l *WorkerConns) Do(s *JobRequest) broker.Do {
+// AttemptFunc is the attempt function of the platform's front.
+func (l *WorkerConns) AttemptFunc(s *JobRequest) broker.AttemptFunc {
 	return func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		x, o := l.Open(ctx, a, s, "")
+		x, o := l.StartAttempt(ctx, a, s, "")
 		if x == nil {
 			return o
 		}
-		return x.ReadLines(a, s, x.Load([]byte(x.Header.Get("X-Server-Load"))), nil)
+		return x.ReadLines(a, s, x.ParseLoad([]byte(x.Header.Get("X-Server-Load"))), nil)
 	}
 }
 
@@ -285,7 +285,7 @@
 // line that is not the last goes to progress too, where there is one.
 func (x *Exchange) ReadLines(a *broker.Attempt, s *JobRequest, load []float64, progress func(state string, line []byte)) broker.Outcome {
 	for {
-		text, err := readLine(x.Reader)
+		text, err := readLine(x.Body)
 		if err != nil {
 			return x.Abort()
 		}
@@ -295,9 +295,9 @@
 		var in jobLine
 		if json.Unmarshal(text, &in) != nil || in.ID != s.ID {
 			x.Abort() // not this request's answer: what it did is not known
-			return broker.Outcome{Code: broker.Broken}
+			return broker.Outcome{Code: broker.ConnectionLost}
 		}
-		if more := x.Load(in.Load); more != nil {
+		if more := x.ParseLoad(in.Load); more != nil {
 			load = more
 		}
 		o := broker.Outcome{Load: load}
@@ -306,28 +306,28 @@
 			var ok bool
 			if o.Result, ok = resultBytes(in.Result); !ok {
 				x.Abort()
-				return broker.Outcome{Code: broker.Broken}
+				return broker.Outcome{Code: broker.ConnectionLost}
 			}
 			o.Code = broker.OK
 		case "failed":
 			o.Code = broker.Failed
 		case "returned":
-			o.Code = broker.Full
+			o.Code = broker.Rejected
 		case "lost":
-			o.Code = broker.Broken
+			o.Code = broker.ConnectionLost
 		default: // progress, or a state of a later version
 			switch in.State {
 			case "started":
-				a.Started()
+				a.ReportStarted()
 			case "running":
-				a.Progress(in.Share)
+				a.ReportProgress(in.Share)
 			}
 			if progress != nil {
 				progress(in.State, text)
 			}
 			continue
 		}
-		x.Finish()
+		x.DrainAndReuse()
 		return o
 	}
 }
