--- a/internal/gateway/httpfront/endings_test.go
+++ b/internal/gateway/httpfront/endings_test.go
@@ -22,7 +22,7 @@
 // endings is a dispatcher's front on real connections, with one scripted worker behind it.
 type endings struct {
 	*testing.T
-	guard  *Guard
+	guard  *ConnLimiter
 	front  *Frontend
 	server *http.Server
 	listen *Listener
@@ -38,11 +38,11 @@
 	if change != nil {
 		change(cfg)
 	}
-	e := &endings{T: t, guard: NewGuard(8), worker: script.NewWorker(t), broker: testBroker(t, cfg)}
-	live := config.NewLive(cfg)
-	e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
+	e := &endings{T: t, guard: NewConnLimiter(8), worker: script.NewWorker(t), broker: testBroker(t, cfg)}
+	live := config.NewInForce(cfg)
+	e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
 	e.lines = NewWorkerConns(live, 8)
-	e.front = NewFrontend(e.broker, e.lines, NewReader(live, e.guard))
+	e.front = NewFrontend(e.broker, e.lines, NewRequestReader(live, e.guard))
 	e.server = e.front.Server()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,13 +132,13 @@
 // whatever answer is still on its way, nor served where no answer can follow.
 func TestARequestThatCrossesTheCloseIsNeitherResetNorServed(t *testing.T) {
 	for name, end := range map[string]func(*endings, *script.Client){
-		"a planned restart": func(e *endings, _ *script.Client) { e.guard.CloseIdle() },
+		"a planned restart": func(e *endings, _ *script.Client) { e.guard.CloseIdleConnections() },
 		"room for another": func(e *endings, _ *script.Client) {
 			e.guard.Resize(1)
 			script.Dial(e, e.listen.Addr())
 		},
 		"the last answer": func(e *endings, c *script.Client) {
-			e.front.Leave()
+			e.front.DisableKeepAlives()
 			c.Send(script.Job("unsafe", "second"))
 			e.worker.Next().Done("the last answer")
 			if _, body := c.Answer(); body != "the last answer" {
@@ -156,7 +156,7 @@
 				t.Errorf("the connection ends in order: %t, after %q", inOrder, rest)
 			}
 			c.Close()
-			e.await("the socket is given back", func() bool { return e.guard.Lingering() == 0 })
+			e.await("the socket is given back", func() bool { return e.guard.LingeringConnections() == 0 })
 			e.none()
 		})
 	}
@@ -184,7 +184,7 @@
 	e := newEndings(t, nil).start()
 	c := e.served()
 	var once sync.Once
-	closeIdle := func() { once.Do(e.guard.CloseIdle) }
+	closeIdle := func() { once.Do(e.guard.CloseIdleConnections) }
 	e.atRead.Store(&closeIdle)
 	c.Send(script.Job("unsafe", "crossing"))
 	if inOrder, rest := c.End(); !inOrder || rest != "" {
@@ -260,9 +260,9 @@
 	defer other.Close()
 	c := script.Dial(e, e.listen.Addr())
 	e.start()
-	e.await("it is accepted", func() bool { return e.guard.Open() == 1 })
+	e.await("it is accepted", func() bool { return e.guard.OpenConnections() == 1 })
 	c.Close()
-	if err := e.listen.Release(); err != nil {
+	if err := e.listen.CloseNow(); err != nil {
 		t.Error(err)
 	}
 	next := script.Dial(e, other.Addr())
@@ -286,10 +286,10 @@
 }
 
 // verdicts counts how requests that were answered ended at the broker.
-func (e *endings) verdicts() func(broker.Verdict) int {
+func (e *endings) verdicts() func(broker.AnswerKind) int {
 	var mu sync.Mutex
 	count := map[string]int{}
-	e.broker.Trace(func(line string) {
+	e.broker.SetTrace(func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		var id, verdict int
@@ -297,7 +297,7 @@
 			count[strconv.Itoa(verdict)]++
 		}
 	})
-	return func(v broker.Verdict) int {
+	return func(v broker.AnswerKind) int {
 		mu.Lock()
 		defer mu.Unlock()
 		return count[strconv.Itoa(int(v))]
@@ -311,7 +311,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := newEndings(t, nil)
 			verdicts := e.verdicts()
-			e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: dispatch.Draining}})
+			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: dispatch.Draining}})
 			e.start()
 			c := script.Dial(e, e.listen.Addr())
 			c.Send(script.Job("unsafe", "first"))
@@ -319,11 +319,11 @@
 			c.Send(further)
 			c.Close()
 			e.await("all requests have ended", func() bool { return e.broker.Stats().Open == 0 })
-			if verdicts(broker.Gone) < 1 || verdicts(broker.Refused) > 0 {
-				t.Errorf("%d requests ended as their client's who left, %d as refused", verdicts(broker.Gone), verdicts(broker.Refused))
+			if verdicts(broker.AnswerClientGone) < 1 || verdicts(broker.AnswerRejected) > 0 {
+				t.Errorf("%d requests ended as their client's who left, %d as refused", verdicts(broker.AnswerClientGone), verdicts(broker.AnswerRejected))
 			}
-			e.broker.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
-			e.await("the connection is given back", func() bool { return e.guard.Open() == 0 })
+			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
+			e.await("the connection is given back", func() bool { return e.guard.OpenConnections() == 0 })
 			e.none()
 		})
 	}
@@ -413,8 +413,8 @@
 func TestARepeatIsNotSentPastItsWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	e := newEndings(t, func(cfg *config.Config) {
-		cfg.Classes, cfg.Module.Classes[0].Name = []string{"keyed"}, "keyed"
-		cfg.Module.Classes[0].Semantics, cfg.Module.Classes[0].DedupScope, cfg.Module.Classes[0].DedupWindow = dispatch.Deduplicated, dispatch.ScopeCell, window
+		cfg.Classes, cfg.Dispatch.Classes[0].Name = []string{"keyed"}, "keyed"
+		cfg.Dispatch.Classes[0].Semantics, cfg.Dispatch.Classes[0].DedupScope, cfg.Dispatch.Classes[0].DedupWindow = dispatch.Deduplicated, dispatch.ScopeCell, window
 	})
 	var over atomic.Int64 // when the window is, in Unix nanoseconds; 0: nothing has run
 	e.slowDial(func() time.Time { return time.Unix(0, over.Load()) })
--- a/internal/gateway/httpfront/flood_test.go
+++ b/internal/gateway/httpfront/flood_test.go
@@ -11,7 +11,7 @@
 // A stranger's bytes stay unread for 20 turns, as on a machine whose processors others hold:
 // the connection of a client at work is not the one that makes room.
 func TestLateReaderDoesNotCostAClientAtWork(t *testing.T) {
-	guard := NewGuard(2)
+	guard := NewConnLimiter(2)
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/httpfront/frontend.go
+++ b/internal/gateway/httpfront/frontend.go
@@ -40,26 +40,26 @@
 
 // Rejection is a refusal or an error worded for HTTP.
 type Rejection struct {
-	Status   int
-	Text     string
-	ComeBack time.Duration
+	Status     int
+	Message    string
+	RetryAfter time.Duration
 }
 
 // Write sends the rejection.
 func (d *Rejection) Write(w http.ResponseWriter) {
 	limitWrite(w)
 	h := w.Header()
-	if d.ComeBack > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', -1, 64))
+	if d.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(d.RetryAfterSeconds(), 'f', -1, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set("Content-Length", strconv.Itoa(len(d.Text)+1))
+	h.Set("Content-Length", strconv.Itoa(len(d.Message)+1))
 	w.WriteHeader(d.Status)
-	io.WriteString(w, d.Text+"\n")
+	io.WriteString(w, d.Message+"\n")
 }
 
-// Seconds is the advice as clients get it: to the millisecond, never too soon.
-func (d *Rejection) Seconds() float64 { return math.Ceil(d.ComeBack.Seconds()*1000) / 1000 }
+// RetryAfterSeconds is the advice as clients get it: to the millisecond, never too soon.
+func (d *Rejection) RetryAfterSeconds() float64 { return math.Ceil(d.RetryAfter.Seconds()*1000) / 1000 }
 
 // limitWrite bounds the write of an answer: a client that does not read must not
 // keep its socket for good. Each answer sets it anew.
@@ -67,54 +67,54 @@
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
 }
 
-// TooMany is the rejection on a connection past the budget of sockets.
-var TooMany = &Rejection{http.StatusServiceUnavailable, "too many connections", time.Second}
+// TooManyConnections is the rejection on a connection past the budget of sockets.
+var TooManyConnections = &Rejection{http.StatusServiceUnavailable, "too many connections", time.Second}
 
-var tooLarge = &Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
+var tooLarge = &Rejection{Status: http.StatusRequestEntityTooLarge, Message: "the body is over 64 KiB"}
 
 // RejectionOf words a final answer that is not a result; nil for one that needs none.
 func RejectionOf(a broker.Answer) *Rejection {
 	switch {
-	case a.Verdict == broker.Refused && a.Over:
-		return &Rejection{http.StatusTooManyRequests, "over the contract's budget", a.ComeBack}
-	case a.Verdict == broker.Refused:
-		return &Rejection{http.StatusServiceUnavailable, "refused, try again", a.ComeBack}
-	case a.Verdict == broker.Failure && a.Unusable:
+	case a.Kind == broker.AnswerRejected && a.OverBudget:
+		return &Rejection{http.StatusTooManyRequests, "over the contract's budget", a.RetryAfter}
+	case a.Kind == broker.AnswerRejected:
+		return &Rejection{http.StatusServiceUnavailable, "refused, try again", a.RetryAfter}
+	case a.Kind == broker.AnswerFailed && a.BadRequest:
 		return &Rejection{http.StatusBadRequest, "loan workers can't use this request", 0}
-	case a.Verdict == broker.Failure && a.Late:
+	case a.Kind == broker.AnswerFailed && a.DeadlineMissed:
 		// Not 504 with a promise: 504 is a failure here, since only 429 and 503
 		// tell the client that trying again is harmless.
 		return &Rejection{http.StatusGatewayTimeout, "no answer in time; it may have run", 0}
-	case a.Verdict == broker.Failure:
+	case a.Kind == broker.AnswerFailed:
 		return &Rejection{http.StatusBadGateway, "failed; it may have run", 0}
 	}
 	return nil
 }
 
-// Reader reads requests off the wire.
-type Reader struct {
-	live  *config.Live
-	guard *Guard
-	gate  Gate // nil: all are admitted
+// RequestReader reads requests off the wire.
+type RequestReader struct {
+	live  *config.InForce
+	guard *ConnLimiter
+	gate  AdmissionGate // nil: all are admitted
 	mu    sync.Mutex
 	open  map[string]bool // ids of requests not yet answered
 	end   time.Time       // no request read from now on has a later deadline; zero: none
 }
 
-// NewReader makes a Reader; both fronts share one.
-func NewReader(live *config.Live, g *Guard) *Reader {
-	return &Reader{live: live, guard: g, open: map[string]bool{}}
+// NewRequestReader makes a Reader; both fronts share one.
+func NewRequestReader(live *config.InForce, g *ConnLimiter) *RequestReader {
+	return &RequestReader{live: live, guard: g, open: map[string]bool{}}
 }
 
-// Gate says, at the moment at which a request is admitted, whether it may be, and under which
+// AdmissionGate says, at the moment at which a request is admitted, whether it may be, and under which
 // version of the policy. It must wait for nobody.
-type Gate func() (version uint64, at time.Time, admits bool)
+type AdmissionGate func() (version uint64, at time.Time, admits bool)
 
-// Gate sets the gate. Before any request.
-func (rd *Reader) Gate(g Gate) { rd.gate = g }
+// SetAdmissionGate sets the gate. Before any request.
+func (rd *RequestReader) SetAdmissionGate(g AdmissionGate) { rd.gate = g }
 
-// Admits tells whether new work is admitted now.
-func (rd *Reader) Admits() bool {
+// Admitting tells whether new work is admitted now.
+func (rd *RequestReader) Admitting() bool {
 	if rd.gate == nil {
 		return true
 	}
@@ -124,7 +124,7 @@
 
 // noPolicy is what is told where no policy may be served under. It has not run.
 func noPolicy(cfg *config.Config) *Rejection {
-	return &Rejection{http.StatusServiceUnavailable, "no policy is in force here", min(cfg.Module.MaxRetryAfter, 500*time.Millisecond)}
+	return &Rejection{http.StatusServiceUnavailable, "no policy is in force here", min(cfg.Dispatch.MaxRetryAfter, 500*time.Millisecond)}
 }
 
 // single are the headers that say what a request is. Twice, one copy would be
@@ -142,27 +142,27 @@
 }
 
 // Read checks and reads one request. Release is to be called once it is answered.
-func (rd *Reader) Read(w http.ResponseWriter, r *http.Request) (*JobRequest, *Rejection) {
+func (rd *RequestReader) Read(w http.ResponseWriter, r *http.Request) (*JobRequest, *Rejection) {
 	bad := func(text string) (*JobRequest, *Rejection) {
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: text}
+		return nil, &Rejection{Status: http.StatusBadRequest, Message: text}
 	}
 	control := http.NewResponseController(w)
-	if rd.guard.Full() {
+	if rd.guard.OverLimit() {
 		// What the kernel has accepted counts as taken: it gets its answer, and
 		// the socket is given back.
 		w.Header().Set("Connection", "close")
-		return nil, TooMany
+		return nil, TooManyConnections
 	}
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
-		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Text: "jobs arrive by POST"}
+		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Message: "jobs arrive by POST"}
 	}
 	cfg := rd.live.Get()
 	s := &JobRequest{ID: r.Header.Get("X-Request-Id"), cfg: cfg, method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header}
 	if s.ID == "" || len(s.ID) > 200 {
 		return bad("X-Request-ID: missing or too long")
 	}
-	s.Request.Settings = &cfg.Module
+	s.Request.Settings = &cfg.Dispatch
 	name := r.Header.Get("X-Priority-Class")
 	if s.Request.Class = slices.Index(cfg.Classes, name); s.Request.Class < 0 {
 		return bad("X-Priority-Class: missing or unknown")
@@ -175,14 +175,14 @@
 			return bad("X-Tenant-Id: missing or unknown")
 		}
 	}
-	left := cfg.Module.Classes[s.Request.Class].Deadline
+	left := cfg.Dispatch.Classes[s.Request.Class].Deadline
 	if text := r.Header.Get("X-Timeout"); text != "" {
 		var ok bool
 		if left, ok = seconds(text); !ok {
 			return bad("X-Timeout: not a number of seconds")
 		}
 	}
-	s.Request.Retry = r.Header.Get("X-Retried") == "1"
+	s.Request.ClientRetry = r.Header.Get("X-Retried") == "1"
 	s.Request.Slots = 1
 	for part := range strings.SplitSeq(r.Header.Get("X-Attrs"), ",") {
 		key, text, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -217,7 +217,7 @@
 	if rd.gate != nil {
 		// Asked last: what was read meanwhile may have taken longer than a lease holds.
 		var ok bool
-		if s.Request.Policy, s.Request.Admitted, ok = rd.gate(); !ok {
+		if s.Request.PolicyVersion, s.Request.AdmittedAt, ok = rd.gate(); !ok {
 			return nil, noPolicy(cfg)
 		}
 	}
@@ -227,7 +227,7 @@
 	// The same id again while the first is still out would be a second copy at
 	// the loan workers.
 	if rd.open[s.ID] {
-		return nil, &Rejection{Status: http.StatusConflict, Text: "X-Request-ID: in use"}
+		return nil, &Rejection{Status: http.StatusConflict, Message: "X-Request-ID: in use"}
 	}
 	rd.open[s.ID] = true
 	if !rd.end.IsZero() && s.Request.Deadline.After(rd.end) {
@@ -236,15 +236,15 @@
 	return s, nil
 }
 
-// Limit bounds the deadline of every request read from now on.
-func (rd *Reader) Limit(end time.Time) {
+// LimitDeadlines bounds the deadline of every request read from now on.
+func (rd *RequestReader) LimitDeadlines(end time.Time) {
 	rd.mu.Lock()
 	rd.end = end
 	rd.mu.Unlock()
 }
 
 // Release frees the request's id.
-func (rd *Reader) Release(s *JobRequest) {
+func (rd *RequestReader) Release(s *JobRequest) {
 	rd.mu.Lock()
 	delete(rd.open, s.ID)
 	rd.mu.Unlock()
@@ -254,24 +254,24 @@
 type Frontend struct {
 	broker   *broker.Broker
 	lines    *WorkerConns
-	reader   *Reader
-	guard    *Guard
+	reader   *RequestReader
+	guard    *ConnLimiter
 	started  func() bool // tells whether requests can be served; nil: from the first moment
 	draining atomic.Bool
 	leaving  atomic.Bool
 }
 
-// AwaitStart has the health check say no until started tells otherwise. Before any request.
-func (f *Frontend) AwaitStart(started func() bool) { f.started = started }
+// SetReadiness has the health check say no until started tells otherwise. Before any request.
+func (f *Frontend) SetReadiness(started func() bool) { f.started = started }
 
 // NewFrontend makes the platform's front.
-func NewFrontend(b *broker.Broker, l *WorkerConns, rd *Reader) *Frontend {
+func NewFrontend(b *broker.Broker, l *WorkerConns, rd *RequestReader) *Frontend {
 	return &Frontend{broker: b, lines: l, reader: rd, guard: rd.guard}
 }
 
 // Server returns the HTTP server for this front.
 func (f *Frontend) Server() *http.Server {
-	return f.Serve(f.session)
+	return f.NewServer(f.session)
 }
 
 // checkFraming checks what makes a message safe to read on, whatever it is for, and sets
@@ -287,7 +287,7 @@
 	control.SetReadDeadline(until)
 	for _, name := range single {
 		if len(r.Header[name]) > 1 && fault == "" {
-			return &Rejection{Status: http.StatusBadRequest, Text: name + ": comes twice"}
+			return &Rejection{Status: http.StatusBadRequest, Message: name + ": comes twice"}
 		}
 	}
 	// What stands behind such a message can't be told from its body, and behind one
@@ -297,16 +297,16 @@
 	}
 	switch {
 	case fault != "":
-		return &Rejection{Status: http.StatusBadRequest, Text: fault}
+		return &Rejection{Status: http.StatusBadRequest, Message: fault}
 	case r.ContentLength > maxBody:
 		return tooLarge
 	}
 	return nil
 }
 
-// Serve makes a server for one front: its requests, the health check, and the
+// NewServer makes a server for one front: its requests, the health check, and the
 // guard that all fronts share. It is to serve on the guard's listener.
-func (f *Frontend) Serve(session http.HandlerFunc) *http.Server {
+func (f *Frontend) NewServer(session http.HandlerFunc) *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(plain http.ResponseWriter, r *http.Request) {
 			w := closingResponse{plain, f}
@@ -318,11 +318,11 @@
 			case r.URL.Path != "/healthz":
 				session(w, r)
 			case f.Draining():
-				(&Rejection{Status: http.StatusServiceUnavailable, Text: "stopping"}).Write(w)
+				(&Rejection{Status: http.StatusServiceUnavailable, Message: "stopping"}).Write(w)
 			case f.started != nil && !f.started():
-				(&Rejection{Status: http.StatusServiceUnavailable, Text: "no list of loan workers yet"}).Write(w)
-			case !f.reader.Admits():
-				(&Rejection{Status: http.StatusServiceUnavailable, Text: "no policy is in force here"}).Write(w)
+				(&Rejection{Status: http.StatusServiceUnavailable, Message: "no list of loan workers yet"}).Write(w)
+			case !f.reader.Admitting():
+				(&Rejection{Status: http.StatusServiceUnavailable, Message: "no policy is in force here"}).Write(w)
 			default:
 				limitWrite(w)
 				io.WriteString(w, "ok\n")
@@ -336,10 +336,10 @@
 // Drain makes the health check say that this dispatcher is stopping.
 func (f *Frontend) Drain() { f.draining.Store(true) }
 
-// Leave makes every answer from now on its connection's last: another process
+// DisableKeepAlives makes every answer from now on its connection's last: another process
 // has taken over. Idle connections stay until they are used, since closing one
 // races with the request that is on its way.
-func (f *Frontend) Leave() { f.leaving.Store(true) }
+func (f *Frontend) DisableKeepAlives() { f.leaving.Store(true) }
 
 // closingResponse is a response that says at its head whether more may follow on its
 // connection. A request may be out when that changes.
@@ -377,12 +377,12 @@
 	defer f.reader.Release(s)
 	ctx, stop := ClientContext(r)
 	defer stop()
-	answer := f.broker.Serve(ctx, s.Request, f.lines.Do(s))
+	answer := f.broker.Serve(ctx, s.Request, f.lines.AttemptFunc(s))
 	if rejection := RejectionOf(answer); rejection != nil {
 		rejection.Write(w)
 		return
 	}
-	if answer.Verdict == broker.Served {
+	if answer.Kind == broker.AnswerServed {
 		limitWrite(w)
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer.Result)))
--- a/internal/gateway/httpfront/guard.go
+++ b/internal/gateway/httpfront/guard.go
@@ -36,8 +36,8 @@
 	readerTurn  = time.Millisecond
 )
 
-// Guard keeps the budget of sockets that all fronts share.
-type Guard struct {
+// ConnLimiter keeps the budget of sockets that all fronts share.
+type ConnLimiter struct {
 	mu        sync.Mutex
 	max       int // as many as clients may hold
 	conns     map[*conn]struct{}
@@ -51,12 +51,12 @@
 	onTurn  func()
 }
 
-// NewGuard makes a guard for at most max clients' connections.
-func NewGuard(max int) *Guard { return &Guard{max: max, conns: map[*conn]struct{}{}} }
+// NewConnLimiter makes a guard for at most max clients' connections.
+func NewConnLimiter(max int) *ConnLimiter { return &ConnLimiter{max: max, conns: map[*conn]struct{}{}} }
 
 // Resize bounds how many connections clients may hold from now on, and closes
 // idle ones past that.
-func (g *Guard) Resize(max int) {
+func (g *ConnLimiter) Resize(max int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.max = max
@@ -64,31 +64,31 @@
 	}
 }
 
-// Full tells whether clients hold more sockets than they may.
-func (g *Guard) Full() bool {
+// OverLimit tells whether clients hold more sockets than they may.
+func (g *ConnLimiter) OverLimit() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns) > g.max
 }
 
-// Lingering counts the connections that were closed here and are still read from.
-func (g *Guard) Lingering() int {
+// LingeringConnections counts the connections that were closed here and are still read from.
+func (g *ConnLimiter) LingeringConnections() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.lingering)
 }
 
-// Open counts the connections that requests may still come on.
-func (g *Guard) Open() int {
+// OpenConnections counts the connections that requests may still come on.
+func (g *ConnLimiter) OpenConnections() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns)
 }
 
-// CloseIdle closes every connection that waits for a request, at a planned
+// CloseIdleConnections closes every connection that waits for a request, at a planned
 // restart. One whose request already stands in the kernel stays, which spares its
 // client another try; one whose request comes in this very moment ends as Close says.
-func (g *Guard) CloseIdle() {
+func (g *ConnLimiter) CloseIdleConnections() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
@@ -100,7 +100,7 @@
 
 // crowded tells whether the next to be let in would push out a client at work
 // only because strangers' bytes wait to be read.
-func (g *Guard) crowded() bool {
+func (g *ConnLimiter) crowded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) < g.max {
@@ -121,7 +121,7 @@
 // awaitReaders gives the readers of unread bytes a moment while crowded. In a flood the newest
 // bytes are not read yet, and what has unread bytes is not closed: without the wait it would be
 // the idle connections of clients at work that make room.
-func (g *Guard) awaitReaders() {
+func (g *ConnLimiter) awaitReaders() {
 	for range readerTurns {
 		if !g.crowded() {
 			return
@@ -134,7 +134,7 @@
 	}
 }
 
-func (g *Guard) admit(c *conn) bool {
+func (g *ConnLimiter) admit(c *conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// More than one may be due: those let in past the budget, while nothing could
@@ -152,7 +152,7 @@
 // request yet, silent or half-sent, then a half-sent one that did, then an idle
 // one; the oldest of each. Hundreds of silent connections must not push out the
 // clients at work. The caller holds mu.
-func (g *Guard) evict() bool {
+func (g *ConnLimiter) evict() bool {
 	rank := func(c *conn) int {
 		switch {
 		case !c.served:
@@ -183,7 +183,7 @@
 // drop ends c and frees its place; the server finds it closed. What has come on c by now
 // was counted, or else is never served: the client is told the end first and reads to it.
 // mu is held.
-func (g *Guard) drop(c *conn) {
+func (g *ConnLimiter) drop(c *conn) {
 	delete(g.conns, c)
 	c.ending = true
 	if c.eof {
@@ -205,7 +205,7 @@
 // linger reads away what still comes on a connection that was ended here, until its client
 // closes it too or lingerTime is over. A close over unread bytes would reset the connection,
 // and an answer that is on its way would be lost with it.
-func (g *Guard) linger(c *conn) {
+func (g *ConnLimiter) linger(c *conn) {
 	defer time.AfterFunc(lingerTime, func() { c.TCPConn.Close() }).Stop()
 	var scrap [512]byte
 	for {
@@ -223,7 +223,7 @@
 }
 
 // state is the server's hook: an answered request leaves its connection idle.
-func (g *Guard) state(nc net.Conn, state http.ConnState) {
+func (g *ConnLimiter) state(nc net.Conn, state http.ConnState) {
 	if c, ok := nc.(*conn); ok && state == http.StateIdle {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/gateway/httpfront/job.go
+++ b/internal/gateway/httpfront/job.go
@@ -11,22 +11,22 @@
 	"yardflow/internal/platform/config"
 )
 
-// Job is a job that no client has asked for.
-type Job struct {
-	ID, Key       string // Key: under which a keyed class drops repeats; empty: none
-	Class, Tenant string // of the configuration
-	Body          []byte
-	May           func() bool // asked just before the first byte; nil: it always may
+// InternalJob is a job that no client has asked for.
+type InternalJob struct {
+	ID, IdempotencyKey string // Key: under which a keyed class drops repeats; empty: none
+	Class, Tenant      string // of the configuration
+	Body               []byte
+	MaySend            func() bool // asked just before the first byte; nil: it always may
 }
 
-// NewJob makes a request of a job under a configuration that has its class.
-func NewJob(cfg *config.Config, j Job, q broker.Request) *JobRequest {
+// NewInternalRequest makes a request of a job under a configuration that has its class.
+func NewInternalRequest(cfg *config.Config, j InternalJob, q broker.Request) *JobRequest {
 	h := http.Header{"X-Priority-Class": {j.Class}, "Content-Type": {"application/json"}}
 	if j.Tenant != "" {
 		h.Set("X-Tenant-Id", j.Tenant)
 	}
-	if j.Key != "" {
-		h.Set("Idempotency-Key", j.Key)
+	if j.IdempotencyKey != "" {
+		h.Set("Idempotency-Key", j.IdempotencyKey)
 	}
-	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name, header: h, body: j.Body, may: j.May}
+	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name, header: h, body: j.Body, may: j.MaySend}
 }
--- a/internal/gateway/httpfront/listener.go
+++ b/internal/gateway/httpfront/listener.go
@@ -21,14 +21,14 @@
 )
 
 // Listen wraps a listener of this machine's, which must be a TCP listener.
-func (g *Guard) Listen(l net.Listener) *Listener {
+func (g *ConnLimiter) Listen(l net.Listener) *Listener {
 	return &Listener{TCPListener: l.(*net.TCPListener), g: g, closed: make(chan struct{})}
 }
 
 // Listener accepts clients' connections within a guard's budget.
 type Listener struct {
 	*net.TCPListener
-	g       *Guard
+	g       *ConnLimiter
 	closing atomic.Bool
 	once    sync.Once
 	closed  chan struct{} // closed once the socket is
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// Release stops listening at once, on a socket that another process listens on too: what the kernel
+// CloseNow stops listening at once, on a socket that another process listens on too: what the kernel
 // has accepted waits for that one.
-func (l *Listener) Release() error {
+func (l *Listener) CloseNow() error {
 	if !l.closing.CompareAndSwap(false, true) {
 		return net.ErrClosed
 	}
--- a/internal/gateway/httpfront/listfault.go
+++ b/internal/gateway/httpfront/listfault.go
@@ -41,63 +41,63 @@
 	return "the list held serves on: see whether discovery is overloaded or down"
 }
 
-// KnownError is a list of the configuration that can't be read.
-type KnownError struct{ Err error }
+// KnownListError is a list of the configuration that can't be read.
+type KnownListError struct{ Err error }
 
-func (e *KnownError) Error() string { return fmt.Sprintf("known: %v", e.Err) }
-func (e *KnownError) Unwrap() error { return e.Err }
+func (e *KnownListError) Error() string { return fmt.Sprintf("known: %v", e.Err) }
+func (e *KnownListError) Unwrap() error { return e.Err }
 
 // Code is its word in the operators' table.
-func (e *KnownError) Code() string { return "list-known" }
+func (e *KnownListError) Code() string { return "list-known" }
 
 // Advice is what an operator can do.
-func (e *KnownError) Advice() string {
+func (e *KnownListError) Advice() string {
 	return "correct known in the configuration, or leave it out: the list is then awaited from discovery"
 }
 
-// SilentError is a call at discovery that gave no sign by its end. What it missed counts as told
+// CallTimeoutError is a call at discovery that gave no sign by its end. What it missed counts as told
 // at Due, whether it came or not: a change made just after it began may have been lost with it.
-type SilentError struct {
-	Addr    string
-	Waited  time.Duration
-	Due     time.Time
-	Reached bool // a connection stood: the call may have taken its turn
-	Watch   bool // it was to wait for news; else it may stand in a queue there
+type CallTimeoutError struct {
+	Addr       string
+	Waited     time.Duration
+	ChangesDue time.Time
+	Connected  bool // a connection stood: the call may have taken its turn
+	Watch      bool // it was to wait for news; else it may stand in a queue there
 }
 
-func (e *SilentError) Error() string {
+func (e *CallTimeoutError) Error() string {
 	return fmt.Sprintf("discovery at %s has given no sign for %v", e.Addr, e.Waited)
 }
 
 // Timeout tells that it is one, as package net has it.
-func (e *SilentError) Timeout() bool { return true }
+func (e *CallTimeoutError) Timeout() bool { return true }
 
 // Code is its word in the operators' table.
-func (e *SilentError) Code() string { return "list-silent" }
+func (e *CallTimeoutError) Code() string { return "list-silent" }
 
 // Advice is what an operator can do.
-func (e *SilentError) Advice() string {
+func (e *CallTimeoutError) Advice() string {
 	return "it is asked again by itself, and nothing new is sent once a drain may have been missed: see whether this machine reaches discovery"
 }
 
-// AnswerError is an answer of discovery that is no list.
-type AnswerError struct {
+// BadResponseError is an answer of discovery that is no list.
+type BadResponseError struct {
 	Status int // of HTTP; 200: it is the list that is at fault
-	Why    string
+	Reason string
 }
 
-func (e *AnswerError) Error() string {
+func (e *BadResponseError) Error() string {
 	if e.Status != 200 {
 		return fmt.Sprintf("it answers %d", e.Status)
 	}
-	return "its answer is no list: " + e.Why
+	return "its answer is no list: " + e.Reason
 }
 
 // Code is its word in the operators' table.
-func (e *AnswerError) Code() string { return "list-answer" }
+func (e *BadResponseError) Code() string { return "list-answer" }
 
 // Advice is what an operator can do.
-func (e *AnswerError) Advice() string {
+func (e *BadResponseError) Advice() string {
 	if e.Status != 200 {
 		return "the list held serves on: discovery is overloaded or down, and is asked again after a pause"
 	}
@@ -105,17 +105,17 @@
 }
 
 // OutdatedListError is a list older than the one that the fleet shares.
-type OlderError struct{ Generation, Has uint64 }
+type OutdatedListError struct{ Generation, Known uint64 }
 
-func (e *OlderError) Error() string {
-	return fmt.Sprintf("a list of generation %d, and %d is known", e.Generation, e.Has)
+func (e *OutdatedListError) Error() string {
+	return fmt.Sprintf("a list of generation %d, and %d is known", e.Generation, e.Known)
 }
 
 // Code is its word in the operators' table.
-func (e *OlderError) Code() string { return "list-older" }
+func (e *OutdatedListError) Code() string { return "list-older" }
 
 // Advice is what an operator can do.
-func (e *OlderError) Advice() string {
+func (e *OutdatedListError) Advice() string {
 	return "the newer list serves on: see whether an old copy of the list service answers; one that was set back is believed after a minute"
 }
 
--- a/internal/gateway/httpfront/move_test.go
+++ b/internal/gateway/httpfront/move_test.go
@@ -69,13 +69,13 @@
 }
 
 // testTable makes a table that tells a broker of its own.
-func testTable(t *testing.T, cfg *config.Config, log func(string)) (*Table, *broker.Broker) {
-	b, live := testBroker(t, cfg), config.NewLive(cfg)
-	merged, err := sources.New(live, b, sources.Hooks{Log: func(string) {}, Moved: func(string) {}})
+func testTable(t *testing.T, cfg *config.Config, log func(string)) (*ServerTable, *broker.Broker) {
+	b, live := testBroker(t, cfg), config.NewInForce(cfg)
+	merged, err := sources.New(live, b, sources.Hooks{Log: func(string) {}, AddressRetired: func(string) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := NewTable(live, b, merged.Roster, log)
+	table, err := NewServerTable(live, b, merged.UpdateRoster, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,15 +105,15 @@
 				began := time.Now()
 				discoveryTransport = func() http.RoundTripper { return c.d }
 				cfg := testConfig()
-				cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-				cfg.Module.DispatcherCount = 300
+				cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+				cfg.Dispatch.DispatcherCount = 300
 				rnd := rand.New(rand.NewPCG(3, 5))
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				late, last := 0, time.Duration(0)
 				for i := range 300 {
 					own := *cfg
-					own.Module.DispatcherIndex = i
+					own.Dispatch.DispatcherIndex = i
 					table, b := testTable(t, &own, func(string) {})
 					table.draw = rand.New(rand.NewPCG(7, uint64(i))).Float64 // the same pauses in every play
 					go table.Run(t.Context())
@@ -122,11 +122,11 @@
 					wg.Go(func() {
 						defer b.Close() // the bubble must be empty at its end
 						time.Sleep(at)
-						table.Follow("d:2")
+						table.SwitchSource("d:2")
 						moved := time.Now()
 						if twice {
 							time.Sleep(again)
-							table.Follow("d:3")
+							table.SwitchSource("d:3")
 						}
 						due := func() time.Time { table.mu.Lock(); defer table.mu.Unlock(); return table.stale.at }
 						heard := func() bool { return due().IsZero() }
@@ -173,12 +173,12 @@
 	cfg.Discovery, cfg.Membership = "127.0.0.1:1", config.DefaultMembership()
 	table, _ := testTable(t, cfg, func(string) {})
 	old := table.source()
-	table.Follow("127.0.0.1:2")
+	table.SwitchSource("127.0.0.1:2")
 	due := table.stale.at
 	if table.told(old); table.stale.at.IsZero() {
 		t.Error("the old source's word ended the wait for the new one's")
 	}
-	if table.Follow("127.0.0.1:3"); table.stale.at != due {
+	if table.SwitchSource("127.0.0.1:3"); table.stale.at != due {
 		t.Errorf("a second move put the word off by %v", table.stale.at.Sub(due))
 	}
 	table.failing(fmt.Errorf("call: %w", syscall.ECONNREFUSED), time.Now(), 0)
--- a/internal/gateway/httpfront/platform_test.go
+++ b/internal/gateway/httpfront/platform_test.go
@@ -28,14 +28,14 @@
 
 func testConfig() *config.Config {
 	return &config.Config{Classes: []string{"unsafe"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"},
-		Columns: []string{"cpu", "err_rps", "x0"}, ConnectTimeout: time.Second, IdleClose: time.Minute,
-		Module: dispatch.Settings{DispatcherCount: 1, MaxAttempts: 4, MustSubscribe: true, ListRefreshInterval: 10 * time.Second,
+		LoadColumns: []string{"cpu", "err_rps", "x0"}, ConnectTimeout: time.Second, IdleTimeout: time.Minute,
+		Dispatch: dispatch.Settings{DispatcherCount: 1, MaxAttempts: 4, MustSubscribe: true, ListRefreshInterval: 10 * time.Second,
 			Classes: []dispatch.Class{{Name: "unsafe", LatencyTarget: 20 * time.Second, Deadline: 5 * time.Second, Value: 1,
 				Semantics: dispatch.AtMostOnce, WorkerKind: -1}}}}
 }
 
 func testBroker(t *testing.T, cfg *config.Config) *broker.Broker {
-	b, err := broker.New(cfg.Module, 1, nil, func(string) {})
+	b, err := broker.New(cfg.Dispatch, 1, nil, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,17 +52,17 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a send to a draining worker") }))
 	defer server.Close()
 	w := broker.Worker{ID: "s", Addr: server.Listener.Addr().String()}
-	b.List(dispatch.ListFull, []broker.Worker{w})
-	lines := NewWorkerConns(config.NewLive(cfg), 8)
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{w})
+	lines := NewWorkerConns(config.NewInForce(cfg), 8)
 	dial := lines.transport.DialContext
 	lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		w.State = dispatch.Draining
-		b.List(dispatch.ListDelta, []broker.Worker{w})
+		b.UpdateWorkers(dispatch.ListDelta, []broker.Worker{w})
 		return dial(ctx, network, addr)
 	}
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{}, body: []byte("x"),
 		Request: broker.Request{Slots: 1, Deadline: time.Now().Add(500 * time.Millisecond)}}
-	if got := b.Serve(t.Context(), s.Request, lines.Do(s)); got.Verdict != broker.Refused {
+	if got := b.Serve(t.Context(), s.Request, lines.AttemptFunc(s)); got.Kind != broker.AnswerRejected {
 		t.Errorf("got %+v, want a refusal: nothing has run", got)
 	}
 	if n := lines.held; n != 0 {
@@ -90,8 +90,8 @@
 				conn.Close()
 			}
 		}()
-		b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
-		lines := NewWorkerConns(config.NewLive(cfg), 8)
+		b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+		lines := NewWorkerConns(config.NewInForce(cfg), 8)
 		var conn net.Conn
 		dial := lines.transport.DialContext
 		lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -102,8 +102,8 @@
 		s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
 			Request: broker.Request{Slots: 1, Deadline: time.Now().Add(1500 * time.Millisecond)}}
 		b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-			o := lines.Do(s)(ctx, a)
-			if _, err := conn.(*workerConn).Conn.Write([]byte("x")); o.Code != broker.TimedOut && o.Code != broker.Broken || !errors.Is(err, net.ErrClosed) {
+			o := lines.AttemptFunc(s)(ctx, a)
+			if _, err := conn.(*workerConn).Conn.Write([]byte("x")); o.Code != broker.TimedOut && o.Code != broker.ConnectionLost || !errors.Is(err, net.ErrClosed) {
 				t.Errorf("%s: told %+v while a write gives %v", name, o, err)
 			}
 			return o
@@ -114,10 +114,10 @@
 // The transport's own settings that the rules or the loan workers' cost rest on.
 func TestTransportSettings(t *testing.T) {
 	cfg := testConfig()
-	tr := NewWorkerConns(config.NewLive(cfg), 300).transport
+	tr := NewWorkerConns(config.NewInForce(cfg), 300).transport
 	switch {
-	case tr.IdleConnTimeout <= 0 || tr.IdleConnTimeout >= cfg.IdleClose:
-		t.Errorf("idle connections stay %v; loan workers close theirs after %v", tr.IdleConnTimeout, cfg.IdleClose)
+	case tr.IdleConnTimeout <= 0 || tr.IdleConnTimeout >= cfg.IdleTimeout:
+		t.Errorf("idle connections stay %v; loan workers close theirs after %v", tr.IdleConnTimeout, cfg.IdleTimeout)
 	case tr.MaxIdleConnsPerHost <= http.DefaultMaxIdleConnsPerHost:
 		t.Errorf("%d idle connections a host", tr.MaxIdleConnsPerHost)
 	case tr.Proxy != nil, !tr.DisableCompression, tr.ForceAttemptHTTP2:
@@ -138,7 +138,7 @@
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
 	cfg.ConnectTimeout = 100 * time.Millisecond
-	lines := NewWorkerConns(config.NewLive(cfg), 16)
+	lines := NewWorkerConns(config.NewInForce(cfg), 16)
 	for range 8 {
 		conn, err := lines.transport.DialContext(t.Context(), "tcp", addr)
 		if err == nil {
@@ -157,19 +157,19 @@
 func TestNoSocketLeft(t *testing.T) {
 	cfg := testConfig()
 	b := testBroker(t, cfg)
-	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
-	lines := NewWorkerConns(config.NewLive(cfg), 1)
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
+	lines := NewWorkerConns(config.NewInForce(cfg), 1)
 	lines.take()
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
 		Request: broker.Request{Slots: 1, Deadline: time.Now().Add(300 * time.Millisecond)}}
 	got := b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		o := lines.Do(s)(ctx, a)
-		if o.Code != broker.NeverSent {
+		o := lines.AttemptFunc(s)(ctx, a)
+		if o.Code != broker.NotSent {
 			t.Errorf("got %+v", o)
 		}
 		return o
 	})
-	if got.Verdict != broker.Refused {
+	if got.Kind != broker.AnswerRejected {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -184,7 +184,7 @@
 		`[]`:                                   nil,
 		``:                                     nil,
 	} {
-		if diff := cmp.Diff(want, load(testConfig().Columns, []byte(text))); diff != "" {
+		if diff := cmp.Diff(want, load(testConfig().LoadColumns, []byte(text))); diff != "" {
 			t.Errorf("%s: %s", text, diff)
 		}
 	}
@@ -217,7 +217,7 @@
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h:1","zone":"b","machineType":"m2","cell":3,"lifecycle":%q,"weight":1,"startedAtMs":1700000000123.5}`, id, state)
 	}
-	cfg.Known = json.RawMessage(`{"generation":41,"reset":true,"instances":[` + entry("s1", "SERVING") + `]}`)
+	cfg.KnownList = json.RawMessage(`{"generation":41,"reset":true,"instances":[` + entry("s1", "SERVING") + `]}`)
 	cfg.Membership = config.DefaultMembership()
 	var mu sync.Mutex
 	var said []string
@@ -226,9 +226,9 @@
 		defer mu.Unlock()
 		said = append(said, line)
 	})
-	want := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "b", Kind: "m2", Cell: 3, Weight: 1, Started: time.UnixMicro(1700000000123500)}}
+	want := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "b", Kind: "m2", Cell: 3, Weight: 1, StartedAt: time.UnixMicro(1700000000123500)}}
 	var known tableReply
-	if err := json.Unmarshal(cfg.Known, &known); err != nil {
+	if err := json.Unmarshal(cfg.KnownList, &known); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, members(known.Instances)); diff != "" {
@@ -260,7 +260,7 @@
 	} {
 		select {
 		case got := <-calls:
-			wait := backoff.Wait(1, 0, 0)
+			wait := backoff.LongPollTimeout(1, 0, 0)
 			if slices.Contains([]int{0, 3, 4, 9, 10, 11}, i) { // the first one, or the call before failed
 				wait = time.Millisecond
 			}
@@ -288,7 +288,7 @@
 // request that may be repeated goes on using kept ones.
 func TestKeptConnectionInDoubt(t *testing.T) {
 	cfg := testConfig()
-	cfg.Module.Classes = append(cfg.Module.Classes, dispatch.Class{Name: "keyed", LatencyTarget: 20 * time.Second, Deadline: 5 * time.Second,
+	cfg.Dispatch.Classes = append(cfg.Dispatch.Classes, dispatch.Class{Name: "keyed", LatencyTarget: 20 * time.Second, Deadline: 5 * time.Second,
 		Value: 1, Semantics: dispatch.Retryable, WorkerKind: -1})
 	b := testBroker(t, cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -323,17 +323,17 @@
 			}()
 		}
 	}()
-	b.List(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
-	lines := NewWorkerConns(config.NewLive(cfg), 16)
+	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: l.Addr().String()}})
+	lines := NewWorkerConns(config.NewInForce(cfg), 16)
 	for i, c := range []struct {
 		class, conn int
 		code        broker.Code
-	}{{0, 0, broker.OK}, {0, 0, broker.Dropped}, {0, 1, broker.OK}, {1, 2, broker.OK}, {1, 2, broker.OK}, {0, 3, broker.OK}} {
+	}{{0, 0, broker.OK}, {0, 0, broker.StaleConnection}, {0, 1, broker.OK}, {1, 2, broker.OK}, {1, 2, broker.OK}, {0, 3, broker.OK}} {
 		s := &JobRequest{cfg: cfg, ID: fmt.Sprint("r", i), method: "POST", uri: "/x", header: http.Header{}, body: []byte("x"),
 			Request: broker.Request{Class: c.class, Slots: 1, Deadline: time.Now().Add(5 * time.Second)}}
 		b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-			o := lines.Do(s)(ctx, a)
-			lines.Settle()
+			o := lines.AttemptFunc(s)(ctx, a)
+			lines.AwaitDrained()
 			if n := <-served; n != c.conn || o.Code != c.code {
 				t.Errorf("session %d: connection %d, code %d, want %d and %d", i, n, o.Code, c.conn, c.code)
 			}
--- a/internal/gateway/httpfront/relayed_test.go
+++ b/internal/gateway/httpfront/relayed_test.go
@@ -57,15 +57,15 @@
 			})
 		}
 		cfg := testConfig()
-		cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-		cfg.Module.DispatcherCount, cfg.Module.MustSubscribe = dispatchers, true
+		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe = dispatchers, true
 		table, b := testTable(t, cfg, func(string) {})
-		table.Share(open{}, func(Told) {})
+		table.EnableSharing(open{}, func(ListUpdate) {})
 		go table.Run(t.Context())
 		list := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "a", Kind: "m1", Weight: 1}}
 		for generation := uint64(2); time.Since(began) < back; generation++ {
 			time.Sleep(20 * time.Millisecond)
-			table.Relayed(min(generation, 8), !silent, list)
+			table.ApplyRelayed(min(generation, 8), !silent, list)
 		}
 		time.Sleep(within)
 		if failed.Load() == 0 || told.Load() == 0 {
--- a/internal/gateway/httpfront/shared.go
+++ b/internal/gateway/httpfront/shared.go
@@ -14,25 +14,25 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// Turns says when discovery may be called: package start's Desk.
-type Turns interface {
+// CallScheduler says when discovery may be called: package start's Desk.
+type CallScheduler interface {
 	// MayCall tells whether now; else what to wait for, and how long at the most. anew: discovery has
 	// to handle the call in turn; alone: no other's word can stand for it.
 	MayCall(anew, alone bool) (ok bool, wait time.Duration, changed <-chan struct{})
 	CallFailed() // a call has brought nothing
 }
 
-// Told is what discovery has told here.
-type Told struct {
+// ListUpdate is what discovery has told here.
+type ListUpdate struct {
 	Generation uint64
-	Afresh     bool // the first word of a discovery that this one was moved to
+	NewSource  bool // the first word of a discovery that this one was moved to
 	Changed    []membership.Worker
-	All        func() []membership.Worker
+	WholeList  func() []membership.Worker
 }
 
-// Share has the table call in turns, and hand on what it is told. Before Run. The list of before
+// EnableSharing has the table call in turns, and hand on what it is told. Before Run. The list of before
 // the start serves until a turn comes: whether the list service is there at all is not known here.
-func (t *Table) Share(turns Turns, share func(Told)) {
+func (t *ServerTable) EnableSharing(turns CallScheduler, share func(ListUpdate)) {
 	t.turns, t.share = turns, share
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,7 +40,7 @@
 }
 
 // turn waits for the turn of the next call; false: ctx has ended.
-func (t *Table) turn(ctx context.Context) bool {
+func (t *ServerTable) turn(ctx context.Context) bool {
 	for t.turns != nil {
 		awaits, failed := t.awaits()
 		alone := t.moved || awaits && !failed // another's word would do for a call that failed
@@ -49,7 +49,7 @@
 			break
 		}
 		t.carry = false // it has waited: whatever comes next is a call anew
-		timer := time.NewTimer(timers.Ahead(wait))
+		timer := time.NewTimer(timers.Positive(wait))
 		select {
 		case <-timer.C:
 		case <-changed:
@@ -66,7 +66,7 @@
 // awaitAsk waits until the module wants to hear from discovery, or ctx ends; false: the broker is closed. A relayed list
 // ends the wait as well: the module takes it for the answer that it waits for, and asks no more. Whether and when the next
 // call is made is then for its turn to say.
-func (t *Table) awaitAsk(ctx context.Context) bool {
+func (t *ServerTable) awaitAsk(ctx context.Context) bool {
 	wait, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
@@ -76,7 +76,7 @@
 		case <-wait.Done():
 		}
 	}()
-	return t.broker.AwaitAsk(wait) == nil || wait.Err() != nil
+	return t.broker.AwaitSubscribe(wait) == nil || wait.Err() != nil
 }
 
 // believeAfter is how long a list service may go on with lists older than the one that the fleet
@@ -85,7 +85,7 @@
 
 // older refuses a whole list that is older than the one held, where the fleet shares one. By
 // itself a dispatcher knows nobody who could have told it a newer one.
-func (t *Table) older(reply *tableReply, known bool) error {
+func (t *ServerTable) older(reply *tableReply, known bool) error {
 	at, _ := t.place()
 	if t.turns == nil || !known || *reply.Generation >= at {
 		t.olderSince = time.Time{}
@@ -101,26 +101,26 @@
 		t.taking.Unlock()
 		return nil
 	}
-	return &OlderError{Generation: *reply.Generation, Has: at}
+	return &OutdatedListError{Generation: *reply.Generation, Known: at}
 }
 
 // place is how far the list is known, and whether at all.
-func (t *Table) place() (generation uint64, known bool) {
+func (t *ServerTable) place() (generation uint64, known bool) {
 	t.taking.Lock()
 	defer t.taking.Unlock()
 	return t.generation, t.known
 }
 
 // all is every worker as last told. The caller holds taking.
-func (t *Table) all() []membership.Worker {
+func (t *ServerTable) all() []membership.Worker {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return members(t.latest.Instances)
 }
 
-// Relayed takes in what another dispatcher was told; false where it is older than what this one
+// ApplyRelayed takes in what another dispatcher was told; false where it is older than what this one
 // knows, or this one has been moved and waits for its own word.
-func (t *Table) Relayed(generation uint64, whole bool, list []membership.Worker) bool {
+func (t *ServerTable) ApplyRelayed(generation uint64, whole bool, list []membership.Worker) bool {
 	t.taking.Lock()
 	defer t.taking.Unlock()
 	if t.moved || t.known && generation < t.generation {
@@ -147,15 +147,15 @@
 	if whole { // whatever a silent call missed here, the one that reads for all was told
 		t.mu.Lock()
 		if t.stale.end() {
-			t.broker.ListStale(false)
+			t.broker.SetListStale(false)
 		}
 		t.mu.Unlock()
 	}
 	return true
 }
 
-// Serves says by what list the dispatcher serves, and how old that may be.
-func (t *Table) Serves() string {
+// DescribeList says by what list the dispatcher serves, and how old that may be.
+func (t *ServerTable) DescribeList() string {
 	t.taking.Lock()
 	by, since := t.by, t.since
 	t.taking.Unlock()
@@ -168,12 +168,12 @@
 // entryOf words a worker as discovery does.
 func entryOf(w membership.Worker) tableEntry {
 	e := tableEntry{InstanceID: w.ID, HostPort: w.Addr, Zone: w.Zone, MachineType: w.Kind, Cell: w.Cell, Weight: w.Weight, Priority: w.Priority,
-		Lifecycle: map[membership.State]string{membership.Serving: "SERVING", membership.Gone: "DELETED"}[w.State]}
+		Lifecycle: map[membership.State]string{membership.Serving: "SERVING", membership.Removed: "DELETED"}[w.State]}
 	if e.Lifecycle == "" {
 		e.Lifecycle = "DRAINING"
 	}
-	if !w.Started.IsZero() {
-		e.StartedAtMs = float64(w.Started.UnixMicro()) / 1000
+	if !w.StartedAt.IsZero() {
+		e.StartedAtMs = float64(w.StartedAt.UnixMicro()) / 1000
 	}
 	return e
 }
--- a/internal/gateway/httpfront/staleness.go
+++ b/internal/gateway/httpfront/staleness.go
@@ -90,10 +90,10 @@
 
 // grace is how long past its moment a word that is missing may still be without effect: half of
 // what the settings allow after a drain is told.
-func (t *Table) grace() time.Duration { return t.live.Get().Module.DrainGrace / 2 }
+func (t *ServerTable) grace() time.Duration { return t.live.Get().Dispatch.DrainGrace / 2 }
 
 // missed notes that a call was silent: what it missed is due at that moment.
-func (t *Table) missed(at time.Time) {
+func (t *ServerTable) missed(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.called()
@@ -104,9 +104,9 @@
 // changed while this process was not there counts as told 6 s after it was made, and how long
 // that is ago is not known. A call that fails shows that discovery can't be reached, and the list
 // serves on. Where lists are pushed the agent's counts as told from the first moment.
-func (t *Table) start() {
+func (t *ServerTable) start() {
 	cfg := t.live.Get()
-	if cfg.Discovery == "" || cfg.KnownIsFresh {
+	if cfg.Discovery == "" || cfg.KnownListInherited {
 		return
 	}
 	cause := justStarted
@@ -114,20 +114,20 @@
 		cause = listMoved
 	}
 	t.stale.await(time.Now(), 0, cause, t.expire)
-	t.broker.ListStale(true)
+	t.broker.SetListStale(true)
 }
 
 // called ends the wait for the first call's end. The caller holds mu.
-func (t *Table) called() {
+func (t *ServerTable) called() {
 	if !t.stale.at.IsZero() && t.stale.cause == justStarted {
 		t.stale.end()
-		t.broker.ListStale(false)
+		t.broker.SetListStale(false)
 	}
 }
 
-// Started tells that the first call has ended, and so that the list held may be served by, or that
+// Ready tells that the first call has ended, and so that the list held may be served by, or that
 // none is needed.
-func (t *Table) Started() bool {
+func (t *ServerTable) Ready() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stale.at.IsZero() || t.stale.cause != justStarted
@@ -135,23 +135,23 @@
 
 // expire ends the use of a list that counts as out of date. At a start no word is missing yet: nothing is logged then,
 // whether this runs before or after the start itself has ended the list's use.
-func (t *Table) expire() {
+func (t *ServerTable) expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.stale.over() && t.broker.ListStale(true) && t.stale.cause != justStarted {
+	if t.stale.over() && t.broker.SetListStale(true) && t.stale.cause != justStarted {
 		t.log(fmt.Sprintf("server table: no word from discovery at %s though it counts as told; nothing new is sent until it comes", t.now.addr))
 	}
 }
 
 // failing notes how a call failed, that began at a moment and named a wait.
-func (t *Table) failing(err error, began time.Time, wait time.Duration) {
-	var silent *SilentError
+func (t *ServerTable) failing(err error, began time.Time, wait time.Duration) {
+	var silent *CallTimeoutError
 	isSilent := errors.As(err, &silent)
 	t.mu.Lock()
 	t.called()
 	t.stale.nobody = errors.Is(err, syscall.ECONNREFUSED) || t.pushed() && isSilent
 	if t.stale.nobody && t.stale.cause != callSilent {
-		t.broker.ListStale(false) // at a start nothing is sent until somebody is heard, or nobody there
+		t.broker.SetListStale(false) // at a start nothing is sent until somebody is heard, or nobody there
 	}
 	if !isSilent && !t.pushed() {
 		t.unanswered(began, wait)
@@ -163,7 +163,7 @@
 // unanswered has the word that a failed call did not bring be due. Discovery was not there for it
 // (down, or past its capacity), so a change counts from the call's beginning on at the soonest;
 // a watch that named a wait was open until it failed. The caller holds mu.
-func (t *Table) unanswered(began time.Time, wait time.Duration) {
+func (t *ServerTable) unanswered(began time.Time, wait time.Duration) {
 	at := began.Add(max(failedDue, wait+waitDue))
 	if latest := time.Now().Add(failedDue); latest.Before(at) {
 		at = latest
@@ -173,40 +173,40 @@
 		t.stale.await(at, t.grace(), callFailed, t.expire)
 	case t.stale.cause == callFailed && began.Before(t.stale.at), t.stale.cause != callSilent && t.stale.nobody:
 		t.stale.extend(at)
-		t.broker.ListStale(false)
+		t.broker.SetListStale(false)
 	}
 }
 
 // outage takes discovery to be down: all calls since its last word have failed, with long pauses
 // between the last of them. Nothing is told by anybody then, and the list held serves on. What
 // changes after its return is told by the next call, which may be later than it counts as told.
-func (t *Table) outage() {
+func (t *ServerTable) outage() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stale.cause == callFailed && t.stale.end() {
-		t.broker.ListStale(false)
+		t.broker.SetListStale(false)
 	}
 }
 
 // told ends what expire began, and the wait for it. The list of on, a word whole and
 // handed on, is the one that was waited for unless discovery has moved again since.
-func (t *Table) told(on *source) {
+func (t *ServerTable) told(on *source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.now == on && t.stale.end() {
-		t.broker.ListStale(false)
+		t.broker.SetListStale(false)
 	}
 }
 
 // awaits tells that a word is, and whether it is for failed calls alone.
-func (t *Table) awaits() (yes, failed bool) {
+func (t *ServerTable) awaits() (yes, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.stale.at.IsZero(), t.stale.cause == callFailed
 }
 
 // left is the time until the word that is awaited is due; 0: none is, or it is over.
-func (t *Table) left() time.Duration {
+func (t *ServerTable) left() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stale.at.IsZero() {
--- a/internal/gateway/httpfront/staleness_test.go
+++ b/internal/gateway/httpfront/staleness_test.go
@@ -19,15 +19,15 @@
 	table.stale.end()
 	table.stale.await(time.Now().Add(-time.Second), time.Hour, justStarted, func() {})
 	table.mu.Unlock()
-	b.ListStale(false)
+	b.SetListStale(false)
 	table.expire()
 	if len(said) > 0 {
 		t.Errorf("logged %q", said)
 	}
-	if b.ListStale(true) {
+	if b.SetListStale(true) {
 		t.Error("the list of before the start is still in use")
 	}
-	b.ListStale(false)
+	b.SetListStale(false)
 	table.mu.Lock()
 	table.stale.cause = callSilent
 	table.mu.Unlock()
--- a/internal/gateway/httpfront/table.go
+++ b/internal/gateway/httpfront/table.go
@@ -21,9 +21,9 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// Table follows discovery.
-type Table struct {
-	live   *config.Live
+// ServerTable follows discovery.
+type ServerTable struct {
+	live   *config.InForce
 	broker *broker.Broker
 	tell   func(dispatch.ListForm, []membership.Worker)
 	log    func(string)
@@ -32,8 +32,8 @@
 	taking     sync.Mutex // held while a word is taken in: lists reach the module in one order
 	generation uint64     // under taking, as known
 	known      bool
-	turns      Turns
-	share      func(Told)
+	turns      CallScheduler
+	share      func(ListUpdate)
 	by         string        // what the list is that is served by: told, relayed, kept; under taking
 	since      time.Time     // and when it was last said
 	olderSince time.Time     // lists came that are older than the one held; zero: none did; Run's alone
@@ -80,14 +80,14 @@
 	return s
 }
 
-// Follow goes over to another address, or begins anew at the same one. The list
+// SwitchSource goes over to another address, or begins anew at the same one. The list
 // held so far stays in use until the new source has told its own, but not past
 // moveDue: from then on a worker that drains counts as told of, and which ones do is
 // not known, so nothing new goes to any until the word is there. Where nobody listens
 // (a wrong address, or discovery is down) there is no word to be missed, and the old list
 // goes on serving. Requests and what was learned of workers stay whatever it tells. A
 // further move while a word is awaited does not put off when it is due.
-func (t *Table) Follow(addr string) {
+func (t *ServerTable) SwitchSource(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.now.end()
@@ -97,7 +97,7 @@
 	t.stale.await(time.Now().Add(moveDue), 0, listMoved, t.expire)
 }
 
-func (t *Table) source() *source {
+func (t *ServerTable) source() *source {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.now
@@ -121,22 +121,22 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// NewTable makes the table and tells the list last known. The broker says when to
+// NewServerTable makes the table and tells the list last known. The broker says when to
 // ask; tell takes what the roster says, in the form in which it said it.
-func NewTable(live *config.Live, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*Table, error) {
+func NewServerTable(live *config.InForce, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*ServerTable, error) {
 	cfg := live.Get()
-	t := &Table{live: live, broker: b, tell: tell, log: log, by: "kept", draw: rand.Float64, now: newSource(cfg.Discovery), heard: make(chan struct{}),
+	t := &ServerTable{live: live, broker: b, tell: tell, log: log, by: "kept", draw: rand.Float64, now: newSource(cfg.Discovery), heard: make(chan struct{}),
 		followed: make(chan struct{}, 1)}
 	var known tableReply
-	if len(cfg.Known) > 0 {
-		if err := json.Unmarshal(cfg.Known, &known); err != nil {
-			return nil, &KnownError{err}
+	if len(cfg.KnownList) > 0 {
+		if err := json.Unmarshal(cfg.KnownList, &known); err != nil {
+			return nil, &KnownListError{err}
 		}
 	}
 	if known.Generation != nil {
 		t.generation, t.known = *known.Generation, true
 	}
-	b.NamedBy(func(worker string) bool { _, ok := t.named.Load(worker); return ok })
+	b.SetListedByDiscovery(func(worker string) bool { _, ok := t.named.Load(worker); return ok })
 	t.note(known, true)
 	t.tell(dispatch.ListCached, members(known.Instances))
 	t.start()
@@ -144,7 +144,7 @@
 }
 
 // note keeps the whole list up to date.
-func (t *Table) note(reply tableReply, full bool) {
+func (t *ServerTable) note(reply tableReply, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
@@ -161,22 +161,22 @@
 }
 
 // size is how many loan workers are known.
-func (t *Table) size() int {
+func (t *ServerTable) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.latest.Instances)
 }
 
-// State is the whole list as last told, in the form of the configuration's known.
-func (t *Table) State() []byte {
+// Snapshot is the whole list as last told, in the form of the configuration's known.
+func (t *ServerTable) Snapshot() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	text, _ := json.Marshal(t.latest)
 	return text
 }
 
-// Heard is closed once discovery has told the list.
-func (t *Table) Heard() <-chan struct{} { return t.heard }
+// Synced is closed once discovery has told the list.
+func (t *ServerTable) Synced() <-chan struct{} { return t.heard }
 
 // members words entries of the roster as what a source says.
 func members(in []tableEntry) []membership.Worker {
@@ -191,12 +191,12 @@
 		case "SERVING":
 			w.State = membership.Serving
 		case "DELETED":
-			w.State = membership.Gone
+			w.State = membership.Removed
 		default:
 			w.State = membership.Draining // an unknown state is not one to send to
 		}
 		if e.StartedAtMs > 0 {
-			w.Started = time.UnixMicro(int64(e.StartedAtMs * 1000))
+			w.StartedAt = time.UnixMicro(int64(e.StartedAtMs * 1000))
 		}
 		out = append(out, w)
 	}
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -40,24 +40,24 @@
 
 // pushed tells that lists come unprompted: discovery's word is that of an agent close by, which
 // none need be spared, and what it holds counts as told whether a watch is open or not.
-func (t *Table) pushed() bool { return !t.live.Get().Module.MustSubscribe }
+func (t *ServerTable) pushed() bool { return !t.live.Get().Dispatch.MustSubscribe }
 
-func (t *Table) dispatchers() int { return t.live.Get().Module.DispatcherCount }
+func (t *ServerTable) dispatchers() int { return t.live.Get().Dispatch.DispatcherCount }
 
 // first is the pause before the first call at a place.
-func (t *Table) first() time.Duration {
+func (t *ServerTable) first() time.Duration {
 	if t.pushed() {
 		return 0
 	}
 	if left := t.left(); left > 0 {
-		return backoff.Due(t.dispatchers(), left, t.seen, t.draw())
+		return backoff.BeforeFirstCallWithin(t.dispatchers(), left, t.seen, t.draw())
 	}
-	return backoff.First(t.dispatchers(), t.draw())
+	return backoff.BeforeFirstCall(t.dispatchers(), t.draw())
 }
 
 // Run follows discovery until ctx ends. A watch goes on for as long as the next
 // call comes within 200 ms of the last answer, so the next one is made at once.
-func (t *Table) Run(ctx context.Context) {
+func (t *ServerTable) Run(ctx context.Context) {
 	on := t.source()
 	context.AfterFunc(ctx, func() { t.source().end() })
 	next := time.Now().Add(t.first()) // the earliest moment of the next call
@@ -80,7 +80,7 @@
 			}
 		}
 		select {
-		case <-time.After(timers.Ahead(time.Until(next))):
+		case <-time.After(timers.Positive(time.Until(next))):
 		case <-on.ctx.Done():
 			ask = false
 			continue
@@ -112,7 +112,7 @@
 }
 
 // take hands on what a call has brought.
-func (t *Table) take(on *source, reply *tableReply) {
+func (t *ServerTable) take(on *source, reply *tableReply) {
 	t.taking.Lock()
 	defer t.taking.Unlock()
 	form := dispatch.ListDelta
@@ -138,37 +138,37 @@
 	t.by, t.since, t.carry = "told", time.Now(), true
 	t.told(on)
 	if t.share != nil {
-		t.share(Told{Generation: t.generation, Afresh: t.moved, Changed: members(reply.Instances), All: t.all})
+		t.share(ListUpdate{Generation: t.generation, NewSource: t.moved, Changed: members(reply.Instances), WholeList: t.all})
 	}
 	t.moved = false
 }
 
 // lost takes in a call that brought nothing, made at a moment. It tells whether the module is to
 // say when to ask again, and the pause before that at the least.
-func (t *Table) lost(err error, began time.Time) (ask bool, pause time.Duration) {
+func (t *ServerTable) lost(err error, began time.Time) (ask bool, pause time.Duration) {
 	if t.failed+t.silent == 0 { // once, not once a call: an outage makes many
 		t.log(fmt.Sprintf("server table: %s; going on with %d loan workers known", fault.Text(err), t.size()))
 	}
-	silent, isSilent := err.(*SilentError)
+	silent, isSilent := err.(*CallTimeoutError)
 	if t.carry = false; t.turns != nil {
 		t.turns.CallFailed()
 	}
 	if isSilent && !t.pushed() {
 		// An agent close by is silent while discovery is down, and learns nothing then: where a
 		// new call hears nothing either, there is nothing to be missed.
-		t.missed(silent.Due)
+		t.missed(silent.ChangesDue)
 	}
 	t.failing(err, began, t.waited)
 	switch {
 	case t.pushed():
 		t.failed++
 		return false, time.Duration((0.5 + t.draw()) * float64(soonAgain))
-	case isSilent && !silent.Reached:
+	case isSilent && !silent.Connected:
 		t.silent++ // nothing has come to the service that would have to be spared
 		return false, time.Duration((0.5 + t.draw()) * float64(time.Second))
 	case isSilent && silent.Watch:
 		t.silent++ // broken, and begun anew: the module has no part in it
-		return false, backoff.Anew(t.dispatchers(), t.left(), t.draw())
+		return false, backoff.BeforeReplacingWatch(t.dispatchers(), t.left(), t.draw())
 	}
 	select {
 	case <-t.followed: // what was relayed before says nothing of this failure
@@ -178,24 +178,24 @@
 	if t.waited <= listWait { // a watch was open until it failed
 		t.failTime = time.Since(began)
 	}
-	t.strain = min(t.strain+1, backoff.MostStrain)
+	t.strain = min(t.strain+1, backoff.MaxStrain)
 	t.tell(dispatch.ListFailed, nil)
 	left := t.left()
-	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.Hurries(t.dispatchers(), t.hurried+1) {
+	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.hurried+1) {
 		t.hurried++
-		return false, backoff.Again(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
+		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
 	}
 	if t.failed > t.hurried+1 {
 		t.outage()
 	}
 	// Beside the module's own pause, which ends with its asking again.
-	return true, backoff.AfterFailure(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
+	return true, backoff.BeforeRetry(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
 }
 
 // patience is the wait that the next call names, and how long it is given in all.
-func (t *Table) patience(known bool) (wait, limit time.Duration) {
+func (t *ServerTable) patience(known bool) (wait, limit time.Duration) {
 	switch {
-	case !known && t.dispatchers() > backoff.Few && !t.pushed():
+	case !known && t.dispatchers() > backoff.FewDispatchers && !t.pushed():
 		// A queue at discovery is likelier than a call lost without a sign, and one given
 		// up has taken its turn all the same.
 		return 0, max(listWait, t.left())
@@ -204,17 +204,17 @@
 	}
 	awaits, failed := t.awaits()
 	switch {
-	case !t.Started(), awaits && failed: // what there is to tell is wanted now
+	case !t.Ready(), awaits && failed: // what there is to tell is wanted now
 		return time.Millisecond, soundWait
 	case awaits || t.turns != nil && !t.carry:
 		return time.Millisecond, listWait
 	}
-	wait = backoff.Wait(t.dispatchers(), t.strain, t.draw())
+	wait = backoff.LongPollTimeout(t.dispatchers(), t.strain, t.draw())
 	return wait, wait + watchSlack
 }
 
-// call makes one call. An error is a ListError or, where no sign came, a SilentError.
-func (t *Table) call(on *source) (*tableReply, error) {
+// call makes one call. An error is a ListError or, where no sign came, a CallTimeoutError.
+func (t *ServerTable) call(on *source) (*tableReply, error) {
 	at, known := t.place()
 	wait, limit := t.patience(known)
 	t.waited = wait
@@ -234,8 +234,8 @@
 	case err == nil:
 		return reply, nil
 	case ctx.Err() == context.DeadlineExceeded, unreached(err):
-		return nil, &SilentError{Addr: on.addr, Waited: time.Since(began).Round(time.Millisecond),
-			Due: began.Add(max(wait+waitDue, silentDue)), Reached: !unreached(err), Watch: wait > listWait}
+		return nil, &CallTimeoutError{Addr: on.addr, Waited: time.Since(began).Round(time.Millisecond),
+			ChangesDue: began.Add(max(wait+waitDue, silentDue)), Connected: !unreached(err), Watch: wait > listWait}
 	}
 	return nil, &ListError{on.addr, err}
 }
@@ -251,23 +251,23 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, &AnswerError{Status: resp.StatusCode}
+		return nil, &BadResponseError{Status: resp.StatusCode}
 	}
 	return io.ReadAll(io.LimitReader(resp.Body, maxList))
 }
 
-func (t *Table) parse(text []byte, known bool) (*tableReply, error) {
+func (t *ServerTable) parse(text []byte, known bool) (*tableReply, error) {
 	var reply tableReply
 	if err := json.Unmarshal(text, &reply); err != nil {
-		return nil, &AnswerError{http.StatusOK, err.Error()}
+		return nil, &BadResponseError{http.StatusOK, err.Error()}
 	}
 	if reply.Generation == nil {
-		return nil, &AnswerError{http.StatusOK, "it has no generation"}
+		return nil, &BadResponseError{http.StatusOK, "it has no generation"}
 	}
 	// Workers go one by one, by entries that say so. A whole list of nobody is a fault of
 	// the one who made it, and taken at its word it would end all service.
 	if (reply.Reset || !known) && len(reply.Instances) == 0 && t.size() > 0 {
-		return nil, &AnswerError{http.StatusOK, "a whole list that names nobody"}
+		return nil, &BadResponseError{http.StatusOK, "a whole list that names nobody"}
 	}
 	return &reply, t.older(&reply, known)
 }
--- a/internal/gateway/httpfront/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -77,18 +77,18 @@
 
 // follow runs so many tables at one discovery in virtual time, and shows each to look every 50 ms
 // from its start on.
-func follow(t *testing.T, tables int, pushed bool, d *quiet, for_ time.Duration, look func(i int, at time.Duration, table *Table, b *broker.Broker)) {
+func follow(t *testing.T, tables int, pushed bool, d *quiet, for_ time.Duration, look func(i int, at time.Duration, table *ServerTable, b *broker.Broker)) {
 	defer func(f func() http.RoundTripper) { discoveryTransport = f }(discoveryTransport)
 	synctest.Test(t, func(t *testing.T) {
 		discoveryTransport = func() http.RoundTripper { return d }
 		d.began = time.Now()
 		cfg := testConfig()
-		cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-		cfg.Module.DispatcherCount, cfg.Module.MustSubscribe, cfg.Module.DrainGrace = tables, !pushed, 500*time.Millisecond
+		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe, cfg.Dispatch.DrainGrace = tables, !pushed, 500*time.Millisecond
 		var wg sync.WaitGroup
 		for i := range tables {
 			own := *cfg
-			own.Module.DispatcherIndex = i
+			own.Dispatch.DispatcherIndex = i
 			table, b := testTable(t, &own, func(string) {})
 			table.draw = rand.New(rand.NewPCG(9, uint64(i))).Float64
 			go table.Run(t.Context())
@@ -115,7 +115,7 @@
 		discovery := &quiet{fall: d.fall, until: d.until, cost: d.cost, busy: d.busy, text: d.text}
 		var mu sync.Mutex
 		late, blind := map[int]bool{}, 0
-		follow(t, n, false, discovery, play, func(i int, at time.Duration, table *Table, b *broker.Broker) {
+		follow(t, n, false, discovery, play, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
 			table.mu.Lock()
@@ -162,7 +162,7 @@
 		d := &quiet{until: 2 * time.Minute, busy: 2 * time.Second, text: oneWorker}
 		var mu sync.Mutex
 		blind := make([]int, n)
-		follow(t, n, false, d, 100*time.Second, func(i int, at time.Duration, _ *Table, b *broker.Broker) {
+		follow(t, n, false, d, 100*time.Second, func(i int, at time.Duration, _ *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
 			if b.Stats().Ready == 0 {
@@ -189,13 +189,13 @@
 		d.cost, d.text = 10*time.Millisecond, oneWorker
 		var mu sync.Mutex
 		starts := map[int]time.Duration{}
-		follow(t, 300, false, d, 8*time.Second, func(i int, at time.Duration, table *Table, b *broker.Broker) {
+		follow(t, 300, false, d, 8*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
-			started, ready := table.Started(), b.Stats().Ready
+			started, ready := table.Ready(), b.Stats().Ready
 			heard := false
 			select {
-			case <-table.Heard():
+			case <-table.Synced():
 				heard = true
 			default:
 			}
@@ -219,7 +219,7 @@
 // then on nothing new is sent, until its word is there.
 func TestALongSilenceEndsTheUseOfTheList(t *testing.T) {
 	d := &quiet{fall: 2 * time.Second, until: 22 * time.Second, text: oneWorker}
-	follow(t, 1, false, d, 30*time.Second, func(_ int, at time.Duration, _ *Table, b *broker.Broker) {
+	follow(t, 1, false, d, 30*time.Second, func(_ int, at time.Duration, _ *ServerTable, b *broker.Broker) {
 		ready := b.Stats().Ready
 		if at > 2*time.Second+6550*time.Millisecond && at < d.until && ready != 0 || at > 0 && at < 5*time.Second && ready != 1 || at > 26*time.Second && ready != 1 {
 			t.Errorf("at %v: %d workers may be sent to", at, ready)
@@ -232,7 +232,7 @@
 // all once: the module says when to ask only where it has to.
 func TestAPushedListIsFollowedFromTheStart(t *testing.T) {
 	d := &quiet{fall: 10 * time.Second, until: 14 * time.Second, refuse: true, text: strings.ReplaceAll(oneWorker, `"generation":1`, `"generation":2`)}
-	follow(t, 300, true, d, 16*time.Second, func(i int, at time.Duration, table *Table, b *broker.Broker) {
+	follow(t, 300, true, d, 16*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 		if at == 0 && b.Stats().Ready != 0 {
 			t.Errorf("dispatcher %d sends by the kept list", i)
 		}
@@ -246,9 +246,9 @@
 			d.until, d.refuse = 3*time.Second, false
 		}
 		back := time.Duration(0)
-		follow(t, 1, true, d, 8*time.Second, func(_ int, at time.Duration, table *Table, b *broker.Broker) {
+		follow(t, 1, true, d, 8*time.Second, func(_ int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			select {
-			case <-table.Heard():
+			case <-table.Synced():
 				if back == 0 {
 					back = at
 				}
@@ -273,7 +273,7 @@
 // that are asked for, 288 dispatchers refused half of all requests from 5 to 10 s of a herd day.
 func TestASilentAgentOfAPushedListStopsNobody(t *testing.T) {
 	d := &quiet{fall: 3 * time.Second, until: 11 * time.Second, text: oneWorker}
-	follow(t, 300, true, d, 14*time.Second, func(i int, at time.Duration, table *Table, b *broker.Broker) {
+	follow(t, 300, true, d, 14*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 		if ready := b.Stats().Ready; at > 100*time.Millisecond && ready != 1 {
 			t.Errorf("dispatcher %d at %v: %d workers may be sent to", i, at, ready)
 		}
@@ -282,7 +282,7 @@
 
 // Each way that a call can fail says what an operator can do.
 func TestListFaultsAdvise(t *testing.T) {
-	for _, err := range []error{&ListError{"d:1", syscall.ECONNREFUSED}, &ListError{"d:1", &AnswerError{503, ""}}, &AnswerError{200, "x"}, &SilentError{Addr: "d:1"}, &KnownError{io.EOF}, &OlderError{1, 2}} {
+	for _, err := range []error{&ListError{"d:1", syscall.ECONNREFUSED}, &ListError{"d:1", &BadResponseError{503, ""}}, &BadResponseError{200, "x"}, &CallTimeoutError{Addr: "d:1"}, &KnownListError{io.EOF}, &OutdatedListError{1, 2}} {
 		var f interface {
 			Advice() string
 			Code() string
@@ -316,8 +316,8 @@
 		if _, err := table.parse([]byte(oneWorker), true); err != nil {
 			t.Errorf("by itself: %v", err)
 		}
-		table.Share(open{}, func(Told) {})
-		var older *OlderError
+		table.EnableSharing(open{}, func(ListUpdate) {})
+		var older *OutdatedListError
 		for wait := time.Duration(0); wait < believeAfter; wait += 10 * time.Second {
 			if _, err := table.parse([]byte(oneWorker), true); !errors.As(err, &older) {
 				t.Errorf("after %v: %v", wait, err)
@@ -337,21 +337,21 @@
 	cfg.Discovery, cfg.Membership = "d:1", config.DefaultMembership()
 	table, b := testTable(t, cfg, func(string) {})
 	one := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "a", Kind: "m1", Weight: 1}}
-	if !table.Relayed(5, true, one) || b.Stats().Workers != 1 || !strings.HasPrefix(table.Serves(), "relayed") {
+	if !table.ApplyRelayed(5, true, one) || b.Stats().Workers != 1 || !strings.HasPrefix(table.DescribeList(), "relayed") {
 		t.Error("the first relayed list is not served by")
 	}
-	if table.Relayed(4, true, nil) || !table.Relayed(6, false, []membership.Worker{{ID: "s1", State: membership.Gone}}) || b.Stats().Ready != 0 {
+	if table.ApplyRelayed(4, true, nil) || !table.ApplyRelayed(6, false, []membership.Worker{{ID: "s1", State: membership.Removed}}) || b.Stats().Ready != 0 {
 		t.Error("an older list is taken in, or a newer change is not")
 	}
 	table.missed(time.Now().Add(-time.Second)) // a call of its own was silent, and what it missed is due
 	for b.Stats().Ready > 0 || !awaits(table) {
 		time.Sleep(time.Millisecond)
 	}
-	if !table.Relayed(6, true, one) || awaits(table) || b.Stats().Ready != 1 {
+	if !table.ApplyRelayed(6, true, one) || awaits(table) || b.Stats().Ready != 1 {
 		t.Error("another was told all that there is, and it waits still for a word of its own")
 	}
 	table.known, table.moved = false, true
-	if table.Relayed(7, true, one) {
+	if table.ApplyRelayed(7, true, one) {
 		t.Error("it was moved, and goes by the list of the place that it has left")
 	}
 }
@@ -362,7 +362,7 @@
 func (open) MayCall(bool, bool) (bool, time.Duration, <-chan struct{}) { return true, 0, nil }
 func (open) CallFailed()                                               {}
 
-func awaits(t *Table) bool {
+func awaits(t *ServerTable) bool {
 	yes, _ := t.awaits()
 	return yes
 }
@@ -371,11 +371,11 @@
 // may drain. Workers that only the other source names serve on.
 func TestAListThatIsOutOfDateBindsBesideOtherSources(t *testing.T) {
 	cfg := testConfig()
-	cfg.Discovery, cfg.Known, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
+	cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
 	table, b := testTable(t, cfg, func(string) {})
 	cfg.SRV = []config.SRV{{Name: "loans"}}
 	table.failing(syscall.ECONNRESET, time.Now(), 0) // the first call has ended, and the list of before serves
-	b.List(dispatch.ListOverride, []broker.Worker{{ID: "by name alone", Addr: "h:2"}})
+	b.UpdateWorkers(dispatch.ListOverride, []broker.Worker{{ID: "by name alone", Addr: "h:2"}})
 	if ready := b.Stats().Ready; ready != 2 {
 		t.Fatalf("%d workers may be sent to, want 2", ready)
 	}
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -21,7 +21,7 @@
 
 // WorkerConns carries dispatches to loan workers.
 type WorkerConns struct {
-	live      *config.Live
+	live      *config.InForce
 	transport *http.Transport
 	once      *http.Transport // a connection for each dispatch, closed after it
 	doubt     atomic.Int64    // Unix nanoseconds up to which kept connections are in doubt
@@ -34,7 +34,7 @@
 }
 
 // NewWorkerConns makes the connections' owner; sockets bounds how many it may hold.
-func NewWorkerConns(live *config.Live, sockets int) *WorkerConns {
+func NewWorkerConns(live *config.InForce, sockets int) *WorkerConns {
 	l := &WorkerConns{live: live, max: sockets, open: map[*workerConn]struct{}{}}
 	l.transport, l.once = l.transports()
 	return l
@@ -50,7 +50,7 @@
 		MaxIdleConnsPerHost: l.max / 4,
 		// A loan worker closes an idle connection at IdleCloseMs at the latest;
 		// what is written to it from then on is lost. Close well before.
-		IdleConnTimeout:        l.live.Get().IdleClose * 3 / 4,
+		IdleConnTimeout:        l.live.Get().IdleTimeout * 3 / 4,
 		MaxResponseHeaderBytes: 64 << 10,
 	}
 	once = kept.Clone()
@@ -58,12 +58,12 @@
 	return kept, once
 }
 
-// Retune takes up the settings in force. Connections kept under the old ones may
+// Reconfigure takes up the settings in force. Connections kept under the old ones may
 // be closed by their loan workers sooner than was known: they are not used again.
-func (l *WorkerConns) Retune() {
+func (l *WorkerConns) Reconfigure() {
 	l.mu.Lock()
 	old := l.transport
-	if old.IdleConnTimeout != l.live.Get().IdleClose*3/4 {
+	if old.IdleConnTimeout != l.live.Get().IdleTimeout*3/4 {
 		l.transport, l.once = l.transports()
 	}
 	changed := old != l.transport
@@ -79,23 +79,23 @@
 func (l *WorkerConns) carrier(s *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Module.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
+	if s.cfg.Dispatch.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
 		return l.once
 	}
 	return l.transport
 }
 
-// CloseIdle closes the connections that carry nothing.
-func (l *WorkerConns) CloseIdle() {
+// CloseIdleConnections closes the connections that carry nothing.
+func (l *WorkerConns) CloseIdleConnections() {
 	l.mu.Lock()
 	t := l.transport
 	l.mu.Unlock()
 	t.CloseIdleConnections()
 }
 
-// Settle waits until answers that have ended are read to their end. Others may end
+// AwaitDrained waits until answers that have ended are read to their end. Others may end
 // meanwhile, which a WaitGroup does not allow.
-func (l *WorkerConns) Settle() {
+func (l *WorkerConns) AwaitDrained() {
 	for {
 		l.mu.Lock()
 		n := l.finishing
@@ -120,7 +120,7 @@
 	l.max = sockets
 	l.mu.Unlock()
 	if less {
-		l.CloseIdle()
+		l.CloseIdleConnections()
 	}
 }
 
@@ -147,10 +147,10 @@
 	release func()
 }
 
-// Part closes the kept connections to a loan worker that was taken out: it is
+// RetireConnections closes the kept connections to a loan worker that was taken out: it is
 // restarted meanwhile, and what is written to one from before may be lost. One
 // that carries a dispatch is closed after it.
-func (l *WorkerConns) Part(addr string) {
+func (l *WorkerConns) RetireConnections(addr string) {
 	l.mu.Lock()
 	var idle []*workerConn
 	for c := range l.open {
@@ -194,7 +194,7 @@
 
 func (l *WorkerConns) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !l.take() {
-		l.CloseIdle()
+		l.CloseIdleConnections()
 		if !l.take() {
 			return nil, errSockets
 		}
--- a/internal/gateway/simwire/wire.go
+++ b/internal/gateway/simwire/wire.go
@@ -11,18 +11,18 @@
 
 // Event codes.
 const (
-	Up             = 1
-	Targets        = 2
-	Ask            = 3
-	HeadReceived   = 4
-	Settled        = 5
-	TimedOutClient = 6
-	Alarm          = 7
-	Pong           = 8
-	PeerData       = 9
-	Exit           = 10
-	HintUpdate     = 11
-	Select         = 12
+	EventUp             = 1
+	EventTargets        = 2
+	EventAsk            = 3
+	EventHeadReceived   = 4
+	EventSettled        = 5
+	EventTimedOutClient = 6
+	EventAlarm          = 7
+	EventPong           = 8
+	EventPeerData       = 9
+	EventExit           = 10
+	EventHintUpdate     = 11
+	EventSelect         = 12
 )
 
 // Action codes.
@@ -63,7 +63,7 @@
 	Settings []byte    // Up
 	Form     uint8     // Targets
 	Entries  []Entry   // Targets
-	Xid      uint64    // Ask, HeadReceived, Settled, HintUpdate, TimedOutClient
+	Xid      uint64    // Ask, EventHeadReceived, Settled, EventHintUpdate, EventTimedOutClient
 	Class    uint16    // Ask
 	Tenant   uint32    // Ask
 	LeftMs   float64   // Ask
@@ -71,17 +71,17 @@
 	Slots    float32   // Ask
 	Memory   float32   // Ask
 	Flags    uint8     // Ask
-	Copy     uint16    // HeadReceived, Settled, HintUpdate
-	Worker   Worker    // HeadReceived, Settled, HintUpdate, Pong
+	Copy     uint16    // EventHeadReceived, Settled, EventHintUpdate
+	Worker   Worker    // EventHeadReceived, Settled, EventHintUpdate, Pong
 	State    uint16    // Settled, Pong
-	Latency  float64   // HeadReceived, Settled, Pong, in milliseconds
+	Latency  float64   // EventHeadReceived, Settled, Pong, in milliseconds
 	Ended    bool      // Settled
 	Load     []float32 // Settled, Pong
-	Topic    uint8     // HintUpdate
-	Value    float32   // HintUpdate
+	Topic    uint8     // EventHintUpdate
+	Value    float32   // EventHintUpdate
 	Tag      uint64    // Alarm
-	Sender   uint16    // PeerData
-	Content  []byte    // PeerData
+	Sender   uint16    // EventPeerData
+	Content  []byte    // EventPeerData
 }
 
 // Bits of Event.Flags.
@@ -105,7 +105,7 @@
 	buf []byte
 }
 
-// NewReader returns a Reader on r.
+// NewRequestReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<20)} }
 
 // Next reads a batch. It returns io.EOF between frames when the input ends.
@@ -213,40 +213,40 @@
 
 func (e *Event) read(f *fields) {
 	switch e.Code {
-	case Select:
+	case EventSelect:
 		e.Instance = f.u32()
-	case Up:
+	case EventUp:
 		e.Seed = f.u64()
 		e.Settings = f.bytes(int(f.u32()))
-	case Targets:
+	case EventTargets:
 		f.u64()
 		e.Form = f.u8()
 		for n := f.u32(); n > 0 && !f.short; n-- {
 			e.Entries = append(e.Entries, Entry{Worker: f.worker(), Zone: f.u16(), Kind: f.u16(), Cell: f.u16(),
 				Status: f.u8(), Capacity: f.f32(), LaunchedMillis: f.f64()})
 		}
-	case Ask:
+	case EventAsk:
 		e.Xid, e.Class, e.Tenant = f.u64(), f.u16(), f.u32()
 		f.u64()
 		e.LeftMs, e.HintMs, e.Slots, e.Memory, e.Flags = f.f64(), f.f64(), f.f32(), f.f32(), f.u8()
-	case HeadReceived:
+	case EventHeadReceived:
 		e.Xid, e.Copy, e.Worker, e.Latency = f.u64(), f.u16(), f.worker(), f.f64()
-	case Settled:
+	case EventSettled:
 		e.Xid, e.Copy, e.Worker, e.State, e.Latency = f.u64(), f.u16(), f.worker(), f.u16(), f.f64()
 		e.Ended = f.u8() != 0
 		f.u8()
 		e.Load = f.load(e.Load)
-	case TimedOutClient:
+	case EventTimedOutClient:
 		e.Xid = f.u64()
-	case Alarm:
+	case EventAlarm:
 		e.Tag = f.u64()
-	case Pong:
+	case EventPong:
 		e.Worker, e.State, e.Latency = f.worker(), f.u16(), f.f64()
 		e.Load = f.load(e.Load)
-	case PeerData:
+	case EventPeerData:
 		e.Sender = f.u16()
 		e.Content = f.bytes(int(f.u16()))
-	case HintUpdate:
+	case EventHintUpdate:
 		e.Xid, e.Copy, e.Worker, e.Topic, e.Value = f.u64(), f.u16(), f.worker(), f.u8(), f.f32()
 	}
 }
--- a/internal/gateway/simwire/wire_test.go
+++ b/internal/gateway/simwire/wire_test.go
@@ -68,12 +68,12 @@
 func TestDecodesRequest(t *testing.T) {
 	ask := unhex(t, `0300 2f000000 c4913a5d0a650200 0000 00000000 640ad2557c3bf091 0000000000006e40
 		0000000000002840 00000040 0000c03f 01`)
-	got, err := events(frame(5, record(Select, []byte{3, 0, 0, 0}), ask))
+	got, err := events(frame(5, record(EventSelect, []byte{3, 0, 0, 0}), ask))
 	if err != nil || len(got) != 2 {
 		t.Fatalf("%v, %v", got, err)
 	}
 	e := got[1]
-	if got[0].Instance != 3 || e.Code != Ask || e.LeftMs != 240 || e.HintMs != 12 || e.Slots != 2 ||
+	if got[0].Instance != 3 || e.Code != EventAsk || e.LeftMs != 240 || e.HintMs != 12 || e.Slots != 2 ||
 		e.Memory != 1.5 || e.Flags != FlagHint {
 		t.Errorf("got %+v", e)
 	}
@@ -102,15 +102,15 @@
 // Unknown event codes are passed over by their length, extra bytes of a known
 // record too.
 func TestPassesOverTheUnknown(t *testing.T) {
-	got, err := events(frame(1, record(999, []byte{1, 2, 3}), record(Alarm, append(make([]byte, 8), 7))))
-	if err != nil || len(got) != 2 || got[1].Code != Alarm {
+	got, err := events(frame(1, record(999, []byte{1, 2, 3}), record(EventAlarm, append(make([]byte, 8), 7))))
+	if err != nil || len(got) != 2 || got[1].Code != EventAlarm {
 		t.Fatalf("%v, %v", got, err)
 	}
 }
 
 func TestRejectsMalformed(t *testing.T) {
-	whole := frame(1, record(Alarm, make([]byte, 8)))
-	long := frame(1, record(Alarm, make([]byte, 8)))
+	whole := frame(1, record(EventAlarm, make([]byte, 8)))
+	long := frame(1, record(EventAlarm, make([]byte, 8)))
 	binary.LittleEndian.PutUint32(long[18:], 900)
 	extra := append(frame(1), 1, 2)
 	binary.LittleEndian.PutUint32(extra[4:], 2)
@@ -118,9 +118,9 @@
 		"half a header":       whole[:9],
 		"half a body":         whole[:len(whole)-3],
 		"record too long":     long,
-		"field truncated":     frame(1, record(Alarm, make([]byte, 7))),
-		"list count lies":     frame(1, record(Targets, append(make([]byte, 9), 255, 255, 255, 255))),
-		"settings cut":        frame(1, record(Up, append(make([]byte, 8), 9, 0, 0, 0, '{'))),
+		"field truncated":     frame(1, record(EventAlarm, make([]byte, 7))),
+		"list count lies":     frame(1, record(EventTargets, append(make([]byte, 9), 255, 255, 255, 255))),
+		"settings cut":        frame(1, record(EventUp, append(make([]byte, 8), 9, 0, 0, 0, '{'))),
 		"bytes after the end": extra,
 		"clock not a number":  frame(math.NaN()),
 	} {
@@ -156,7 +156,7 @@
 	var r Reply
 	r.Reset()
 	body := append([]byte{1, 2, 3, 4, 0xfe, 0xca}, make([]byte, 11)...)
-	got, err := events(frame(0, record(Pong, body)))
+	got, err := events(frame(0, record(EventPong, body)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,8 +167,8 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(frame(1, record(Alarm, make([]byte, 8)), record(Select, make([]byte, 4))))
-	f.Add(frame(1, record(Targets, append(make([]byte, 9), 1, 0, 0, 0))))
+	f.Add(frame(1, record(EventAlarm, make([]byte, 8)), record(EventSelect, make([]byte, 4))))
+	f.Add(frame(1, record(EventTargets, append(make([]byte, 9), 1, 0, 0, 0))))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		got, err := events(in)
 		if err == nil && len(in) > 0 && len(in) < 16 {
--- a/internal/gateway/ssefront/events.go
+++ b/internal/gateway/ssefront/events.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// ErrTooLarge ends a stream with an event over the bound.
-var ErrTooLarge = errors.New("sse: an event is over the bound")
+// ErrEventTooLarge ends a stream with an event over the bound.
+var ErrEventTooLarge = errors.New("sse: an event is over the bound")
 
 // Event is one event of a stream.
 type Event struct {
@@ -95,7 +95,7 @@
 			return nil
 		}
 		if len(s.line) >= left {
-			return ErrTooLarge
+			return ErrEventTooLarge
 		}
 		s.line = append(s.line, c)
 	}
--- a/internal/gateway/ssefront/front.go
+++ b/internal/gateway/ssefront/front.go
@@ -34,14 +34,14 @@
 
 // Front answers clients with event streams.
 type Front struct {
-	live   *config.Live
+	live   *config.InForce
 	broker *broker.Broker
 	lines  *httpfront.WorkerConns
-	reader *httpfront.Reader
+	reader *httpfront.RequestReader
 }
 
 // New makes the front.
-func New(live *config.Live, b *broker.Broker, l *httpfront.WorkerConns, rd *httpfront.Reader) *Front {
+func New(live *config.InForce, b *broker.Broker, l *httpfront.WorkerConns, rd *httpfront.RequestReader) *Front {
 	return &Front{live, b, l, rd}
 }
 
@@ -50,24 +50,24 @@
 	team := r.Header.Get("X-Team")
 	i := slices.IndexFunc(f.live.Get().SSE.Contracts, func(k config.Contract) bool { return k.Team == team })
 	if i < 0 {
-		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Team: no contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Message: "X-Team: no contract"}
 	}
 	k := &f.live.Get().SSE.Contracts[i]
 	if class := r.Header.Get("X-Priority-Class"); slices.Contains(f.live.Get().Classes, class) && !slices.Contains(k.Classes, class) {
-		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Priority-Class: not in the contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Message: "X-Priority-Class: not in the contract"}
 	}
 	switch r.Header.Get("X-Tenant-Id") {
 	case "":
 		r.Header.Set("X-Tenant-Id", k.Tenant)
 	case k.Tenant:
 	default:
-		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Text: "X-Tenant-Id: not in the contract"}
+		return nil, &httpfront.Rejection{Status: http.StatusForbidden, Message: "X-Tenant-Id: not in the contract"}
 	}
 	return k, nil
 }
 
-// Session answers one request; it is the front's handler.
-func (f *Front) Session(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers one request; it is the front's handler.
+func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	k, rejection := f.contract(r)
 	if rejection != nil {
 		rejection.Write(w)
@@ -86,7 +86,7 @@
 	defer gone()
 	st := newStream(w, f.live.Get().SSE, gone)
 	answer := f.broker.Serve(ctx, s.Request, f.do(s, st))
-	if answer.Verdict == broker.Gone {
+	if answer.Kind == broker.AnswerClientGone {
 		st.abandon()
 		return
 	}
@@ -104,25 +104,25 @@
 		Error      string  `json:"error"`
 		RetryAfter float64 `json:"retry_after,omitempty"`
 		Harmless   bool    `json:"retry_harmless"`
-	}{rejection.Status, rejection.Text, rejection.Seconds(), answer.Verdict == broker.Refused})
+	}{rejection.Status, rejection.Message, rejection.RetryAfterSeconds(), answer.Kind == broker.AnswerRejected})
 	st.finish(Event{Type: typeError, Data: string(text)})
 }
 
 // do is the attempt function: one dispatch, its events carried on as progress.
-func (f *Front) do(s *httpfront.JobRequest, st *stream) broker.Do {
+func (f *Front) do(s *httpfront.JobRequest, st *stream) broker.AttemptFunc {
 	return func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		x, o := f.lines.Open(ctx, a, s, "text/event-stream, application/json;q=0.5")
+		x, o := f.lines.StartAttempt(ctx, a, s, "text/event-stream, application/json;q=0.5")
 		if x == nil {
 			return o
 		}
-		load := x.Load([]byte(x.Header.Get("X-Server-Load")))
+		load := x.ParseLoad([]byte(x.Header.Get("X-Server-Load")))
 		if kind, _, _ := mime.ParseMediaType(x.Header.Get("Content-Type")); kind != "text/event-stream" {
 			// A loan worker that knows no events: its lines tell as much.
 			return x.ReadLines(a, s, load, func(state string, line []byte) {
-				st.progress(a.N, Event{Type: state, Data: string(line)})
+				st.progress(a.Number, Event{Type: state, Data: string(line)})
 			})
 		}
-		events := NewScanner(x.Reader, f.live.Get().SSE.MaxEventBytes)
+		events := NewScanner(x.Body, f.live.Get().SSE.MaxEventBytes)
 		for {
 			e, err := events.Next()
 			if err != nil {
@@ -130,25 +130,25 @@
 			}
 			switch e.Type {
 			case "load":
-				if report := x.Load([]byte(e.Data)); report != nil {
+				if report := x.ParseLoad([]byte(e.Data)); report != nil {
 					load = report
 				}
 				continue
 			case "done":
-				x.Finish()
+				x.DrainAndReuse()
 				return broker.Outcome{Code: broker.OK, Result: []byte(e.Data), Load: load}
 			case "failed":
 				o = broker.Outcome{Code: broker.Failed, Load: load}
 			case "returned":
-				o = broker.Outcome{Code: broker.Full, Load: load}
+				o = broker.Outcome{Code: broker.Rejected, Load: load}
 			case "lost":
-				o = broker.Outcome{Code: broker.Broken, Load: load}
+				o = broker.Outcome{Code: broker.ConnectionLost, Load: load}
 			default:
 				f.progress(a, e)
-				st.progress(a.N, e)
+				st.progress(a.Number, e)
 				continue
 			}
-			x.Finish()
+			x.DrainAndReuse()
 			return o
 		}
 	}
@@ -158,11 +158,11 @@
 func (f *Front) progress(a *broker.Attempt, e Event) {
 	switch e.Type {
 	case "started":
-		a.Started()
+		a.ReportStarted()
 	case "progress", "running":
 		var in struct{ Share float64 }
 		if json.Unmarshal([]byte(e.Data), &in) == nil {
-			a.Progress(in.Share)
+			a.ReportProgress(in.Share)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 	}
 	st.count++
 	e.ID = strconv.Itoa(st.count)
-	if len(st.queue) >= st.cfg.Buffer {
+	if len(st.queue) >= st.cfg.BufferEvents {
 		st.queue = slices.Delete(st.queue, 0, 1)
 	}
 	st.queue = append(st.queue, e)
@@ -240,7 +240,7 @@
 // finish sends the one final event and waits until it is out.
 func (st *stream) finish(e Event) {
 	st.mu.Lock()
-	if !invariant.Hold(!st.final, "a second final event") {
+	if !invariant.Check(!st.final, "a second final event") {
 		st.mu.Unlock()
 		return
 	}
--- a/internal/gateway/ssefront/sse_test.go
+++ b/internal/gateway/ssefront/sse_test.go
@@ -50,8 +50,8 @@
 			[]Event{{"", "7", "1"}, {"", "7", "2"}, {"", "7", "3"}, {"", "", "4"}}, io.EOF},
 		{"byte order mark, once", "\xef\xbb\xbfdata: 1\n\n\xef\xbb\xbfdata: 2\n\n", []Event{{"", "", "1"}}, io.EOF},
 		{"cut before the blank line", "data: 1\n\nevent: done\ndata: x\n", []Event{{"", "", "1"}}, io.EOF},
-		{"bound on one line", "data: " + strings.Repeat("x", 60) + "\n\n", nil, ErrTooLarge},
-		{"bound on many", strings.Repeat("data: xxxx\n", 7) + "\n", nil, ErrTooLarge},
+		{"bound on one line", "data: " + strings.Repeat("x", 60) + "\n\n", nil, ErrEventTooLarge},
+		{"bound on many", strings.Repeat("data: xxxx\n", 7) + "\n", nil, ErrEventTooLarge},
 		{"bound is for one event", strings.Repeat("data: "+strings.Repeat("x", 40)+"\n\n", 2) + strings.Repeat(": c\n", 40),
 			[]Event{{"", "", strings.Repeat("x", 40)}, {"", "", strings.Repeat("x", 40)}}, io.EOF},
 	} {
@@ -106,7 +106,7 @@
 }
 
 func streamConfig() config.SSE {
-	return config.SSE{Buffer: 4, WriteTimeout: config.Duration{Duration: 200 * time.Millisecond},
+	return config.SSE{BufferEvents: 4, WriteTimeout: config.Duration{Duration: 200 * time.Millisecond},
 		Heartbeat: config.Duration{Duration: 20 * time.Millisecond}}
 }
 
--- a/internal/gateway/workflowsteps/claim.go
+++ b/internal/gateway/workflowsteps/claim.go
@@ -58,7 +58,7 @@
 // nextClaim returns the next request for steps, false where none is to be made now.
 func (r *Runner) nextClaim() (request claimRequest, ok bool) {
 	stats := r.broker.Stats()
-	anyServing, servingPools := r.broker.Serving()
+	anyServing, servingPools := r.broker.ReadyPools()
 	_, _, admits := r.config.AdmissionGate()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/workflowsteps/drain.go
+++ b/internal/gateway/workflowsteps/drain.go
@@ -22,7 +22,7 @@
 // WaitUntilIdle waits until all claimed steps have ended and their ends are reported, or until a moment. What is left
 // then is logged.
 func (r *Runner) WaitUntilIdle(until time.Time) {
-	timeout := time.NewTimer(timers.Ahead(time.Until(until)))
+	timeout := time.NewTimer(timers.Positive(time.Until(until)))
 	defer timeout.Stop()
 	for {
 		r.mu.Lock()
--- a/internal/gateway/workflowsteps/runner.go
+++ b/internal/gateway/workflowsteps/runner.go
@@ -35,10 +35,10 @@
 	Dispatcher      string
 	Incarnation     uint64
 	CallCoordinator func(ctx context.Context, c statemachine.Command) (statemachine.Result, error) // one call to one coordinator; bounded in time by itself
-	AdmissionGate   httpfront.Gate                                                                 // whether new work is admitted now, and under which policy
+	AdmissionGate   httpfront.AdmissionGate                                                        // whether new work is admitted now, and under which policy
 	Now             func() time.Duration                                                           // the monotonic clock that leases are counted by
 	Log             func(line string)
-	Settings        *config.Live
+	Settings        *config.InForce
 	Workers         *httpfront.WorkerConns
 }
 
@@ -91,7 +91,7 @@
 	r.mu.Lock()
 	r.hasWorkflows, r.pools = hasWorkflows, pools
 	r.mu.Unlock()
-	r.broker.Pools(pools)
+	r.broker.SetPools(pools)
 	signal(r.claimSignal)
 }
 
@@ -103,7 +103,7 @@
 	if r.claimant.Renew(asked, r.config.Now(), duration, generation) {
 		r.cancelRevoked()
 	}
-	r.leaseTimer.Reset(timers.Ahead(r.claimant.LeaseExpiry() - r.config.Now()))
+	r.leaseTimer.Reset(timers.Positive(r.claimant.LeaseExpiry() - r.config.Now()))
 	r.stepsReady = r.stepsReady || stepsReady
 	if stepsReady || r.claimant.NeedsResync() {
 		signal(r.claimSignal)
--- a/internal/gateway/workflowsteps/step.go
+++ b/internal/gateway/workflowsteps/step.go
@@ -57,7 +57,7 @@
 		r.config.Log("workflow steps: " + fault.Text(&SettingsError{t}))
 		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: notInSettingsPause}
 	}
-	class := &settings.Module.Classes[classIndex]
+	class := &settings.Dispatch.Classes[classIndex]
 	policyVersion, admittedAt, admits := r.config.AdmissionGate()
 	poolBit := r.begin(running, t, class)
 	switch {
@@ -66,8 +66,8 @@
 	case !admits || t.Pool != "" && poolBit == 0:
 		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: notAdmittedPause}
 	}
-	request := broker.Request{Settings: &settings.Module, Class: classIndex, Tenant: tenant, Slots: 1, Team: t.Team, Step: true, Spare: !t.Overdue, Pools: poolBit, Policy: policyVersion,
-		Admitted: admittedAt, Deadline: time.Now().Add(class.Deadline)}
+	request := broker.Request{Settings: &settings.Dispatch, Class: classIndex, Tenant: tenant, Slots: 1, Team: t.Team, WorkflowStep: true, BestEffort: !t.Overdue, Pools: poolBit, PolicyVersion: policyVersion,
+		AdmittedAt: admittedAt, Deadline: time.Now().Add(class.Deadline)}
 	if class.Semantics == dispatch.Deduplicated && t.RepeatWindowLeft > 0 {
 		left := t.RepeatWindowLeft - (r.config.Now() - askedAt)
 		if left <= 0 {
@@ -79,14 +79,14 @@
 	if err != nil {
 		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: err.Error()}
 	}
-	send := r.config.Workers.Do(httpfront.NewJob(settings, job, request))
+	send := r.config.Workers.AttemptFunc(httpfront.NewInternalRequest(settings, job, request))
 	var ran *broker.Outcome // of the one attempt that may have run
 	answer := r.broker.Serve(ctx, request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		if ran != nil || !a.In(t.Pool) || !r.recordIntent(ctx, t, class, a) {
-			return broker.Outcome{Code: broker.NeverSent}
+		if ran != nil || !a.InPool(t.Pool) || !r.recordIntent(ctx, t, class, a) {
+			return broker.Outcome{Code: broker.NotSent}
 		}
 		outcome := send(ctx, a)
-		if outcome.Ran() {
+		if outcome.MayHaveRun() {
 			ran = &outcome
 			running.cancel() // a further attempt needs a new claim: the coordinators count attempts
 		} else {
@@ -117,21 +117,21 @@
 // restrictRepeat restricts the repeat of a step to the cell, or zone, that it may have run in, and to the time left in
 // which workers there drop a repeat.
 func restrictRepeat(request *broker.Request, t *claims.ClaimedStep, class *dispatch.Class, left time.Duration) {
-	request.Ran = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}
-	request.RanFor = max(class.DedupWindow-left, 0)
+	request.EarlierWorker = &dispatch.Worker{Zone: t.PinnedCell - 1, Cell: t.PinnedCell - 1}
+	request.EarlierRunAge = max(class.DedupWindow-left, 0)
 	request.Deadline = time.Now().Add(min(class.Deadline, left))
 }
 
 // newJob returns what is sent to a worker.
-func (r *Runner) newJob(running *runningStep, t *claims.ClaimedStep, class *dispatch.Class) (httpfront.Job, error) {
+func (r *Runner) newJob(running *runningStep, t *claims.ClaimedStep, class *dispatch.Class) (httpfront.InternalJob, error) {
 	body, err := json.Marshal(jobBody{t.Workflow, t.Step, t.ItemValues, t.Results, t.FanOutCounts})
 	if err != nil {
-		return httpfront.Job{}, err
+		return httpfront.InternalJob{}, err
 	}
 	key := idempotencyKey(t)
-	job := httpfront.Job{ID: fmt.Sprintf("%s#%d", key, t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, May: func() bool { return r.maySend(running, t.ClaimNumber) }}
+	job := httpfront.InternalJob{ID: fmt.Sprintf("%s#%d", key, t.ClaimNumber), Class: t.Class, Tenant: t.Tenant, Body: body, MaySend: func() bool { return r.maySend(running, t.ClaimNumber) }}
 	if class.Semantics == dispatch.Deduplicated {
-		job.Key = key
+		job.IdempotencyKey = key
 	}
 	return job, nil
 }
@@ -200,7 +200,7 @@
 func stepEnd(t *claims.ClaimedStep, class *dispatch.Class, answer broker.Answer, ran *broker.Outcome) claims.StepEnd {
 	repeatable := class.Semantics != dispatch.AtMostOnce
 	if ran == nil {
-		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: max(answer.ComeBack, retryPause), Repeatable: repeatable}
+		return claims.StepEnd{Outcome: claims.OutcomeRequeue, RetryAfter: max(answer.RetryAfter, retryPause), Repeatable: repeatable}
 	}
 	switch ran.Code {
 	case broker.OK:
@@ -211,7 +211,7 @@
 			return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: fault.Text(&claims.ResultError{Step: t.Step, Bytes: len(ran.Result), Limit: template.MaxResultBytes})}
 		}
 		return claims.StepEnd{Outcome: claims.OutcomeDone, Result: ran.Result, Repeatable: repeatable}
-	case broker.Rejected:
+	case broker.BadRequest:
 		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: "the worker rejected it"}
 	case broker.Failed:
 		return claims.StepEnd{Outcome: claims.OutcomeFailed, Reason: "the worker answered that it has failed", Repeatable: repeatable}
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -26,47 +26,47 @@
 
 // Config is all that a dispatcher is told at its start.
 type Config struct {
-	Name, Listen, Discovery string
-	Console                 string   // where operators call; empty: nowhere
-	PeerListen, PeersAll    string   // where other dispatchers' datagrams come, and what reaches all of them; empty: they don't talk
-	Peers                   []string // theirs, where datagrams come from
-	ListenFD                int      // the descriptor of an inherited listening socket; 0: none
-	Seed                    uint64
-	Limits                  Limits
-	Known                   json.RawMessage // the server table as last had, in discovery's form
-	KnownIsFresh            bool            // a process that runs has handed it over, and not the configuration
+	Name, Listen, Discovery    string
+	Console                    string   // where operators call; empty: nowhere
+	PeerListen, PeersBroadcast string   // where other dispatchers' datagrams come, and what reaches all of them; empty: they don't talk
+	Peers                      []string // theirs, where datagrams come from
+	ListenFD                   int      // the descriptor of an inherited listening socket; 0: none
+	Seed                       uint64
+	Limits                     Limits
+	KnownList                  json.RawMessage // the server table as last had, in discovery's form
+	KnownListInherited         bool            // a process that runs has handed it over, and not the configuration
 
-	Module                         dispatch.Settings
+	Dispatch                       dispatch.Settings
 	Classes, Tenants, Zones, Kinds []string
-	Columns                        []string // names of the values in a load report, in the module's order
-	ConnectTimeout, IdleClose      time.Duration
+	LoadColumns                    []string // names of the values in a load report, in the module's order
+	ConnectTimeout, IdleTimeout    time.Duration
 
 	// From the operator's file.
-	SSE        SSE
-	Membership Membership
-	SRV        []SRV
-	Keepers    Keepers
-	Trace      bool     // write a line for all that comes in and is decided
-	Notices    []string // what an operator should know of how it was read
+	SSE          SSE
+	Membership   Membership
+	SRV          []SRV
+	Coordinators Coordinators
+	Trace        bool     // write a line for all that comes in and is decided
+	Notices      []string // what an operator should know of how it was read
 
 	file any // the file as read, by key
 }
 
-// Live is the configuration in force: one snapshot for all parts, swapped whole.
-type Live struct{ at atomic.Pointer[Config] }
+// InForce is the configuration in force: one snapshot for all parts, swapped whole.
+type InForce struct{ at atomic.Pointer[Config] }
 
-// NewLive makes c the configuration in force.
-func NewLive(c *Config) *Live {
-	l := &Live{}
+// NewInForce makes c the configuration in force.
+func NewInForce(c *Config) *InForce {
+	l := &InForce{}
 	l.at.Store(c)
 	return l
 }
 
 // Get returns the snapshot in force. What belongs together is read from one.
-func (l *Live) Get() *Config { return l.at.Load() }
+func (l *InForce) Get() *Config { return l.at.Load() }
 
 // Set puts another in its place.
-func (l *Live) Set(c *Config) { l.at.Store(c) }
+func (l *InForce) Set(c *Config) { l.at.Store(c) }
 
 // Limits are the bounds of the machine.
 type Limits struct {
@@ -80,7 +80,7 @@
 	Enabled       bool       `toml:"enabled"`
 	Listen        string     `toml:"listen"`
 	MaxEventBytes int        `toml:"max_event_bytes"`
-	Buffer        int        `toml:"buffer_events"`
+	BufferEvents  int        `toml:"buffer_events"`
 	WriteTimeout  Duration   `toml:"write_timeout"`
 	Heartbeat     Duration   `toml:"heartbeat"`
 	Contracts     []Contract `toml:"contract"`
@@ -157,11 +157,11 @@
 		return nil, err
 	}
 	// A fixed list of workers, or one in DNS, needs no discovery.
-	if c.Discovery == "" && c.Module.MustSubscribe {
+	if c.Discovery == "" && c.Dispatch.MustSubscribe {
 		if len(c.SRV) == 0 {
 			return nil, errors.New("NODE_DISCOVERY: missing")
 		}
-		c.Module.MustSubscribe = false
+		c.Dispatch.MustSubscribe = false
 	}
 	return c, nil
 }
@@ -177,25 +177,25 @@
 	}, operatorFile)
 }
 
-// Retuned is c with what a running dispatcher takes up of next: the settings,
+// Reloaded is c with what a running dispatcher takes up of next: the settings,
 // discovery, and the sources of loan workers. The error names a key that next lacks and c's file has: a key left
 // out is a fault in the file, and no default may stand in for it.
-func (c *Config) Retuned(next *Config) (*Config, error) {
+func (c *Config) Reloaded(next *Config) (*Config, error) {
 	if key := missing(c.file, next.file, ""); key != "" {
 		return nil, fmt.Errorf("NODE_CONFIG: %s: missing", key)
 	}
 	own := *c
 	own.file, own.Discovery = next.file, next.Discovery
 	own.Membership, own.SRV, own.Notices = next.Membership, next.SRV, next.Notices
-	own.Module, own.ConnectTimeout, own.IdleClose = next.Module, next.ConnectTimeout, next.IdleClose
-	own.Module.Peers = own.Module.Peers && c.Talks() // the socket is opened at a start
-	own.Classes, own.Tenants, own.Zones, own.Kinds, own.Columns = next.Classes, next.Tenants, next.Zones, next.Kinds, next.Columns
+	own.Dispatch, own.ConnectTimeout, own.IdleTimeout = next.Dispatch, next.ConnectTimeout, next.IdleTimeout
+	own.Dispatch.Peers = own.Dispatch.Peers && c.PeersEnabled() // the socket is opened at a start
+	own.Classes, own.Tenants, own.Zones, own.Kinds, own.LoadColumns = next.Classes, next.Tenants, next.Zones, next.Kinds, next.LoadColumns
 	return &own, nil
 }
 
-// Talks tells whether the addresses are there by which dispatchers talk.
-func (c *Config) Talks() bool {
-	return c.PeerListen != "" && (c.PeersAll != "" || len(c.Peers) > 0)
+// PeersEnabled tells whether the addresses are there by which dispatchers talk.
+func (c *Config) PeersEnabled() bool {
+	return c.PeerListen != "" && (c.PeersBroadcast != "" || len(c.Peers) > 0)
 }
 
 // optional keys may come and go: those for a start alone, and the one that the
@@ -260,16 +260,16 @@
 	return common
 }
 
-// Fixed names the keys in which next differs and that a running dispatcher
+// RestartKeys names the keys in which next differs and that a running dispatcher
 // can't take up. The seed and the known list are for a start alone and don't count.
-func (c *Config) Fixed(next *Config) (keys []string) {
+func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
 	}{{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"console", c.Console == next.Console},
-		{"peer_listen", c.PeerListen == next.PeerListen}, {"peers_all", c.PeersAll == next.PeersAll}, {"peers", slices.Equal(c.Peers, next.Peers)},
+		{"peer_listen", c.PeerListen == next.PeerListen}, {"peers_all", c.PeersBroadcast == next.PeersBroadcast}, {"peers", slices.Equal(c.Peers, next.Peers)},
 		{"limits", c.Limits == next.Limits}, {"[sse]", reflect.DeepEqual(c.SSE, next.SSE)},
-		{"[keepers]", reflect.DeepEqual(c.Keepers, next.Keepers)}} {
+		{"[keepers]", reflect.DeepEqual(c.Coordinators, next.Coordinators)}} {
 		if !k.same {
 			keys = append(keys, k.name)
 		}
@@ -301,9 +301,9 @@
 	if err := json.Unmarshal(text, &c.file); err != nil {
 		return err
 	}
-	c.Name, c.Listen, c.Discovery, c.Console, c.Known, c.Limits = in.Name, in.Listen, in.Discovery, in.Console, in.Known, in.Limits
-	if c.PeerListen, c.PeersAll, c.Peers = in.PeerListen, in.PeersAll, in.Peers; c.PeerListen != "" {
-		for _, a := range append([]string{c.PeersAll}, c.Peers...) {
+	c.Name, c.Listen, c.Discovery, c.Console, c.KnownList, c.Limits = in.Name, in.Listen, in.Discovery, in.Console, in.Known, in.Limits
+	if c.PeerListen, c.PeersBroadcast, c.Peers = in.PeerListen, in.PeersAll, in.Peers; c.PeerListen != "" {
+		for _, a := range append([]string{c.PeersBroadcast}, c.Peers...) {
 			if a == "" {
 				continue
 			}
@@ -346,14 +346,14 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	// Allowed and without a way, dispatchers would take each other's silence for absence.
-	c.Module.Peers = c.Module.Peers && c.Talks()
+	c.Dispatch.Peers = c.Dispatch.Peers && c.PeersEnabled()
 	return nil
 }
 
 // settings reads the names and times that only a real dispatcher needs.
 func (c *Config) settings(text []byte) error {
 	var err error
-	if c.Module, err = ParseSettings(text); err != nil {
+	if c.Dispatch, err = ParseSettings(text); err != nil {
 		return err
 	}
 	var in struct {
@@ -369,7 +369,7 @@
 		return err
 	}
 	c.Zones, c.Kinds = in.Areas, in.HostTypes
-	for i, class := range c.Module.Classes {
+	for i, class := range c.Dispatch.Classes {
 		switch {
 		case class.Name == "":
 			return fmt.Errorf("Classes[%d].Name: missing", i)
@@ -390,19 +390,19 @@
 		c.Tenants = append(c.Tenants, t.Name)
 	}
 	if in.LoadInfo.Via != "off" {
-		c.Columns = in.LoadInfo.Columns
+		c.LoadColumns = in.LoadInfo.Columns
 	}
-	c.ConnectTimeout, c.IdleClose = 250*time.Millisecond, time.Minute
+	c.ConnectTimeout, c.IdleTimeout = 250*time.Millisecond, time.Minute
 	if v := in.Limits.ConnectTimeoutMs; v != nil {
-		c.ConnectTimeout = Ms(*v)
+		c.ConnectTimeout = Milliseconds(*v)
 	}
 	if v := in.Limits.IdleCloseMs; v != nil {
-		c.IdleClose = Ms(*v)
+		c.IdleTimeout = Milliseconds(*v)
 	}
-	switch m := &c.Module; {
+	switch m := &c.Dispatch; {
 	case c.ConnectTimeout <= 0:
 		return errors.New("Limits.ConnectTimeoutMs: must be over 0")
-	case c.IdleClose <= 0:
+	case c.IdleTimeout <= 0:
 		return errors.New("Limits.IdleCloseMs: must be over 0")
 	case m.MaxAttempts < 1:
 		return errors.New("Limits.MaxAttempts: must be 1 or more")
@@ -416,16 +416,16 @@
 	return nil
 }
 
-// CheckSSE checks the second front against the settings; keys are named under at.
+// ValidateSSE checks the second front against the settings; keys are named under at.
 // A front that is off keeps its contracts unchecked: the platform's names are not
 // the shop's.
-func (c *Config) CheckSSE(at string) error {
+func (c *Config) ValidateSSE(at string) error {
 	s := &c.SSE
 	switch {
 	case s.MaxEventBytes < 256 || s.MaxEventBytes > 1<<20:
 		return wrong(at+"max_event_bytes", "%d is not in 256 to 1048576", s.MaxEventBytes)
-	case s.Buffer < 1 || s.Buffer > 1024:
-		return wrong(at+"buffer_events", "%d is not in 1 to 1024", s.Buffer)
+	case s.BufferEvents < 1 || s.BufferEvents > 1024:
+		return wrong(at+"buffer_events", "%d is not in 1 to 1024", s.BufferEvents)
 	case s.WriteTimeout.Duration <= 0:
 		return wrong(at+"write_timeout", "must be over 0")
 	case s.Heartbeat.Duration <= 0:
@@ -436,7 +436,7 @@
 	if err := address("listen", s.Listen); err != nil {
 		return wrong(at+"listen", "%s", strings.TrimPrefix(err.Error(), "listen: "))
 	}
-	if err := c.CheckContracts(at, s.Contracts); err != nil {
+	if err := c.ValidateContracts(at, s.Contracts); err != nil {
 		return err
 	}
 	if len(s.Contracts) == 0 {
@@ -445,8 +445,8 @@
 	return nil
 }
 
-// CheckContracts checks contracts against the settings.
-func (c *Config) CheckContracts(at string, contracts []Contract) error {
+// ValidateContracts checks contracts against the settings.
+func (c *Config) ValidateContracts(at string, contracts []Contract) error {
 	seen := map[string]bool{}
 	for i, k := range contracts {
 		key := func(name string) string { return fmt.Sprintf("%scontract[%d].%s", at, i, name) }
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -65,7 +65,7 @@
 	want := figures{"n3", "127.0.0.2:1", "127.0.0.1:8500", 0x8c1f30d27a5be964, Limits{1, 192, 1024},
 		[]string{"issue-loan", "package-file"}, []string{"cpu", "err_rps", "x0"}, []string{"mestska-brnenska", "univ-vltava"},
 		250 * time.Millisecond, time.Minute, false}
-	got := figures{c.Name, c.Listen, c.Discovery, c.Seed, c.Limits, c.Classes, c.Columns, c.Tenants, c.ConnectTimeout, c.IdleClose, c.SSE.Enabled}
+	got := figures{c.Name, c.Listen, c.Discovery, c.Seed, c.Limits, c.Classes, c.LoadColumns, c.Tenants, c.ConnectTimeout, c.IdleTimeout, c.SSE.Enabled}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -151,7 +151,7 @@
 		next, err := Reload(func(k string) string { return env[k] }, "none")
 		got := []string{"refused"}
 		if err == nil {
-			if got = first.Fixed(next); next.Discovery != "127.0.0.9:1" {
+			if got = first.RestartKeys(next); next.Discovery != "127.0.0.9:1" {
 				t.Error("discovery at", next.Discovery)
 			}
 		}
@@ -185,7 +185,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return first.Retuned(next)
+		return first.Reloaded(next)
 	}
 	if _, err := retune(whole); err != nil {
 		t.Fatal(err)
@@ -228,7 +228,7 @@
 		t.Errorf("only %d keys were cut", cuts)
 	}
 	next, err := retune([]byte(strings.Replace(string(whole), `"MaxAttempts":4`, `"MaxAttempts":2`, 1)))
-	if err != nil || next.Module.MaxAttempts != 2 || first.Module.MaxAttempts != 4 {
+	if err != nil || next.Dispatch.MaxAttempts != 2 || first.Dispatch.MaxAttempts != 4 {
 		t.Errorf("%v; %+v", err, next)
 	}
 }
--- a/internal/platform/config/operator.go
+++ b/internal/platform/config/operator.go
@@ -27,35 +27,35 @@
 
 // Membership is how the sources of loan workers are merged.
 type Membership struct {
-	Rule         string   `toml:"rule"`
-	FailAfter    int      `toml:"fail_after"`
-	BackupSettle Duration `toml:"backup_settle"`
-	TellEvery    Duration `toml:"tell_every"`
+	Rule             string   `toml:"rule"`
+	FailureThreshold int      `toml:"fail_after"`
+	FailbackDelay    Duration `toml:"backup_settle"`
+	PublishInterval  Duration `toml:"tell_every"`
 }
 
 // SRV is one list of loan workers in DNS.
 type SRV struct {
-	Name       string   `toml:"name"`
-	Service    string   `toml:"service"`
-	Servers    []string `toml:"servers"`
-	Zone       string   `toml:"zone"`
-	Kind       string   `toml:"kind"`
-	Cell       int      `toml:"cell"`
-	Identity   string   `toml:"identity"`
-	Addresses  string   `toml:"addresses"`
-	Timeout    Duration `toml:"timeout"`
-	Floor      Duration `toml:"floor"`
-	Ceiling    Duration `toml:"ceiling"`
-	Stale      Duration `toml:"stale"`
-	AfterStale string   `toml:"after_stale"`
-	ShrinkPart *float64 `toml:"shrink_part"`
-	ShrinkHold Duration `toml:"shrink_hold"`
-	ColdNames  *bool    `toml:"cold_names"`
-	MaxRecords int      `toml:"max_records"`
+	Name            string   `toml:"name"`
+	Service         string   `toml:"service"`
+	Servers         []string `toml:"servers"`
+	Zone            string   `toml:"zone"`
+	Kind            string   `toml:"kind"`
+	Cell            int      `toml:"cell"`
+	Identity        string   `toml:"identity"`
+	Addresses       string   `toml:"addresses"`
+	Timeout         Duration `toml:"timeout"`
+	MinTTL          Duration `toml:"floor"`
+	MaxTTL          Duration `toml:"ceiling"`
+	StaleTTL        Duration `toml:"stale"`
+	AfterStale      string   `toml:"after_stale"`
+	ShrinkThreshold *float64 `toml:"shrink_part"`
+	ShrinkHoldTime  Duration `toml:"shrink_hold"`
+	InferStart      *bool    `toml:"cold_names"`
+	MaxRecords      int      `toml:"max_records"`
 }
 
-// Room is how room is held for large jobs.
-type Room struct {
+// Backfill is how room is held for large jobs.
+type Backfill struct {
 	Enabled   bool     `toml:"enabled"`
 	Mode      string   `toml:"mode"`
 	Quantile  float64  `toml:"quantile"`
@@ -66,19 +66,19 @@
 	Large     float64  `toml:"large"`
 }
 
-// Keepers are where a fleet's policies are agreed on; without addresses, nowhere.
-type Keepers struct {
-	Fleet     string   `toml:"fleet"`
-	Addresses []string `toml:"addresses"`
-	Fence     string   `toml:"fence"`
+// Coordinators are where a fleet's policies are agreed on; without addresses, nowhere.
+type Coordinators struct {
+	Fleet       string   `toml:"fleet"`
+	Addresses   []string `toml:"addresses"`
+	OnLeaseLoss string   `toml:"fence"`
 }
 
 // operator is the file's form.
 type operator struct {
-	Keepers    Keepers     `toml:"keepers"`
-	SSE        *SSE        `toml:"sse"`
-	Membership *Membership `toml:"membership"`
-	Room       Room        `toml:"room"`
+	Keepers    Coordinators `toml:"keepers"`
+	SSE        *SSE         `toml:"sse"`
+	Membership *Membership  `toml:"membership"`
+	Room       Backfill     `toml:"room"`
 	Log        struct {
 		Trace bool `toml:"trace"`
 	} `toml:"log"`
@@ -99,12 +99,12 @@
 
 // DefaultMembership is how sources are merged where the file says nothing.
 func DefaultMembership() Membership {
-	return Membership{Rule: string(membership.RosterVetoes), FailAfter: 3,
-		BackupSettle: Duration{10 * time.Second}, TellEvery: Duration{200 * time.Millisecond}}
+	return Membership{Rule: string(membership.RuleRosterVetoes), FailureThreshold: 3,
+		FailbackDelay: Duration{10 * time.Second}, PublishInterval: Duration{200 * time.Millisecond}}
 }
 
 func defaultSSE() SSE {
-	return SSE{MaxEventBytes: 64 << 10, Buffer: 32,
+	return SSE{MaxEventBytes: 64 << 10, BufferEvents: 32,
 		WriteTimeout: Duration{2 * time.Second}, Heartbeat: Duration{10 * time.Second}}
 }
 
@@ -114,13 +114,13 @@
 	c.SSE = defaultSSE()
 	c.Membership = DefaultMembership()
 	d := backfill.DefaultSettings()
-	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Room{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
+	in := operator{SSE: &SSE{}, Membership: &c.Membership, Room: Backfill{Mode: string(d.Mode), Quantile: d.Quantile, Most: d.MaxReservations,
 		Longest: Duration{d.ReservationTTL}, Budget: d.IdleBudget, SmallWait: Duration{d.MaxJobDelay}, Large: d.LargeRuns}}
 	*in.SSE = c.SSE
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = c.decode(text, &in, func() error {
-			c.SSE, c.SRV, c.Trace, c.Keepers = *in.SSE, in.Source.SRV, in.Log.Trace, in.Keepers
+			c.SSE, c.SRV, c.Trace, c.Coordinators = *in.SSE, in.Source.SRV, in.Log.Trace, in.Keepers
 			if err := c.checkKeepers(); err != nil {
 				return err
 			}
@@ -139,7 +139,7 @@
 }
 
 func (c *Config) checkKeepers() error {
-	k := &c.Keepers
+	k := &c.Coordinators
 	if len(k.Addresses) == 0 {
 		return nil
 	}
@@ -151,11 +151,11 @@
 			return wrong(fmt.Sprintf("keepers.addresses[%d]", i), "%q; expected host:port", a)
 		}
 	}
-	if k.Fence == "" {
-		k.Fence = "refuse"
+	if k.OnLeaseLoss == "" {
+		k.OnLeaseLoss = "refuse"
 	}
-	if k.Fence != "refuse" && k.Fence != "last" {
-		return wrong("keepers.fence", "%q; expected \"refuse\" or \"last\", as in the keepers' files", k.Fence)
+	if k.OnLeaseLoss != "refuse" && k.OnLeaseLoss != "last" {
+		return wrong("keepers.fence", "%q; expected \"refuse\" or \"last\", as in the keepers' files", k.OnLeaseLoss)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 	s := defaultSSE()
 	err = c.decode(text, &s, func() error {
 		c.SSE = s
-		return c.CheckSSE("")
+		return c.ValidateSSE("")
 	})
 	if err != nil {
 		return fmt.Errorf("%s:%w", path, err)
@@ -185,7 +185,7 @@
 
 // decode reads a file's text into to, then checks it. The error begins with the line.
 func (c *Config) decode(text []byte, to any, check func() error) error {
-	lines := Lines(text)
+	lines := IndexKeys(text)
 	in := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	err := in.Decode(to)
 	var strict *toml.StrictMissingError
@@ -207,7 +207,7 @@
 	err = check()
 	var f *fault
 	if errors.As(err, &f) {
-		return fmt.Errorf("%d: %w", lines.Of(f.key), err)
+		return fmt.Errorf("%d: %w", lines.Line(f.key), err)
 	}
 	if err != nil {
 		return fmt.Errorf(" %w", err)
@@ -224,8 +224,8 @@
 // KeyIndex finds the lines of a file's keys.
 type KeyIndex []keyLine
 
-// Lines finds the line of every key. Tables of a list count from 0.
-func Lines(text []byte) (out KeyIndex) {
+// IndexKeys finds the line of every key. Tables of a list count from 0.
+func IndexKeys(text []byte) (out KeyIndex) {
 	var p unstable.Parser
 	p.Reset(text)
 	prefix, lists := "", map[string]int{}
@@ -255,8 +255,8 @@
 	return out
 }
 
-// Of is a key's line, or that of the innermost table around it that is there.
-func (x KeyIndex) Of(key string) int {
+// Line is a key's line, or that of the innermost table around it that is there.
+func (x KeyIndex) Line(key string) int {
 	for key != "" {
 		for _, k := range x {
 			if k.key == key {
@@ -284,7 +284,7 @@
 }
 
 func hasSection(text []byte, name string) bool {
-	for _, k := range Lines(text) {
+	for _, k := range IndexKeys(text) {
 		if k.key == name || strings.HasPrefix(k.key, name+".") || strings.HasPrefix(k.key, name+"[") {
 			return true
 		}
@@ -299,22 +299,22 @@
 
 // checkOperator checks the whole file, and fills in what is left out.
 func (c *Config) checkOperator() error {
-	if err := c.CheckSSE("sse."); err != nil {
+	if err := c.ValidateSSE("sse."); err != nil {
 		return err
 	}
 	m := &c.Membership
-	switch r := membership.Rule(m.Rule); {
-	case r != membership.RosterVetoes && r != membership.Any && r != membership.All:
-		return wrong("membership.rule", "%q; expected %q, %q or %q", m.Rule, membership.RosterVetoes, membership.Any, membership.All)
-	case m.FailAfter < 1 || m.FailAfter > 100:
-		return wrong("membership.fail_after", "%d; expected 1 to 100 connects", m.FailAfter)
-	case m.BackupSettle.Duration < 0 || m.BackupSettle.Duration > time.Hour:
-		return wrong("membership.backup_settle", "%v; expected 0s to 1h", m.BackupSettle)
+	switch r := membership.MergeRule(m.Rule); {
+	case r != membership.RuleRosterVetoes && r != membership.RuleAny && r != membership.RuleAll:
+		return wrong("membership.rule", "%q; expected %q, %q or %q", m.Rule, membership.RuleRosterVetoes, membership.RuleAny, membership.RuleAll)
+	case m.FailureThreshold < 1 || m.FailureThreshold > 100:
+		return wrong("membership.fail_after", "%d; expected 1 to 100 connects", m.FailureThreshold)
+	case m.FailbackDelay.Duration < 0 || m.FailbackDelay.Duration > time.Hour:
+		return wrong("membership.backup_settle", "%v; expected 0s to 1h", m.FailbackDelay)
 	// With a drain's word underway for so long, 500 ms must still hold.
-	case m.TellEvery.Duration < 10*time.Millisecond || m.TellEvery.Duration > 400*time.Millisecond:
-		return wrong("membership.tell_every", "%v; expected 10ms to 400ms", m.TellEvery)
+	case m.PublishInterval.Duration < 10*time.Millisecond || m.PublishInterval.Duration > 400*time.Millisecond:
+		return wrong("membership.tell_every", "%v; expected 10ms to 400ms", m.PublishInterval)
 	}
-	seen := map[string]bool{membership.Roster: true}
+	seen := map[string]bool{membership.RosterSource: true}
 	for i := range c.SRV {
 		if err := c.checkSRV(&c.SRV[i], fmt.Sprintf("source.srv[%d].", i), seen); err != nil {
 			return err
@@ -324,7 +324,7 @@
 }
 
 // holdRoom checks [room], on or off, and hands it to the module where it is on.
-func (c *Config) holdRoom(in Room) error {
+func (c *Config) holdRoom(in Backfill) error {
 	s := backfill.Settings{Mode: backfill.Mode(in.Mode), Quantile: in.Quantile, MaxReservations: in.Most, ReservationTTL: in.Longest.Duration,
 		IdleBudget: in.Budget, MaxJobDelay: in.SmallWait.Duration, LargeRuns: in.Large}
 	if err := s.Validate(); err != nil {
@@ -332,7 +332,7 @@
 		return wrong("room."+key, "%s", what)
 	}
 	if in.Enabled {
-		c.Module.Backfill = &s
+		c.Dispatch.Backfill = &s
 	}
 	return nil
 }
@@ -345,15 +345,15 @@
 
 func (c *Config) checkSRV(s *SRV, at string, seen map[string]bool) error {
 	orDefault(&s.Timeout, 400*time.Millisecond)
-	orDefault(&s.Floor, time.Second)
-	orDefault(&s.Ceiling, time.Hour)
-	orDefault(&s.Stale, time.Hour)
-	orDefault(&s.ShrinkHold, 30*time.Second)
-	if s.ShrinkPart == nil {
-		s.ShrinkPart = new(0.5)
+	orDefault(&s.MinTTL, time.Second)
+	orDefault(&s.MaxTTL, time.Hour)
+	orDefault(&s.StaleTTL, time.Hour)
+	orDefault(&s.ShrinkHoldTime, 30*time.Second)
+	if s.ShrinkThreshold == nil {
+		s.ShrinkThreshold = new(0.5)
 	}
-	if s.ColdNames == nil {
-		s.ColdNames = new(true)
+	if s.InferStart == nil {
+		s.InferStart = new(true)
 	}
 	if s.MaxRecords == 0 {
 		s.MaxRecords = 4096
@@ -392,8 +392,8 @@
 		return wrong(at+"addresses", "%q; expected \"any\", \"ipv4\" or \"ipv6\"", s.Addresses)
 	case s.AfterStale != "drain" && s.AfterStale != "keep":
 		return wrong(at+"after_stale", "%q; expected \"drain\" or \"keep\"", s.AfterStale)
-	case *s.ShrinkPart <= 0 || *s.ShrinkPart > 1:
-		return wrong(at+"shrink_part", "%v; expected over 0 and up to 1", *s.ShrinkPart)
+	case *s.ShrinkThreshold <= 0 || *s.ShrinkThreshold > 1:
+		return wrong(at+"shrink_part", "%v; expected over 0 and up to 1", *s.ShrinkThreshold)
 	case s.MaxRecords < 1 || s.MaxRecords > 1<<16:
 		return wrong(at+"max_records", "%d; expected 1 to 65536", s.MaxRecords)
 	}
@@ -403,32 +403,32 @@
 			return wrong(at+"servers", "[%d] is %q; expected an IP address and a port such as 10.0.0.53:53", i, text)
 		}
 	}
-	return errors.Join(span("timeout", s.Timeout, 10*time.Millisecond, 10*time.Second), span("floor", s.Floor, 100*time.Millisecond, time.Hour),
-		span("ceiling", s.Ceiling, s.Floor.Duration, 7*24*time.Hour), span("stale", s.Stale, 0, 7*24*time.Hour),
-		span("shrink_hold", s.ShrinkHold, 0, time.Hour))
+	return errors.Join(span("timeout", s.Timeout, 10*time.Millisecond, 10*time.Second), span("floor", s.MinTTL, 100*time.Millisecond, time.Hour),
+		span("ceiling", s.MaxTTL, s.MinTTL.Duration, 7*24*time.Hour), span("stale", s.StaleTTL, 0, 7*24*time.Hour),
+		span("shrink_hold", s.ShrinkHoldTime, 0, time.Hour))
 }
 
 var families = map[string][]uint16{"any": {dns.TypeA, dns.TypeAAAA}, "ipv4": {dns.TypeA}, "ipv6": {dns.TypeAAAA}}
 
-// Resolver is the source as its resolver is told of it.
-func (s *SRV) Resolver() srv.Config {
-	out := srv.Config{Service: dns.Fqdn(s.Service), Timeout: s.Timeout.Duration, Floor: s.Floor.Duration, Ceiling: s.Ceiling.Duration,
-		Stale: s.Stale.Duration, Families: families[s.Addresses], MaxRecords: s.MaxRecords}
+// ResolverConfig is the source as its resolver is told of it.
+func (s *SRV) ResolverConfig() srv.Config {
+	out := srv.Config{Service: dns.Fqdn(s.Service), Timeout: s.Timeout.Duration, MinTTL: s.MinTTL.Duration, MaxTTL: s.MaxTTL.Duration,
+		StaleTTL: s.StaleTTL.Duration, AddressTypes: families[s.Addresses], MaxRecords: s.MaxRecords}
 	for _, text := range s.Servers {
 		out.Servers = append(out.Servers, netip.MustParseAddrPort(text))
 	}
 	return out
 }
 
-// Sources is the whole of the settings of the merged list: the roster first, then
+// MembershipConfig is the whole of the settings of the merged list: the roster first, then
 // the lists in DNS in the order of the file.
-func (c *Config) Sources() membership.Config {
-	out := membership.Config{Rule: membership.Rule(c.Membership.Rule), FailAfter: c.Membership.FailAfter,
-		BackupSettle: c.Membership.BackupSettle.Duration, Sources: []membership.Source{{Name: membership.Roster, Identity: membership.ByID}}}
+func (c *Config) MembershipConfig() membership.Config {
+	out := membership.Config{Rule: membership.MergeRule(c.Membership.Rule), FailureThreshold: c.Membership.FailureThreshold,
+		FailbackDelay: c.Membership.FailbackDelay.Duration, Sources: []membership.Source{{Name: membership.RosterSource, Identity: membership.ByID}}}
 	for i := range c.SRV {
 		s := &c.SRV[i]
-		out.Sources = append(out.Sources, membership.Source{Name: s.Name, Identity: membership.Identity(s.Identity), Stale: s.Stale.Duration,
-			Keep: s.AfterStale == "keep", ShrinkPart: *s.ShrinkPart, ShrinkHold: s.ShrinkHold.Duration, ColdNames: *s.ColdNames})
+		out.Sources = append(out.Sources, membership.Source{Name: s.Name, Identity: membership.Identity(s.Identity), StaleTTL: s.StaleTTL.Duration,
+			KeepStale: s.AfterStale == "keep", ShrinkThreshold: *s.ShrinkThreshold, ShrinkHoldTime: s.ShrinkHoldTime.Duration, InferStart: *s.InferStart})
 	}
 	return out
 }
--- a/internal/platform/config/operator_test.go
+++ b/internal/platform/config/operator_test.go
@@ -21,7 +21,7 @@
 
 // Whatever is wrong is named by line and key, and with what was expected.
 func TestOperatorFaultsAreNamed(t *testing.T) {
-	if c, err := load(t, [2]string{}, sourced, nil); err != nil || len(c.SRV) != 1 || c.SRV[0].Resolver().Service != "_loans._tcp.shop.test." {
+	if c, err := load(t, [2]string{}, sourced, nil); err != nil || len(c.SRV) != 1 || c.SRV[0].ResolverConfig().Service != "_loans._tcp.shop.test." {
 		t.Fatal(err)
 	}
 	for want, edit := range map[string][2]string{
@@ -54,10 +54,10 @@
 			t.Errorf("%s: got %v", line, err)
 		}
 	}
-	if c, err := load(t, [2]string{}, "[room]\nenabled = true\nmost = 3\n", nil); err != nil || c.Module.Backfill == nil || c.Module.Backfill.MaxReservations != 3 {
+	if c, err := load(t, [2]string{}, "[room]\nenabled = true\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill == nil || c.Dispatch.Backfill.MaxReservations != 3 {
 		t.Error(err)
 	}
-	if c, err := load(t, [2]string{}, "[room]\nmost = 3\n", nil); err != nil || c.Module.Backfill != nil {
+	if c, err := load(t, [2]string{}, "[room]\nmost = 3\n", nil); err != nil || c.Dispatch.Backfill != nil {
 		t.Error("room is held, and nobody asked for it", err)
 	}
 	two := sourced + sourced[strings.Index(sourced, "[[source"):]
@@ -100,7 +100,7 @@
 	if _, err := load(t, without, "", nil); err == nil || err.Error() != "NODE_DISCOVERY: missing" {
 		t.Error(err)
 	}
-	if c, err := load(t, without, sourced, nil); err != nil || c.Module.MustSubscribe {
+	if c, err := load(t, without, sourced, nil); err != nil || c.Dispatch.MustSubscribe {
 		t.Error(err)
 	}
 }
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -62,21 +62,21 @@
 	out = dispatch.Settings{
 		DispatcherIndex: in.MyNumber, DispatcherCount: in.Balancers, Zone: in.Zone,
 		OverQuotaValueShare: in.OverShareWorth, ValuePerWork: in.CountedBy == "work",
-		MinEventGap: Ms(in.RoundMs), StartNotifications: in.Extra.TellsStart, ProgressInterval: Ms(in.Extra.ProgressMs),
+		MinEventGap: Milliseconds(in.RoundMs), StartNotifications: in.Extra.TellsStart, ProgressInterval: Milliseconds(in.Extra.ProgressMs),
 		FIFOWorkers: in.Extra.QueueOrder == "fifo", MustSubscribe: in.RegistryMode == "subscribe",
 		MaxAttempts: in.Limits.MaxAttempts, Hedging: in.Limits.SecondCopies,
 		Cancellation: in.Limits.Cancelling, Probes: in.Limits.Probes, Peers: in.Limits.Peers,
-		AnswerSlack: Ms(in.Rules.AnswerSlackMs), DrainGrace: Ms(in.Rules.StopSendingWithinMs),
-		ListRefreshInterval: Ms(in.Rules.AskWithinMs), SlowStartShare: in.Rules.ColdFrom, SlowStartTime: Ms(in.Rules.RampTimeMs),
-		CrashLoadFactor: in.Rules.FallMultiple, CrashLoadTime: Ms(in.Rules.FallMs),
+		AnswerSlack: Milliseconds(in.Rules.AnswerSlackMs), DrainGrace: Milliseconds(in.Rules.StopSendingWithinMs),
+		ListRefreshInterval: Milliseconds(in.Rules.AskWithinMs), SlowStartShare: in.Rules.ColdFrom, SlowStartTime: Milliseconds(in.Rules.RampTimeMs),
+		CrashLoadFactor: in.Rules.FallMultiple, CrashLoadTime: Milliseconds(in.Rules.FallMs),
 		CrossZoneCost: in.Prices.CrossZone, WastedWorkCost: in.Prices.Waste, PeerMessageCost: in.Prices.Peer, LateCost: in.Prices.LateFail,
 	}
 	if in.Limits.RetryAfter {
-		out.MaxRetryAfter = Ms(in.Limits.MaxRetryAfterMs)
+		out.MaxRetryAfter = Milliseconds(in.Limits.MaxRetryAfterMs)
 	}
 	for i, c := range in.Classes {
-		class := dispatch.Class{Name: c.Name, LatencyTarget: Ms(c.AimMs), Stretch: c.AimStretch, Deadline: Ms(c.DeadlineMs),
-			Value: c.Worth, LateValueShare: c.LateShare, DedupWindow: Ms(c.WindowMs), WorkerKind: -1, Stream: c.Stream}
+		class := dispatch.Class{Name: c.Name, LatencyTarget: Milliseconds(c.AimMs), Stretch: c.AimStretch, Deadline: Milliseconds(c.DeadlineMs),
+			Value: c.Worth, LateValueShare: c.LateShare, DedupWindow: Milliseconds(c.WindowMs), WorkerKind: -1, Stream: c.Stream}
 		if i < len(in.Extra.ClassKind) {
 			class.WorkerKind = in.Extra.ClassKind[i]
 		}
@@ -122,5 +122,5 @@
 	return out, nil
 }
 
-// Ms reads a figure in milliseconds.
-func Ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+// Milliseconds reads a figure in milliseconds.
+func Milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/platform/console/console.go
+++ b/internal/platform/console/console.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// Sockets is the most that a console holds: its listener, its callers, and one
+// MaxSockets is the most that a console holds: its listener, its callers, and one
 // more that is being let in.
-const Sockets = maxCallers + 2
+const MaxSockets = maxCallers + 2
 
 const (
 	maxLine    = 512
@@ -27,20 +27,20 @@
 	lingers    = 500 * time.Millisecond
 )
 
-// Door is what operators may ask for. An error is a no, and says why.
-type Door interface {
+// Operations is what operators may ask for. An error is a no, and says why.
+type Operations interface {
 	Ready() error
 	Exclude(worker string) error
 	Include(worker string) error
-	Sources() (string, error)           // what each source of loan workers says, in one line
-	Worker(name string) (string, error) // who says what of one, in one line
-	Room() (string, error)              // what is held for large jobs, in one line
-	Policy() (string, error)            // which policy is in force here, and for how long yet
+	DescribeSources() (string, error)           // what each source of loan workers says, in one line
+	DescribeWorker(name string) (string, error) // who says what of one, in one line
+	DescribeReservations() (string, error)      // what is held for large jobs, in one line
+	DescribePolicy() (string, error)            // which policy is in force here, and for how long yet
 }
 
 // Console answers callers on one listener.
 type Console struct {
-	door Door
+	door Operations
 	l    net.Listener
 
 	mu      sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // New makes a console; Serve answers until Close.
-func New(l net.Listener, d Door) *Console { return &Console{l: l, door: d} }
+func New(l net.Listener, d Operations) *Console { return &Console{l: l, door: d} }
 
 // Serve takes callers until the listener is closed.
 func (c *Console) Serve() error {
@@ -165,12 +165,12 @@
 		if len(word) != 1 {
 			return "", errors.New(word[0] + " takes nothing more")
 		}
-		ask := c.door.Sources
+		ask := c.door.DescribeSources
 		switch word[0] {
 		case "room":
-			ask = c.door.Room
+			ask = c.door.DescribeReservations
 		case "policy":
-			ask = c.door.Policy
+			ask = c.door.DescribePolicy
 		}
 		text, err := ask()
 		return oneLine.Replace(text), err
@@ -178,7 +178,7 @@
 		if len(word) != 2 {
 			return "", errors.New("worker takes one id")
 		}
-		text, err := c.door.Worker(word[1])
+		text, err := c.door.DescribeWorker(word[1])
 		return oneLine.Replace(text), err
 	case "readyz":
 		if len(word) != 1 {
--- a/internal/platform/console/console_test.go
+++ b/internal/platform/console/console_test.go
@@ -21,11 +21,11 @@
 	}
 	return nil
 }
-func (calls) Include(id string) error  { return calls{}.Exclude(id) }
-func (calls) Sources() (string, error) { return "roster: 2 serving\n", nil }
-func (calls) Room() (string, error)    { return "nothing is held", nil }
-func (calls) Policy() (string, error)  { return "version 0", nil }
-func (calls) Worker(name string) (string, error) {
+func (calls) Include(id string) error               { return calls{}.Exclude(id) }
+func (calls) DescribeSources() (string, error)      { return "roster: 2 serving\n", nil }
+func (calls) DescribeReservations() (string, error) { return "nothing is held", nil }
+func (calls) DescribePolicy() (string, error)       { return "version 0", nil }
+func (calls) DescribeWorker(name string) (string, error) {
 	return name + ": serving", calls{}.Exclude(name)
 }
 
--- a/internal/platform/haproxy/haproxy.go
+++ b/internal/platform/haproxy/haproxy.go
@@ -18,14 +18,16 @@
 	"time"
 )
 
-// Note is a directive that did not carry over, or not wholly.
-type Note struct {
+// Diagnostic is a directive that did not carry over, or not wholly.
+type Diagnostic struct {
 	Line      int
 	Directive string
-	Why       string
+	Reason    string
 }
 
-func (n Note) String() string { return fmt.Sprintf("line %d: %s: %s", n.Line, n.Directive, n.Why) }
+func (n Diagnostic) String() string {
+	return fmt.Sprintf("line %d: %s: %s", n.Line, n.Directive, n.Reason)
+}
 
 // line is one directive with its words.
 type line struct {
@@ -62,7 +64,7 @@
 }
 
 type importer struct {
-	notes    []Note
+	notes    []Diagnostic
 	maxconn  int // global
 	defaults proxy
 	named    map[string]proxy
@@ -71,7 +73,7 @@
 
 // Import reads a configuration and returns ours as JSON, with what did not carry
 // over. An error is a text that HAProxy would not take either.
-func Import(r io.Reader) ([]byte, []Note, error) {
+func Import(r io.Reader) ([]byte, []Diagnostic, error) {
 	sections, err := parse(r)
 	if err != nil {
 		return nil, nil, err
@@ -84,7 +86,7 @@
 		}
 	}
 	out, err := im.config()
-	slices.SortStableFunc(im.notes, func(a, b Note) int { return a.Line - b.Line })
+	slices.SortStableFunc(im.notes, func(a, b Diagnostic) int { return a.Line - b.Line })
 	return out, im.notes, err
 }
 
@@ -174,7 +176,7 @@
 }
 
 func (im *importer) note(l line, why string) {
-	im.notes = append(im.notes, Note{l.n, strings.Join(l.words[:min(len(l.words), 2)], " "), why})
+	im.notes = append(im.notes, Diagnostic{l.n, strings.Join(l.words[:min(len(l.words), 2)], " "), why})
 }
 
 func (im *importer) section(s section) error {
--- a/internal/platform/haproxy/haproxy_test.go
+++ b/internal/platform/haproxy/haproxy_test.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal("the program does not take it:", err)
 			}
-			if _, err := dispatch.New(cfg.Module, 1); err != nil {
+			if _, err := dispatch.New(cfg.Dispatch, 1); err != nil {
 				t.Fatal("the module does not take it:", err)
 			}
 			var got strings.Builder
--- a/internal/platform/invariant/invariant.go
+++ b/internal/platform/invariant/invariant.go
@@ -14,9 +14,9 @@
 	broken = map[string]int{}
 )
 
-// Hold tells whether ok holds; where it does not, name is counted, or a debug
+// Check tells whether ok holds; where it does not, name is counted, or a debug
 // build panics.
-func Hold(ok bool, name string) bool {
+func Check(ok bool, name string) bool {
 	if ok {
 		return true
 	}
@@ -33,8 +33,8 @@
 	return false
 }
 
-// Broken returns the counts so far.
-func Broken() map[string]int {
+// Violations returns the counts so far.
+func Violations() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
 	out := make(map[string]int, len(broken))
--- a/internal/platform/timers/timers.go
+++ b/internal/platform/timers/timers.go
@@ -12,6 +12,6 @@
 
 import "time"
 
-// Ahead is the time to set a timer for that is to fire in d: d itself, or a nanosecond
+// Positive is the time to set a timer for that is to fire in d: d itself, or a nanosecond
 // where that is over.
-func Ahead(d time.Duration) time.Duration { return max(d, time.Nanosecond) }
+func Positive(d time.Duration) time.Duration { return max(d, time.Nanosecond) }
--- a/internal/testing/standin/dnsserver/dnsd.go
+++ b/internal/testing/standin/dnsserver/dnsd.go
@@ -31,7 +31,7 @@
 	OtherAddr     bool          // an answer from another address comes first
 	Garbage       bool          // bytes that are no message come first
 	Cut           bool          // the answer breaks off in the middle, without TC
-	Only          bool          // of OtherID to Garbage: the true answer never comes
+	Only          bool          // of MismatchedID to Garbage: the true answer never comes
 	Chain         bool          // every name is an alias of another, without end
 	NoGlue        bool          // nothing in the additional section
 }
--- a/internal/testing/standin/listservice/roster.go
+++ b/internal/testing/standin/listservice/roster.go
@@ -143,7 +143,7 @@
 func (r *Roster) serve(w http.ResponseWriter, q *http.Request) {
 	since, _ := strconv.Atoi(q.FormValue("since"))
 	wait, _ := strconv.Atoi(q.FormValue("timeout_ms"))
-	limit := time.After(timers.Ahead(time.Duration(wait) * time.Millisecond))
+	limit := time.After(timers.Positive(time.Duration(wait) * time.Millisecond))
 	r.change(func() { r.asked = max(r.asked, since) })
 	mood, done := r.meet(w, q)
 	if done {
--- a/internal/testing/standin/worker/engine.go
+++ b/internal/testing/standin/worker/engine.go
@@ -73,7 +73,7 @@
 		e.timer.Stop()
 	}
 	if at, ok := e.m.Next(); ok {
-		e.timer = time.AfterFunc(timers.Ahead(at-time.Since(e.began)), func() {
+		e.timer = time.AfterFunc(timers.Positive(at-time.Since(e.began)), func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.tell(e.m.Advance(time.Since(e.began)))
--- a/lab/prove-srv/main.go
+++ b/lab/prove-srv/main.go
@@ -412,9 +412,9 @@
 		ctx, stop := context.WithTimeout(context.Background(), 4*time.Second)
 		var wg sync.WaitGroup
 		for range n {
-			r := srv.New(srv.Config{Service: "_l._tcp.z.", Servers: list(d), Timeout: time.Second, Floor: time.Second, Ceiling: time.Hour,
-				Families: []uint16{dns.TypeA}, MaxRecords: 16})
-			wg.Go(func() { r.Follow(ctx, func(srv.Update) {}) })
+			r := srv.New(srv.Config{Service: "_l._tcp.z.", Servers: list(d), Timeout: time.Second, MinTTL: time.Second, MaxTTL: time.Hour,
+				AddressTypes: []uint16{dns.TypeA}, MaxRecords: 16})
+			wg.Go(func() { r.Run(ctx, func(srv.Update) {}) })
 		}
 		wg.Wait()
 		stop()
@@ -449,12 +449,12 @@
 		} else {
 			one.Close()
 		}
-		r := srv.New(srv.Config{Service: "_l._tcp.z.", Servers: list(one, two), Timeout: 400 * time.Millisecond, Floor: time.Second,
-			Ceiling: time.Hour, Families: []uint16{dns.TypeA}, MaxRecords: 16})
+		r := srv.New(srv.Config{Service: "_l._tcp.z.", Servers: list(one, two), Timeout: 400 * time.Millisecond, MinTTL: time.Second,
+			MaxTTL: time.Hour, AddressTypes: []uint16{dns.TypeA}, MaxRecords: 16})
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		began := time.Now()
 		var took time.Duration
-		r.Follow(ctx, func(u srv.Update) {
+		r.Run(ctx, func(u srv.Update) {
 			if u.Err == nil {
 				took = time.Since(began)
 				stop()
--- a/lab/rig/harness/coldstart.go
+++ b/lab/rig/harness/coldstart.go
@@ -393,7 +393,7 @@
 	n  int
 }
 
-func (p *paper) Relayed(_ uint64, whole bool, list []membership.Worker) bool {
+func (p *paper) ApplyRelayed(_ uint64, whole bool, list []membership.Worker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.n += len(list); whole {
@@ -431,16 +431,16 @@
 		now := func() time.Duration { return time.Since(began) }
 		desk := coldstart.NewClient(now, Patience)
 		name := fmt.Sprint("h", i)
-		var carrier *relayedlist.Carrier
+		var carrier *relayedlist.Relay
 		h := transport.NewLeaseSession(transport.NewClient(fleet, addrs), policylease.New(name, uint64(i+1), "", statemachine.RefuseWork), began, transport.Hooks{
 			CheckPolicy: func(statemachine.Policy) error { return nil }, Log: func(string) {},
 			ApplyPolicy: func(p statemachine.Policy) error { desk.SetEnabled(p.ColdStart != nil); return nil },
 			Zone:        i % zones, ColdStartRequest: desk.NextRequest, ListMark: desk.Watermark, QuotaExhausted: desk.Urgent,
 			ColdStartGranted: func(asked, until time.Duration, w *coldstart.Response) {
 				u, _ := desk.HandleResponse(asked, until, w)
-				carrier.Take(u)
+				carrier.Apply(u)
 			},
-			ListReceived: func(u *relay.Update) { carrier.Take(desk.HandleUpdate(u)) }})
+			ListReceived: func(u *relay.Update) { carrier.Apply(desk.HandleUpdate(u)) }})
 		carrier = relayedlist.New(name, i%zones, desk, p, h, func(string) {})
 		wg.Go(func() { h.Run(ctx) })
 		wg.Go(func() { carrier.Run(ctx) })
@@ -472,7 +472,7 @@
 }
 
 // read asks for the list in its turn, and hands it on.
-func read(ctx context.Context, addr string, desk *coldstart.Client, carrier *relayedlist.Carrier, p *paper) {
+func read(ctx context.Context, addr string, desk *coldstart.Client, carrier *relayedlist.Relay, p *paper) {
 	for ctx.Err() == nil {
 		ok, wait, changed := desk.MayCall(true, false)
 		if !ok {
@@ -502,8 +502,8 @@
 		for _, e := range reply.Instances {
 			list = append(list, membership.Worker{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight})
 		}
-		p.Relayed(reply.Generation, true, list)
-		carrier.Told(httpfront.Told{Generation: reply.Generation, Changed: list, All: func() []membership.Worker { return list }})
+		p.ApplyRelayed(reply.Generation, true, list)
+		carrier.Publish(httpfront.ListUpdate{Generation: reply.Generation, Changed: list, WholeList: func() []membership.Worker { return list }})
 		return
 	}
 }
--- a/lab/rig/harness/startsim.go
+++ b/lab/rig/harness/startsim.go
@@ -222,7 +222,7 @@
 			out.Failed++
 			d.fails++
 			d.desk.CallFailed()
-			at(now+backoff.AfterFailure(c.Dispatchers, d.fails, rnd.Float64()), func() {
+			at(now+backoff.BeforeRetry(c.Dispatchers, d.fails, rnd.Float64()), func() {
 				if d.waits = false; d.life == life {
 					table(i)
 				}
@@ -256,7 +256,7 @@
 		own := func() time.Duration { return now }
 		patience := now
 		if c.Keepers {
-			patience += 10*time.Second + backoff.First(c.Dispatchers, rnd.Float64())
+			patience += 10*time.Second + backoff.BeforeFirstCall(c.Dispatchers, rnd.Float64())
 		}
 		d.desk = coldstart.NewClient(own, patience)
 		all[i] = d
@@ -266,7 +266,7 @@
 			return
 		}
 		life := d.life
-		at(now+backoff.First(c.Dispatchers, rnd.Float64()), func() {
+		at(now+backoff.BeforeFirstCall(c.Dispatchers, rnd.Float64()), func() {
 			if d.life == life {
 				table(i)
 			}
