--- a/internal/gateway/broker/job.go
+++ b/internal/gateway/broker/job.go
@@ -56,7 +56,7 @@
 	Result []byte    // the answer, for OK
 }
 
-// AnswerKind is the kind of a final answer.
+// Kind is the kind of a final answer.
 type AnswerKind uint8
 
 const (
--- a/internal/gateway/httpfront/frontend.go
+++ b/internal/gateway/httpfront/frontend.go
@@ -106,11 +106,11 @@
 	return &RequestReader{live: live, guard: g, open: map[string]bool{}}
 }
 
-// SetAdmissionGate says, at the moment at which a request is admitted, whether it may be, and under which
+// AdmissionGate says, at the moment at which a request is admitted, whether it may be, and under which
 // version of the policy. It must wait for nobody.
 type AdmissionGate func() (version uint64, at time.Time, admits bool)
 
-// AdmissionGate sets the gate. Before any request.
+// SetAdmissionGate sets the gate. Before any request.
 func (rd *RequestReader) SetAdmissionGate(g AdmissionGate) { rd.gate = g }
 
 // Admitting tells whether new work is admitted now.
