--- a/cmd/yardflow/agree.go
+++ b/cmd/yardflow/agree.go
@@ -210,12 +210,12 @@
 			}
 		},
 		ReportsUndelivered: n.witness.Undelivered,
-		VerdictsReceived:   n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
+		EjectionsReceived:  n.heardVerdicts, ClaimLeaseRenewed: more.ClaimLeaseRenewed, StepsReady: more.StepsReady}
 	n.holder = transport.NewLeaseSession(transport.NewClient(cfg.Coordinators.Fleet, cfg.Coordinators.Addresses), half, began, hooks)
 	carrier = relayedlist.New(cfg.Name, cfg.Dispatch.Zone, n.starts, n.table, n.holder, func(s string) { log.Print(s) })
 	n.table.EnableSharing(n.starts, carrier.Publish)
 	n.reader.SetAdmissionGate(func() (uint64, time.Time, bool) {
-		held, at := n.holder.Admits()
+		held, at := n.holder.Admission()
 		return held.Version, at, held.Allowed
 	})
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/yardflow/steps.go
+++ b/cmd/yardflow/steps.go
@@ -46,7 +46,7 @@
 			return n.holder.Do(ctx, c)
 		},
 		AdmissionGate: func() (uint64, time.Time, bool) {
-			held, at := n.holder.Admits()
+			held, at := n.holder.Admission()
 			return held.Version, at, held.Allowed
 		}})
 	hooks.ClaimLeaseRenewed, hooks.StepsReady = n.flows.RenewLease, n.flows.NotifyReady
--- a/internal/fleet/statemachine/outlier.go
+++ b/internal/fleet/statemachine/outlier.go
@@ -31,7 +31,7 @@
 
 func (outlierComponent) leaseGranted(s *State, c *LeaseRequest, r *Result) {
 	if s.Outliers != nil {
-		r.Verdicts, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
+		r.Ejections, r.ReportsWanted = s.Outliers.NoticesFor(s.Now, c.Name, c.Zone)
 	}
 }
 
@@ -43,7 +43,7 @@
 
 func (outlierComponent) addUpdate(s *State, u *WatchUpdate, _ int, _ relay.Watermark) {
 	if s.Outliers != nil {
-		u.Verdicts = s.Outliers.Notices()
+		u.Ejections = s.Outliers.Notices()
 	}
 }
 
--- a/internal/fleet/statemachine/result.go
+++ b/internal/fleet/statemachine/result.go
@@ -20,7 +20,7 @@
 	LeaseDuration  time.Duration            `cbor:"Lease"` // counts from when the lease was asked for; 0: none is granted
 	Grant          uint64                   // number of the lease
 	QuotaGrants    []quota.Share            `cbor:"Parts"` // usable for as long as the lease
-	Verdicts       []outlier.EjectionNotice `cbor:"Verdicts"`
+	Ejections      []outlier.EjectionNotice `cbor:"Verdicts"`
 	ReportsWanted  []outlier.Incarnation    `cbor:"Accused"` // workers that the caller is to report on
 	ColdStart      *coldstart.Response      `cbor:"Start"`
 	Workflow       *claims.Answer           `cbor:"Flow"`
--- a/internal/fleet/statemachine/watch.go
+++ b/internal/fleet/statemachine/watch.go
@@ -13,7 +13,7 @@
 	Change      *PolicyChange            // proposed, to be voted on; nil: none is. Its ID and Policy alone are set
 	Closing     bool                     // a change is closing
 	Policy      *Policy                  // in force, where the caller does not have it
-	Verdicts    []outlier.EjectionNotice `cbor:"Verdicts"`
+	Ejections   []outlier.EjectionNotice `cbor:"Verdicts"`
 	RelayedList *relay.Update            `cbor:"List"`
 	StepsReady  bool                     `cbor:"Steps"` // of workflows
 }
--- a/internal/fleet/transport/hooks.go
+++ b/internal/fleet/transport/hooks.go
@@ -27,7 +27,7 @@
 	// Outlier detection.
 	AddReports         func(request *statemachine.LeaseRequest) // adds what was seen of workers
 	ReportsUndelivered func(reports []outlier.Report)           // the call failed: they may not have arrived
-	VerdictsReceived   func(until time.Duration, verdicts []outlier.EjectionNotice, reportsWanted []outlier.Incarnation, fromWatch bool)
+	EjectionsReceived  func(until time.Duration, verdicts []outlier.EjectionNotice, reportsWanted []outlier.Incarnation, fromWatch bool)
 
 	// Cold starts.
 	Zone             int                                                     // of the dispatcher
--- a/internal/fleet/transport/session.go
+++ b/internal/fleet/transport/session.go
@@ -57,8 +57,8 @@
 	return &LeaseSession{client: client, hooks: hooks, epoch: epoch, holder: holder}
 }
 
-// Admits returns what may be admitted now, and the moment for which that holds. It waits for no call.
-func (s *LeaseSession) Admits() (policylease.Admission, time.Time) {
+// Admission returns what may be admitted now, and the moment for which that holds. It waits for no call.
+func (s *LeaseSession) Admission() (policylease.Admission, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -175,8 +175,8 @@
 	if s.hooks.ListReceived != nil && update.RelayedList != nil && update.Generation >= s.generation() {
 		s.hooks.ListReceived(update.RelayedList)
 	}
-	if s.hooks.VerdictsReceived != nil && expiry > 0 {
-		s.hooks.VerdictsReceived(expiry, update.Verdicts, nil, true)
+	if s.hooks.EjectionsReceived != nil && expiry > 0 {
+		s.hooks.EjectionsReceived(expiry, update.Ejections, nil, true)
 	}
 	if s.hooks.StepsReady != nil && update.StepsReady {
 		s.hooks.StepsReady()
@@ -285,8 +285,8 @@
 	if granted && s.hooks.ColdStartGranted != nil && actions.ApplyPolicy == nil {
 		s.hooks.ColdStartGranted(asked, s.leaseExpiry(), result.ColdStart)
 	}
-	if granted && s.hooks.VerdictsReceived != nil {
-		s.hooks.VerdictsReceived(s.leaseExpiry(), result.Verdicts, result.ReportsWanted, false)
+	if granted && s.hooks.EjectionsReceived != nil {
+		s.hooks.EjectionsReceived(s.leaseExpiry(), result.Ejections, result.ReportsWanted, false)
 	}
 	if result.ClaimLease > 0 && s.hooks.ClaimLeaseRenewed != nil && !void {
 		s.hooks.ClaimLeaseRenewed(asked, result.ClaimLease, result.Generation, result.StepsReady)
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	servesUnder := func(version uint64) func() bool {
-		return func() bool { held, _ := session.Admits(); return held.Allowed && held.Version == version }
+		return func() bool { held, _ := session.Admission(); return held.Allowed && held.Version == version }
 	}
 	eventually("a lease", servesUnder(0))
 	stage := func(want statemachine.Stage) func() bool {
@@ -183,7 +183,7 @@
 	mu.Unlock()
 	stop()
 	<-ended
-	if held, _ := session.Admits(); held.Allowed {
+	if held, _ := session.Admission(); held.Allowed {
 		t.Error("it admits after its end")
 	}
 	stub.mu.Lock()
--- a/lab/rig/harness/keepers.go
+++ b/lab/rig/harness/keepers.go
@@ -311,7 +311,7 @@
 	}
 	holding := func() (n int) {
 		for _, h := range all {
-			if held, _ := h.Admits(); held.Allowed {
+			if held, _ := h.Admission(); held.Allowed {
 				n++
 			}
 		}
