--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.answer(b); err != nil {
+		if err := h.handleBatch(b); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
@@ -52,35 +52,35 @@
 // host carries the dispatchers of this process. It is the Actions sink of the
 // one whose events are being handled.
 type host struct {
-	dispatchers map[uint32]dispatch.Dispatcher
-	reply       simwire.Reply
-	current     uint32
-	named       bool // the reply's last For names current
-	event       simwire.Event
-	workers     []dispatch.Worker
-	load        []float64
+	dispatchers   map[uint32]dispatch.Dispatcher
+	reply         simwire.Reply
+	current       uint32
+	instanceNamed bool // the reply's last For names current
+	event         simwire.Event
+	workers       []dispatch.Worker
+	load          []float64
 }
 
-func (h *host) answer(b *simwire.Batch) error {
+func (h *host) handleBatch(b *simwire.Batch) error {
 	h.reply.Reset()
-	now := ms(b.Clock)
-	h.current, h.named = 0, false
+	now := duration(b.Clock)
+	h.current, h.instanceNamed = 0, false
 	for n := 0; ; n++ {
 		more, err := b.Next(&h.event)
 		if err != nil || !more {
 			return err
 		}
-		if err := h.deliver(now); err != nil {
+		if err := h.handleEvent(now); err != nil {
 			return fmt.Errorf("record %d: %w", n, err)
 		}
 	}
 }
 
-func (h *host) deliver(now time.Duration) error {
+func (h *host) handleEvent(now time.Duration) error {
 	e := &h.event
 	switch e.Code {
 	case simwire.EventSelect:
-		h.current, h.named = e.Instance, false
+		h.current, h.instanceNamed = e.Instance, false
 		return nil
 	case simwire.EventUp:
 		s, err := config.ParseSettings(e.Settings)
@@ -108,37 +108,37 @@
 		for _, t := range e.Entries {
 			h.workers = append(h.workers, dispatch.Worker{
 				ID: dispatch.WorkerID(t.Worker), Zone: int(t.Zone), Kind: int(t.Kind), Cell: int(t.Cell),
-				State: state(t.Status), Weight: float64(t.Capacity), Launched: ms(t.LaunchedMillis)})
+				State: workerState(t.Status), Weight: float64(t.Capacity), Launched: duration(t.LaunchedMillis)})
 		}
-		d.UpdateWorkers(now, form(e.Form), h.workers, h)
+		d.UpdateWorkers(now, listForm(e.Form), h.workers, h)
 	case simwire.EventAsk:
-		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), TimeLeft: ms(e.LeftMs),
+		r := dispatch.Request{ID: id, Class: int(e.Class), Tenant: int(e.Tenant), TimeLeft: duration(e.LeftMs),
 			Slots: float64(e.Slots), Memory: float64(e.Memory), ClientRetry: e.Flags&simwire.FlagRetry != 0}
 		if e.Flags&simwire.FlagHint != 0 {
-			r.WorkHint = ms(e.HintMs)
+			r.WorkHint = duration(e.HintMs)
 		}
 		d.Arrive(now, r, h)
 	case simwire.EventHeadReceived:
 		d.StreamStarted(now, id, int(e.Copy), h)
 	case simwire.EventSettled:
 		d.AttemptEnded(now, dispatch.Outcome{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
-			Code: code(e.State), Latency: ms(e.Latency), Answered: e.Ended, Load: h.floats(e.Load)}, h)
+			Code: attemptCode(e.State), Latency: duration(e.Latency), Answered: e.Ended, Load: h.loadReport(e.Load)}, h)
 	case simwire.EventTimedOutClient:
 		d.ClientDisconnected(now, id, h)
 	case simwire.EventAlarm:
 		d.Timer(now, e.Tag, h)
 	case simwire.EventPong:
-		d.ProbeAnswered(now, dispatch.WorkerID(e.Worker), code(e.State), h.floats(e.Load), h)
+		d.ProbeAnswered(now, dispatch.WorkerID(e.Worker), attemptCode(e.State), h.loadReport(e.Load), h)
 	case simwire.EventPeerData:
 		d.PeerMessage(now, int(e.Sender), e.Content, h)
 	case simwire.EventHintUpdate:
 		d.Notify(now, dispatch.Notification{ID: id, Attempt: int(e.Copy), Worker: dispatch.WorkerID(e.Worker),
-			Kind: note(e.Topic), FractionDone: float64(e.Value)}, h)
+			Kind: notificationKind(e.Topic), FractionDone: float64(e.Value)}, h)
 	}
 	return nil
 }
 
-func (h *host) floats(in []float32) []float64 {
+func (h *host) loadReport(in []float32) []float64 {
 	h.load = h.load[:0]
 	for _, v := range in {
 		h.load = append(h.load, float64(v))
@@ -146,63 +146,63 @@
 	return h.load
 }
 
-// name writes the For record ahead of an instance's first action.
-func (h *host) name() {
-	if !h.named {
+// nameInstance writes the For record ahead of an instance's first action.
+func (h *host) nameInstance() {
+	if !h.instanceNamed {
 		h.reply.For(h.current)
-		h.named = true
+		h.instanceNamed = true
 	}
 }
 
 func (h *host) Send(id dispatch.RequestID, w dispatch.WorkerID, within time.Duration) {
-	h.name()
-	h.reply.SubmitTo(uint64(id), simwire.Worker(w), millis(within))
+	h.nameInstance()
+	h.reply.SubmitTo(uint64(id), simwire.Worker(w), milliseconds(within))
 }
 
 func (h *host) Reject(id dispatch.RequestID, comeBack time.Duration) {
-	h.name()
-	h.reply.SayNo(uint64(id), millis(comeBack))
+	h.nameInstance()
+	h.reply.SayNo(uint64(id), milliseconds(comeBack))
 }
 
 func (h *host) Fail(id dispatch.RequestID) {
-	h.name()
+	h.nameInstance()
 	h.reply.ReportFailure(uint64(id))
 }
 
 func (h *host) Cancel(id dispatch.RequestID, attempt int) {
-	h.name()
+	h.nameInstance()
 	h.reply.DropAttempt(uint64(id), uint16(attempt))
 }
 
 func (h *host) Wake(in time.Duration, tag uint64) {
-	h.name()
-	h.reply.NotifyMe(millis(in), tag)
+	h.nameInstance()
+	h.reply.NotifyMe(milliseconds(in), tag)
 }
 
 func (h *host) Subscribe() {
-	h.name()
+	h.nameInstance()
 	h.reply.Observe(true)
 }
 
 func (h *host) Probe(w dispatch.WorkerID) {
-	h.name()
+	h.nameInstance()
 	h.reply.AskLoad(simwire.Worker(w))
 }
 
 func (h *host) Broadcast(msg []byte) {
-	h.name()
+	h.nameInstance()
 	h.reply.Announce(msg)
 }
 
 func (h *host) Log(line string) {
-	h.name()
+	h.nameInstance()
 	h.reply.Log(line)
 }
 
-func ms(v float64) time.Duration     { return time.Duration(v * float64(time.Millisecond)) }
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func duration(v float64) time.Duration     { return time.Duration(v * float64(time.Millisecond)) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func state(s uint8) dispatch.WorkerState {
+func workerState(s uint8) dispatch.WorkerState {
 	switch s {
 	case 0:
 		return dispatch.Ready
@@ -212,7 +212,7 @@
 	return dispatch.Draining // an unknown state is not one to send to
 }
 
-func form(f uint8) dispatch.ListForm {
+func listForm(f uint8) dispatch.ListForm {
 	switch f {
 	case 0:
 		return dispatch.ListDelta
@@ -224,7 +224,7 @@
 	return dispatch.ListFailed
 }
 
-func note(t uint8) dispatch.NotificationKind {
+func notificationKind(t uint8) dispatch.NotificationKind {
 	switch t {
 	case 1:
 		return dispatch.NotificationStarted
@@ -234,7 +234,7 @@
 	return dispatch.NotificationOther
 }
 
-func code(c uint16) dispatch.Code {
+func attemptCode(c uint16) dispatch.Code {
 	switch c {
 	case 0:
 		return dispatch.OK
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -82,7 +82,7 @@
 }
 
 // Bad input stops the adapter with one plain line that names the place.
-func TestBadInputIsNamed(t *testing.T) {
+func TestBadInputErrorNamesRecord(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"truncated":     batch(record(7, make([]byte, 8)))[:20],
 		"short field":   batch(record(12, make([]byte, 4)), record(7, make([]byte, 3))),
--- a/internal/gateway/broker/broker.go
+++ b/internal/gateway/broker/broker.go
@@ -32,8 +32,8 @@
 // counted from when the client sent the request, a little before we saw it.
 const DeadlineMargin = 15 * time.Millisecond
 
-// grace is how long past Margin the module may take to word the final answer.
-const grace = 10 * time.Millisecond
+// moduleGrace is how long past Margin the module may take to word the final answer.
+const moduleGrace = 10 * time.Millisecond
 
 // ErrClosed is returned by calls on a broker that has been closed.
 var ErrClosed = errors.New("broker: closed")
@@ -42,33 +42,33 @@
 
 // Broker is the core. Its methods may be called from any goroutine.
 type Broker struct {
-	settings atomic.Pointer[dispatch.Settings] // in force
-	heard    *dispatch.Settings                // as the module has them; run's alone
-	module   dispatch.Dispatcher               // touched by run alone
-	log      func(string)
-	budgets  atomic.Pointer[map[string]*budget]
-	desk     *quota.Limiter                 // of the limits of the fleet; nil: there are none
-	deskNow  func() time.Duration           // its clock
-	witness  *outlier.Reporter              // of what is seen of workers; nil: nobody wants to know
-	bound    atomic.Int64                   // at each worker, as the module was told
-	cold     atomic.Int64                   // one more than the part of a cold worker, in millionths, as it was told; 0: none
-	observe  func(worker string, code Code) // nil: nobody wants to know
-	trace    func(line string)              // nil: off
-	tell     func(msg []byte)               // to the other dispatchers; nil: no way to them
-	heardOf  atomic.Int32                   // their messages that the module has yet to take
+	settings        atomic.Pointer[dispatch.Settings] // in force
+	moduleSettings  *dispatch.Settings                // as the module has them; run's alone
+	module          dispatch.Dispatcher               // touched by run alone
+	log             func(string)
+	buckets         atomic.Pointer[map[string]*tokenBucket]
+	limiter         *quota.Limiter                 // of the limits of the fleet; nil: there are none
+	limiterClock    func() time.Duration           // its clock
+	outlierReporter *outlier.Reporter              // of what is seen of workers; nil: nobody wants to know
+	bound           atomic.Int64                   // at each worker, as the module was told
+	cold            atomic.Int64                   // one more than the part of a cold worker, in millionths, as it was told; 0: none
+	observe         func(worker string, code Code) // nil: nobody wants to know
+	trace           func(line string)              // nil: off
+	tell            func(msg []byte)               // to the other dispatchers; nil: no way to them
+	heardOf         atomic.Int32                   // their messages that the module has yet to take
 
 	anchor     time.Time // with its monotonic reading: the clock never runs back
 	anchorUnix time.Duration
 
-	mu        sync.Mutex
-	queue     []event
-	places    map[dispatch.WorkerID]*place
-	banned    map[string]bool   // by the worker's name, whether the list has it or not
-	listStale bool              // the list service's list counts as out of date
-	named     func(string) bool // whether it has named a worker; nil: all
-	pools     *pool.Set         // of workers, for steps of workflows; nil: there are none
-	lastID    dispatch.RequestID
-	closed    bool
+	mu          sync.Mutex
+	queue       []event
+	workersByID map[dispatch.WorkerID]*workerState
+	banned      map[string]bool   // by the worker's name, whether the list has it or not
+	listStale   bool              // the list service's list counts as out of date
+	named       func(string) bool // whether it has named a worker; nil: all
+	pools       *pool.Set         // of workers, for steps of workflows; nil: there are none
+	lastID      dispatch.RequestID
+	closed      bool
 
 	open  map[dispatch.RequestID]*session // run's alone
 	count atomic.Int64                    // of open
@@ -80,10 +80,10 @@
 	done  chan struct{}
 	over  context.Context // ends when no request may be open any longer
 	end   func()
-	timer []wake // run's alone
+	timer []pendingTimer // run's alone
 }
 
-type wake struct {
+type pendingTimer struct {
 	at  time.Duration
 	tag uint64
 }
@@ -94,8 +94,8 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Broker{module: m, heard: &s, log: log,
-		open: map[dispatch.RequestID]*session{}, places: map[dispatch.WorkerID]*place{}, banned: map[string]bool{},
+	b := &Broker{module: m, moduleSettings: &s, log: log,
+		open: map[dispatch.RequestID]*session{}, workersByID: map[dispatch.WorkerID]*workerState{}, banned: map[string]bool{},
 		poke: make(chan struct{}, 1), ask: make(chan struct{}, 1), done: make(chan struct{})}
 	// Workers' start times are Unix time, so the module's clock has that base:
 	// read once, and carried on by the monotonic clock alone.
@@ -103,7 +103,7 @@
 	b.anchorUnix = time.Duration(b.anchor.UnixNano())
 	b.settings.Store(&s)
 	b.over, b.end = context.WithCancel(context.Background())
-	b.budgets.Store(&map[string]*budget{})
+	b.buckets.Store(&map[string]*tokenBucket{})
 	b.SetContracts(contracts)
 	go b.run()
 	return b, nil
@@ -116,7 +116,7 @@
 	}
 	b.settings.Store(&s)
 	b.post(func(now time.Duration, out dispatch.Actions) {
-		b.heard = &s
+		b.moduleSettings = &s
 		b.module.Reconfigure(now, s, out)
 	})
 	return nil
@@ -162,7 +162,7 @@
 func (b *Broker) WorkerName(id dispatch.WorkerID) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if p := b.places[id]; p != nil {
+	if p := b.workersByID[id]; p != nil {
 		return p.name
 	}
 	return fmt.Sprintf("%x", uint64(id))
@@ -204,12 +204,12 @@
 // module was built for.
 func (b *Broker) run() {
 	var batch []event
-	last := b.now() - b.heard.MinEventGap
+	last := b.now() - b.moduleSettings.MinEventGap
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
 		wait := time.Hour
-		if due, ok := b.nextWake(); ok {
+		if due, ok := b.nextTimer(); ok {
 			wait = due - b.now()
 		}
 		alarm.Reset(timers.Positive(wait))
@@ -219,7 +219,7 @@
 		case <-b.poke:
 		case <-alarm.C:
 		}
-		if rest := last + b.heard.MinEventGap - b.now(); rest > 0 {
+		if rest := last + b.moduleSettings.MinEventGap - b.now(); rest > 0 {
 			time.Sleep(rest)
 		}
 		now := max(b.now(), last)
@@ -228,16 +228,16 @@
 		batch, b.queue = b.queue, batch[:0]
 		b.mu.Unlock()
 		for i, e := range batch {
-			b.call(func() { e(now, sink{b, now}) })
+			b.guardPanic(func() { e(now, moduleActions{b, now}) })
 			batch[i] = nil
 		}
-		b.tick(now)
+		b.fireTimers(now)
 	}
 }
 
-// call keeps a fault of the module from taking every open request with it: a
+// guardPanic keeps a fault of the module from taking every open request with it: a
 // release build counts it and goes on, and the backstop answers what it cost.
-func (b *Broker) call(f func()) {
+func (b *Broker) guardPanic(f func()) {
 	if !invariant.Debug {
 		defer func() {
 			if r := recover(); r != nil {
@@ -248,7 +248,7 @@
 	f()
 }
 
-func (b *Broker) nextWake() (at time.Duration, ok bool) {
+func (b *Broker) nextTimer() (at time.Duration, ok bool) {
 	for _, w := range b.timer {
 		if !ok || w.at < at {
 			at, ok = w.at, true
@@ -257,9 +257,9 @@
 	return at, ok
 }
 
-// tick hands the module its timers that are due.
-func (b *Broker) tick(now time.Duration) {
-	var due []wake
+// fireTimers hands the module its timers that are due.
+func (b *Broker) fireTimers(now time.Duration) {
+	var due []pendingTimer
 	rest := b.timer[:0]
 	for _, w := range b.timer {
 		if w.at <= now {
@@ -270,7 +270,7 @@
 	}
 	b.timer = rest
 	for _, w := range due {
-		b.call(func() { b.module.Timer(now, w.tag, sink{b, now}) })
+		b.guardPanic(func() { b.module.Timer(now, w.tag, moduleActions{b, now}) })
 	}
 }
 
@@ -282,8 +282,8 @@
 func (b *Broker) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := Stats{Open: int(b.count.Load()), Steps: int(b.steps.Load()), Waiting: int(b.idle[0].Load()), StepsWaiting: int(b.idle[1].Load()), Queued: len(b.queue), Workers: len(b.places)}
-	for _, p := range b.places {
+	s := Stats{Open: int(b.count.Load()), Steps: int(b.steps.Load()), Waiting: int(b.idle[0].Load()), StepsWaiting: int(b.idle[1].Load()), Queued: len(b.queue), Workers: len(b.workersByID)}
+	for _, p := range b.workersByID {
 		if b.usable(p) {
 			s.Ready++
 		}
--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -14,16 +14,16 @@
 	"yardflow/scheduling/dispatch"
 )
 
-func settings() dispatch.Settings {
+func testSettings() dispatch.Settings {
 	return dispatch.Settings{DispatcherCount: 1, MaxAttempts: 4, MinEventGap: time.Millisecond, MaxRetryAfter: 2 * time.Second,
 		Classes: []dispatch.Class{
 			{Name: "unsafe", LatencyTarget: 10 * time.Second, Deadline: 5 * time.Second, Value: 1, Semantics: dispatch.AtMostOnce, WorkerKind: -1},
 			{Name: "safe", LatencyTarget: 10 * time.Second, Deadline: 5 * time.Second, Value: 1, WorkerKind: -1}}}
 }
 
-func open(t *testing.T, contracts ...Contract) *Broker {
+func newTestBroker(t *testing.T, contracts ...Contract) *Broker {
 	t.Helper()
-	b, err := New(settings(), 1, contracts, func(string) {})
+	b, err := New(testSettings(), 1, contracts, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,29 +31,29 @@
 	return b
 }
 
-func never(t *testing.T) AttemptFunc {
+func failOnAttempt(t *testing.T) AttemptFunc {
 	return func(context.Context, *Attempt) Outcome {
 		t.Error("an attempt that must not be")
 		return Outcome{Code: NotSent}
 	}
 }
 
-// script is a module that says what it is told to at an arrival, and notes what
+// scriptedModule is a module that says what it is told to at an arrival, and notes what
 // it hears.
-type script struct {
+type scriptedModule struct {
 	dispatch.Dispatcher // nil: a call that is not scripted stops the test
-	arrive              func(dispatch.Request, dispatch.Actions)
+	onArrive            func(dispatch.Request, dispatch.Actions)
 	mu                  sync.Mutex
-	heard               []string
+	disconnects         []string
 	outcomes            []dispatch.Outcome
 	onOutcome           func(dispatch.Outcome, dispatch.Actions)
 }
 
-func (s *script) Arrive(_ time.Duration, r dispatch.Request, out dispatch.Actions) {
-	s.arrive(r, out)
+func (s *scriptedModule) Arrive(_ time.Duration, r dispatch.Request, out dispatch.Actions) {
+	s.onArrive(r, out)
 }
 
-func (s *script) AttemptEnded(_ time.Duration, o dispatch.Outcome, out dispatch.Actions) {
+func (s *scriptedModule) AttemptEnded(_ time.Duration, o dispatch.Outcome, out dispatch.Actions) {
 	s.mu.Lock()
 	s.outcomes = append(s.outcomes, o)
 	s.mu.Unlock()
@@ -62,18 +62,18 @@
 	}
 }
 
-func (s *script) ClientDisconnected(time.Duration, dispatch.RequestID, dispatch.Actions) {
+func (s *scriptedModule) ClientDisconnected(time.Duration, dispatch.RequestID, dispatch.Actions) {
 	s.mu.Lock()
-	s.heard = append(s.heard, "gone")
+	s.disconnects = append(s.disconnects, "gone")
 	s.mu.Unlock()
 }
 
-func (s *script) UpdateWorkers(time.Duration, dispatch.ListForm, []dispatch.Worker, dispatch.Actions) {
+func (s *scriptedModule) UpdateWorkers(time.Duration, dispatch.ListForm, []dispatch.Worker, dispatch.Actions) {
 }
 
-// with puts a script in the module's place before anything has been posted.
-func with(t *testing.T, s *script) *Broker {
-	b := open(t)
+// newScriptedBroker puts a script in the module's place before anything has been posted.
+func newScriptedBroker(t *testing.T, s *scriptedModule) *Broker {
+	b := newTestBroker(t)
 	ready := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) { b.module = s; close(ready) })
 	<-ready
@@ -81,8 +81,8 @@
 	return b
 }
 
-// settled waits until the module has been told all that is queued.
-func settled(b *Broker) {
+// awaitModule waits until the module has been told all that is queued.
+func awaitModule(b *Broker) {
 	done := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) { close(done) })
 	<-done
@@ -90,16 +90,16 @@
 
 // A module that stays silent must not cost an answer: the backstop words it
 // before the one who asked gives up, and the module hears of the end.
-func TestBackstopAnswersForASilentModule(t *testing.T) {
-	s := &script{arrive: func(dispatch.Request, dispatch.Actions) {}}
-	b := with(t, s)
+func TestServeAnswersByDeadlineWhenModuleIsSilent(t *testing.T) {
+	s := &scriptedModule{onArrive: func(dispatch.Request, dispatch.Actions) {}}
+	b := newScriptedBroker(t, s)
 	deadline := time.Now().Add(300 * time.Millisecond)
-	got := b.Serve(t.Context(), Request{Deadline: deadline}, never(t))
+	got := b.Serve(t.Context(), Request{Deadline: deadline}, failOnAttempt(t))
 	if diff := cmp.Diff(Answer{Kind: AnswerRejected}, got); diff != "" {
 		t.Error(diff)
 	}
-	settled(b)
-	if diff := cmp.Diff([]string{"gone"}, s.heard); diff != "" {
+	awaitModule(b)
+	if diff := cmp.Diff([]string{"gone"}, s.disconnects); diff != "" {
 		t.Error(diff)
 	}
 	if n := b.Stats().Open; n != 0 {
@@ -109,19 +109,19 @@
 
 // A send that crosses the end of its request is reported as never made, since
 // the module counts a worker's slots by it.
-func TestSendCrossingTheEndIsReported(t *testing.T) {
+func TestSendAfterRequestEndedIsReportedAsNotSent(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
-	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) {
+	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) {
 		leave()
 		time.Sleep(50 * time.Millisecond) // the client's side sees the end first, or not: both must do
 		out.Send(r.ID, workerID("w"), 0)
 	}}
-	b := with(t, s)
+	b := newScriptedBroker(t, s)
 	got := b.Serve(ctx, Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, _ *Attempt) Outcome {
 		<-ctx.Done()
 		return Outcome{Code: NotSent}
 	})
-	settled(b)
+	awaitModule(b)
 	if got.Kind != AnswerClientGone || len(s.outcomes) != 1 || s.outcomes[0].Code != NotSent || !s.outcomes[0].Answered {
 		t.Errorf("got %+v, module heard %+v", got, s.outcomes)
 	}
@@ -129,13 +129,13 @@
 
 // Rule 2 holds even against the module: what may have run and must not run twice
 // is never refused, since a refusal tells the client to try again.
-func TestNoRefusalOfWhatMayHaveRun(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
 	}
-	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
+	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Reject(o.ID, time.Second) }}
-	b := with(t, s)
+	b := newScriptedBroker(t, s)
 	before := invariant.Violations()
 	for class, want := range []AnswerKind{AnswerFailed, AnswerRejected} {
 		got := b.Serve(t.Context(), Request{Class: class, Deadline: time.Now().Add(time.Minute)},
@@ -151,18 +151,18 @@
 
 // A fault of the module costs the request that met it, not the others and not
 // the process; that one still gets its answer in time.
-func TestModuleFaultCostsOneRequest(t *testing.T) {
+func TestModulePanicFailsOneRequestOnly(t *testing.T) {
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
 	}
-	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) {
+	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) {
 		if r.Class == 0 {
 			panic("a fault")
 		}
 		out.Send(r.ID, workerID("w"), 0)
 	}}
-	b, before := with(t, s), invariant.Violations()
-	got := b.Serve(t.Context(), Request{Class: 0, Deadline: time.Now().Add(200 * time.Millisecond)}, never(t))
+	b, before := newScriptedBroker(t, s), invariant.Violations()
+	got := b.Serve(t.Context(), Request{Class: 0, Deadline: time.Now().Add(200 * time.Millisecond)}, failOnAttempt(t))
 	next := b.Serve(t.Context(), Request{Class: 1, Deadline: time.Now().Add(time.Minute)},
 		func(context.Context, *Attempt) Outcome { return Outcome{Code: OK} })
 	if got.Kind != AnswerRejected || next.Kind != AnswerServed || invariant.Violations()["the module panics: a fault"] != before["the module panics: a fault"]+1 {
@@ -171,10 +171,10 @@
 }
 
 // The module may call an attempt off; it ends with the outcome its front tells.
-func TestModuleCallsAnAttemptOff(t *testing.T) {
-	s := &script{arrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
+func TestModuleCancelsAttempt(t *testing.T) {
+	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Fail(o.ID) }}
-	b := with(t, s)
+	b := newScriptedBroker(t, s)
 	got := b.Serve(t.Context(), Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, a *Attempt) Outcome {
 		b.post(func(_ time.Duration, out dispatch.Actions) {
 			out.Cancel(a.s.id, a.Number+1)
@@ -190,8 +190,8 @@
 
 // A team over its rate, or over what it may have open, is refused at once with
 // the time to come back after; nothing of it reaches the module. Others go on.
-func TestContractsBoundATeam(t *testing.T) {
-	b := open(t, Contract{Team: "a", RequestsPerSecond: 0.5, Burst: 2, MaxInFlight: 9}, Contract{Team: "b", RequestsPerSecond: 1000, Burst: 9, MaxInFlight: 1})
+func TestContractLimitsTeam(t *testing.T) {
+	b := newTestBroker(t, Contract{Team: "a", RequestsPerSecond: 0.5, Burst: 2, MaxInFlight: 9}, Contract{Team: "b", RequestsPerSecond: 1000, Burst: 9, MaxInFlight: 1})
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	served := func(context.Context, *Attempt) Outcome { return Outcome{Code: OK, Result: []byte("r")} }
 	serve := func(team string, do AttemptFunc) Answer {
@@ -202,12 +202,12 @@
 			t.Fatalf("inside the budget: %+v", got)
 		}
 	}
-	if got := serve("a", never(t)); got.Kind != AnswerRejected || !got.OverBudget || got.RetryAfter <= 0 || got.RetryAfter > 2*time.Second {
+	if got := serve("a", failOnAttempt(t)); got.Kind != AnswerRejected || !got.OverBudget || got.RetryAfter <= 0 || got.RetryAfter > 2*time.Second {
 		t.Errorf("over the rate: %+v", got)
 	}
 	var inner Answer
 	outer := serve("b", func(context.Context, *Attempt) Outcome {
-		inner = serve("b", never(t))
+		inner = serve("b", failOnAttempt(t))
 		return Outcome{Code: OK}
 	})
 	if outer.Kind != AnswerServed || inner.Kind != AnswerRejected || !inner.OverBudget || inner.RetryAfter <= 0 {
@@ -218,8 +218,8 @@
 	}
 }
 
-func TestBudgetRefills(t *testing.T) {
-	b, now := newBudget(Contract{RequestsPerSecond: 2, Burst: 2, MaxInFlight: 99}), time.Now()
+func TestTokenBucketRefills(t *testing.T) {
+	b, now := newTokenBucket(Contract{RequestsPerSecond: 2, Burst: 2, MaxInFlight: 99}), time.Now()
 	var got []bool
 	for _, after := range []time.Duration{0, 0, 0, 400, 600, 600, 5000, 5000, 5000} {
 		_, ok := b.take(now.Add(after * time.Millisecond))
@@ -233,16 +233,16 @@
 // Ids are the same at every dispatcher, whatever address it reaches a worker at
 // and in whatever order it hears of them: the dispatchers share out the workers
 // by their ids.
-func TestWorkerIDsDependOnTheNameAlone(t *testing.T) {
+func TestWorkerIDDependsOnNameOnly(t *testing.T) {
 	// Pinned: dispatchers of two versions run side by side while one replaces the other.
 	if got, want := workerID("s-5be2a07c"), dispatch.WorkerID(0xace623f1fdc27c8a); got != want {
 		t.Errorf("got %x, want %x", got, want)
 	}
 	seen := map[string]dispatch.WorkerID{}
 	for _, list := range [][]Worker{{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}}, {{ID: "b", Addr: "3"}, {ID: "a", Addr: "4"}}} {
-		b := open(t)
+		b := newTestBroker(t)
 		b.UpdateWorkers(dispatch.ListFull, list)
-		for id, p := range b.places {
+		for id, p := range b.workersByID {
 			if old, ok := seen[p.name]; ok && old != id {
 				t.Errorf("%s is %x here and %x there", p.name, id, old)
 			}
@@ -253,7 +253,7 @@
 
 // Workers' starts are told in Unix time; the module's clock has the same base.
 func TestClockIsUnixTime(t *testing.T) {
-	b := open(t)
+	b := newTestBroker(t)
 	if off := b.now() - time.Duration(time.Now().UnixNano()); off.Abs() > time.Minute {
 		t.Errorf("the clock is %v off", off)
 	}
@@ -261,8 +261,8 @@
 
 // Whatever the outcomes, each request gets one answer, has one attempt out at a
 // time, and an unsafe one runs once.
-func TestPromisesUnderLoad(t *testing.T) {
-	b := open(t)
+func TestRequestGuaranteesUnderLoad(t *testing.T) {
+	b := newTestBroker(t)
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
 	codes := []Code{OK, OK, OK, Rejected, ConnectFailed, Failed, ConnectionLost}
 	var wg sync.WaitGroup
@@ -301,7 +301,7 @@
 		})
 	}
 	wg.Wait()
-	settled(b)
+	awaitModule(b)
 	if n := b.Stats().Open; n != 0 {
 		t.Error(n, "requests stay open")
 	}
@@ -309,7 +309,7 @@
 
 // A worker taken out by operators gets nothing new from that call on, whatever
 // the list says; jobs there end. Called back, it counts as just started.
-func TestBannedWorkersGetNothingNew(t *testing.T) {
+func TestBannedWorkerGetsNoNewAttempts(t *testing.T) {
 	type told struct {
 		Form  dispatch.ListForm
 		State dispatch.WorkerState
@@ -317,34 +317,34 @@
 	}
 	var heard []told
 	var lastStart time.Duration
-	s := &script{}
-	b := with(t, s)
+	s := &scriptedModule{}
+	b := newScriptedBroker(t, s)
 	ready := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) {
-		b.module = &lists{Dispatcher: s, to: func(now time.Duration, form dispatch.ListForm, w dispatch.Worker) {
+		b.module = &listRecorder{Dispatcher: s, record: func(now time.Duration, form dispatch.ListForm, w dispatch.Worker) {
 			heard, lastStart = append(heard, told{form, w.State, now-w.Launched < time.Minute}), w.Launched
 		}}
 		close(ready)
 	})
 	<-ready
-	allowed := func() bool { return b.allowed(workerID("w"), "addr") }
+	allowed := func() bool { return b.maySendTo(workerID("w"), "addr") }
 	if got := b.SetBanned([]string{"w", "other"}); len(got) != 1 || got[0] != "addr" || allowed() {
 		t.Error("banned", got, allowed())
 	}
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
-	if allowed() || b.allowed(workerID("other"), "addr") || b.Stats().Ready != 0 {
+	if allowed() || b.maySendTo(workerID("other"), "addr") || b.Stats().Ready != 0 {
 		t.Error("a list lifts a ban")
 	}
 	b.SetBanned(nil)
 	if !allowed() || !b.KnowsWorker("w") || b.KnowsWorker("x") {
 		t.Error("not called back")
 	}
-	settled(b)
+	awaitModule(b)
 	// A start that the list has told of since it was taken out is better known.
 	b.SetBanned([]string{"w"})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", StartedAt: time.Now().Add(time.Hour)}})
 	b.SetBanned(nil)
-	settled(b)
+	awaitModule(b)
 	if last := heard[len(heard)-1]; last.State != dispatch.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
 		t.Errorf("called back as %+v, started %v", last, lastStart)
 	}
@@ -356,34 +356,34 @@
 	}
 }
 
-// lists notes each entry of the lists that a module is handed.
-type lists struct {
+// listRecorder notes each entry of the lists that a module is handed.
+type listRecorder struct {
 	dispatch.Dispatcher
-	to func(time.Duration, dispatch.ListForm, dispatch.Worker)
+	record func(time.Duration, dispatch.ListForm, dispatch.Worker)
 }
 
-func (l *lists) UpdateWorkers(now time.Duration, form dispatch.ListForm, list []dispatch.Worker, _ dispatch.Actions) {
+func (l *listRecorder) UpdateWorkers(now time.Duration, form dispatch.ListForm, list []dispatch.Worker, _ dispatch.Actions) {
 	for _, w := range list {
-		l.to(now, form, w)
+		l.record(now, form, w)
 	}
 }
 
 // An entry that says a worker is gone need say no more. Its cell stays known: taken
 // for cell 0, what may have run there was sent again to any worker of cell 0, which
 // does not drop the repeat.
-func TestAGoneWorkerKeepsItsCell(t *testing.T) {
+func TestRemovedWorkerKeepsItsCell(t *testing.T) {
 	var heard []dispatch.Worker
-	s := &script{}
-	b := with(t, s)
+	s := &scriptedModule{}
+	b := newScriptedBroker(t, s)
 	b.post(func(time.Duration, dispatch.Actions) {
-		b.module = &lists{Dispatcher: s, to: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { heard = append(heard, w) }}
+		b.module = &listRecorder{Dispatcher: s, record: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { heard = append(heard, w) }}
 	})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, StartedAt: time.Unix(5, 0)}})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", State: dispatch.Removed}, {ID: "never seen", State: dispatch.Removed}})
-	if b.allowed(workerID("w"), "addr") {
+	if b.maySendTo(workerID("w"), "addr") {
 		t.Error("a gone worker may be sent to")
 	}
-	settled(b)
+	awaitModule(b)
 	want := heard[0]
 	want.State = dispatch.Removed
 	if diff := cmp.Diff(want, heard[1]); diff != "" {
--- a/internal/gateway/broker/budget.go
+++ b/internal/gateway/broker/budget.go
@@ -21,7 +21,7 @@
 	MaxInFlight       int     // requests unanswered at once
 }
 
-type budget struct {
+type tokenBucket struct {
 	Contract
 	mu     sync.Mutex
 	tokens float64
@@ -32,11 +32,11 @@
 // SetContracts puts these in the place of all that were. What a team has open, and what is left of
 // its burst, goes on under its new one.
 func (b *Broker) SetContracts(list []Contract) {
-	next := map[string]*budget{}
+	next := map[string]*tokenBucket{}
 	for _, c := range list {
-		was := (*b.budgets.Load())[c.Team]
+		was := (*b.buckets.Load())[c.Team]
 		if was == nil {
-			next[c.Team] = newBudget(c)
+			next[c.Team] = newTokenBucket(c)
 			continue
 		}
 		was.mu.Lock()
@@ -44,13 +44,15 @@
 		was.mu.Unlock()
 		next[c.Team] = was
 	}
-	b.budgets.Store(&next)
+	b.buckets.Store(&next)
 }
 
-func newBudget(c Contract) *budget { return &budget{Contract: c, tokens: float64(c.Burst)} }
+func newTokenBucket(c Contract) *tokenBucket {
+	return &tokenBucket{Contract: c, tokens: float64(c.Burst)}
+}
 
 // take lets one request in, or tells after what time to come back.
-func (b *budget) take(now time.Time) (wait time.Duration, ok bool) {
+func (b *tokenBucket) take(now time.Time) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.at.IsZero() {
@@ -69,7 +71,7 @@
 	return 0, true
 }
 
-func (b *budget) release() {
+func (b *tokenBucket) release() {
 	b.mu.Lock()
 	b.open--
 	b.mu.Unlock()
@@ -77,7 +79,9 @@
 
 // SetLimiter has all requests come under the limits of the whole fleet that a desk keeps, by its
 // clock. Before any request.
-func (b *Broker) SetLimiter(d *quota.Limiter, now func() time.Duration) { b.desk, b.deskNow = d, now }
+func (b *Broker) SetLimiter(d *quota.Limiter, now func() time.Duration) {
+	b.limiter, b.limiterClock = d, now
+}
 
 // admit takes a request in under the fleet's limits.
 func (b *Broker) admit(q *Request) (t quota.Ticket, short string, wait time.Duration) {
@@ -85,13 +89,13 @@
 	if q.Tenant >= 0 && q.Tenant < len(q.Settings.Tenants) {
 		key.Tenant = q.Settings.Tenants[q.Tenant].Name
 	}
-	return b.desk.Admit(b.deskNow(), key, q.Slots)
+	return b.limiter.Admit(b.limiterClock(), key, q.Slots)
 }
 
 // enter counts an attempt in at its worker, and tells whether the limit at each worker leaves
 // room for it. It is asked at the moment of sending: the module hears of a part that has ended
 // a little later.
-func (b *Broker) enter(p *place) bool {
+func (b *Broker) enter(p *workerState) bool {
 	b.mu.Lock()
 	p.open++
 	b.mu.Unlock()
@@ -99,7 +103,7 @@
 }
 
 // hasRoom tells whether the limit at each worker leaves room now for the attempts that were counted in at one.
-func (b *Broker) hasRoom(p *place) bool {
+func (b *Broker) hasRoom(p *workerState) bool {
 	if p == nil {
 		return true
 	}
@@ -109,7 +113,7 @@
 	return !limited || p.open <= most
 }
 
-func (b *Broker) exit(p *place) {
+func (b *Broker) exit(p *workerState) {
 	b.mu.Lock()
 	p.open--
 	b.mu.Unlock()
@@ -119,7 +123,7 @@
 func (b *Broker) BusiestWorkerInFlight() (most int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.places {
+	for _, p := range b.workersByID {
 		most = max(most, p.open)
 	}
 	return most
@@ -127,14 +131,14 @@
 
 // RefreshWorkerLimits tells the module what the limits at each worker and at cold ones are now, and returns the first.
 func (b *Broker) RefreshWorkerLimits() (most int, limited bool) {
-	most, limited = b.desk.PerWorkerLimit(b.deskNow())
+	most, limited = b.limiter.PerWorkerLimit(b.limiterClock())
 	told := int64(most)
 	if !limited {
 		told = 0
 	} else if most == 0 {
 		told = -1
 	}
-	part, handed := b.desk.WarmingShare(b.deskNow())
+	part, handed := b.limiter.WarmingShare(b.limiterClock())
 	if !handed {
 		part = -1
 	}
--- a/internal/gateway/broker/job.go
+++ b/internal/gateway/broker/job.go
@@ -86,7 +86,7 @@
 	Cell   int
 	s      *session
 	id     dispatch.WorkerID
-	place  *place // of the worker, where limits of the whole fleet are kept
+	place  *workerState // of the worker, where limits of the whole fleet are kept
 }
 
 // ReportStarted tells that the worker has begun.
@@ -119,7 +119,7 @@
 // may not be sent to: at the old address another may answer. And the lease of this process's part of what may be out
 // at the worker may be over: a process that stood still meanwhile would send what others have been given since.
 func (a *Attempt) MaySend() bool {
-	return a.s.inWindow() && a.s.b.allowed(a.id, a.Addr) && a.s.b.hasRoom(a.place)
+	return a.s.inWindow() && a.s.b.maySendTo(a.id, a.Addr) && a.s.b.hasRoom(a.place)
 }
 
 // InPool tells whether the worker is in a pool now, by its name; the empty one has all.
--- a/internal/gateway/broker/list.go
+++ b/internal/gateway/broker/list.go
@@ -24,7 +24,7 @@
 	StartedAt        time.Time // zero: long ago
 }
 
-type place struct {
+type workerState struct {
 	name, addr string
 	ready      bool
 	banned     bool
@@ -37,7 +37,7 @@
 }
 
 // of is the life that the worker is in, as the list has it.
-func (p *place) of() outlier.Incarnation {
+func (p *workerState) of() outlier.Incarnation {
 	return outlier.Incarnation{Worker: p.name, Started: p.told.Launched.Milliseconds()}
 }
 
@@ -45,7 +45,7 @@
 // decision: such a worker drains, whatever the list says. Operators restart it
 // while it is out; where the list has not told of that, being seconds late, one
 // that was called back counts as started then.
-func (b *Broker) entry(p *place) dispatch.Worker {
+func (b *Broker) entry(p *workerState) dispatch.Worker {
 	w := p.told
 	if w.Launched < p.out {
 		w.Launched = max(w.Launched, p.back)
@@ -77,13 +77,13 @@
 	listed := map[dispatch.WorkerID]bool{}
 	for _, w := range workers {
 		id := workerID(w.ID)
-		p := b.places[id]
+		p := b.workersByID[id]
 		if p == nil {
-			p = &place{name: w.ID, banned: b.banned[w.ID]}
+			p = &workerState{name: w.ID, banned: b.banned[w.ID]}
 			if p.banned { // by a process before this one
 				p.out = b.now()
 			}
-			b.places[id] = p
+			b.workersByID[id] = p
 		}
 		if !invariant.Check(p.name == w.ID, "two workers share an id") {
 			continue
@@ -108,13 +108,13 @@
 		list = append(list, b.entry(p))
 	}
 	if form == dispatch.ListFull || form == dispatch.ListCached {
-		for id, p := range b.places {
+		for id, p := range b.workersByID {
 			if !listed[id] { // absent from a complete list: removed
 				p.ready, p.told.State = false, dispatch.Removed
 			}
 		}
 	}
-	b.hand(form, list)
+	b.queueWorkerList(form, list)
 	b.mu.Unlock()
 	if b.Tracing() {
 		for _, w := range workers {
@@ -123,9 +123,9 @@
 	}
 }
 
-// hand queues a list for the module. The caller holds mu: lists reach the module
+// queueWorkerList queues a list for the module. The caller holds mu: lists reach the module
 // in the order in which they came to hold.
-func (b *Broker) hand(form dispatch.ListForm, list []dispatch.Worker) {
+func (b *Broker) queueWorkerList(form dispatch.ListForm, list []dispatch.Worker) {
 	b.queue = append(b.queue, func(now time.Duration, out dispatch.Actions) { b.module.UpdateWorkers(now, form, list, out) })
 	select {
 	case b.poke <- struct{}{}:
@@ -144,7 +144,7 @@
 		b.banned[name] = true
 	}
 	var list []dispatch.Worker
-	for _, p := range b.places {
+	for _, p := range b.workersByID {
 		was := p.banned
 		if p.banned = b.banned[p.name]; p.banned == was {
 			continue
@@ -158,7 +158,7 @@
 		list = append(list, b.entry(p))
 	}
 	if len(list) > 0 {
-		b.hand(dispatch.ListOverride, list)
+		b.queueWorkerList(dispatch.ListOverride, list)
 	}
 	return addrs
 }
@@ -172,18 +172,18 @@
 		return
 	}
 	b.pools = set
-	list := make([]dispatch.Worker, 0, len(b.places))
-	for _, p := range b.places {
+	list := make([]dispatch.Worker, 0, len(b.workersByID))
+	for _, p := range b.workersByID {
 		list = append(list, b.entry(p))
 	}
-	b.hand(dispatch.ListOverride, list)
+	b.queueWorkerList(dispatch.ListOverride, list)
 }
 
 // ReadyPools tells whether any worker is ready, and in which pools, by their bits.
 func (b *Broker) ReadyPools() (any bool, pools uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.places {
+	for _, p := range b.workersByID {
 		if b.usable(p) {
 			any = true
 			pools |= b.pools.PoolsOf(p.name, p.told.Zone, p.told.Kind, p.told.Cell)
@@ -196,7 +196,7 @@
 func (b *Broker) KnowsWorker(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.places[workerID(name)]
+	p := b.workersByID[workerID(name)]
 	return p != nil && p.name == name
 }
 
@@ -210,11 +210,11 @@
 		return false
 	}
 	b.listStale = stale
-	list := make([]dispatch.Worker, 0, len(b.places))
-	for _, p := range b.places {
+	list := make([]dispatch.Worker, 0, len(b.workersByID))
+	for _, p := range b.workersByID {
 		list = append(list, b.entry(p))
 	}
-	b.hand(dispatch.ListOverride, list)
+	b.queueWorkerList(dispatch.ListOverride, list)
 	return true
 }
 
@@ -223,12 +223,12 @@
 func (b *Broker) SetListedByDiscovery(named func(worker string) bool) { b.named = named }
 
 // stale tells whether what is known of a worker counts as out of date; the caller holds mu.
-func (b *Broker) stale(p *place) bool {
+func (b *Broker) stale(p *workerState) bool {
 	return b.listStale && (b.named == nil || b.named(p.name))
 }
 
 // usable tells whether a worker may be sent to; the caller holds mu.
-func (b *Broker) usable(p *place) bool { return p.ready && !p.banned && !b.stale(p) }
+func (b *Broker) usable(p *workerState) bool { return p.ready && !p.banned && !b.stale(p) }
 
 // AwaitSubscribe blocks until the module wants to hear from the list service.
 func (b *Broker) AwaitSubscribe(ctx context.Context) error {
@@ -279,9 +279,9 @@
 // SetOutcomeObserver sets who is told how each attempt at a worker ended. Before any request.
 func (b *Broker) SetOutcomeObserver(f func(worker string, code Code)) { b.observe = f }
 
-func (b *Broker) allowed(id dispatch.WorkerID, addr string) bool {
+func (b *Broker) maySendTo(id dispatch.WorkerID, addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.places[id]
+	p := b.workersByID[id]
 	return p != nil && b.usable(p) && p.addr == addr
 }
--- a/internal/gateway/broker/room_test.go
+++ b/internal/gateway/broker/room_test.go
@@ -17,9 +17,9 @@
 // Room is held through the broker, in virtual time, on stand-in workers: at half of
 // the bound while two processes share the dispatcher, none once new settings take it
 // away, and again when they give it back; whatever is held, no unsafe job runs twice.
-func TestRoomThroughTheBroker(t *testing.T) {
+func TestReservationsThroughBroker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := settings()
+		s := testSettings()
 		s.StartNotifications, s.FIFOWorkers, s.Cancellation = true, true, true
 		s.Classes[0].LatencyTarget, s.Classes[1].LatencyTarget = 600*time.Millisecond, 4*time.Second
 		plan := backfill.DefaultSettings()
--- a/internal/gateway/broker/serve.go
+++ b/internal/gateway/broker/serve.go
@@ -19,11 +19,11 @@
 
 // decision is what the module decided next on one request.
 type decision struct {
-	send   bool
-	worker dispatch.WorkerID
-	within time.Duration
-	limit  int // attempts allowed when this was decided
-	answer Answer
+	send        bool
+	worker      dispatch.WorkerID
+	timeout     time.Duration
+	maxAttempts int // attempts allowed when this was decided
+	answer      Answer
 }
 
 // session is the broker's side of one open request.
@@ -55,7 +55,7 @@
 	if q.Class < 0 || q.Class >= len(q.Settings.Classes) {
 		return Answer{Kind: AnswerFailed}
 	}
-	if bu := (*b.budgets.Load())[q.Team]; bu != nil {
+	if bu := (*b.buckets.Load())[q.Team]; bu != nil {
 		wait, ok := bu.take(time.Now())
 		if !ok {
 			return Answer{Kind: AnswerRejected, RetryAfter: wait, OverBudget: true}
@@ -66,7 +66,7 @@
 	var ran time.Duration    // that its attempts took at workers
 	var in time.Time         // when it was let in, under the fleet's limits
 	tried := false           // a further try is taken, and not made yet
-	if b.desk != nil {
+	if b.limiter != nil {
 		if b.Tracing() {
 			in = time.Now()
 		}
@@ -80,9 +80,9 @@
 		ticket = &t
 		defer func() {
 			if tried {
-				b.desk.ReturnRetry(ticket)
+				b.limiter.ReturnRetry(ticket)
 			}
-			b.desk.Done(ticket, ran)
+			b.limiter.Done(ticket, ran)
 		}()
 	}
 	s := b.arrive(q, ticket)
@@ -106,7 +106,7 @@
 		}
 		a := &Attempt{Number: s.attempts, s: s, id: d.worker}
 		b.mu.Lock()
-		p := b.places[d.worker]
+		p := b.workersByID[d.worker]
 		var of outlier.Incarnation
 		if p != nil {
 			a.Worker, a.Addr, of = p.name, p.addr, p.of()
@@ -119,7 +119,7 @@
 			b.Tracef("send %d n=%d to=%s", s.id, a.Number, a.Worker)
 		}
 		var o Outcome
-		if b.desk == nil || p == nil {
+		if b.limiter == nil || p == nil {
 			o = s.try(ctx, a, d, do)
 		} else {
 			began := time.Now()
@@ -140,7 +140,7 @@
 		if b.observe != nil {
 			b.observe(a.Worker, o.Code)
 		}
-		if b.witness != nil && of.Worker != "" {
+		if b.outlierReporter != nil && of.Worker != "" {
 			b.testify(of, o.Code)
 		}
 		if o.Code == OK {
@@ -157,8 +157,8 @@
 		gone := left(ctx)
 		late = o.Code == TimedOut
 		last := false
-		if b.desk != nil && !gone && o.Code != NotSent {
-			tried = b.desk.TakeRetry(b.deskNow(), ticket)
+		if b.limiter != nil && !gone && o.Code != NotSent {
+			tried = b.limiter.TakeRetry(b.limiterClock(), ticket)
 			last = !tried
 		}
 		s.report(a, o, gone, last)
@@ -194,9 +194,9 @@
 	b.post(func(now time.Duration, out dispatch.Actions) {
 		b.open[s.id] = s
 		tenant := q.Tenant
-		if q.Settings != b.heard && tenant >= 0 && tenant < len(q.Settings.Tenants) {
+		if q.Settings != b.moduleSettings && tenant >= 0 && tenant < len(q.Settings.Tenants) {
 			name := q.Settings.Tenants[tenant].Name
-			tenant = slices.IndexFunc(b.heard.Tenants, func(t dispatch.Tenant) bool { return t.Name == name })
+			tenant = slices.IndexFunc(b.moduleSettings.Tenants, func(t dispatch.Tenant) bool { return t.Name == name })
 		}
 		b.module.Arrive(now, dispatch.Request{ID: s.id, Class: q.Class, ResolvedClass: s.class, Tenant: tenant,
 			TimeLeft: time.Until(q.Deadline), Slots: q.Slots, Memory: q.Memory, ClientRetry: q.ClientRetry, BestEffort: q.BestEffort, Pools: q.Pools, EarlierWorker: q.EarlierWorker, EarlierRunAge: q.EarlierRunAge}, out)
@@ -243,7 +243,7 @@
 	select {
 	case d := <-s.next:
 		return d
-	case <-time.After(grace):
+	case <-time.After(moduleGrace):
 	case <-s.b.done:
 	}
 	if s.mayRun && !s.refusable() {
@@ -255,7 +255,7 @@
 // try runs one attempt under its own time-out and the module's right to call it off.
 func (s *session) try(ctx context.Context, a *Attempt, d decision, do AttemptFunc) Outcome {
 	s.attempts++
-	ok := invariant.Check(s.attempts <= d.limit, "more attempts than allowed")
+	ok := invariant.Check(s.attempts <= d.maxAttempts, "more attempts than allowed")
 	ok = ok && s.attempts <= s.b.settings.Load().MaxAttempts // fewer since then
 	ok = invariant.Check(!s.mayRun || s.class.Semantics != dispatch.AtMostOnce, "a fragile request that may have run is sent again") && ok
 	if !ok || a.Addr == "" || ctx.Err() != nil {
@@ -263,8 +263,8 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	if d.within > 0 {
-		ctx, stop = context.WithTimeout(ctx, d.within)
+	if d.timeout > 0 {
+		ctx, stop = context.WithTimeout(ctx, d.timeout)
 		defer stop()
 	}
 	s.mu.Lock()
@@ -297,7 +297,7 @@
 		if ended {
 			s.ended.Store(true)
 		}
-		if !slices.Equal(s.settings.LoadFields, s.b.heard.LoadFields) {
+		if !slices.Equal(s.settings.LoadFields, s.b.moduleSettings.LoadFields) {
 			m.Load = nil // its columns were others
 		}
 		s.b.module.AttemptEnded(now, m, out)
--- a/internal/gateway/broker/sink.go
+++ b/internal/gateway/broker/sink.go
@@ -10,15 +10,15 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// sink carries out the module's actions. It runs in the owner's goroutine.
-type sink struct {
+// moduleActions carries out the module's actions. It runs in the owner's goroutine.
+type moduleActions struct {
 	b   *Broker
 	now time.Duration
 }
 
 // decide hands a session its next decision. A send for one that has ended
 // crossed that end; leave finds it and reports it as never made.
-func (k sink) decide(id dispatch.RequestID, d decision) {
+func (k moduleActions) decide(id dispatch.RequestID, d decision) {
 	s := k.b.open[id]
 	if s == nil || s.ended.Load() && !d.send {
 		return
@@ -33,19 +33,19 @@
 	}
 }
 
-func (k sink) Send(id dispatch.RequestID, w dispatch.WorkerID, within time.Duration) {
-	k.decide(id, decision{send: true, worker: w, within: within, limit: k.b.heard.MaxAttempts})
+func (k moduleActions) Send(id dispatch.RequestID, w dispatch.WorkerID, within time.Duration) {
+	k.decide(id, decision{send: true, worker: w, timeout: within, maxAttempts: k.b.moduleSettings.MaxAttempts})
 }
 
-func (k sink) Reject(id dispatch.RequestID, comeBack time.Duration) {
+func (k moduleActions) Reject(id dispatch.RequestID, comeBack time.Duration) {
 	k.decide(id, decision{answer: Answer{Kind: AnswerRejected, RetryAfter: comeBack}})
 }
 
-func (k sink) Fail(id dispatch.RequestID) {
+func (k moduleActions) Fail(id dispatch.RequestID) {
 	k.decide(id, decision{answer: Answer{Kind: AnswerFailed}})
 }
 
-func (k sink) Cancel(id dispatch.RequestID, attempt int) {
+func (k moduleActions) Cancel(id dispatch.RequestID, attempt int) {
 	s := k.b.open[id]
 	if s == nil {
 		return
@@ -53,18 +53,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stop != nil && s.out == attempt {
-		if k.b.desk != nil && !k.b.desk.CanRetry(k.b.deskNow(), s.ticket) {
+		if k.b.limiter != nil && !k.b.limiter.CanRetry(k.b.limiterClock(), s.ticket) {
 			return // called off it could go nowhere
 		}
 		s.stop()
 	}
 }
 
-func (k sink) Wake(in time.Duration, tag uint64) {
-	k.b.timer = append(k.b.timer, wake{k.now + in, tag})
+func (k moduleActions) Wake(in time.Duration, tag uint64) {
+	k.b.timer = append(k.b.timer, pendingTimer{k.now + in, tag})
 }
 
-func (k sink) Subscribe() {
+func (k moduleActions) Subscribe() {
 	select {
 	case k.b.ask <- struct{}{}:
 	default: // one is asked for already
@@ -72,12 +72,12 @@
 }
 
 // Probe meets no wire here: the module sends none.
-func (k sink) Probe(dispatch.WorkerID) {}
+func (k moduleActions) Probe(dispatch.WorkerID) {}
 
-func (k sink) Broadcast(msg []byte) {
+func (k moduleActions) Broadcast(msg []byte) {
 	if k.b.tell != nil {
 		k.b.tell(msg)
 	}
 }
 
-func (k sink) Log(line string) { k.b.log(fmt.Sprint("module: ", line)) }
+func (k moduleActions) Log(line string) { k.b.log(fmt.Sprint("module: ", line)) }
--- a/internal/gateway/broker/verdicts.go
+++ b/internal/gateway/broker/verdicts.go
@@ -11,13 +11,13 @@
 )
 
 // SetOutlierReporter sets who notes what is seen of workers, by the clock of Limit. Before any request.
-func (b *Broker) SetOutlierReporter(w *outlier.Reporter) { b.witness = w }
+func (b *Broker) SetOutlierReporter(w *outlier.Reporter) { b.outlierReporter = w }
 
 // ListedWorkers is how many workers the list has.
 func (b *Broker) ListedWorkers() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.places {
+	for _, p := range b.workersByID {
 		if p.told.State != dispatch.Removed {
 			n++
 		}
@@ -35,7 +35,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []dispatch.Worker
-	for _, p := range b.places {
+	for _, p := range b.workersByID {
 		v, condemned := next[p.of()]
 		is := dispatch.Healthy
 		switch {
@@ -58,19 +58,19 @@
 		}
 	}
 	if len(list) > 0 {
-		b.hand(dispatch.ListOverride, list)
+		b.queueWorkerList(dispatch.ListOverride, list)
 	}
 }
 
 // onTrial notes that a job goes to a worker, which may be its trial: it has no more than that
 // one. The caller holds mu.
-func (b *Broker) onTrial(p *place) {
+func (b *Broker) onTrial(p *workerState) {
 	if p.verdict != dispatch.OnProbation || p.of() != p.judged {
 		return
 	}
 	p.verdict = dispatch.Ejected
-	b.witness.StartTrial(b.deskNow(), p.judged, p.trial)
-	b.hand(dispatch.ListOverride, []dispatch.Worker{b.entry(p)})
+	b.outlierReporter.StartTrial(b.limiterClock(), p.judged, p.trial)
+	b.queueWorkerList(dispatch.ListOverride, []dispatch.Worker{b.entry(p)})
 }
 
 // weights are what an outcome tells against a worker, in thousandths of a job. What never reached
@@ -79,6 +79,6 @@
 
 func (b *Broker) testify(of outlier.Incarnation, code Code) {
 	if weight := weights[code]; weight > 0 || code == OK {
-		b.witness.Observe(b.deskNow(), of, code == OK, cmp.Or(weight, outlier.OneJob))
+		b.outlierReporter.Observe(b.limiterClock(), of, code == OK, cmp.Or(weight, outlier.OneJob))
 	}
 }
--- a/internal/gateway/broker/verdicts_test.go
+++ b/internal/gateway/broker/verdicts_test.go
@@ -13,9 +13,9 @@
 
 // A verdict holds for one life of a worker, a trial is one job and its outcome is said with its
 // number, and what the limits do not let in is refused at once with the time to come back.
-func TestVerdictsAndLimits(t *testing.T) {
+func TestEjectionsAndFleetLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := open(t)
+		b := newTestBroker(t)
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
 		desk, witness := quota.NewLimiter(), outlier.NewReporter(10*time.Second, 1)
@@ -69,11 +69,11 @@
 	})
 }
 
-// TestLeaseThatEndsBeforeTheSend keeps that an attempt which waits for its connection, or whose process stands still,
+// TestAttemptMayNotBeSentAfterShareExpires keeps that an attempt which waits for its connection, or whose process stands still,
 // is not sent by a part of the limit at each worker that is over meanwhile.
-func TestLeaseThatEndsBeforeTheSend(t *testing.T) {
+func TestAttemptMayNotBeSentAfterShareExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := open(t)
+		b := newTestBroker(t)
 		began := time.Now()
 		now := func() time.Duration { return time.Since(began) }
 		desk := quota.NewLimiter()
--- a/internal/gateway/datagram/peers.go
+++ b/internal/gateway/datagram/peers.go
@@ -21,19 +21,19 @@
 	"yardflow/coordination/gossip"
 )
 
-// waiting is how many messages may wait to be sent.
-const waiting = 16
+// maxQueuedMessages is how many messages may wait to be sent.
+const maxQueuedMessages = 16
 
 // Conn is the way to the other dispatchers.
 type Conn struct {
-	conn   *net.UDPConn
-	to     []netip.AddrPort
-	from   map[netip.AddrPort]bool // empty: from anywhere
-	hear   func(msg []byte)
-	beside func(msg []byte)
-	out    chan []byte
-	done   chan struct{}
-	over   sync.Once
+	conn         *net.UDPConn
+	destinations []netip.AddrPort
+	senders      map[netip.AddrPort]bool // empty: from anywhere
+	receive      func(msg []byte)
+	forward      func(msg []byte)
+	queue        chan []byte
+	done         chan struct{}
+	closeOnce    sync.Once
 }
 
 // Open listens at listen and sends to all, or to each of peers where all is empty. hear is
@@ -41,15 +41,15 @@
 // for another process of this dispatcher. Addresses are host:port; the error names the one
 // that can't be used.
 func Open(listen, all string, peers []string, hear, beside func(msg []byte)) (*Conn, error) {
-	l := &Conn{hear: hear, beside: beside, from: map[netip.AddrPort]bool{}, out: make(chan []byte, waiting), done: make(chan struct{})}
+	l := &Conn{receive: hear, forward: beside, senders: map[netip.AddrPort]bool{}, queue: make(chan []byte, maxQueuedMessages), done: make(chan struct{})}
 	for _, p := range peers {
 		at, err := netip.ParseAddrPort(p)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		l.from[at] = true
+		l.senders[at] = true
 		if all == "" {
-			l.to = append(l.to, at)
+			l.destinations = append(l.destinations, at)
 		}
 	}
 	if all != "" {
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
-		l.to = append(l.to, at)
+		l.destinations = append(l.destinations, at)
 	}
 	// The process that takes over in an upgrade listens at the same address.
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -69,8 +69,8 @@
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	l.conn = conn.(*net.UDPConn)
-	go l.read()
-	go l.write()
+	go l.readLoop()
+	go l.writeLoop()
 	return l, nil
 }
 
@@ -80,32 +80,32 @@
 // Broadcast sends a message to all others. It waits for nobody.
 func (l *Conn) Broadcast(msg []byte) {
 	select {
-	case l.out <- msg:
+	case l.queue <- msg:
 	default:
 	}
 }
 
 // Close ends both ways.
 func (l *Conn) Close() error {
-	l.over.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.done) })
 	return l.conn.Close()
 }
 
-func (l *Conn) write() {
+func (l *Conn) writeLoop() {
 	for {
 		select {
 		case <-l.done:
 			return
-		case msg := <-l.out:
-			for _, to := range l.to {
+		case msg := <-l.queue:
+			for _, to := range l.destinations {
 				l.conn.WriteToUDPAddrPort(msg, to) // lost: the next one says as much
 			}
-			l.beside(msg)
+			l.forward(msg)
 		}
 	}
 }
 
-func (l *Conn) read() {
+func (l *Conn) readLoop() {
 	buf := make([]byte, gossip.MaxMessageBytes+1) // one that is longer shows by that
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
@@ -116,11 +116,11 @@
 			time.Sleep(10 * time.Millisecond) // such as word that nobody listens at the other end
 			continue
 		}
-		if n > gossip.MaxMessageBytes || len(l.from) > 0 && !l.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
+		if n > gossip.MaxMessageBytes || len(l.senders) > 0 && !l.senders[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
 			continue
 		}
 		msg := append([]byte(nil), buf[:n]...)
-		l.hear(msg)
-		l.beside(msg)
+		l.receive(msg)
+		l.forward(msg)
 	}
 }
--- a/internal/gateway/datagram/peers_test.go
+++ b/internal/gateway/datagram/peers_test.go
@@ -34,7 +34,7 @@
 
 // Datagrams of a peer's are heard, whole ones of at most 256 bytes; a stranger's are not.
 // The other process of the dispatcher is handed what is heard and what is told.
-func TestLink(t *testing.T) {
+func TestDatagramsOfPeersAreReceived(t *testing.T) {
 	free := func() string { // two addresses that know of each other before either is open
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
@@ -64,7 +64,7 @@
 
 // The process that takes over listens at the same address, while the one before still does
 // and after it has gone.
-func TestBothProcessesOfAnUpgrade(t *testing.T) {
+func TestBothProcessesOfHotRestartListen(t *testing.T) {
 	before, heard, _ := open(t, "127.0.0.1:0", nil)
 	_, after, _ := open(t, before.Addr().String(), nil)
 	sender, err := net.Dial("udp4", before.Addr().String())
@@ -85,14 +85,14 @@
 }
 
 // What can't go out waits for nobody.
-func TestTellNeverWaits(t *testing.T) {
-	l := &Conn{out: make(chan []byte, waiting)}
-	for range 10 * waiting {
+func TestBroadcastNeverBlocks(t *testing.T) {
+	l := &Conn{queue: make(chan []byte, maxQueuedMessages)}
+	for range 10 * maxQueuedMessages {
 		l.Broadcast([]byte("x"))
 	}
 }
 
-func TestAddressesAreNamed(t *testing.T) {
+func TestOpenErrorNamesAddress(t *testing.T) {
 	for _, c := range [][3]string{{"nonsense", "127.0.0.1:1", "peer_listen"}, {"127.0.0.1:0", "nonsense", "peers_all"}} {
 		if _, err := Open(c[0], c[1], nil, nil, nil); err == nil || !strings.HasPrefix(err.Error(), c[2]+":") {
 			t.Errorf("%v: %v", c, err)
--- a/internal/gateway/hotrestart/bans.go
+++ b/internal/gateway/hotrestart/bans.go
@@ -33,13 +33,13 @@
 	if dir == "" {
 		return b, nil
 	}
-	b.path = filepath.Join(dir, fileName(name)+".bans")
+	b.path = filepath.Join(dir, filePrefix(name)+".bans")
 	_, err := b.Reload()
 	return b, err
 }
 
-// fileName keeps a name of any kind from being a path.
-func fileName(name string) string {
+// filePrefix keeps a name of any kind from being a path.
+func filePrefix(name string) string {
 	return "yardflow-" + strings.Map(func(r rune) rune {
 		if r == '-' || r >= '0' && r <= '9' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z' {
 			return r
@@ -52,10 +52,10 @@
 func (b *BanList) Reload() ([]string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.read()
+	return b.readFile()
 }
 
-func (b *BanList) read() ([]string, error) {
+func (b *BanList) readFile() ([]string, error) {
 	if b.path != "" {
 		text, err := os.ReadFile(b.path)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -88,7 +88,7 @@
 			return nil, err
 		}
 	}
-	ids, err := b.read()
+	ids, err := b.readFile()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/hotrestart/handover_test.go
+++ b/internal/gateway/hotrestart/handover_test.go
@@ -14,7 +14,7 @@
 
 // Two processes change the set at once: no change is lost, twice out needs one
 // call back, and whoever opens the file next has it.
-func TestBansOutlastAProcess(t *testing.T) {
+func TestBansSurviveProcess(t *testing.T) {
 	dir := t.TempDir()
 	var wg sync.WaitGroup
 	for p := range 2 {
@@ -49,20 +49,20 @@
 	}
 }
 
-// mate is one process at the meeting place.
-type mate struct {
+// testProcess is one process at the meeting place.
+type testProcess struct {
 	*Siblings
-	met    string
-	shared chan int
-	bans   chan bool
+	inherited     string
+	processCounts chan int
+	bans          chan bool
 }
 
-func join(t *testing.T, dir, state string) *mate {
-	m := &mate{shared: make(chan int, 64), bans: make(chan bool, 64)}
+func startProcess(t *testing.T, dir, state string) *testProcess {
+	m := &testProcess{processCounts: make(chan int, 64), bans: make(chan bool, 64)}
 	var met []byte
 	m.Siblings, met = Join(dir, "n0", func(string) {})
-	m.met = string(met)
-	err := m.Serve(Hooks{State: func() []byte { return []byte(state) }, SiblingsChanged: func(n int) { m.shared <- n },
+	m.inherited = string(met)
+	err := m.Serve(Hooks{State: func() []byte { return []byte(state) }, SiblingsChanged: func(n int) { m.processCounts <- n },
 		BansChanged: func() { m.bans <- true }})
 	if err != nil {
 		t.Fatal(err)
@@ -71,10 +71,10 @@
 	return m
 }
 
-func (m *mate) wants(t *testing.T, want int) {
+func (m *testProcess) expectCount(t *testing.T, want int) {
 	t.Helper()
 	select {
-	case got := <-m.shared:
+	case got := <-m.processCounts:
 		if got != want {
 			t.Errorf("told that %d share, want %d", got, want)
 		}
@@ -86,27 +86,27 @@
 // The old process is small before the new one goes on, each learns of the other's
 // end, a ban made at one reaches the other, and what a dead process left stops
 // nobody. The folder's path may be longer than a socket's address can be.
-func TestProcessesMeet(t *testing.T) {
+func TestProcessesJoinAndLeave(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	first := join(t, dir, "one")
-	second := join(t, dir, "two")
-	first.wants(t, 2) // already in the channel: told before the state was
-	if second.met != "one" || !first.HasSuccessor() || second.HasSuccessor() || second.Count() != 1 {
-		t.Errorf("met %q; succeeded %v, %v", second.met, first.HasSuccessor(), second.HasSuccessor())
+	first := startProcess(t, dir, "one")
+	second := startProcess(t, dir, "two")
+	first.expectCount(t, 2) // already in the channel: told before the state was
+	if second.inherited != "one" || !first.HasSuccessor() || second.HasSuccessor() || second.Count() != 1 {
+		t.Errorf("met %q; succeeded %v, %v", second.inherited, first.HasSuccessor(), second.HasSuccessor())
 	}
 	second.NotifyBans()
 	<-first.bans
 	first.NotifyBans()
 	<-second.bans
 	first.Close()
-	second.wants(t, 1)
-	third := join(t, dir, "three")
-	second.wants(t, 2)
+	second.expectCount(t, 1)
+	third := startProcess(t, dir, "three")
+	second.expectCount(t, 2)
 	third.Close() // it fails, and its name stays behind
-	second.wants(t, 1)
+	second.expectCount(t, 1)
 	for limit := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if conn, err := second.dial(); err == nil { // a look, which does not count
 			conn.Close()
@@ -115,17 +115,17 @@
 			t.Fatal("the name is still the failed one's:", err)
 		}
 	}
-	fourth := join(t, dir, "four")
-	if second.wants(t, 2); fourth.met != "two" {
-		t.Errorf("the next one met %q", fourth.met)
+	fourth := startProcess(t, dir, "four")
+	if second.expectCount(t, 2); fourth.inherited != "two" {
+		t.Errorf("the next one met %q", fourth.inherited)
 	}
 	second.Close()
 	fourth.Close()
-	if alone := join(t, dir, "five"); alone.met != "" || alone.Count() != 0 {
-		t.Errorf("met %q after all have gone", alone.met)
+	if alone := startProcess(t, dir, "five"); alone.inherited != "" || alone.Count() != 0 {
+		t.Errorf("met %q after all have gone", alone.inherited)
 	}
 	select {
-	case n := <-first.shared:
+	case n := <-first.processCounts:
 		t.Errorf("told that %d share after the end", n)
 	default:
 	}
--- a/internal/gateway/hotrestart/peers.go
+++ b/internal/gateway/hotrestart/peers.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	meetWithin = 1500 * time.Millisecond // for the old process to shrink and tell its state
-	maxState   = 8 << 20
-	maxPath    = 100 // of a Unix socket's address, by the system's bound of 108
+	handshakeTimeout = 1500 * time.Millisecond // for the old process to shrink and tell its state
+	maxStateBytes    = 8 << 20
+	maxSocketPath    = 100 // of a Unix socket's address, by the system's bound of 108
 )
 
 // Hooks are what a process does when another tells it something.
@@ -40,26 +40,26 @@
 	hooks Hooks
 	log   func(string)
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool // whether it is a newer one's
-	l      *net.UnixListener
-	closed bool
+	mu       sync.Mutex
+	siblings map[net.Conn]bool // whether it is a newer one's
+	listener *net.UnixListener
+	closed   bool
 }
 
 // Join calls the process that runs already, if there is one, and returns its
 // state. After that, that process uses its part of the machine alone.
 func Join(dir, name string, log func(string)) (*Siblings, []byte) {
-	p := &Siblings{conns: map[net.Conn]bool{}, log: log}
+	p := &Siblings{siblings: map[net.Conn]bool{}, log: log}
 	if dir == "" {
 		return p, nil
 	}
-	p.path = filepath.Join(dir, fileName(name)+".sock")
+	p.path = filepath.Join(dir, filePrefix(name)+".sock")
 	conn, err := p.dial()
 	if err != nil {
 		return p, nil // nobody there, or what a killed process left
 	}
-	p.conns[conn] = false
-	conn.SetDeadline(time.Now().Add(meetWithin))
+	p.siblings[conn] = false
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	io.WriteString(conn, "join\n")
 	state, err := readState(conn)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return p, state
 }
 
-// short makes an address of at most maxPath bytes for a path, through a
+// socketAddress makes an address of at most maxSocketPath bytes for a path, through a
 // descriptor of its folder where it must be; done gives that back.
-func short(path string) (addr string, done func(), err error) {
-	if len(path) <= maxPath {
+func socketAddress(path string) (addr string, done func(), err error) {
+	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -83,12 +83,12 @@
 }
 
 func (p *Siblings) dial() (net.Conn, error) {
-	addr, done, err := short(p.path)
+	addr, done, err := socketAddress(p.path)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	return net.DialTimeout("unix", addr, meetWithin)
+	return net.DialTimeout("unix", addr, handshakeTimeout)
 }
 
 // readState reads one byte at a time up to the length's end, so that nothing
@@ -107,7 +107,7 @@
 		}
 	}
 	n, err := strconv.Atoi(string(line))
-	if err != nil || n < 0 || n > maxState {
+	if err != nil || n < 0 || n > maxStateBytes {
 		return nil, fmt.Errorf("length %q", line)
 	}
 	state := make([]byte, n)
@@ -122,25 +122,25 @@
 		return nil
 	}
 	p.mu.Lock()
-	for conn := range p.conns {
-		go p.listen(conn)
+	for conn := range p.siblings {
+		go p.readMessages(conn)
 	}
 	p.mu.Unlock()
-	return p.claim()
+	return p.claimSocket()
 }
 
 // Count counts the other processes.
 func (p *Siblings) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.conns)
+	return len(p.siblings)
 }
 
 // HasSuccessor tells whether a newer process runs beside this one.
 func (p *Siblings) HasSuccessor() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, newer := range p.conns {
+	for _, newer := range p.siblings {
 		if newer {
 			return true
 		}
@@ -148,12 +148,12 @@
 	return false
 }
 
-// claim makes this process the one that the next one meets. The name goes over
+// claimSocket makes this process the one that the next one meets. The name goes over
 // in one step, whoever held it.
-func (p *Siblings) claim() error {
+func (p *Siblings) claimSocket() error {
 	own := fmt.Sprintf("%s.%d", p.path, os.Getpid())
 	os.Remove(own) // a killed process of the same number may have left it
-	addr, done, err := short(own)
+	addr, done, err := socketAddress(own)
 	if err != nil {
 		return err
 	}
@@ -173,15 +173,15 @@
 		l.Close()
 		return nil
 	}
-	if p.l != nil {
-		p.l.Close()
+	if p.listener != nil {
+		p.listener.Close()
 	}
-	p.l = l
-	go p.accept(l)
+	p.listener = l
+	go p.acceptLoop(l)
 	return nil
 }
 
-func (p *Siblings) accept(l net.Listener) {
+func (p *Siblings) acceptLoop(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -191,22 +191,22 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		go p.meet(conn)
+		go p.handleJoin(conn)
 	}
 }
 
-// meet lets one process join. One that only looks whether somebody is here has
+// handleJoin lets one process join. One that only looks whether somebody is here has
 // not joined, and is not counted.
-func (p *Siblings) meet(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(meetWithin))
+func (p *Siblings) handleJoin(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	word := make([]byte, len("join\n"))
 	if _, err := io.ReadFull(conn, word); err != nil || string(word) != "join\n" {
 		conn.Close()
 		return
 	}
 	p.mu.Lock()
-	p.conns[conn] = true
-	n := 1 + len(p.conns)
+	p.siblings[conn] = true
+	n := 1 + len(p.siblings)
 	p.mu.Unlock()
 	// First smaller, then the answer: the other takes its part once it has it.
 	p.hooks.SiblingsChanged(n)
@@ -215,11 +215,11 @@
 		p.log("the next process does not take the state: " + err.Error())
 	}
 	conn.SetDeadline(time.Time{})
-	p.listen(conn)
+	p.readMessages(conn)
 }
 
-// listen hears the other out; the end of the connection is the other's end.
-func (p *Siblings) listen(conn net.Conn) {
+// readMessages hears the other out; the end of the connection is the other's end.
+func (p *Siblings) readMessages(conn net.Conn) {
 	in := bufio.NewScanner(conn)
 	for in.Scan() {
 		if in.Text() == "bans" {
@@ -232,9 +232,9 @@
 	}
 	conn.Close()
 	p.mu.Lock()
-	newer := p.conns[conn]
-	delete(p.conns, conn)
-	n, closed := 1+len(p.conns), p.closed
+	newer := p.siblings[conn]
+	delete(p.siblings, conn)
+	n, closed := 1+len(p.siblings), p.closed
 	p.mu.Unlock()
 	if closed {
 		return
@@ -247,25 +247,25 @@
 	// A newer one that failed: if nobody answers at the name, it was left behind.
 	if conn, err := p.dial(); err == nil {
 		conn.Close()
-	} else if err := p.claim(); err != nil {
+	} else if err := p.claimSocket(); err != nil {
 		p.log("the next process can't meet this one: " + err.Error())
 	}
 }
 
 // NotifyBans lets the others read the banned ids again.
-func (p *Siblings) NotifyBans() { p.write("bans\n") }
+func (p *Siblings) NotifyBans() { p.broadcast("bans\n") }
 
 // ForwardPeerMessage hands a datagram on: one socket gets it, and both processes are meant.
 func (p *Siblings) ForwardPeerMessage(msg []byte) {
 	if p.Count() > 0 {
-		p.write("said " + hex.EncodeToString(msg) + "\n")
+		p.broadcast("said " + hex.EncodeToString(msg) + "\n")
 	}
 }
 
-func (p *Siblings) write(line string) {
+func (p *Siblings) broadcast(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for conn := range p.conns {
+	for conn := range p.siblings {
 		conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 		io.WriteString(conn, line)
 	}
@@ -276,10 +276,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	if p.l != nil {
-		p.l.Close()
+	if p.listener != nil {
+		p.listener.Close()
 	}
-	for conn := range p.conns {
+	for conn := range p.siblings {
 		conn.Close()
 	}
 }
--- a/internal/gateway/hotrestart/policy.go
+++ b/internal/gateway/hotrestart/policy.go
@@ -22,7 +22,7 @@
 	if dir == "" {
 		return &PolicyFile{}
 	}
-	return &PolicyFile{filepath.Join(dir, fileName(name)+".policy")}
+	return &PolicyFile{filepath.Join(dir, filePrefix(name)+".policy")}
 }
 
 // Read is what was kept last; nothing if none was.
--- a/internal/gateway/httpfront/dispatch.go
+++ b/internal/gateway/httpfront/dispatch.go
@@ -23,33 +23,33 @@
 )
 
 const (
-	maxLine   = 256 << 10 // a result of 64 KiB, escaped at its worst
-	drainTime = time.Second
+	maxLineBytes = 256 << 10 // a result of 64 KiB, escaped at its worst
+	drainTimeout = time.Second
 )
 
 var (
-	errSockets = errors.New("no socket left for a loan worker")
-	errDrained = errors.New("the loan worker takes nothing new")
+	errNoSocket = errors.New("no socket left for a loan worker")
+	errDrained  = errors.New("the loan worker takes nothing new")
 )
 
-// body hides a request's bytes from the transport. It resends a request on its
+// singleUseBody hides a request's bytes from the transport. It resends a request on its
 // own when it can read the body again or there is none, above all one that
 // carries Idempotency-Key; every resend would be an attempt nobody decided on.
 // A body of its own type, empty or not, without GetBody, is never sent again.
-type body struct {
-	rest []byte
+type singleUseBody struct {
+	unread []byte
 }
 
-func (b *body) Read(p []byte) (int, error) {
-	if len(b.rest) == 0 {
+func (b *singleUseBody) Read(p []byte) (int, error) {
+	if len(b.unread) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
-func (b *body) Close() error { return nil }
+func (b *singleUseBody) Close() error { return nil }
 
 // Exchange is one dispatch's open answer.
 type Exchange struct {
@@ -58,9 +58,9 @@
 	ctx    context.Context
 	resp   *http.Response
 	conn   *workerConn
-	lines  *WorkerConns
+	conns  *WorkerConns
 	cfg    *config.Config
-	unhook func() bool // takes the exchange out of ctx
+	detach func() bool // takes the exchange out of ctx
 	cancel func()
 }
 
@@ -75,7 +75,7 @@
 		GotConn: func(info httptrace.GotConnInfo) {
 			invariant.Check(conn == nil, "the transport sent a dispatch twice")
 			conn, _ = info.Conn.(*workerConn)
-			l.carries(conn, true)
+			l.setBusy(conn, true)
 			reused = info.Reused
 			if a.Tracing() {
 				a.Tracef("conn to=%s reused=%t", a.Worker, reused)
@@ -83,11 +83,11 @@
 			// A slow connect can cross the time by which nothing new may go to a
 			// loan worker that drains, by which a repeat is dropped there, or at which
 			// the client leaves: ask again now that the bytes would flow.
-			if ctx.Err() != nil || !a.MaySend() || s.may != nil && !s.may() {
+			if ctx.Err() != nil || !a.MaySend() || s.maySend != nil && !s.maySend() {
 				refused.Store(true)
 				info.Conn.Close()
 			}
-			tellTime(req.Header, ctx) // connecting took some of it
+			setTimeoutHeader(req.Header, ctx) // connecting took some of it
 		},
 		GotFirstResponseByte: func() { answered.Store(true) },
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
@@ -111,8 +111,8 @@
 	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	unhook := context.AfterFunc(ctx, cancel)
 	req = s.request(httptrace.WithClientTrace(own, trace), a, accept)
-	tellTime(req.Header, ctx)
-	resp, err := l.carrier(s).RoundTrip(req)
+	setTimeoutHeader(req.Header, ctx)
+	resp, err := l.transportFor(s).RoundTrip(req)
 	if err != nil {
 		cancel()
 		if conn != nil {
@@ -120,23 +120,23 @@
 		}
 		gone := reused && !answered.Load() && ctx.Err() == nil
 		if gone && !refused.Load() {
-			l.doubt.Store(time.Now().Add(doubtTime).UnixNano())
+			l.distrustUntil.Store(time.Now().Add(staleConnDistrust).UnixNano())
 		}
 		switch {
 		case refused.Load():
 			return nil, broker.Outcome{Code: broker.NotSent}
 		case conn == nil || !wrote.Load() || conn.written.Load() == before:
-			if ctx.Err() != nil || errors.Is(err, errSockets) || gone {
+			if ctx.Err() != nil || errors.Is(err, errNoSocket) || gone {
 				return nil, broker.Outcome{Code: broker.NotSent}
 			}
 			return nil, broker.Outcome{Code: broker.ConnectFailed}
 		case gone:
 			return nil, broker.Outcome{Code: broker.StaleConnection}
 		}
-		return nil, ended(ctx)
+		return nil, transportOutcome(ctx)
 	}
-	x := &Exchange{Body: bufio.NewReaderSize(resp.Body, 4096), Header: resp.Header, ctx: ctx, resp: resp, conn: conn, lines: l, cfg: s.cfg,
-		unhook: unhook, cancel: cancel}
+	x := &Exchange{Body: bufio.NewReaderSize(resp.Body, 4096), Header: resp.Header, ctx: ctx, resp: resp, conn: conn, conns: l, cfg: s.cfg,
+		detach: unhook, cancel: cancel}
 	if resp.StatusCode == http.StatusOK {
 		return x, broker.Outcome{}
 	}
@@ -152,8 +152,8 @@
 	return nil, o
 }
 
-// ended words the end of a dispatch whose bytes were all written.
-func ended(ctx context.Context) broker.Outcome {
+// transportOutcome words the end of a dispatch whose bytes were all written.
+func transportOutcome(ctx context.Context) broker.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return broker.Outcome{Code: broker.TimedOut}
@@ -166,7 +166,7 @@
 // Abort closes the connection and tells how the dispatch ended by that. The
 // order matters: told first, the next attempt could be out beside this one.
 func (x *Exchange) Abort() broker.Outcome {
-	o := ended(x.ctx)
+	o := transportOutcome(x.ctx)
 	if x.conn != nil {
 		x.conn.Close()
 	}
@@ -178,33 +178,33 @@
 // DrainAndReuse reads what is left of an answer that has ended, behind the caller's
 // back, so that the connection can carry the next dispatch.
 func (x *Exchange) DrainAndReuse() {
-	x.unhook()
-	x.lines.finish(1)
+	x.detach()
+	x.conns.addDraining(1)
 	go func() {
-		defer x.lines.finish(-1)
+		defer x.conns.addDraining(-1)
 		defer x.cancel()
-		slow := time.AfterFunc(drainTime, func() {
+		slow := time.AfterFunc(drainTimeout, func() {
 			if x.conn != nil {
 				x.conn.Close()
 			}
 		})
-		io.Copy(io.Discard, io.LimitReader(x.Body, maxLine))
+		io.Copy(io.Discard, io.LimitReader(x.Body, maxLineBytes))
 		slow.Stop()
-		x.lines.carries(x.conn, false) // before the transport can lend it out again
+		x.conns.setBusy(x.conn, false) // before the transport can lend it out again
 		x.resp.Body.Close()
 	}()
 }
 
 // ParseLoad reads a load report that came as a JSON object.
-func (x *Exchange) ParseLoad(text []byte) []float64 { return load(x.cfg.LoadColumns, text) }
+func (x *Exchange) ParseLoad(text []byte) []float64 { return parseLoad(x.cfg.LoadColumns, text) }
 
-// otherName gives the name that a value has on the other of the two wires: the
+// loadAliases gives the name that a value has on the other of the two wires: the
 // settings use the simulator's, loan workers the ones of their own pages.
-var otherName = map[string]string{"cpu": "util", "err_rps": "eps", "active": "inflight", "waiting": "queue",
+var loadAliases = map[string]string{"cpu": "util", "err_rps": "eps", "active": "inflight", "waiting": "queue",
 	"avg_ms": "latency_ms", "rps": "qps"}
 
-// load puts a report's values in the settings' order. One that lacks a value is no report.
-func load(columns []string, text []byte) []float64 {
+// parseLoad puts a report's values in the settings' order. One that lacks a value is no report.
+func parseLoad(columns []string, text []byte) []float64 {
 	if len(text) == 0 || len(columns) == 0 {
 		return nil
 	}
@@ -216,7 +216,7 @@
 	for _, name := range columns {
 		v, ok := in[name]
 		if !ok {
-			if v, ok = in[otherName[name]]; !ok {
+			if v, ok = in[loadAliases[name]]; !ok {
 				return nil
 			}
 		}
@@ -225,8 +225,8 @@
 	return out
 }
 
-// tellTime states in a request how long the dispatcher will wait for its answer, from now on.
-func tellTime(h http.Header, ctx context.Context) {
+// setTimeoutHeader states in a request how long the dispatcher will wait for its answer, from now on.
+func setTimeoutHeader(h http.Header, ctx context.Context) {
 	if at, ok := ctx.Deadline(); ok {
 		h.Set("X-Timeout", strconv.FormatFloat(max(time.Until(at).Seconds(), 0.001), 'f', 3, 64))
 	}
@@ -235,7 +235,7 @@
 // request words the request for the wire, once for each dispatch.
 func (s *JobRequest) request(own context.Context, a *broker.Attempt, accept string) *http.Request {
 	h := make(http.Header, 10)
-	for _, name := range passed {
+	for _, name := range forwardedHeaders {
 		if v, ok := s.header[name]; ok {
 			h[name] = v
 		}
@@ -247,7 +247,7 @@
 	}
 	req := &http.Request{Method: s.method, URL: &url.URL{Scheme: "http", Host: a.Addr, Opaque: s.uri},
 		Host: s.host, Header: h, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Body: &body{s.body}, ContentLength: int64(len(s.body))}
+		Body: &singleUseBody{s.body}, ContentLength: int64(len(s.body))}
 	if len(s.body) == 0 {
 		// The library would send an empty body of unknown type in chunks, and one
 		// that it knows to be empty again on its own. So no encoding, and the
@@ -258,11 +258,11 @@
 	return req.WithContext(own)
 }
 
-// passed are the headers that go on unchanged; the transport adds the framing.
-var passed = []string{"Content-Type", "Cookie", "Idempotency-Key", "X-Priority-Class", "X-Tenant-Id", "X-Attrs"}
+// forwardedHeaders are the headers that go on unchanged; the transport adds the framing.
+var forwardedHeaders = []string{"Content-Type", "Cookie", "Idempotency-Key", "X-Priority-Class", "X-Tenant-Id", "X-Attrs"}
 
-// jobLine is one line of a loan worker's answer.
-type jobLine struct {
+// statusLine is one line of a loan worker's answer.
+type statusLine struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
 	Share  float64         `json:"share"`
@@ -292,7 +292,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		var in jobLine
+		var in statusLine
 		if json.Unmarshal(text, &in) != nil || in.ID != s.ID {
 			x.Abort() // not this request's answer: what it did is not known
 			return broker.Outcome{Code: broker.ConnectionLost}
@@ -353,15 +353,15 @@
 	var line []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(line)+len(part) > maxLine {
+		if len(line)+len(part) > maxLineBytes {
 			return nil, bufio.ErrBufferFull
 		}
 		if err == nil && line == nil {
-			return trim(part), nil
+			return trimLineEnd(part), nil
 		}
 		line = append(line, part...)
 		if err == nil {
-			return trim(line), nil
+			return trimLineEnd(line), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
@@ -369,7 +369,7 @@
 	}
 }
 
-func trim(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
 		line = line[:len(line)-1]
 	}
--- a/internal/gateway/httpfront/endings_test.go
+++ b/internal/gateway/httpfront/endings_test.go
@@ -19,39 +19,39 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// endings is a dispatcher's front on real connections, with one scripted worker behind it.
-type endings struct {
+// frontTest is a dispatcher's front on real connections, with one scripted worker behind it.
+type frontTest struct {
 	*testing.T
-	guard  *ConnLimiter
-	front  *Frontend
-	server *http.Server
-	listen *Listener
-	worker *script.Worker
-	lines  *WorkerConns
-	broker *broker.Broker
-	reads  atomic.Int64           // from clients' sockets, counted before their bytes are
-	atRead atomic.Pointer[func()] // runs then
+	limiter  *ConnLimiter
+	front    *Frontend
+	server   *http.Server
+	listener *Listener
+	worker   *script.Worker
+	workers  *WorkerConns
+	broker   *broker.Broker
+	reads    atomic.Int64           // from clients' sockets, counted before their bytes are
+	onRead   atomic.Pointer[func()] // runs then
 }
 
-func newEndings(t *testing.T, change func(*config.Config)) *endings {
+func newFrontTest(t *testing.T, change func(*config.Config)) *frontTest {
 	cfg := testConfig()
 	if change != nil {
 		change(cfg)
 	}
-	e := &endings{T: t, guard: NewConnLimiter(8), worker: script.NewWorker(t), broker: testBroker(t, cfg)}
+	e := &frontTest{T: t, limiter: NewConnLimiter(8), worker: script.NewWorker(t), broker: newTestBroker(t, cfg)}
 	live := config.NewInForce(cfg)
 	e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
-	e.lines = NewWorkerConns(live, 8)
-	e.front = NewFrontend(e.broker, e.lines, NewRequestReader(live, e.guard))
+	e.workers = NewWorkerConns(live, 8)
+	e.front = NewFrontend(e.broker, e.workers, NewRequestReader(live, e.limiter))
 	e.server = e.front.Server()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.listen = e.guard.Listen(l)
-	e.guard.onRead = func() {
+	e.listener = e.limiter.Listen(l)
+	e.limiter.onRead = func() {
 		e.reads.Add(1)
-		if f := e.atRead.Load(); f != nil {
+		if f := e.onRead.Load(); f != nil {
 			(*f)()
 		}
 	}
@@ -59,30 +59,30 @@
 	return e
 }
 
-func (e *endings) start() *endings {
-	go e.server.Serve(e.listen)
+func (e *frontTest) start() *frontTest {
+	go e.server.Serve(e.listener)
 	return e
 }
 
-// served has a client get one answer, so that its connection rests.
-func (e *endings) served() *script.Client {
-	c := script.Dial(e, e.listen.Addr())
+// idleClient has a client get one answer, so that its connection rests.
+func (e *frontTest) idleClient() *script.Client {
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "first"))
 	e.worker.Next().Done("ok")
 	if status, _ := c.Answer(); status != 200 {
 		e.Fatal("status", status)
 	}
 	e.await("the connection rests", func() bool {
-		return e.each(func(c *conn) bool { return c.idle() })
+		return e.allConns(func(c *clientConn) bool { return c.idle() })
 	})
 	return c
 }
 
-// each tells whether a condition holds for every connection.
-func (e *endings) each(holds func(*conn) bool) bool {
-	e.guard.mu.Lock()
-	defer e.guard.mu.Unlock()
-	for c := range e.guard.conns {
+// allConns tells whether a condition holds for every connection.
+func (e *frontTest) allConns(holds func(*clientConn) bool) bool {
+	e.limiter.mu.Lock()
+	defer e.limiter.mu.Unlock()
+	for c := range e.limiter.conns {
 		if !holds(c) {
 			return false
 		}
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (e *endings) await(what string, holds func() bool) {
+func (e *frontTest) await(what string, holds func() bool) {
 	e.Helper()
 	for limit := time.Now().Add(script.Patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -99,9 +99,9 @@
 	}
 }
 
-// none checks that no call has reached the worker; whoever calls it has waited for an event
+// assertNoCall checks that no call has reached the worker; whoever calls it has waited for an event
 // behind which none can come.
-func (e *endings) none() {
+func (e *frontTest) assertNoCall() {
 	e.Helper()
 	select {
 	case call := <-e.worker.Calls:
@@ -110,18 +110,18 @@
 	}
 }
 
-// crossing has the client write a request in the moment in which its connection is closed,
+// sendDuringClose has the client write a request in the moment in which its connection is closed,
 // and the close go on only once the bytes are there.
-func (e *endings) crossing(c *script.Client, request string) {
+func (e *frontTest) sendDuringClose(c *script.Client, request string) {
 	var once sync.Once
-	e.guard.onClose = func(held *conn) {
+	e.limiter.onClose = func(held *clientConn) {
 		if held.RemoteAddr().String() != c.Conn.LocalAddr().String() {
 			return
 		}
 		once.Do(func() {
 			before := e.reads.Load()
 			c.Send(request)
-			for !held.unread() && e.reads.Load() == before {
+			for !held.hasUnreadBytes() && e.reads.Load() == before {
 				time.Sleep(100 * time.Microsecond)
 			}
 		})
@@ -130,14 +130,14 @@
 
 // Whoever closes a connection: a request that comes in that moment is neither reset, with
 // whatever answer is still on its way, nor served where no answer can follow.
-func TestARequestThatCrossesTheCloseIsNeitherResetNorServed(t *testing.T) {
-	for name, end := range map[string]func(*endings, *script.Client){
-		"a planned restart": func(e *endings, _ *script.Client) { e.guard.CloseIdleConnections() },
-		"room for another": func(e *endings, _ *script.Client) {
-			e.guard.Resize(1)
-			script.Dial(e, e.listen.Addr())
+func TestRequestDuringCloseIsNeitherResetNorServed(t *testing.T) {
+	for name, end := range map[string]func(*frontTest, *script.Client){
+		"a planned restart": func(e *frontTest, _ *script.Client) { e.limiter.CloseIdleConnections() },
+		"room for another": func(e *frontTest, _ *script.Client) {
+			e.limiter.Resize(1)
+			script.Dial(e, e.listener.Addr())
 		},
-		"the last answer": func(e *endings, c *script.Client) {
+		"the last answer": func(e *frontTest, c *script.Client) {
 			e.front.DisableKeepAlives()
 			c.Send(script.Job("unsafe", "second"))
 			e.worker.Next().Done("the last answer")
@@ -145,52 +145,52 @@
 				e.Errorf("the client got %q", body)
 			}
 		},
-		"the server's end": func(e *endings, _ *script.Client) { e.server.Close() },
+		"the server's end": func(e *frontTest, _ *script.Client) { e.server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndings(t, nil).start()
-			c := e.served()
-			e.crossing(c, script.Job("unsafe", "crossing"))
+			e := newFrontTest(t, nil).start()
+			c := e.idleClient()
+			e.sendDuringClose(c, script.Job("unsafe", "crossing"))
 			end(e, c)
 			if inOrder, rest := c.End(); !inOrder || rest != "" {
 				t.Errorf("the connection ends in order: %t, after %q", inOrder, rest)
 			}
 			c.Close()
-			e.await("the socket is given back", func() bool { return e.guard.LingeringConnections() == 0 })
-			e.none()
+			e.await("the socket is given back", func() bool { return e.limiter.LingeringConnections() == 0 })
+			e.assertNoCall()
 		})
 	}
 }
 
 // The server's own time-out for idle connections closes as all others do.
-func TestAnIdleTimeoutDoesNotResetWhatCrossesIt(t *testing.T) {
-	e := newEndings(t, nil)
+func TestIdleTimeoutDoesNotResetConcurrentRequest(t *testing.T) {
+	e := newFrontTest(t, nil)
 	e.server.IdleTimeout = 20 * time.Millisecond
 	e.start()
-	c := script.Dial(e, e.listen.Addr())
-	e.crossing(c, script.Job("unsafe", "crossing"))
+	c := script.Dial(e, e.listener.Addr())
+	e.sendDuringClose(c, script.Job("unsafe", "crossing"))
 	c.Send(script.Job("unsafe", "first"))
 	e.worker.Next().Done("ok")
 	c.Answer()
 	if inOrder, _ := c.End(); !inOrder {
 		t.Error("the connection was reset")
 	}
-	e.none()
+	e.assertNoCall()
 }
 
 // A request is read from the socket, and before it is counted its connection, idle to all
 // appearance, is closed. It was sent on to a worker, and its answer had nowhere to go.
-func TestARequestReadWhileItsConnectionIsClosedIsNotServed(t *testing.T) {
-	e := newEndings(t, nil).start()
-	c := e.served()
+func TestRequestReadDuringCloseIsNotServed(t *testing.T) {
+	e := newFrontTest(t, nil).start()
+	c := e.idleClient()
 	var once sync.Once
-	closeIdle := func() { once.Do(e.guard.CloseIdleConnections) }
-	e.atRead.Store(&closeIdle)
+	closeIdle := func() { once.Do(e.limiter.CloseIdleConnections) }
+	e.onRead.Store(&closeIdle)
 	c.Send(script.Job("unsafe", "crossing"))
 	if inOrder, rest := c.End(); !inOrder || rest != "" {
 		t.Errorf("the connection ends in order: %t, after %q", inOrder, rest)
 	}
-	other := script.Dial(e, e.listen.Addr())
+	other := script.Dial(e, e.listener.Addr())
 	other.Send(script.Job("unsafe", "other"))
 	if call := e.worker.Next(); call.ID != "other" {
 		t.Errorf("the worker got %s: it can never be answered", call.ID)
@@ -199,14 +199,14 @@
 
 // Past the budget and its overflow the rejection goes out unasked. Its request has come already:
 // the reset for it may overtake the rejection.
-func TestARejectionPastTheBudgetIsNotReset(t *testing.T) {
-	e := newEndings(t, nil)
-	for range e.guard.max + overflow {
-		e.guard.conns[&conn{g: e.guard, whole: 1}] = struct{}{} // their requests are out
+func TestRejectionPastLimitIsNotReset(t *testing.T) {
+	e := newFrontTest(t, nil)
+	for range e.limiter.max + maxOverflow {
+		e.limiter.conns[&clientConn{limiter: e.limiter, unanswered: 1}] = struct{}{} // their requests are out
 	}
 	var past []*script.Client
 	for range 2 {
-		c := script.Dial(e, e.listen.Addr())
+		c := script.Dial(e, e.listener.Addr())
 		c.Send(script.Job("unsafe", "r"))
 		past = append(past, c)
 	}
@@ -223,13 +223,13 @@
 }
 
 // Connections that the kernel has accepted when the listener is closed count as taken.
-func TestAListenerIsClosedOverNobody(t *testing.T) {
-	e := newEndings(t, nil)
-	c := script.Dial(e, e.listen.Addr())
+func TestListenerCloseServesBacklog(t *testing.T) {
+	e := newFrontTest(t, nil)
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "waiting"))
 	closed := make(chan error)
-	go func() { closed <- e.listen.Close() }()
-	for !e.listen.closing.Load() {
+	go func() { closed <- e.listener.Close() }()
+	for !e.listener.closing.Load() {
 		time.Sleep(100 * time.Microsecond)
 	}
 	e.start()
@@ -240,15 +240,15 @@
 	if err := <-closed; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.Dial("tcp", e.listen.Addr().String()); err == nil {
+	if _, err := net.Dial("tcp", e.listener.Addr().String()); err == nil {
 		t.Error("it still listens")
 	}
 }
 
 // Where another process listens on the same socket, what waits is that one's.
-func TestAListenerThatIsReleasedLeavesWhatWaits(t *testing.T) {
-	e := newEndings(t, nil)
-	file, err := e.listen.File()
+func TestListenerCloseNowLeavesBacklog(t *testing.T) {
+	e := newFrontTest(t, nil)
+	file, err := e.listener.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,11 +258,11 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	c := script.Dial(e, e.listen.Addr())
+	c := script.Dial(e, e.listener.Addr())
 	e.start()
-	e.await("it is accepted", func() bool { return e.guard.OpenConnections() == 1 })
+	e.await("it is accepted", func() bool { return e.limiter.OpenConnections() == 1 })
 	c.Close()
-	if err := e.listen.CloseNow(); err != nil {
+	if err := e.listener.CloseNow(); err != nil {
 		t.Error(err)
 	}
 	next := script.Dial(e, other.Addr())
@@ -278,15 +278,15 @@
 }
 
 // A listener that nobody accepts from is closed all the same.
-func TestAListenerIsClosedThoughNobodyAccepts(t *testing.T) {
-	e := newEndings(t, nil)
-	if err := e.listen.Close(); err != nil || !errors.Is(e.listen.Close(), net.ErrClosed) {
+func TestListenerCloseWithoutAccept(t *testing.T) {
+	e := newFrontTest(t, nil)
+	if err := e.listener.Close(); err != nil || !errors.Is(e.listener.Close(), net.ErrClosed) {
 		t.Error(err)
 	}
 }
 
-// verdicts counts how requests that were answered ended at the broker.
-func (e *endings) verdicts() func(broker.AnswerKind) int {
+// answerCounts counts how requests that were answered ended at the broker.
+func (e *frontTest) answerCounts() func(broker.AnswerKind) int {
 	var mu sync.Mutex
 	count := map[string]int{}
 	e.broker.SetTrace(func(line string) {
@@ -306,14 +306,14 @@
 
 // A client sends more behind its request and leaves. The server reads no further than the first
 // byte of that until it has answered: the request waited on, and was sent when a worker came.
-func TestAClientThatLeavesBehindFurtherBytesIsNoticed(t *testing.T) {
-	for name, further := range map[string]string{"a request": script.Job("unsafe", "second"), "half a request": "POST /unsafe HT", "more than is kept": strings.Repeat("x", 3*aheadMost)} {
+func TestClientDisconnectBehindFurtherBytesIsNoticed(t *testing.T) {
+	for name, further := range map[string]string{"a request": script.Job("unsafe", "second"), "half a request": "POST /unsafe HT", "more than is kept": strings.Repeat("x", 3*maxReadAheadBytes)} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndings(t, nil)
-			verdicts := e.verdicts()
+			e := newFrontTest(t, nil)
+			verdicts := e.answerCounts()
 			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: dispatch.Draining}})
 			e.start()
-			c := script.Dial(e, e.listen.Addr())
+			c := script.Dial(e, e.listener.Addr())
 			c.Send(script.Job("unsafe", "first"))
 			e.await("the request waits", func() bool { return e.broker.Stats().Waiting == 1 })
 			c.Send(further)
@@ -323,16 +323,16 @@
 				t.Errorf("%d requests ended as their client's who left, %d as refused", verdicts(broker.AnswerClientGone), verdicts(broker.AnswerRejected))
 			}
 			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
-			e.await("the connection is given back", func() bool { return e.guard.OpenConnections() == 0 })
-			e.none()
+			e.await("the connection is given back", func() bool { return e.limiter.OpenConnections() == 0 })
+			e.assertNoCall()
 		})
 	}
 }
 
 // Requests that come behind one that is out, in pieces of any size, are served in turn.
-func TestPipelinedRequestsAreServedInTurn(t *testing.T) {
-	e := newEndings(t, nil).start()
-	c := script.Dial(e, e.listen.Addr())
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
+	e := newFrontTest(t, nil).start()
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "r0"))
 	call := e.worker.Next()
 	var further strings.Builder
@@ -362,41 +362,41 @@
 
 // A client that sends more beside a request than is kept is served what is kept, and then told
 // the end in order.
-func TestAFloodBehindARequestEndsInOrder(t *testing.T) {
-	e := newEndings(t, nil).start()
-	c := script.Dial(e, e.listen.Addr())
+func TestFloodBehindRequestEndsWithoutReset(t *testing.T) {
+	e := newFrontTest(t, nil).start()
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "r"))
 	call := e.worker.Next()
 	request := script.Job("unsafe", "next")
-	c.Send(strings.Repeat(request, 2*aheadMost/len(request)))
-	e.await("the flood is read", func() bool { return e.each(func(c *conn) bool { return !c.unread() }) })
+	c.Send(strings.Repeat(request, 2*maxReadAheadBytes/len(request)))
+	e.await("the flood is read", func() bool { return e.allConns(func(c *clientConn) bool { return !c.hasUnreadBytes() }) })
 	call.Done("ok")
 	go func() {
 		for call := range e.worker.Calls {
 			call.Done("ok")
 		}
 	}()
-	if inOrder, rest := c.End(); !inOrder || strings.Count(rest, "200 OK") < aheadMost/len(request) {
+	if inOrder, rest := c.End(); !inOrder || strings.Count(rest, "200 OK") < maxReadAheadBytes/len(request) {
 		t.Errorf("the connection ends in order: %t, after %d answers", inOrder, strings.Count(rest, "200 OK"))
 	}
 }
 
 // slowDial makes every connection to a worker come up only at a moment.
-func (e *endings) slowDial(until func() time.Time) {
-	dial := e.lines.transport.DialContext
-	e.lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (e *frontTest) slowDial(until func() time.Time) {
+	dial := e.workers.transport.DialContext
+	e.workers.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(time.Until(until()))
 		return dial(ctx, network, addr)
 	}
 }
 
 // The time told to a worker is what is left once the connection has come up, not before.
-func TestTheTimeToldIsWhatIsLeftOnceConnected(t *testing.T) {
-	e := newEndings(t, nil)
+func TestTimeoutHeaderIsTimeLeftAfterConnect(t *testing.T) {
+	e := newFrontTest(t, nil)
 	const connecting = 200 * time.Millisecond
 	e.slowDial(func() time.Time { return time.Now().Add(connecting) })
 	e.start()
-	c := script.Dial(e, e.listen.Addr())
+	c := script.Dial(e, e.listener.Addr())
 	begun := time.Now()
 	c.Send(script.Job("unsafe", "r"))
 	call := e.worker.Next()
@@ -410,16 +410,16 @@
 
 // A repeat of a keyed job is decided on inside its window, and its connection comes up after it:
 // there the worker would no longer drop it, and it would run twice.
-func TestARepeatIsNotSentPastItsWindow(t *testing.T) {
+func TestRetryIsNotSentPastDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
-	e := newEndings(t, func(cfg *config.Config) {
+	e := newFrontTest(t, func(cfg *config.Config) {
 		cfg.Classes, cfg.Dispatch.Classes[0].Name = []string{"keyed"}, "keyed"
 		cfg.Dispatch.Classes[0].Semantics, cfg.Dispatch.Classes[0].DedupScope, cfg.Dispatch.Classes[0].DedupWindow = dispatch.Deduplicated, dispatch.ScopeCell, window
 	})
 	var over atomic.Int64 // when the window is, in Unix nanoseconds; 0: nothing has run
 	e.slowDial(func() time.Time { return time.Unix(0, over.Load()) })
 	e.start()
-	c := script.Dial(e, e.listen.Addr())
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("keyed", "r"))
 	first := e.worker.Next()
 	over.Store(time.Now().Add(window).UnixNano())
@@ -427,37 +427,37 @@
 	if status, _ := c.Answer(); status != http.StatusBadGateway {
 		t.Error("status", status)
 	}
-	e.none()
+	e.assertNoCall()
 }
 
 // A client leaves while the connection for its request is being made: nothing is written to it.
-func TestAClientThatLeavesWhileConnectingIsNotSentFor(t *testing.T) {
-	e := newEndings(t, nil)
+func TestClientDisconnectDuringConnectPreventsSend(t *testing.T) {
+	e := newFrontTest(t, nil)
 	dialing, left := make(chan struct{}), make(chan struct{})
-	dial := e.lines.transport.DialContext
-	e.lines.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := e.workers.transport.DialContext
+	e.workers.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		close(dialing)
 		<-left
 		return dial(context.WithoutCancel(ctx), network, addr) // it comes up all the same
 	}
 	e.start()
-	c := script.Dial(e, e.listen.Addr())
+	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "r"))
 	<-dialing
 	c.Close()
 	e.await("the request has ended", func() bool { return e.broker.Stats().Open == 0 })
 	close(left)
 	e.await("its connection has come up", func() bool {
-		e.lines.mu.Lock()
-		defer e.lines.mu.Unlock()
-		return len(e.lines.open) == 1
+		e.workers.mu.Lock()
+		defer e.workers.mu.Unlock()
+		return len(e.workers.open) == 1
 	})
-	e.none()
+	e.assertNoCall()
 }
 
 // What a worker sends behind its last line, and how its connection ends then, changes nothing; what
 // ends before a last line may have run, and is not sent again.
-func TestHowAWorkersAnswerEnds(t *testing.T) {
+func TestWorkerResponseEndings(t *testing.T) {
 	line := func(state string) string { return `{"id":"r","state":"` + state + `","result":"ok"}` + "\n" }
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -475,8 +475,8 @@
 		"an answer that is no protocol": {"hello\r\n\r\n", http.StatusBadGateway, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndings(t, nil).start()
-			client := script.Dial(e, e.listen.Addr())
+			e := newFrontTest(t, nil).start()
+			client := script.Dial(e, e.listener.Addr())
 			client.Send(script.Job("unsafe", "r"))
 			call := e.worker.Next()
 			fmt.Fprint(call.Conn, c.answer)
@@ -485,16 +485,16 @@
 			if status, body := client.Answer(); status != c.status || c.body != "" && body != c.body {
 				t.Errorf("status %d, body %q", status, body)
 			}
-			e.none()
+			e.assertNoCall()
 		})
 	}
 }
 
 // A worker takes a body of many packets whole and resets the connection: it may have run.
-func TestAResetBehindALargeBodyMayHaveRun(t *testing.T) {
-	e := newEndings(t, nil).start()
-	client := script.Dial(e, e.listen.Addr())
-	request := strings.Replace(script.Job("unsafe", "r"), "Content-Length: 1\r\n\r\nx", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", maxBody, strings.Repeat("x", maxBody)), 1)
+func TestResetBehindLargeBodyMayHaveRun(t *testing.T) {
+	e := newFrontTest(t, nil).start()
+	client := script.Dial(e, e.listener.Addr())
+	request := strings.Replace(script.Job("unsafe", "r"), "Content-Length: 1\r\n\r\nx", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", maxBodyBytes, strings.Repeat("x", maxBodyBytes)), 1)
 	client.Send(request)
 	call := e.worker.Next()
 	call.Conn.(*net.TCPConn).SetLinger(0)
@@ -502,5 +502,5 @@
 	if status, _ := client.Answer(); status != http.StatusBadGateway {
 		t.Error("status", status)
 	}
-	e.none()
+	e.assertNoCall()
 }
--- a/internal/gateway/httpfront/flood_test.go
+++ b/internal/gateway/httpfront/flood_test.go
@@ -10,15 +10,15 @@
 
 // A stranger's bytes stay unread for 20 turns, as on a machine whose processors others hold:
 // the connection of a client at work is not the one that makes room.
-func TestLateReaderDoesNotCostAClientAtWork(t *testing.T) {
+func TestLateReaderDoesNotEvictActiveClient(t *testing.T) {
 	guard := NewConnLimiter(2)
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &Listener{TCPListener: tcp, g: guard, closed: make(chan struct{})}
+	listener := &Listener{TCPListener: tcp, limiter: guard, closed: make(chan struct{})}
 	t.Cleanup(func() { tcp.Close() })
-	connect := func(bytes string) *conn {
+	connect := func(bytes string) *clientConn {
 		client, err := net.Dial("tcp", tcp.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -31,28 +31,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return accepted.(*conn)
+		return accepted.(*clientConn)
 	}
 	atWork := connect("")
-	atWork.took()
-	guard.state(atWork, http.StateIdle) // its request was answered
+	atWork.requestRead()
+	guard.onConnState(atWork, http.StateIdle) // its request was answered
 	stranger := connect("POST /issue-loan HTTP/1.1\r\nX-")
-	for limit := time.Now().Add(10 * time.Second); !stranger.unread(); {
+	for limit := time.Now().Add(10 * time.Second); !stranger.hasUnreadBytes(); {
 		if time.Now().After(limit) {
 			t.Fatal("the stranger's bytes never came")
 		}
 	}
 	turns := 0
-	guard.onTurn = func() {
+	guard.onReaderWait = func() {
 		if turns++; turns == 20 {
 			stranger.Read(make([]byte, 64))
 		}
 	}
 	connect("")
-	if atWork.ending {
+	if atWork.closing {
 		t.Error("the client at work made room for a newcomer")
 	}
-	if !stranger.ending {
+	if !stranger.closing {
 		t.Error("the stranger with half a request stayed")
 	}
 }
--- a/internal/gateway/httpfront/framing.go
+++ b/internal/gateway/httpfront/framing.go
@@ -7,41 +7,41 @@
 	"strconv"
 )
 
-// framing follows the requests on a connection just far enough to know where
+// requestFraming follows the requests on a connection just far enough to know where
 // each begins and ends, and to see what net/http takes away before a handler
 // runs: it drops a Content-Length beside a Transfer-Encoding, joins folded
 // lines, and forgives a doubled length. A front before us that reads such a
 // request otherwise than we do would let one request hide in another's body.
-type framing struct {
-	fault  string // once found, it holds for the connection
-	within bool   // inside a request
+type requestFraming struct {
+	fault     string // once found, it holds for the connection
+	inRequest bool   // inside a request
 
-	line    []byte // the start of the present line of the head
-	begun   bool   // the request line is over
-	coded   bool
-	lengths int   // how many were given
-	length  int64 // the last of them
-	left    int64 // bytes of the body to come
-	blind   bool  // the rest is in chunks: nothing after it is served
+	line             []byte // the start of the present line of the head
+	inHeaders        bool   // the request line is over
+	transferEncoding bool
+	lengthHeaders    int   // how many were given
+	length           int64 // the last of them
+	bodyLeft         int64 // bytes of the body to come
+	opaque           bool  // the rest is in chunks: nothing after it is served
 }
 
-const lineStart = 96 // no header that counts here needs more
+const maxLinePrefix = 96 // no header that counts here needs more
 
 // read takes in bytes and tells how many requests came to their end in them.
-func (f *framing) read(p []byte) (ended int) {
-	for len(p) > 0 && !f.blind {
-		f.within = true
-		if f.left > 0 {
-			n := min(f.left, int64(len(p)))
-			p, f.left = p[n:], f.left-n
-			if f.left == 0 {
-				f.within = false
+func (f *requestFraming) read(p []byte) (ended int) {
+	for len(p) > 0 && !f.opaque {
+		f.inRequest = true
+		if f.bodyLeft > 0 {
+			n := min(f.bodyLeft, int64(len(p)))
+			p, f.bodyLeft = p[n:], f.bodyLeft-n
+			if f.bodyLeft == 0 {
+				f.inRequest = false
 				ended++
 			}
 			continue
 		}
 		part, rest, whole := bytes.Cut(p, []byte("\n"))
-		f.line = append(f.line, part[:min(len(part), lineStart-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxLinePrefix-len(f.line))]...)
 		p = rest
 		if !whole {
 			break
@@ -49,29 +49,29 @@
 		line := bytes.TrimSuffix(f.line, []byte("\r"))
 		f.line = f.line[:0]
 		switch {
-		case !f.begun:
-			f.begun = true
+		case !f.inHeaders:
+			f.inHeaders = true
 		case len(line) > 0:
 			f.header(line)
 		default: // the head is over
-			if f.coded && f.lengths > 0 {
+			if f.transferEncoding && f.lengthHeaders > 0 {
 				f.fault = "Content-Length beside Transfer-Encoding"
 			}
-			f.blind = f.coded
-			if !f.blind {
-				f.left = f.length
+			f.opaque = f.transferEncoding
+			if !f.opaque {
+				f.bodyLeft = f.length
 			}
-			if !f.blind && f.left == 0 {
-				f.within = false
+			if !f.opaque && f.bodyLeft == 0 {
+				f.inRequest = false
 				ended++
 			}
-			f.begun, f.coded, f.lengths, f.length = false, false, 0, 0
+			f.inHeaders, f.transferEncoding, f.lengthHeaders, f.length = false, false, 0, 0
 		}
 	}
 	return ended
 }
 
-func (f *framing) header(line []byte) {
+func (f *requestFraming) header(line []byte) {
 	if line[0] == ' ' || line[0] == '\t' {
 		f.fault = "a folded header"
 		return
@@ -79,9 +79,9 @@
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch {
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.coded = true
+		f.transferEncoding = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		if f.lengths++; f.lengths > 1 {
+		if f.lengthHeaders++; f.lengthHeaders > 1 {
 			f.fault = "Content-Length twice"
 		}
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 63)
--- a/internal/gateway/httpfront/frontend.go
+++ b/internal/gateway/httpfront/frontend.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	maxBody     = 64 << 10
-	writeWithin = 10 * time.Second
+	maxBodyBytes         = 64 << 10
+	responseWriteTimeout = 10 * time.Second
 )
 
 // JobRequest is one request of a client, decoded once.
@@ -35,7 +35,7 @@
 	method, uri, host string
 	header            http.Header
 	body              []byte
-	may               func() bool // asked just before the first byte; nil: it always may
+	maySend           func() bool // asked just before the first byte; nil: it always may
 }
 
 // Rejection is a refusal or an error worded for HTTP.
@@ -47,7 +47,7 @@
 
 // Write sends the rejection.
 func (d *Rejection) Write(w http.ResponseWriter) {
-	limitWrite(w)
+	setWriteDeadline(w)
 	h := w.Header()
 	if d.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(d.RetryAfterSeconds(), 'f', -1, 64))
@@ -61,16 +61,16 @@
 // RetryAfterSeconds is the advice as clients get it: to the millisecond, never too soon.
 func (d *Rejection) RetryAfterSeconds() float64 { return math.Ceil(d.RetryAfter.Seconds()*1000) / 1000 }
 
-// limitWrite bounds the write of an answer: a client that does not read must not
+// setWriteDeadline bounds the write of an answer: a client that does not read must not
 // keep its socket for good. Each answer sets it anew.
-func limitWrite(w http.ResponseWriter) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
+func setWriteDeadline(w http.ResponseWriter) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 }
 
 // TooManyConnections is the rejection on a connection past the budget of sockets.
 var TooManyConnections = &Rejection{http.StatusServiceUnavailable, "too many connections", time.Second}
 
-var tooLarge = &Rejection{Status: http.StatusRequestEntityTooLarge, Message: "the body is over 64 KiB"}
+var bodyTooLarge = &Rejection{Status: http.StatusRequestEntityTooLarge, Message: "the body is over 64 KiB"}
 
 // RejectionOf words a final answer that is not a result; nil for one that needs none.
 func RejectionOf(a broker.Answer) *Rejection {
@@ -93,17 +93,17 @@
 
 // RequestReader reads requests off the wire.
 type RequestReader struct {
-	live  *config.InForce
-	guard *ConnLimiter
-	gate  AdmissionGate // nil: all are admitted
-	mu    sync.Mutex
-	open  map[string]bool // ids of requests not yet answered
-	end   time.Time       // no request read from now on has a later deadline; zero: none
+	live           *config.InForce
+	limiter        *ConnLimiter
+	admissionGate  AdmissionGate // nil: all are admitted
+	mu             sync.Mutex
+	inUse          map[string]bool // ids of requests not yet answered
+	latestDeadline time.Time       // no request read from now on has a later deadline; zero: none
 }
 
 // NewRequestReader makes a Reader; both fronts share one.
 func NewRequestReader(live *config.InForce, g *ConnLimiter) *RequestReader {
-	return &RequestReader{live: live, guard: g, open: map[string]bool{}}
+	return &RequestReader{live: live, limiter: g, inUse: map[string]bool{}}
 }
 
 // SetAdmissionGate says, at the moment at which a request is admitted, whether it may be, and under which
@@ -111,29 +111,29 @@
 type AdmissionGate func() (version uint64, at time.Time, admits bool)
 
 // AdmissionGate sets the gate. Before any request.
-func (rd *RequestReader) SetAdmissionGate(g AdmissionGate) { rd.gate = g }
+func (rd *RequestReader) SetAdmissionGate(g AdmissionGate) { rd.admissionGate = g }
 
 // Admitting tells whether new work is admitted now.
 func (rd *RequestReader) Admitting() bool {
-	if rd.gate == nil {
+	if rd.admissionGate == nil {
 		return true
 	}
-	_, _, ok := rd.gate()
+	_, _, ok := rd.admissionGate()
 	return ok
 }
 
-// noPolicy is what is told where no policy may be served under. It has not run.
-func noPolicy(cfg *config.Config) *Rejection {
+// noPolicyInForce is what is told where no policy may be served under. It has not run.
+func noPolicyInForce(cfg *config.Config) *Rejection {
 	return &Rejection{http.StatusServiceUnavailable, "no policy is in force here", min(cfg.Dispatch.MaxRetryAfter, 500*time.Millisecond)}
 }
 
-// single are the headers that say what a request is. Twice, one copy would be
+// singleValueHeaders are the headers that say what a request is. Twice, one copy would be
 // believed here and the other by whoever reads after us.
-var single = []string{"X-Team", "X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"}
+var singleValueHeaders = []string{"X-Team", "X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"}
 
-// seconds reads a time as the protocol writes it, digits with a point at most:
+// parseSeconds reads a time as the protocol writes it, digits with a point at most:
 // ParseFloat alone would take NaN, Inf, hex and exponents for times too.
-func seconds(text string) (time.Duration, bool) {
+func parseSeconds(text string) (time.Duration, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
 	}
@@ -147,7 +147,7 @@
 		return nil, &Rejection{Status: http.StatusBadRequest, Message: text}
 	}
 	control := http.NewResponseController(w)
-	if rd.guard.OverLimit() {
+	if rd.limiter.OverLimit() {
 		// What the kernel has accepted counts as taken: it gets its answer, and
 		// the socket is given back.
 		w.Header().Set("Connection", "close")
@@ -178,7 +178,7 @@
 	left := cfg.Dispatch.Classes[s.Request.Class].Deadline
 	if text := r.Header.Get("X-Timeout"); text != "" {
 		var ok bool
-		if left, ok = seconds(text); !ok {
+		if left, ok = parseSeconds(text); !ok {
 			return bad("X-Timeout: not a number of seconds")
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 	}
 	var err error
-	s.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	s.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		// The time to read stays in force: net/http reads on before the rejection.
 		w.Header().Set("Connection", "close")
@@ -207,18 +207,18 @@
 		control.SetReadDeadline(time.Time{})
 	}
 	if large := new(http.MaxBytesError); errors.As(err, &large) {
-		return nil, tooLarge
+		return nil, bodyTooLarge
 	} else if err != nil {
 		return bad("the body did not arrive")
 	}
-	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		c.took()
+	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
+		c.requestRead()
 	}
-	if rd.gate != nil {
+	if rd.admissionGate != nil {
 		// Asked last: what was read meanwhile may have taken longer than a lease holds.
 		var ok bool
-		if s.Request.PolicyVersion, s.Request.AdmittedAt, ok = rd.gate(); !ok {
-			return nil, noPolicy(cfg)
+		if s.Request.PolicyVersion, s.Request.AdmittedAt, ok = rd.admissionGate(); !ok {
+			return nil, noPolicyInForce(cfg)
 		}
 	}
 	s.Request.Deadline = time.Now().Add(left) // counted from the request's last byte
@@ -226,12 +226,12 @@
 	defer rd.mu.Unlock()
 	// The same id again while the first is still out would be a second copy at
 	// the loan workers.
-	if rd.open[s.ID] {
+	if rd.inUse[s.ID] {
 		return nil, &Rejection{Status: http.StatusConflict, Message: "X-Request-ID: in use"}
 	}
-	rd.open[s.ID] = true
-	if !rd.end.IsZero() && s.Request.Deadline.After(rd.end) {
-		s.Request.Deadline = rd.end
+	rd.inUse[s.ID] = true
+	if !rd.latestDeadline.IsZero() && s.Request.Deadline.After(rd.latestDeadline) {
+		s.Request.Deadline = rd.latestDeadline
 	}
 	return s, nil
 }
@@ -239,39 +239,39 @@
 // LimitDeadlines bounds the deadline of every request read from now on.
 func (rd *RequestReader) LimitDeadlines(end time.Time) {
 	rd.mu.Lock()
-	rd.end = end
+	rd.latestDeadline = end
 	rd.mu.Unlock()
 }
 
 // Release frees the request's id.
 func (rd *RequestReader) Release(s *JobRequest) {
 	rd.mu.Lock()
-	delete(rd.open, s.ID)
+	delete(rd.inUse, s.ID)
 	rd.mu.Unlock()
 }
 
 // Frontend answers clients.
 type Frontend struct {
-	broker   *broker.Broker
-	lines    *WorkerConns
-	reader   *RequestReader
-	guard    *ConnLimiter
-	started  func() bool // tells whether requests can be served; nil: from the first moment
-	draining atomic.Bool
-	leaving  atomic.Bool
+	broker             *broker.Broker
+	workers            *WorkerConns
+	reader             *RequestReader
+	limiter            *ConnLimiter
+	ready              func() bool // tells whether requests can be served; nil: from the first moment
+	draining           atomic.Bool
+	closeAfterResponse atomic.Bool
 }
 
 // SetReadiness has the health check say no until started tells otherwise. Before any request.
-func (f *Frontend) SetReadiness(started func() bool) { f.started = started }
+func (f *Frontend) SetReadiness(started func() bool) { f.ready = started }
 
 // NewFrontend makes the platform's front.
 func NewFrontend(b *broker.Broker, l *WorkerConns, rd *RequestReader) *Frontend {
-	return &Frontend{broker: b, lines: l, reader: rd, guard: rd.guard}
+	return &Frontend{broker: b, workers: l, reader: rd, limiter: rd.limiter}
 }
 
 // Server returns the HTTP server for this front.
 func (f *Frontend) Server() *http.Server {
-	return f.NewServer(f.session)
+	return f.NewServer(f.serveRequest)
 }
 
 // checkFraming checks what makes a message safe to read on, whatever it is for, and sets
@@ -279,27 +279,27 @@
 func checkFraming(w http.ResponseWriter, r *http.Request) *Rejection {
 	// net/http reads on in a rejected body before it sends the rejection, and has no bound
 	// of its own for that. So the time runs on every path.
-	control, until, fault := http.NewResponseController(w), time.Now().Add(readWithin), ""
+	control, until, fault := http.NewResponseController(w), time.Now().Add(bodyReadTimeout), ""
 	control.SetWriteDeadline(time.Time{}) // the last answer's on this connection
-	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		fault, until = c.fault()
+	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
+		fault, until = c.framingFault()
 	}
 	control.SetReadDeadline(until)
-	for _, name := range single {
+	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 && fault == "" {
 			return &Rejection{Status: http.StatusBadRequest, Message: name + ": comes twice"}
 		}
 	}
 	// What stands behind such a message can't be told from its body, and behind one
 	// in chunks nothing is taken for another.
-	if fault != "" || r.ContentLength < 0 || r.ContentLength > maxBody {
+	if fault != "" || r.ContentLength < 0 || r.ContentLength > maxBodyBytes {
 		w.Header().Set("Connection", "close")
 	}
 	switch {
 	case fault != "":
 		return &Rejection{Status: http.StatusBadRequest, Message: fault}
-	case r.ContentLength > maxBody:
-		return tooLarge
+	case r.ContentLength > maxBodyBytes:
+		return bodyTooLarge
 	}
 	return nil
 }
@@ -309,7 +309,7 @@
 func (f *Frontend) NewServer(session http.HandlerFunc) *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(plain http.ResponseWriter, r *http.Request) {
-			w := closingResponse{plain, f}
+			w := keepAliveWriter{plain, f}
 			if rejection := checkFraming(w, r); rejection != nil {
 				rejection.Write(w)
 				return
@@ -319,17 +319,17 @@
 				session(w, r)
 			case f.Draining():
 				(&Rejection{Status: http.StatusServiceUnavailable, Message: "stopping"}).Write(w)
-			case f.started != nil && !f.started():
+			case f.ready != nil && !f.ready():
 				(&Rejection{Status: http.StatusServiceUnavailable, Message: "no list of loan workers yet"}).Write(w)
 			case !f.reader.Admitting():
 				(&Rejection{Status: http.StatusServiceUnavailable, Message: "no policy is in force here"}).Write(w)
 			default:
-				limitWrite(w)
+				setWriteDeadline(w)
 				io.WriteString(w, "ok\n")
 			}
 		}),
-		ReadHeaderTimeout: firstWithin, IdleTimeout: 3 * time.Minute, MaxHeaderBytes: 16 << 10,
-		ConnState: f.guard.state, ConnContext: withConn,
+		ReadHeaderTimeout: firstRequestTimeout, IdleTimeout: 3 * time.Minute, MaxHeaderBytes: 16 << 10,
+		ConnState: f.limiter.onConnState, ConnContext: withConn,
 	}
 }
 
@@ -339,36 +339,36 @@
 // DisableKeepAlives makes every answer from now on its connection's last: another process
 // has taken over. Idle connections stay until they are used, since closing one
 // races with the request that is on its way.
-func (f *Frontend) DisableKeepAlives() { f.leaving.Store(true) }
+func (f *Frontend) DisableKeepAlives() { f.closeAfterResponse.Store(true) }
 
-// closingResponse is a response that says at its head whether more may follow on its
+// keepAliveWriter is a response that says at its head whether more may follow on its
 // connection. A request may be out when that changes.
-type closingResponse struct {
+type keepAliveWriter struct {
 	http.ResponseWriter
-	f *Frontend
+	front *Frontend
 }
 
-func (w closingResponse) WriteHeader(status int) {
-	if w.f.leaving.Load() {
+func (w keepAliveWriter) WriteHeader(status int) {
+	if w.front.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-func (w closingResponse) Write(p []byte) (int, error) {
-	if w.f.leaving.Load() {
+func (w keepAliveWriter) Write(p []byte) (int, error) {
+	if w.front.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close") // without effect once the head is out
 	}
 	return w.ResponseWriter.Write(p)
 }
 
 // Unwrap is for http.ResponseController.
-func (w closingResponse) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w keepAliveWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // Draining tells whether Drain was called.
 func (f *Frontend) Draining() bool { return f.draining.Load() }
 
-func (f *Frontend) session(w http.ResponseWriter, r *http.Request) {
+func (f *Frontend) serveRequest(w http.ResponseWriter, r *http.Request) {
 	s, rejection := f.reader.Read(w, r)
 	if rejection != nil {
 		rejection.Write(w)
@@ -377,13 +377,13 @@
 	defer f.reader.Release(s)
 	ctx, stop := ClientContext(r)
 	defer stop()
-	answer := f.broker.Serve(ctx, s.Request, f.lines.AttemptFunc(s))
+	answer := f.broker.Serve(ctx, s.Request, f.workers.AttemptFunc(s))
 	if rejection := RejectionOf(answer); rejection != nil {
 		rejection.Write(w)
 		return
 	}
 	if answer.Kind == broker.AnswerServed {
-		limitWrite(w)
+		setWriteDeadline(w)
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer.Result)))
 		w.Write(answer.Result)
--- a/internal/gateway/httpfront/guard.go
+++ b/internal/gateway/httpfront/guard.go
@@ -15,44 +15,46 @@
 const (
 	// A client is owed an answer or a close within 3 s of connecting, so its first
 	// request has this long to arrive whole. One that was served before may take
-	// readWithin for a body: slow lines are no fault.
-	firstWithin = 2400 * time.Millisecond
-	readWithin  = 10 * time.Second
-	// overflow is how many connections past the budget still get their request
+	// bodyReadTimeout for a body: slow lines are no fault.
+	firstRequestTimeout = 2400 * time.Millisecond
+	bodyReadTimeout     = 10 * time.Second
+	// maxOverflow is how many connections past the budget still get their request
 	// read and rejected; beyond it the rejection goes out unasked.
-	overflow = 6
-	// lingerTime is how long a connection that was closed here stays readable, for
-	// what its client sent before it saw the end: see conn.Close. lingerMost is how many
+	maxOverflow = 6
+	// lingerTimeout is how long a connection that was closed here stays readable, for
+	// what its client sent before it saw the end: see conn.Close. maxLingering is how many
 	// such connections may be held past the budget; beyond it the oldest is let go.
-	lingerTime = time.Second
-	lingerMost = 2 * overflow
-	// backlogWait is how long a listener that is being closed looks for connections that
+	lingerTimeout = time.Second
+	maxLingering  = 2 * maxOverflow
+	// backlogTimeout is how long a listener that is being closed looks for connections that
 	// the kernel has accepted and nobody has taken yet.
-	backlogWait = 5 * time.Millisecond
-	// readerTurns is how often, and readerTurn how long, an accept waits for the readers of
+	backlogTimeout = 5 * time.Millisecond
+	// maxReaderWaits is how often, and readerWait how long, an accept waits for the readers of
 	// unread bytes: see awaitReaders. On an idle machine the first turn is enough; where other
 	// processes hold the processors a reader was seen to be later than 5 turns.
-	readerTurns = 100
-	readerTurn  = time.Millisecond
+	maxReaderWaits = 100
+	readerWait     = time.Millisecond
 )
 
 // ConnLimiter keeps the budget of sockets that all fronts share.
 type ConnLimiter struct {
 	mu        sync.Mutex
 	max       int // as many as clients may hold
-	conns     map[*conn]struct{}
-	lingering []*conn // closed here and still held, the oldest first
+	conns     map[*clientConn]struct{}
+	lingering []*clientConn // closed here and still held, the oldest first
 
 	// For tests, which force an order by them; nil otherwise. onClose runs just before the
 	// end of a connection is sent, with mu held; onRead between a read from a socket and its
-	// accounting; onTurn in place of each readerTurn.
-	onClose func(*conn)
-	onRead  func()
-	onTurn  func()
+	// accounting; onReaderWait in place of each readerWait.
+	onClose      func(*clientConn)
+	onRead       func()
+	onReaderWait func()
 }
 
 // NewConnLimiter makes a guard for at most max clients' connections.
-func NewConnLimiter(max int) *ConnLimiter { return &ConnLimiter{max: max, conns: map[*conn]struct{}{}} }
+func NewConnLimiter(max int) *ConnLimiter {
+	return &ConnLimiter{max: max, conns: map[*clientConn]struct{}{}}
+}
 
 // Resize bounds how many connections clients may hold from now on, and closes
 // idle ones past that.
@@ -92,15 +94,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
-		if c.served && c.idle() && !c.unread() {
-			g.drop(c)
+		if c.served && c.idle() && !c.hasUnreadBytes() {
+			g.closeConn(c)
 		}
 	}
 }
 
-// crowded tells whether the next to be let in would push out a client at work
+// wouldEvictActiveClient tells whether the next to be let in would push out a client at work
 // only because strangers' bytes wait to be read.
-func (g *ConnLimiter) crowded() bool {
+func (g *ConnLimiter) wouldEvictActiveClient() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) < g.max {
@@ -108,8 +110,8 @@
 	}
 	waiting := false
 	for c := range g.conns {
-		if !c.served && !c.out() {
-			if !c.unread() {
+		if !c.served && !c.hasRequest() {
+			if !c.hasUnreadBytes() {
 				return false
 			}
 			waiting = true
@@ -122,26 +124,26 @@
 // bytes are not read yet, and what has unread bytes is not closed: without the wait it would be
 // the idle connections of clients at work that make room.
 func (g *ConnLimiter) awaitReaders() {
-	for range readerTurns {
-		if !g.crowded() {
+	for range maxReaderWaits {
+		if !g.wouldEvictActiveClient() {
 			return
 		}
-		if g.onTurn != nil {
-			g.onTurn()
+		if g.onReaderWait != nil {
+			g.onReaderWait()
 			continue
 		}
-		time.Sleep(readerTurn)
+		time.Sleep(readerWait)
 	}
 }
 
-func (g *ConnLimiter) admit(c *conn) bool {
+func (g *ConnLimiter) admit(c *clientConn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// More than one may be due: those let in past the budget, while nothing could
 	// make room for them, must not keep it full for all who come after.
 	for len(g.conns) >= g.max && g.evict() {
 	}
-	if len(g.conns) >= g.max+overflow {
+	if len(g.conns) >= g.max+maxOverflow {
 		return false
 	}
 	g.conns[c] = struct{}{}
@@ -153,7 +155,7 @@
 // one; the oldest of each. Hundreds of silent connections must not push out the
 // clients at work. The caller holds mu.
 func (g *ConnLimiter) evict() bool {
-	rank := func(c *conn) int {
+	rank := func(c *clientConn) int {
 		switch {
 		case !c.served:
 			return 0
@@ -162,31 +164,31 @@
 		}
 		return 2
 	}
-	var found []*conn
+	var found []*clientConn
 	for c := range g.conns {
-		if !c.out() {
+		if !c.hasRequest() {
 			found = append(found, c)
 		}
 	}
-	slices.SortFunc(found, func(a, b *conn) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), a.since.Compare(b.since))
+	slices.SortFunc(found, func(a, b *clientConn) int {
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), a.idleSince.Compare(b.idleSince))
 	})
 	for _, c := range found {
-		if !c.unread() {
-			g.drop(c)
+		if !c.hasUnreadBytes() {
+			g.closeConn(c)
 			return true
 		}
 	}
 	return false
 }
 
-// drop ends c and frees its place; the server finds it closed. What has come on c by now
+// closeConn ends c and frees its place; the server finds it closed. What has come on c by now
 // was counted, or else is never served: the client is told the end first and reads to it.
 // mu is held.
-func (g *ConnLimiter) drop(c *conn) {
+func (g *ConnLimiter) closeConn(c *clientConn) {
 	delete(g.conns, c)
-	c.ending = true
-	if c.eof {
+	c.closing = true
+	if c.clientClosed {
 		c.TCPConn.Close()
 		return
 	}
@@ -195,7 +197,7 @@
 	}
 	c.TCPConn.CloseWrite()
 	g.lingering = append(g.lingering, c)
-	for len(g.lingering) > 0 && len(g.conns)+len(g.lingering) > g.max+lingerMost {
+	for len(g.lingering) > 0 && len(g.conns)+len(g.lingering) > g.max+maxLingering {
 		g.lingering[0].TCPConn.Close()
 		g.lingering = g.lingering[1:]
 	}
@@ -203,10 +205,10 @@
 }
 
 // linger reads away what still comes on a connection that was ended here, until its client
-// closes it too or lingerTime is over. A close over unread bytes would reset the connection,
+// closes it too or lingerTimeout is over. A close over unread bytes would reset the connection,
 // and an answer that is on its way would be lost with it.
-func (g *ConnLimiter) linger(c *conn) {
-	defer time.AfterFunc(lingerTime, func() { c.TCPConn.Close() }).Stop()
+func (g *ConnLimiter) linger(c *clientConn) {
+	defer time.AfterFunc(lingerTimeout, func() { c.TCPConn.Close() }).Stop()
 	var scrap [512]byte
 	for {
 		c.TCPConn.SetReadDeadline(time.Time{}) // the server may have left one that is over
@@ -222,12 +224,12 @@
 	}
 }
 
-// state is the server's hook: an answered request leaves its connection idle.
-func (g *ConnLimiter) state(nc net.Conn, state http.ConnState) {
-	if c, ok := nc.(*conn); ok && state == http.StateIdle {
+// onConnState is the server's hook: an answered request leaves its connection idle.
+func (g *ConnLimiter) onConnState(nc net.Conn, state http.ConnState) {
+	if c, ok := nc.(*clientConn); ok && state == http.StateIdle {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		c.whole = max(c.whole-1, 0)
-		c.since = time.Now()
+		c.unanswered = max(c.unanswered-1, 0)
+		c.idleSince = time.Now()
 	}
 }
--- a/internal/gateway/httpfront/job.go
+++ b/internal/gateway/httpfront/job.go
@@ -28,5 +28,5 @@
 	if j.IdempotencyKey != "" {
 		h.Set("Idempotency-Key", j.IdempotencyKey)
 	}
-	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name, header: h, body: j.Body, may: j.MaySend}
+	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name, header: h, body: j.Body, maySend: j.MaySend}
 }
--- a/internal/gateway/httpfront/listfault.go
+++ b/internal/gateway/httpfront/listfault.go
@@ -119,8 +119,8 @@
 	return "the newer list serves on: see whether an old copy of the list service answers; one that was set back is believed after a minute"
 }
 
-// unreached tells that no connection came up in time.
-func unreached(err error) bool {
+// isDialTimeout tells that no connection came up in time.
+func isDialTimeout(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
 }
--- a/internal/gateway/httpfront/move_test.go
+++ b/internal/gateway/httpfront/move_test.go
@@ -18,22 +18,22 @@
 	"yardflow/internal/platform/config"
 )
 
-// directory is discovery for many dispatchers: calls for the whole list are handled in
+// limitedDiscovery is discovery for many dispatchers: calls for the whole list are handled in
 // turn, each at a cost, and fail once they have waited for its patience; one that failed
 // has taken its turn all the same. Watches wait.
-type directory struct {
-	cost, patience time.Duration
-	nobody         bool // the address is refused
+type limitedDiscovery struct {
+	callCost, patience time.Duration
+	refuses            bool // the address is refused
 
 	mu     sync.Mutex
-	free   time.Time
+	freeAt time.Time
 	failed int
 }
 
 const oneWorker = `{"generation":1,"reset":true,"instances":[{"instanceId":"s1","hostPort":"h:1","lifecycle":"SERVING","weight":1}]}`
 
-func (d *directory) RoundTrip(r *http.Request) (*http.Response, error) {
-	if d.nobody {
+func (d *limitedDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
+	if d.refuses {
 		return nil, syscall.ECONNREFUSED
 	}
 	wait, _ := time.ParseDuration(r.FormValue("timeout_ms") + "ms")
@@ -41,11 +41,11 @@
 	if r.URL.RawQuery == "" {
 		d.mu.Lock()
 		now := time.Now()
-		if d.free.Before(now) {
-			d.free = now
+		if d.freeAt.Before(now) {
+			d.freeAt = now
 		}
-		d.free = d.free.Add(d.cost)
-		if wait = d.free.Sub(now); wait-d.cost > d.patience {
+		d.freeAt = d.freeAt.Add(d.callCost)
+		if wait = d.freeAt.Sub(now); wait-d.callCost > d.patience {
 			d.failed++
 			wait, ok = d.patience, false
 		}
@@ -68,9 +68,9 @@
 	return out, nil
 }
 
-// testTable makes a table that tells a broker of its own.
-func testTable(t *testing.T, cfg *config.Config, log func(string)) (*ServerTable, *broker.Broker) {
-	b, live := testBroker(t, cfg), config.NewInForce(cfg)
+// newTestTable makes a table that tells a broker of its own.
+func newTestTable(t *testing.T, cfg *config.Config, log func(string)) (*ServerTable, *broker.Broker) {
+	b, live := newTestBroker(t, cfg), config.NewInForce(cfg)
 	merged, err := sources.New(live, b, sources.Hooks{Log: func(string) {}, AddressRetired: func(string) {}})
 	if err != nil {
 		t.Fatal(err)
@@ -87,17 +87,17 @@
 // counts as told 4 s later. A service that can take them all by then has told them all;
 // one that can't leaves dispatchers without the word, and those send nothing until it
 // comes. Paused for 0 to 7 s, a third had no word and went on by the old list.
-func TestAFleetMovesToAnotherDiscovery(t *testing.T) {
+func TestFleetSwitchesToAnotherDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		d          *directory
+		d          *limitedDiscovery
 		late       int           // at most so many without a word in time
 		last       time.Duration // by then the last has it
 		blindFrees bool
 	}{
-		{"150 calls a second", &directory{cost: time.Second / 150, patience: 3 * time.Second}, 0, moveDue, false},
-		{"24 calls a second", &directory{cost: time.Second / 24, patience: 3 * time.Second}, 200, 30 * time.Second, false},
-		{"nobody there", &directory{nobody: true}, 300, 0, true},
+		{"150 calls a second", &limitedDiscovery{callCost: time.Second / 150, patience: 3 * time.Second}, 0, sourceChangeDue, false},
+		{"24 calls a second", &limitedDiscovery{callCost: time.Second / 24, patience: 3 * time.Second}, 200, 30 * time.Second, false},
+		{"nobody there", &limitedDiscovery{refuses: true}, 300, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			defer func(f func() http.RoundTripper) { discoveryTransport = f }(discoveryTransport)
@@ -114,7 +114,7 @@
 				for i := range 300 {
 					own := *cfg
 					own.Dispatch.DispatcherIndex = i
-					table, b := testTable(t, &own, func(string) {})
+					table, b := newTestTable(t, &own, func(string) {})
 					table.draw = rand.New(rand.NewPCG(7, uint64(i))).Float64 // the same pauses in every play
 					go table.Run(t.Context())
 					at, again := time.Duration(rnd.Float64()*9e9), time.Duration(rnd.Float64()*3e9)
@@ -128,12 +128,12 @@
 							time.Sleep(again)
 							table.SwitchSource("d:3")
 						}
-						due := func() time.Time { table.mu.Lock(); defer table.mu.Unlock(); return table.stale.at }
+						due := func() time.Time { table.mu.Lock(); defer table.mu.Unlock(); return table.freshness.due }
 						heard := func() bool { return due().IsZero() }
 						if at := due(); !heard() { // the first move's, unless its word had come before the second
-							moved = at.Add(-moveDue)
+							moved = at.Add(-sourceChangeDue)
 						}
-						time.Sleep(moveDue + time.Millisecond - time.Since(moved))
+						time.Sleep(sourceChangeDue + time.Millisecond - time.Since(moved))
 						for n := 0; !heard() && time.Since(moved) < 90*time.Second; n++ {
 							if ready := b.Stats().Ready; (ready == 0) == c.blindFrees {
 								t.Errorf("dispatcher %d: %v after the move, without a word, %d workers may be sent to", i, time.Since(moved), ready)
@@ -158,7 +158,7 @@
 					})
 				}
 				wg.Wait()
-				t.Logf("%d of 300 without a word after %v; the last has it after %v, %d calls failed, %v in all", late, moveDue, last, c.d.failed, time.Since(began))
+				t.Logf("%d of 300 without a word after %v; the last has it after %v, %d calls failed, %v in all", late, sourceChangeDue, last, c.d.failed, time.Since(began))
 				if late > c.late || c.last > 0 && last > c.last+time.Millisecond {
 					t.Errorf("%d without a word in time, want %d at most; the last has it %v after the move, want %v", late, c.late, last, c.last)
 				}
@@ -168,21 +168,21 @@
 }
 
 // A list that comes while discovery has moved on already is the old one's word.
-func TestAnOldWordEndsNoWait(t *testing.T) {
+func TestUpdateOfFormerSourceEndsNoWait(t *testing.T) {
 	cfg := testConfig()
 	cfg.Discovery, cfg.Membership = "127.0.0.1:1", config.DefaultMembership()
-	table, _ := testTable(t, cfg, func(string) {})
+	table, _ := newTestTable(t, cfg, func(string) {})
 	old := table.source()
 	table.SwitchSource("127.0.0.1:2")
-	due := table.stale.at
-	if table.told(old); table.stale.at.IsZero() {
+	due := table.freshness.due
+	if table.markFresh(old); table.freshness.due.IsZero() {
 		t.Error("the old source's word ended the wait for the new one's")
 	}
-	if table.SwitchSource("127.0.0.1:3"); table.stale.at != due {
-		t.Errorf("a second move put the word off by %v", table.stale.at.Sub(due))
+	if table.SwitchSource("127.0.0.1:3"); table.freshness.due != due {
+		t.Errorf("a second move put the word off by %v", table.freshness.due.Sub(due))
 	}
-	table.failing(fmt.Errorf("call: %w", syscall.ECONNREFUSED), time.Now(), 0)
-	if table.told(table.source()); !table.stale.at.IsZero() {
+	table.requireAfterFailure(fmt.Errorf("call: %w", syscall.ECONNREFUSED), time.Now(), 0)
+	if table.markFresh(table.source()); !table.freshness.due.IsZero() {
 		t.Error("the word has come, and is awaited still")
 	}
 }
--- a/internal/gateway/httpfront/platform_test.go
+++ b/internal/gateway/httpfront/platform_test.go
@@ -34,7 +34,7 @@
 				Semantics: dispatch.AtMostOnce, WorkerKind: -1}}}}
 }
 
-func testBroker(t *testing.T, cfg *config.Config) *broker.Broker {
+func newTestBroker(t *testing.T, cfg *config.Config) *broker.Broker {
 	b, err := broker.New(cfg.Dispatch, 1, nil, func(string) {})
 	if err != nil {
 		t.Fatal(err)
@@ -46,9 +46,9 @@
 // A worker that starts to drain while a connection to it is being made gets
 // nothing over it: a send counts from its first byte, and a slow connect could
 // take it past the time that the rule allows.
-func TestDrainDuringAConnectSendsNothing(t *testing.T) {
+func TestDrainDuringConnectPreventsSend(t *testing.T) {
 	cfg := testConfig()
-	b := testBroker(t, cfg)
+	b := newTestBroker(t, cfg)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a send to a draining worker") }))
 	defer server.Close()
 	w := broker.Worker{ID: "s", Addr: server.Listener.Addr().String()}
@@ -65,18 +65,18 @@
 	if got := b.Serve(t.Context(), s.Request, lines.AttemptFunc(s)); got.Kind != broker.AnswerRejected {
 		t.Errorf("got %+v, want a refusal: nothing has run", got)
 	}
-	if n := lines.held; n != 0 {
+	if n := lines.sockets; n != 0 {
 		t.Error(n, "sockets are still counted")
 	}
 }
 
 // A dispatch is told as ended only once its connection is closed: told before,
 // the next attempt could be out beside it, a second copy.
-func TestEndIsToldAfterTheConnectionIsClosed(t *testing.T) {
+func TestAttemptEndsAfterItsConnectionIsClosed(t *testing.T) {
 	for name, answer := range map[string]string{"before the head": "", "mid-stream": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"another's line": "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"id\":\"other\"}\n"} {
 		cfg := testConfig()
-		b := testBroker(t, cfg)
+		b := newTestBroker(t, cfg)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -112,7 +112,7 @@
 }
 
 // The transport's own settings that the rules or the loan workers' cost rest on.
-func TestTransportSettings(t *testing.T) {
+func TestWorkerTransportSettings(t *testing.T) {
 	cfg := testConfig()
 	tr := NewWorkerConns(config.NewInForce(cfg), 300).transport
 	switch {
@@ -154,12 +154,12 @@
 }
 
 // Past its sockets a dispatch does not wait: it was never sent.
-func TestNoSocketLeft(t *testing.T) {
+func TestAttemptWithoutFreeSocketIsNotSent(t *testing.T) {
 	cfg := testConfig()
-	b := testBroker(t, cfg)
+	b := newTestBroker(t, cfg)
 	b.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: "127.0.0.1:1"}})
 	lines := NewWorkerConns(config.NewInForce(cfg), 1)
-	lines.take()
+	lines.acquireSocket()
 	s := &JobRequest{cfg: cfg, ID: "r", method: "POST", uri: "/unsafe", header: http.Header{},
 		Request: broker.Request{Slots: 1, Deadline: time.Now().Add(300 * time.Millisecond)}}
 	got := b.Serve(t.Context(), s.Request, func(ctx context.Context, a *broker.Attempt) broker.Outcome {
@@ -175,7 +175,7 @@
 }
 
 // The settings name a report's values by the simulator's words, workers by their own.
-func TestLoadReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	for text, want := range map[string][]float64{
 		`{"util":0.5,"eps":2,"x0":1,"more":9}`: {0.5, 2, 1},
 		`{"cpu":0.5,"err_rps":2,"x0":1}`:       {0.5, 2, 1},
@@ -184,7 +184,7 @@
 		`[]`:                                   nil,
 		``:                                     nil,
 	} {
-		if diff := cmp.Diff(want, load(testConfig().LoadColumns, []byte(text))); diff != "" {
+		if diff := cmp.Diff(want, parseLoad(testConfig().LoadColumns, []byte(text))); diff != "" {
 			t.Errorf("%s: %s", text, diff)
 		}
 	}
@@ -192,7 +192,7 @@
 
 // The table takes up the known list, asks from its generation, chains its watches, and after a
 // failed call asks again soon, for what there is to tell now: its word is due.
-func TestTableFollowsDiscovery(t *testing.T) {
+func TestServerTableFollowsDiscovery(t *testing.T) {
 	calls := make(chan string)
 	answers := make(chan string)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -221,17 +221,17 @@
 	cfg.Membership = config.DefaultMembership()
 	var mu sync.Mutex
 	var said []string
-	table, b := testTable(t, cfg, func(line string) {
+	table, b := newTestTable(t, cfg, func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		said = append(said, line)
 	})
 	want := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "b", Kind: "m2", Cell: 3, Weight: 1, StartedAt: time.UnixMicro(1700000000123500)}}
-	var known tableReply
+	var known listResponse
 	if err := json.Unmarshal(cfg.KnownList, &known); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(want, members(known.Instances)); diff != "" {
+	if diff := cmp.Diff(want, workersFrom(known.Instances)); diff != "" {
 		t.Error(diff)
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -286,11 +286,11 @@
 // A kept connection that was reset unseen costs the request that finds it, and no
 // other that has one life: those get connections of their own for a while. A
 // request that may be repeated goes on using kept ones.
-func TestKeptConnectionInDoubt(t *testing.T) {
+func TestStaleKeptConnectionDistrustsReuse(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatch.Classes = append(cfg.Dispatch.Classes, dispatch.Class{Name: "keyed", LatencyTarget: 20 * time.Second, Deadline: 5 * time.Second,
 		Value: 1, Semantics: dispatch.Retryable, WorkerKind: -1})
-	b := testBroker(t, cfg)
+	b := newTestBroker(t, cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/httpfront/relayed_test.go
+++ b/internal/gateway/httpfront/relayed_test.go
@@ -14,20 +14,20 @@
 	"yardflow/internal/platform/config"
 )
 
-// transport is discovery as a function.
-type transport func(r *http.Request) (*http.Response, error)
+// roundTripFunc is discovery as a function.
+type roundTripFunc func(r *http.Request) (*http.Response, error)
 
-func (f transport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // TestRelayedListEndsNoCalls keeps that a dispatcher whose calls at the list service fail goes on calling when it has
 // taken in what another one was told: it may be the one that reads for all next. Before, the module took the relayed list
 // for the answer to its own call, and never asked again.
 func TestRelayedListEndsNoCalls(t *testing.T) {
-	t.Run("many dispatchers, calls that fail", func(t *testing.T) { callsGoOn(t, 80, false) })
-	t.Run("a few, calls that are silent", func(t *testing.T) { callsGoOn(t, 6, true) })
+	t.Run("many dispatchers, calls that fail", func(t *testing.T) { assertCallsContinue(t, 80, false) })
+	t.Run("a few, calls that are silent", func(t *testing.T) { assertCallsContinue(t, 6, true) })
 }
 
-func callsGoOn(t *testing.T, dispatchers int, silent bool) {
+func assertCallsContinue(t *testing.T, dispatchers int, silent bool) {
 	const (
 		back   = 40 * time.Second // the list service fails until then
 		within = 60 * time.Second // of which it is asked again, since pauses grow to some 30 s
@@ -37,7 +37,7 @@
 		began := time.Now()
 		failed, told := atomic.Int32{}, atomic.Int32{}
 		discoveryTransport = func() http.RoundTripper {
-			return transport(func(r *http.Request) (*http.Response, error) {
+			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				if time.Since(began) < back {
 					failed.Add(1)
 					if silent {
@@ -59,8 +59,8 @@
 		cfg := testConfig()
 		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
 		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe = dispatchers, true
-		table, b := testTable(t, cfg, func(string) {})
-		table.EnableSharing(open{}, func(ListUpdate) {})
+		table, b := newTestTable(t, cfg, func(string) {})
+		table.EnableSharing(unlimitedCalls{}, func(ListUpdate) {})
 		go table.Run(t.Context())
 		list := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "a", Kind: "m1", Weight: 1}}
 		for generation := uint64(2); time.Since(began) < back; generation++ {
--- a/internal/gateway/httpfront/table.go
+++ b/internal/gateway/httpfront/table.go
@@ -23,47 +23,47 @@
 
 // ServerTable follows discovery.
 type ServerTable struct {
-	live   *config.InForce
-	broker *broker.Broker
-	tell   func(dispatch.ListForm, []membership.Worker)
-	log    func(string)
-	draw   func() float64 // uniform in [0, 1), for pauses; Run's alone
-
-	taking     sync.Mutex // held while a word is taken in: lists reach the module in one order
-	generation uint64     // under taking, as known
-	known      bool
-	turns      CallScheduler
-	share      func(ListUpdate)
-	by         string        // what the list is that is served by: told, relayed, kept; under taking
-	since      time.Time     // and when it was last said
-	olderSince time.Time     // lists came that are older than the one held; zero: none did; Run's alone
-	carry      bool          // the next call carries a watch on; Run's alone
-	moved      bool          // the list service is another one, and has said nothing yet; Run's to write, under taking
-	failed     int           // calls in a row; Run's alone
-	waited     time.Duration // the wait that the last call named; Run's alone
-	hurried    int           // of them, those after which the next was made by the time its word was due; Run's alone
-	failTime   time.Duration // how long the last call that failed took; Run's alone
-	silent     int           // calls without a sign in a row; Run's alone
-	strain     int           // what the service is spared, after calls that failed; Run's alone
-	seen       time.Duration // what a call for the list takes, lately; 0: not seen; Run's alone
-
-	mu     sync.Mutex
-	now    *source
-	stale  staleness     // when the list held counts as out of date
-	latest tableReply    // the whole list as last told, for the process that takes over
-	named  sync.Map      // ids of workers that discovery has named, ever
-	heard  chan struct{} // closed at the first word of discovery
-
-	followed chan struct{} // one waits in it where a relayed list was taken in since the last call
+	live    *config.InForce
+	broker  *broker.Broker
+	deliver func(dispatch.ListForm, []membership.Worker)
+	log     func(string)
+	draw    func() float64 // uniform in [0, 1), for pauses; Run's alone
+
+	updateMu        sync.Mutex // held while a word is taken in: lists reach the module in one order
+	generation      uint64     // under taking, as known
+	known           bool
+	scheduler       CallScheduler
+	publish         func(ListUpdate)
+	origin          string        // what the list is that is served by: told, relayed, kept; under taking
+	updatedAt       time.Time     // and when it was last said
+	olderSince      time.Time     // lists came that are older than the one held; zero: none did; Run's alone
+	continuesWatch  bool          // the next call carries a watch on; Run's alone
+	sourceChanged   bool          // the list service is another one, and has said nothing yet; Run's to write, under taking
+	failures        int           // calls in a row; Run's alone
+	lastWait        time.Duration // the wait that the last call named; Run's alone
+	hurriedRetries  int           // of them, those after which the next was made by the time its word was due; Run's alone
+	lastFailureTime time.Duration // how long the last call that failed took; Run's alone
+	timeouts        int           // calls without a sign in a row; Run's alone
+	strain          int           // what the service is spared, after calls that failed; Run's alone
+	listCallTime    time.Duration // what a call for the list takes, lately; 0: not seen; Run's alone
+
+	mu        sync.Mutex
+	current   *discoverySource
+	freshness freshnessDeadline // when the list held counts as out of date
+	latest    listResponse      // the whole list as last told, for the process that takes over
+	listed    sync.Map          // ids of workers that discovery has named, ever
+	synced    chan struct{}     // closed at the first word of discovery
+
+	relayed chan struct{} // one waits in it where a relayed list was taken in since the last call
 }
 
-// source is one address of discovery, with its own connections. Its context
+// discoverySource is one address of discovery, with its own connections. Its context
 // ends when another takes its place, and with it whatever call is out.
-type source struct {
+type discoverySource struct {
 	addr   string
 	client *http.Client
 	ctx    context.Context
-	end    func()
+	close  func()
 }
 
 // discoveryTransport makes the connections to one address of discovery.
@@ -74,15 +74,15 @@
 	}
 }
 
-func newSource(addr string) *source {
-	s := &source{addr: addr, client: &http.Client{Transport: discoveryTransport()}}
-	s.ctx, s.end = context.WithCancel(context.Background())
+func newSource(addr string) *discoverySource {
+	s := &discoverySource{addr: addr, client: &http.Client{Transport: discoveryTransport()}}
+	s.ctx, s.close = context.WithCancel(context.Background())
 	return s
 }
 
 // SwitchSource goes over to another address, or begins anew at the same one. The list
 // held so far stays in use until the new source has told its own, but not past
-// moveDue: from then on a worker that drains counts as told of, and which ones do is
+// sourceChangeDue: from then on a worker that drains counts as told of, and which ones do is
 // not known, so nothing new goes to any until the word is there. Where nobody listens
 // (a wrong address, or discovery is down) there is no word to be missed, and the old list
 // goes on serving. Requests and what was learned of workers stay whatever it tells. A
@@ -90,26 +90,26 @@
 func (t *ServerTable) SwitchSource(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.now.end()
-	t.now.client.CloseIdleConnections()
-	t.now = newSource(addr)
-	t.called() // whatever the place that it has left had to tell
-	t.stale.await(time.Now().Add(moveDue), 0, listMoved, t.expire)
+	t.current.close()
+	t.current.client.CloseIdleConnections()
+	t.current = newSource(addr)
+	t.endStartup() // whatever the place that it has left had to tell
+	t.freshness.require(time.Now().Add(sourceChangeDue), 0, causeSourceChanged, t.expire)
 }
 
-func (t *ServerTable) source() *source {
+func (t *ServerTable) source() *discoverySource {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.now
+	return t.current
 }
 
-type tableReply struct {
-	Generation *uint64      `json:"generation"`
-	Reset      bool         `json:"reset"`
-	Instances  []tableEntry `json:"instances"`
+type listResponse struct {
+	Generation *uint64     `json:"generation"`
+	Reset      bool        `json:"reset"`
+	Instances  []listEntry `json:"instances"`
 }
 
-type tableEntry struct {
+type listEntry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
@@ -125,9 +125,9 @@
 // ask; tell takes what the roster says, in the form in which it said it.
 func NewServerTable(live *config.InForce, b *broker.Broker, tell func(dispatch.ListForm, []membership.Worker), log func(string)) (*ServerTable, error) {
 	cfg := live.Get()
-	t := &ServerTable{live: live, broker: b, tell: tell, log: log, by: "kept", draw: rand.Float64, now: newSource(cfg.Discovery), heard: make(chan struct{}),
-		followed: make(chan struct{}, 1)}
-	var known tableReply
+	t := &ServerTable{live: live, broker: b, deliver: tell, log: log, origin: "kept", draw: rand.Float64, current: newSource(cfg.Discovery), synced: make(chan struct{}),
+		relayed: make(chan struct{}, 1)}
+	var known listResponse
 	if len(cfg.KnownList) > 0 {
 		if err := json.Unmarshal(cfg.KnownList, &known); err != nil {
 			return nil, &KnownListError{err}
@@ -136,23 +136,23 @@
 	if known.Generation != nil {
 		t.generation, t.known = *known.Generation, true
 	}
-	b.SetListedByDiscovery(func(worker string) bool { _, ok := t.named.Load(worker); return ok })
-	t.note(known, true)
-	t.tell(dispatch.ListCached, members(known.Instances))
-	t.start()
+	b.SetListedByDiscovery(func(worker string) bool { _, ok := t.listed.Load(worker); return ok })
+	t.updateSnapshot(known, true)
+	t.deliver(dispatch.ListCached, workersFrom(known.Instances))
+	t.requireAtStartup()
 	return t, nil
 }
 
-// note keeps the whole list up to date.
-func (t *ServerTable) note(reply tableReply, full bool) {
+// updateSnapshot keeps the whole list up to date.
+func (t *ServerTable) updateSnapshot(reply listResponse, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
 		t.latest.Instances = nil
 	}
 	for _, e := range reply.Instances {
-		t.named.Store(e.InstanceID, true)
-		t.latest.Instances = slices.DeleteFunc(t.latest.Instances, func(old tableEntry) bool { return old.InstanceID == e.InstanceID })
+		t.listed.Store(e.InstanceID, true)
+		t.latest.Instances = slices.DeleteFunc(t.latest.Instances, func(old listEntry) bool { return old.InstanceID == e.InstanceID })
 		if e.Lifecycle != "DELETED" {
 			t.latest.Instances = append(t.latest.Instances, e)
 		}
@@ -176,10 +176,10 @@
 }
 
 // Synced is closed once discovery has told the list.
-func (t *ServerTable) Synced() <-chan struct{} { return t.heard }
+func (t *ServerTable) Synced() <-chan struct{} { return t.synced }
 
-// members words entries of the roster as what a source says.
-func members(in []tableEntry) []membership.Worker {
+// workersFrom words entries of the roster as what a source says.
+func workersFrom(in []listEntry) []membership.Worker {
 	out := make([]membership.Worker, 0, len(in))
 	for _, e := range in {
 		if e.InstanceID == "" {
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// watchSlack is what an answer may take beyond the wait that a watch names, before the
-	// call counts as lost without a sign. What it missed is due waitDue after that wait, so
+	// watchResponseSlack is what an answer may take beyond the wait that a watch names, before the
+	// call counts as lost without a sign. What it missed is due watchDue after that wait, so
 	// the call made in its place must have been answered by then.
-	watchSlack = time.Second
-	// listWait bounds a call that does not wait, so that a lost one leaves time for another.
-	listWait = 1500 * time.Millisecond
-	// soundWait bounds a call that is to show whether the list service is there at all. One that
+	watchResponseSlack = time.Second
+	// listCallTimeout bounds a call that does not wait, so that a lost one leaves time for another.
+	listCallTimeout = 1500 * time.Millisecond
+	// reachabilityTimeout bounds a call that is to show whether the list service is there at all. One that
 	// is down fails calls that have waited for its own time, up to 3 s: a call given up before that
 	// would look like one that was lost without a sign.
-	soundWait = 4 * time.Second
-	// usualFail is how long a call that fails is taken to last while none was seen to.
-	usualFail = 2 * time.Second
-	// soonAgain is the pause before a call to a pushed list that failed is made again: less
+	reachabilityTimeout = 4 * time.Second
+	// defaultFailureTime is how long a call that fails is taken to last while none was seen to.
+	defaultFailureTime = 2 * time.Second
+	// pushRetryPause is the pause before a call to a pushed list that failed is made again: less
 	// than what may pass between a drain told and the last send (500 ms at the strictest).
-	soonAgain = 100 * time.Millisecond
-	maxList   = 8 << 20
+	pushRetryPause = 100 * time.Millisecond
+	maxListBytes   = 8 << 20
 )
 
 // pushed tells that lists come unprompted: discovery's word is that of an agent close by, which
@@ -44,13 +44,13 @@
 
 func (t *ServerTable) dispatchers() int { return t.live.Get().Dispatch.DispatcherCount }
 
-// first is the pause before the first call at a place.
-func (t *ServerTable) first() time.Duration {
+// firstPause is the pause before the first call at a place.
+func (t *ServerTable) firstPause() time.Duration {
 	if t.pushed() {
 		return 0
 	}
-	if left := t.left(); left > 0 {
-		return backoff.BeforeFirstCallWithin(t.dispatchers(), left, t.seen, t.draw())
+	if left := t.timeToDeadline(); left > 0 {
+		return backoff.BeforeFirstCallWithin(t.dispatchers(), left, t.listCallTime, t.draw())
 	}
 	return backoff.BeforeFirstCall(t.dispatchers(), t.draw())
 }
@@ -59,24 +59,24 @@
 // call comes within 200 ms of the last answer, so the next one is made at once.
 func (t *ServerTable) Run(ctx context.Context) {
 	on := t.source()
-	context.AfterFunc(ctx, func() { t.source().end() })
-	next := time.Now().Add(t.first()) // the earliest moment of the next call
+	context.AfterFunc(ctx, func() { t.source().close() })
+	next := time.Now().Add(t.firstPause()) // the earliest moment of the next call
 	for ask := true; ctx.Err() == nil; {
 		if on.addr == "" { // no list service: it may get one by a reload
 			<-on.ctx.Done()
-		} else if ask && !t.pushed() && !t.awaitAsk(on.ctx) {
+		} else if ask && !t.pushed() && !t.awaitSubscribe(on.ctx) {
 			return // the broker is closed
 		}
 		if now := t.source(); now != on {
 			// Another address may tell another history: its generations mean nothing
 			// beside the old ones, and its first word is the whole list, asked for now.
-			on, t.silent, t.carry = now, 0, false
-			t.taking.Lock()
-			t.known, t.moved = false, true
-			t.taking.Unlock()
-			next = time.Now().Add(t.first())
+			on, t.timeouts, t.continuesWatch = now, 0, false
+			t.updateMu.Lock()
+			t.known, t.sourceChanged = false, true
+			t.updateMu.Unlock()
+			next = time.Now().Add(t.firstPause())
 			if ctx.Err() != nil {
-				on.end()
+				on.close()
 			}
 		}
 		select {
@@ -85,11 +85,11 @@
 			ask = false
 			continue
 		}
-		if !t.turn(on.ctx) {
+		if !t.awaitCallPermit(on.ctx) {
 			ask = false
 			continue
 		}
-		at, known := t.place()
+		at, known := t.watermark()
 		t.broker.Tracef("ask since=%d known=%t", at, known)
 		whole, began := !known, time.Now()
 		reply, err := t.call(on)
@@ -99,125 +99,125 @@
 			ask = false // replaced meanwhile: whatever came is the old source's word
 		case err != nil:
 			var pause time.Duration
-			ask, pause = t.lost(err, began)
+			ask, pause = t.callFailed(err, began)
 			next = time.Now().Add(pause)
 		default:
 			if whole {
-				t.seen = time.Since(began)
+				t.listCallTime = time.Since(began)
 			}
-			t.take(on, reply)
+			t.applyUpdate(on, reply)
 			ask, next = false, time.Now() // carried on within 200 ms, it is still the same watch
 		}
 	}
 }
 
-// take hands on what a call has brought.
-func (t *ServerTable) take(on *source, reply *tableReply) {
-	t.taking.Lock()
-	defer t.taking.Unlock()
+// applyUpdate hands on what a call has brought.
+func (t *ServerTable) applyUpdate(on *discoverySource, reply *listResponse) {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	form := dispatch.ListDelta
 	if reply.Reset || !t.known {
 		form = dispatch.ListFull
 	}
 	t.generation, t.known = *reply.Generation, true
 	select {
-	case <-t.heard:
+	case <-t.synced:
 	default:
-		close(t.heard)
+		close(t.synced)
 		t.log(fmt.Sprintf("server table: first told, %d loan workers", len(reply.Instances)))
 	}
-	if fails := t.failed + t.silent; fails > 0 {
+	if fails := t.failures + t.timeouts; fails > 0 {
 		t.log(fmt.Sprintf("server table: told again after %d calls that brought nothing", fails))
 	}
 	if len(reply.Instances) == 0 {
 		t.strain = max(t.strain-1, 0) // a wait that ended with nothing: the service keeps up
 	}
-	t.failed, t.hurried, t.silent = 0, 0, 0
-	t.note(*reply, form == dispatch.ListFull)
-	t.tell(form, members(reply.Instances))
-	t.by, t.since, t.carry = "told", time.Now(), true
-	t.told(on)
-	if t.share != nil {
-		t.share(ListUpdate{Generation: t.generation, NewSource: t.moved, Changed: members(reply.Instances), WholeList: t.all})
+	t.failures, t.hurriedRetries, t.timeouts = 0, 0, 0
+	t.updateSnapshot(*reply, form == dispatch.ListFull)
+	t.deliver(form, workersFrom(reply.Instances))
+	t.origin, t.updatedAt, t.continuesWatch = "told", time.Now(), true
+	t.markFresh(on)
+	if t.publish != nil {
+		t.publish(ListUpdate{Generation: t.generation, NewSource: t.sourceChanged, Changed: workersFrom(reply.Instances), WholeList: t.workers})
 	}
-	t.moved = false
+	t.sourceChanged = false
 }
 
-// lost takes in a call that brought nothing, made at a moment. It tells whether the module is to
+// callFailed takes in a call that brought nothing, made at a moment. It tells whether the module is to
 // say when to ask again, and the pause before that at the least.
-func (t *ServerTable) lost(err error, began time.Time) (ask bool, pause time.Duration) {
-	if t.failed+t.silent == 0 { // once, not once a call: an outage makes many
+func (t *ServerTable) callFailed(err error, began time.Time) (ask bool, pause time.Duration) {
+	if t.failures+t.timeouts == 0 { // once, not once a call: an outage makes many
 		t.log(fmt.Sprintf("server table: %s; going on with %d loan workers known", fault.Text(err), t.size()))
 	}
 	silent, isSilent := err.(*CallTimeoutError)
-	if t.carry = false; t.turns != nil {
-		t.turns.CallFailed()
+	if t.continuesWatch = false; t.scheduler != nil {
+		t.scheduler.CallFailed()
 	}
 	if isSilent && !t.pushed() {
 		// An agent close by is silent while discovery is down, and learns nothing then: where a
 		// new call hears nothing either, there is nothing to be missed.
-		t.missed(silent.ChangesDue)
+		t.requireAfterTimeout(silent.ChangesDue)
 	}
-	t.failing(err, began, t.waited)
+	t.requireAfterFailure(err, began, t.lastWait)
 	switch {
 	case t.pushed():
-		t.failed++
-		return false, time.Duration((0.5 + t.draw()) * float64(soonAgain))
+		t.failures++
+		return false, time.Duration((0.5 + t.draw()) * float64(pushRetryPause))
 	case isSilent && !silent.Connected:
-		t.silent++ // nothing has come to the service that would have to be spared
+		t.timeouts++ // nothing has come to the service that would have to be spared
 		return false, time.Duration((0.5 + t.draw()) * float64(time.Second))
 	case isSilent && silent.Watch:
-		t.silent++ // broken, and begun anew: the module has no part in it
-		return false, backoff.BeforeReplacingWatch(t.dispatchers(), t.left(), t.draw())
+		t.timeouts++ // broken, and begun anew: the module has no part in it
+		return false, backoff.BeforeReplacingWatch(t.dispatchers(), t.timeToDeadline(), t.draw())
 	}
 	select {
-	case <-t.followed: // what was relayed before says nothing of this failure
+	case <-t.relayed: // what was relayed before says nothing of this failure
 	default:
 	}
-	t.failed++
-	if t.waited <= listWait { // a watch was open until it failed
-		t.failTime = time.Since(began)
+	t.failures++
+	if t.lastWait <= listCallTimeout { // a watch was open until it failed
+		t.lastFailureTime = time.Since(began)
 	}
 	t.strain = min(t.strain+1, backoff.MaxStrain)
-	t.tell(dispatch.ListFailed, nil)
-	left := t.left()
-	if _, failed := t.awaits(); left > 0 && (failed || left > t.failTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.hurried+1) {
-		t.hurried++
-		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.hurried, left, max(t.failTime, usualFail), t.draw())
+	t.deliver(dispatch.ListFailed, nil)
+	left := t.timeToDeadline()
+	if _, failed := t.awaitsUpdate(); left > 0 && (failed || left > t.lastFailureTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.hurriedRetries+1) {
+		t.hurriedRetries++
+		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.hurriedRetries, left, max(t.lastFailureTime, defaultFailureTime), t.draw())
 	}
-	if t.failed > t.hurried+1 {
-		t.outage()
+	if t.failures > t.hurriedRetries+1 {
+		t.assumeOutage()
 	}
 	// Beside the module's own pause, which ends with its asking again.
-	return true, backoff.BeforeRetry(t.dispatchers(), max(t.failed-t.hurried, 1), t.draw())
+	return true, backoff.BeforeRetry(t.dispatchers(), max(t.failures-t.hurriedRetries, 1), t.draw())
 }
 
-// patience is the wait that the next call names, and how long it is given in all.
-func (t *ServerTable) patience(known bool) (wait, limit time.Duration) {
+// callTimeouts is the wait that the next call names, and how long it is given in all.
+func (t *ServerTable) callTimeouts(known bool) (wait, limit time.Duration) {
 	switch {
 	case !known && t.dispatchers() > backoff.FewDispatchers && !t.pushed():
 		// A queue at discovery is likelier than a call lost without a sign, and one given
 		// up has taken its turn all the same.
-		return 0, max(listWait, t.left())
+		return 0, max(listCallTimeout, t.timeToDeadline())
 	case !known:
-		return 0, listWait
+		return 0, listCallTimeout
 	}
-	awaits, failed := t.awaits()
+	awaits, failed := t.awaitsUpdate()
 	switch {
 	case !t.Ready(), awaits && failed: // what there is to tell is wanted now
-		return time.Millisecond, soundWait
-	case awaits || t.turns != nil && !t.carry:
-		return time.Millisecond, listWait
+		return time.Millisecond, reachabilityTimeout
+	case awaits || t.scheduler != nil && !t.continuesWatch:
+		return time.Millisecond, listCallTimeout
 	}
 	wait = backoff.LongPollTimeout(t.dispatchers(), t.strain, t.draw())
-	return wait, wait + watchSlack
+	return wait, wait + watchResponseSlack
 }
 
 // call makes one call. An error is a ListError or, where no sign came, a CallTimeoutError.
-func (t *ServerTable) call(on *source) (*tableReply, error) {
-	at, known := t.place()
-	wait, limit := t.patience(known)
-	t.waited = wait
+func (t *ServerTable) call(on *discoverySource) (*listResponse, error) {
+	at, known := t.watermark()
+	wait, limit := t.callTimeouts(known)
+	t.lastWait = wait
 	url := "http://" + on.addr + "/v1/servers"
 	if known {
 		url += fmt.Sprintf("?since=%d&timeout_ms=%d", at, wait.Milliseconds())
@@ -226,16 +226,16 @@
 	defer stop()
 	began := time.Now()
 	text, err := fetch(ctx, on.client, url)
-	var reply *tableReply
+	var reply *listResponse
 	if err == nil {
 		reply, err = t.parse(text, known)
 	}
 	switch {
 	case err == nil:
 		return reply, nil
-	case ctx.Err() == context.DeadlineExceeded, unreached(err):
+	case ctx.Err() == context.DeadlineExceeded, isDialTimeout(err):
 		return nil, &CallTimeoutError{Addr: on.addr, Waited: time.Since(began).Round(time.Millisecond),
-			ChangesDue: began.Add(max(wait+waitDue, silentDue)), Connected: !unreached(err), Watch: wait > listWait}
+			ChangesDue: began.Add(max(wait+watchDue, timedOutCallDue)), Connected: !isDialTimeout(err), Watch: wait > listCallTimeout}
 	}
 	return nil, &ListError{on.addr, err}
 }
@@ -253,11 +253,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &BadResponseError{Status: resp.StatusCode}
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, maxList))
+	return io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 }
 
-func (t *ServerTable) parse(text []byte, known bool) (*tableReply, error) {
-	var reply tableReply
+func (t *ServerTable) parse(text []byte, known bool) (*listResponse, error) {
+	var reply listResponse
 	if err := json.Unmarshal(text, &reply); err != nil {
 		return nil, &BadResponseError{http.StatusOK, err.Error()}
 	}
@@ -269,5 +269,5 @@
 	if (reply.Reset || !known) && len(reply.Instances) == 0 && t.size() > 0 {
 		return nil, &BadResponseError{http.StatusOK, "a whole list that names nobody"}
 	}
-	return &reply, t.older(&reply, known)
+	return &reply, t.rejectOutdated(&reply, known)
 }
--- a/internal/gateway/httpfront/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -20,38 +20,38 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// quiet is discovery whose open watches fall silent once, at a moment, and which may go on saying
+// silentDiscovery is discovery whose open watches fall silent once, at a moment, and which may go on saying
 // nothing for a while after, accept nothing, or not be there.
-type quiet struct {
-	began  time.Time
-	fall   time.Duration // watches open then hear nothing any more
-	until  time.Duration // calls made before that hear nothing either
-	cost   time.Duration // of a call, handled in turn
-	refuse bool          // where the silence ends nobody listens
-	busy   time.Duration // where it would be silent it answers 503 after so long; 0: it does not
-	text   string        // what it tells
+type silentDiscovery struct {
+	began       time.Time
+	silentFrom  time.Duration // watches open then hear nothing any more
+	silentUntil time.Duration // calls made before that hear nothing either
+	callCost    time.Duration // of a call, handled in turn
+	refuse      bool          // where the silence ends nobody listens
+	failAfter   time.Duration // where it would be silent it answers 503 after so long; 0: it does not
+	response    string        // what it tells
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-func (d *quiet) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *silentDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	at := time.Since(d.began)
 	wait, _ := time.ParseDuration(r.FormValue("timeout_ms") + "ms")
 	d.mu.Lock()
-	if d.free.Before(time.Now()) {
-		d.free = time.Now()
+	if d.freeAt.Before(time.Now()) {
+		d.freeAt = time.Now()
 	}
-	d.free = d.free.Add(d.cost)
-	wait = max(wait, time.Until(d.free))
+	d.freeAt = d.freeAt.Add(d.callCost)
+	wait = max(wait, time.Until(d.freeAt))
 	d.mu.Unlock()
-	if at < d.until && (at >= d.fall || at+wait >= d.fall) {
-		if at >= d.fall && d.refuse {
+	if at < d.silentUntil && (at >= d.silentFrom || at+wait >= d.silentFrom) {
+		if at >= d.silentFrom && d.refuse {
 			return nil, syscall.ECONNREFUSED
 		}
-		if d.busy > 0 {
+		if d.failAfter > 0 {
 			select {
-			case <-time.After(d.busy):
+			case <-time.After(d.failAfter):
 				return &http.Response{StatusCode: 503, Body: http.NoBody}, nil
 			case <-r.Context().Done():
 				return nil, r.Context().Err()
@@ -65,19 +65,19 @@
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
-	text := d.text
+	text := d.response
 	if wait > time.Second {
 		text = `{"generation":1,"reset":false,"instances":[]}`
-		if at > d.fall {
+		if at > d.silentFrom {
 			text = strings.ReplaceAll(text, `"generation":1`, `"generation":2`)
 		}
 	}
 	return &http.Response{StatusCode: 200, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// follow runs so many tables at one discovery in virtual time, and shows each to look every 50 ms
+// runTables runs so many tables at one discovery in virtual time, and shows each to look every 50 ms
 // from its start on.
-func follow(t *testing.T, tables int, pushed bool, d *quiet, for_ time.Duration, look func(i int, at time.Duration, table *ServerTable, b *broker.Broker)) {
+func runTables(t *testing.T, tables int, pushed bool, d *silentDiscovery, for_ time.Duration, look func(i int, at time.Duration, table *ServerTable, b *broker.Broker)) {
 	defer func(f func() http.RoundTripper) { discoveryTransport = f }(discoveryTransport)
 	synctest.Test(t, func(t *testing.T) {
 		discoveryTransport = func() http.RoundTripper { return d }
@@ -89,7 +89,7 @@
 		for i := range tables {
 			own := *cfg
 			own.Dispatch.DispatcherIndex = i
-			table, b := testTable(t, &own, func(string) {})
+			table, b := newTestTable(t, &own, func(string) {})
 			table.draw = rand.New(rand.NewPCG(9, uint64(i))).Float64
 			go table.Run(t.Context())
 			wg.Go(func() {
@@ -104,22 +104,22 @@
 	})
 }
 
-// overdue plays a discovery that has something new to tell from a moment on, and checks that each
+// assertFreshOrIdle plays a discovery that has something new to tell from a moment on, and checks that each
 // dispatcher has it by the time it counts as told, or sends nothing new; and that the share of time
 // in which they send nothing, from 6 s on, when all first calls have ended, is small.
-func overdue(t *testing.T, d *quiet, from, play time.Duration, mostBlind float64) {
+func assertFreshOrIdle(t *testing.T, d *silentDiscovery, from, play time.Duration, mostBlind float64) {
 	t.Helper()
-	d.text = strings.ReplaceAll(oneWorker, `"generation":1`, `"generation":2`)
+	d.response = strings.ReplaceAll(oneWorker, `"generation":1`, `"generation":2`)
 	const told, slack, started = 6 * time.Second, 550 * time.Millisecond, 6 * time.Second
 	for _, n := range []int{1, 300} {
-		discovery := &quiet{fall: d.fall, until: d.until, cost: d.cost, busy: d.busy, text: d.text}
+		discovery := &silentDiscovery{silentFrom: d.silentFrom, silentUntil: d.silentUntil, callCost: d.callCost, failAfter: d.failAfter, response: d.response}
 		var mu sync.Mutex
 		late, blind := map[int]bool{}, 0
-		follow(t, n, false, discovery, play, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
+		runTables(t, n, false, discovery, play, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
 			table.mu.Lock()
-			knows := table.latest.Generation != nil && *table.latest.Generation == 2 && table.stale.at.IsZero()
+			knows := table.latest.Generation != nil && *table.latest.Generation == 2 && table.freshness.due.IsZero()
 			table.mu.Unlock()
 			ready := b.Stats().Ready
 			if at > from+told+slack && !knows && ready > 0 {
@@ -141,28 +141,28 @@
 // All open watches fall silent at one moment. What they miss counts as told 6 s after: each has
 // the word by then, or sends nothing new until it has. Left for their 20 s and another pause, 52
 // of 330 dispatchers of a join day went 32 s without it, and sent to workers long gone.
-func TestSilentWatchesAreBegunAnewInTime(t *testing.T) {
+func TestTimedOutWatchesAreRenewedInTime(t *testing.T) {
 	const fall = 9 * time.Second
-	overdue(t, &quiet{fall: fall, until: fall, cost: 5 * time.Millisecond}, fall, 25*time.Second, 0.002)
+	assertFreshOrIdle(t, &silentDiscovery{silentFrom: fall, silentUntil: fall, callCost: 5 * time.Millisecond}, fall, 25*time.Second, 0.002)
 }
 
 // Discovery is down for its first seconds: each call fails once it has waited for 2 s. From its
 // return on a change counts as told 6 s after: each dispatcher has the word by then, or sends
 // nothing new. Paused for up to 26 s after one failed call, 10 of 288 dispatchers of a herd day
 // sent to workers long gone. Meanwhile the list of before serves on.
-func TestAFailedCallIsMadeAgainByTheTimeItsWordIsDue(t *testing.T) {
+func TestFailedCallIsRetriedBeforeUpdateIsDue(t *testing.T) {
 	const back = 8 * time.Second
-	overdue(t, &quiet{until: back, busy: 2 * time.Second, cost: 4 * time.Millisecond}, back, 20*time.Second, 0.01)
+	assertFreshOrIdle(t, &silentDiscovery{silentUntil: back, failAfter: 2 * time.Second, callCost: 4 * time.Millisecond}, back, 20*time.Second, 0.01)
 }
 
 // Discovery is down for long. Dispatchers that are many pause after some calls, and send nothing
 // for a while; then it is taken to be down, and the list of before serves until it is back.
-func TestALongOutageStopsNobodyForLong(t *testing.T) {
+func TestLongOutageStopsDispatchersBriefly(t *testing.T) {
 	for _, n := range []int{1, 300} {
-		d := &quiet{until: 2 * time.Minute, busy: 2 * time.Second, text: oneWorker}
+		d := &silentDiscovery{silentUntil: 2 * time.Minute, failAfter: 2 * time.Second, response: oneWorker}
 		var mu sync.Mutex
 		blind := make([]int, n)
-		follow(t, n, false, d, 100*time.Second, func(i int, at time.Duration, _ *ServerTable, b *broker.Broker) {
+		runTables(t, n, false, d, 100*time.Second, func(i int, at time.Duration, _ *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
 			if b.Stats().Ready == 0 {
@@ -182,14 +182,14 @@
 // as told already, so nothing is sent until the first call has ended, and the health check says
 // so: 26 dispatchers of a zone day sent to workers 10 s gone. Where nobody is there to tell
 // anything the list of before serves.
-func TestNothingIsSentByTheListOfBeforeTheStart(t *testing.T) {
-	for name, d := range map[string]*quiet{
-		"told": {}, "refused": {until: time.Hour, refuse: true}, "failed": {until: time.Hour, busy: time.Second}, "silent": {until: time.Hour},
+func TestNothingIsSentUnderInheritedListBeforeFirstCall(t *testing.T) {
+	for name, d := range map[string]*silentDiscovery{
+		"told": {}, "refused": {silentUntil: time.Hour, refuse: true}, "failed": {silentUntil: time.Hour, failAfter: time.Second}, "silent": {silentUntil: time.Hour},
 	} {
-		d.cost, d.text = 10*time.Millisecond, oneWorker
+		d.callCost, d.response = 10*time.Millisecond, oneWorker
 		var mu sync.Mutex
 		starts := map[int]time.Duration{}
-		follow(t, 300, false, d, 8*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
+		runTables(t, 300, false, d, 8*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			mu.Lock()
 			defer mu.Unlock()
 			started, ready := table.Ready(), b.Stats().Ready
@@ -217,11 +217,11 @@
 
 // Discovery accepts and says nothing for 20 s. What it missed to tell counts as told, so from
 // then on nothing new is sent, until its word is there.
-func TestALongSilenceEndsTheUseOfTheList(t *testing.T) {
-	d := &quiet{fall: 2 * time.Second, until: 22 * time.Second, text: oneWorker}
-	follow(t, 1, false, d, 30*time.Second, func(_ int, at time.Duration, _ *ServerTable, b *broker.Broker) {
+func TestLongSilenceExpiresList(t *testing.T) {
+	d := &silentDiscovery{silentFrom: 2 * time.Second, silentUntil: 22 * time.Second, response: oneWorker}
+	runTables(t, 1, false, d, 30*time.Second, func(_ int, at time.Duration, _ *ServerTable, b *broker.Broker) {
 		ready := b.Stats().Ready
-		if at > 2*time.Second+6550*time.Millisecond && at < d.until && ready != 0 || at > 0 && at < 5*time.Second && ready != 1 || at > 26*time.Second && ready != 1 {
+		if at > 2*time.Second+6550*time.Millisecond && at < d.silentUntil && ready != 0 || at > 0 && at < 5*time.Second && ready != 1 || at > 26*time.Second && ready != 1 {
 			t.Errorf("at %v: %d workers may be sent to", at, ready)
 		}
 	})
@@ -230,9 +230,9 @@
 // Where lists are pushed what the agent holds counts as told from the first moment: nothing is
 // sent by the kept list before its word, unless nobody is there to tell any. Nobody asked it at
 // all once: the module says when to ask only where it has to.
-func TestAPushedListIsFollowedFromTheStart(t *testing.T) {
-	d := &quiet{fall: 10 * time.Second, until: 14 * time.Second, refuse: true, text: strings.ReplaceAll(oneWorker, `"generation":1`, `"generation":2`)}
-	follow(t, 300, true, d, 16*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
+func TestPushedListIsWatchedFromStart(t *testing.T) {
+	d := &silentDiscovery{silentFrom: 10 * time.Second, silentUntil: 14 * time.Second, refuse: true, response: strings.ReplaceAll(oneWorker, `"generation":1`, `"generation":2`)}
+	runTables(t, 300, true, d, 16*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 		if at == 0 && b.Stats().Ready != 0 {
 			t.Errorf("dispatcher %d sends by the kept list", i)
 		}
@@ -241,12 +241,12 @@
 		}
 	})
 	for name, until := range map[string]time.Duration{"refused": 5 * time.Second, "silent": 0} {
-		d := &quiet{until: until, refuse: true, text: oneWorker}
+		d := &silentDiscovery{silentUntil: until, refuse: true, response: oneWorker}
 		if name == "silent" {
-			d.until, d.refuse = 3*time.Second, false
+			d.silentUntil, d.refuse = 3*time.Second, false
 		}
 		back := time.Duration(0)
-		follow(t, 1, true, d, 8*time.Second, func(_ int, at time.Duration, table *ServerTable, b *broker.Broker) {
+		runTables(t, 1, true, d, 8*time.Second, func(_ int, at time.Duration, table *ServerTable, b *broker.Broker) {
 			select {
 			case <-table.Synced():
 				if back == 0 {
@@ -255,15 +255,15 @@
 			default:
 				from := 200 * time.Millisecond
 				if name == "silent" {
-					from = listWait // then the agent is silent, and has nothing to tell
+					from = listCallTimeout // then the agent is silent, and has nothing to tell
 				}
 				if ready := b.Stats().Ready; at > from+50*time.Millisecond && ready != 1 || name == "silent" && at < from && ready != 0 {
 					t.Errorf("%s, at %v: %d workers may be sent to", name, at, ready)
 				}
 			}
 		})
-		if limit := d.until + 1700*time.Millisecond; back == 0 || name == "refused" && back > d.until+250*time.Millisecond || back > limit {
-			t.Errorf("%s until %v: heard at %v", name, d.until, back)
+		if limit := d.silentUntil + 1700*time.Millisecond; back == 0 || name == "refused" && back > d.silentUntil+250*time.Millisecond || back > limit {
+			t.Errorf("%s until %v: heard at %v", name, d.silentUntil, back)
 		}
 	}
 }
@@ -271,9 +271,9 @@
 // Discovery is down for 8 s, and its agent silent: it learns nothing then, so nothing is missed and
 // the list held serves on. What there is at the return is heard at once. With the clock of lists
 // that are asked for, 288 dispatchers refused half of all requests from 5 to 10 s of a herd day.
-func TestASilentAgentOfAPushedListStopsNobody(t *testing.T) {
-	d := &quiet{fall: 3 * time.Second, until: 11 * time.Second, text: oneWorker}
-	follow(t, 300, true, d, 14*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
+func TestSilentAgentOfPushedListStopsNobody(t *testing.T) {
+	d := &silentDiscovery{silentFrom: 3 * time.Second, silentUntil: 11 * time.Second, response: oneWorker}
+	runTables(t, 300, true, d, 14*time.Second, func(i int, at time.Duration, table *ServerTable, b *broker.Broker) {
 		if ready := b.Stats().Ready; at > 100*time.Millisecond && ready != 1 {
 			t.Errorf("dispatcher %d at %v: %d workers may be sent to", i, at, ready)
 		}
@@ -281,7 +281,7 @@
 }
 
 // Each way that a call can fail says what an operator can do.
-func TestListFaultsAdvise(t *testing.T) {
+func TestListErrorsGiveAdvice(t *testing.T) {
 	for _, err := range []error{&ListError{"d:1", syscall.ECONNREFUSED}, &ListError{"d:1", &BadResponseError{503, ""}}, &BadResponseError{200, "x"}, &CallTimeoutError{Addr: "d:1"}, &KnownListError{io.EOF}, &OutdatedListError{1, 2}} {
 		var f interface {
 			Advice() string
@@ -294,10 +294,10 @@
 }
 
 // Lists may come indented.
-func TestListsMayComeIndented(t *testing.T) {
+func TestIndentedListIsParsed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Discovery, cfg.Membership = "d:1", config.DefaultMembership()
-	table, _ := testTable(t, cfg, func(string) {})
+	table, _ := newTestTable(t, cfg, func(string) {})
 	reply, err := table.parse([]byte("{\n  \"generation\": 3,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"s1\",\n      \"hostPort\": \"h:1\",\n      \"lifecycle\": \"SERVING\"\n    }\n  ]\n}\n"), true)
 	if err != nil || *reply.Generation != 3 || len(reply.Instances) != 1 || reply.Instances[0].HostPort != "h:1" {
 		t.Errorf("%+v, %v", reply, err)
@@ -306,36 +306,36 @@
 
 // Where the fleet shares lists an older whole one is refused, and believed once it has gone on for
 // a minute; by itself a dispatcher takes what it is told.
-func TestAnOlderListIsRefusedWhereListsAreShared(t *testing.T) {
+func TestOutdatedListIsRejectedWhenListsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig()
 		cfg.Discovery, cfg.Membership = "d:1", config.DefaultMembership()
-		table, b := testTable(t, cfg, func(string) {})
+		table, b := newTestTable(t, cfg, func(string) {})
 		defer b.Close()
 		table.generation, table.known = 9, true
 		if _, err := table.parse([]byte(oneWorker), true); err != nil {
 			t.Errorf("by itself: %v", err)
 		}
-		table.EnableSharing(open{}, func(ListUpdate) {})
+		table.EnableSharing(unlimitedCalls{}, func(ListUpdate) {})
 		var older *OutdatedListError
-		for wait := time.Duration(0); wait < believeAfter; wait += 10 * time.Second {
+		for wait := time.Duration(0); wait < outdatedAcceptAfter; wait += 10 * time.Second {
 			if _, err := table.parse([]byte(oneWorker), true); !errors.As(err, &older) {
 				t.Errorf("after %v: %v", wait, err)
 			}
 			time.Sleep(10 * time.Second)
 		}
-		if _, err := table.parse([]byte(oneWorker), true); err != nil || !table.moved {
-			t.Errorf("after a minute: %v, told afresh %t", err, table.moved)
+		if _, err := table.parse([]byte(oneWorker), true); err != nil || !table.sourceChanged {
+			t.Errorf("after a minute: %v, told afresh %t", err, table.sourceChanged)
 		}
 	})
 }
 
 // A relayed list is taken in where it is no older than what is known, and never by one that was
 // moved to another list service and waits for its word: generations there are others.
-func TestRelayedListsAreTakenInByAge(t *testing.T) {
+func TestRelayedListIsAppliedByGeneration(t *testing.T) {
 	cfg := testConfig()
 	cfg.Discovery, cfg.Membership = "d:1", config.DefaultMembership()
-	table, b := testTable(t, cfg, func(string) {})
+	table, b := newTestTable(t, cfg, func(string) {})
 	one := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "a", Kind: "m1", Weight: 1}}
 	if !table.ApplyRelayed(5, true, one) || b.Stats().Workers != 1 || !strings.HasPrefix(table.DescribeList(), "relayed") {
 		t.Error("the first relayed list is not served by")
@@ -343,43 +343,43 @@
 	if table.ApplyRelayed(4, true, nil) || !table.ApplyRelayed(6, false, []membership.Worker{{ID: "s1", State: membership.Removed}}) || b.Stats().Ready != 0 {
 		t.Error("an older list is taken in, or a newer change is not")
 	}
-	table.missed(time.Now().Add(-time.Second)) // a call of its own was silent, and what it missed is due
-	for b.Stats().Ready > 0 || !awaits(table) {
+	table.requireAfterTimeout(time.Now().Add(-time.Second)) // a call of its own was silent, and what it missed is due
+	for b.Stats().Ready > 0 || !awaitsUpdate(table) {
 		time.Sleep(time.Millisecond)
 	}
-	if !table.ApplyRelayed(6, true, one) || awaits(table) || b.Stats().Ready != 1 {
+	if !table.ApplyRelayed(6, true, one) || awaitsUpdate(table) || b.Stats().Ready != 1 {
 		t.Error("another was told all that there is, and it waits still for a word of its own")
 	}
-	table.known, table.moved = false, true
+	table.known, table.sourceChanged = false, true
 	if table.ApplyRelayed(7, true, one) {
 		t.Error("it was moved, and goes by the list of the place that it has left")
 	}
 }
 
-// open is turns at a service that takes any number.
-type open struct{}
+// unlimitedCalls is turns at a service that takes any number.
+type unlimitedCalls struct{}
 
-func (open) MayCall(bool, bool) (bool, time.Duration, <-chan struct{}) { return true, 0, nil }
-func (open) CallFailed()                                               {}
+func (unlimitedCalls) MayCall(bool, bool) (bool, time.Duration, <-chan struct{}) { return true, 0, nil }
+func (unlimitedCalls) CallFailed()                                               {}
 
-func awaits(t *ServerTable) bool {
-	yes, _ := t.awaits()
+func awaitsUpdate(t *ServerTable) bool {
+	yes, _ := t.awaitsUpdate()
 	return yes
 }
 
 // Beside another source of workers the list service's word is due all the same: what it has named
 // may drain. Workers that only the other source names serve on.
-func TestAListThatIsOutOfDateBindsBesideOtherSources(t *testing.T) {
+func TestStaleListBindsBesideOtherSources(t *testing.T) {
 	cfg := testConfig()
 	cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
-	table, b := testTable(t, cfg, func(string) {})
+	table, b := newTestTable(t, cfg, func(string) {})
 	cfg.SRV = []config.SRV{{Name: "loans"}}
-	table.failing(syscall.ECONNRESET, time.Now(), 0) // the first call has ended, and the list of before serves
+	table.requireAfterFailure(syscall.ECONNRESET, time.Now(), 0) // the first call has ended, and the list of before serves
 	b.UpdateWorkers(dispatch.ListOverride, []broker.Worker{{ID: "by name alone", Addr: "h:2"}})
 	if ready := b.Stats().Ready; ready != 2 {
 		t.Fatalf("%d workers may be sent to, want 2", ready)
 	}
-	table.missed(time.Now().Add(-time.Second))
+	table.requireAfterTimeout(time.Now().Add(-time.Second))
 	for limit := time.Now().Add(4 * time.Second); b.Stats().Ready != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("%d workers may be sent to, want the one that the list service has not named", b.Stats().Ready)
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -15,39 +15,39 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// doubtTime is how long kept connections are not trusted with a request that
+// staleConnDistrust is how long kept connections are not trusted with a request that
 // may be sent once, after one was found gone.
-const doubtTime = 30 * time.Second
+const staleConnDistrust = 30 * time.Second
 
 // WorkerConns carries dispatches to loan workers.
 type WorkerConns struct {
-	live      *config.InForce
-	transport *http.Transport
-	once      *http.Transport // a connection for each dispatch, closed after it
-	doubt     atomic.Int64    // Unix nanoseconds up to which kept connections are in doubt
+	live          *config.InForce
+	transport     *http.Transport
+	oneShot       *http.Transport // a connection for each dispatch, closed after it
+	distrustUntil atomic.Int64    // Unix nanoseconds up to which kept connections are in doubt
 
-	mu        sync.Mutex
-	finishing int // answers that have ended and are read to their end
-	max       int // sockets to loan workers
-	held      int // of them, open or being opened
-	open      map[*workerConn]struct{}
+	mu         sync.Mutex
+	draining   int // answers that have ended and are read to their end
+	maxSockets int // sockets to loan workers
+	sockets    int // of them, open or being opened
+	open       map[*workerConn]struct{}
 }
 
 // NewWorkerConns makes the connections' owner; sockets bounds how many it may hold.
 func NewWorkerConns(live *config.InForce, sockets int) *WorkerConns {
-	l := &WorkerConns{live: live, max: sockets, open: map[*workerConn]struct{}{}}
-	l.transport, l.once = l.transports()
+	l := &WorkerConns{live: live, maxSockets: sockets, open: map[*workerConn]struct{}{}}
+	l.transport, l.oneShot = l.newTransports()
 	return l
 }
 
-func (l *WorkerConns) transports() (kept, once *http.Transport) {
+func (l *WorkerConns) newTransports() (kept, once *http.Transport) {
 	kept = &http.Transport{
 		DialContext:        l.dial,
 		DisableCompression: true,
 		// The library keeps two idle connections a host; every one beyond them
 		// would be opened anew, and opening costs the loan worker work.
-		MaxIdleConns:        l.max / 2,
-		MaxIdleConnsPerHost: l.max / 4,
+		MaxIdleConns:        l.maxSockets / 2,
+		MaxIdleConnsPerHost: l.maxSockets / 4,
 		// A loan worker closes an idle connection at IdleCloseMs at the latest;
 		// what is written to it from then on is lost. Close well before.
 		IdleConnTimeout:        l.live.Get().IdleTimeout * 3 / 4,
@@ -64,7 +64,7 @@
 	l.mu.Lock()
 	old := l.transport
 	if old.IdleConnTimeout != l.live.Get().IdleTimeout*3/4 {
-		l.transport, l.once = l.transports()
+		l.transport, l.oneShot = l.newTransports()
 	}
 	changed := old != l.transport
 	l.mu.Unlock()
@@ -73,14 +73,14 @@
 	}
 }
 
-// carrier chooses how a request goes. A kept connection may have been closed or
+// transportFor chooses how a request goes. A kept connection may have been closed or
 // reset since its last use without our knowing, and what is written to it then
 // may have run: a request with one life is not risked on it once that was seen.
-func (l *WorkerConns) carrier(s *JobRequest) *http.Transport {
+func (l *WorkerConns) transportFor(s *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Dispatch.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.doubt.Load() {
-		return l.once
+	if s.cfg.Dispatch.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.distrustUntil.Load() {
+		return l.oneShot
 	}
 	return l.transport
 }
@@ -98,7 +98,7 @@
 func (l *WorkerConns) AwaitDrained() {
 	for {
 		l.mu.Lock()
-		n := l.finishing
+		n := l.draining
 		l.mu.Unlock()
 		if n == 0 {
 			return
@@ -107,31 +107,31 @@
 	}
 }
 
-func (l *WorkerConns) finish(by int) {
+func (l *WorkerConns) addDraining(by int) {
 	l.mu.Lock()
-	l.finishing += by
+	l.draining += by
 	l.mu.Unlock()
 }
 
 // Resize bounds how many sockets may be held from now on.
 func (l *WorkerConns) Resize(sockets int) {
 	l.mu.Lock()
-	less := sockets < l.max
-	l.max = sockets
+	less := sockets < l.maxSockets
+	l.maxSockets = sockets
 	l.mu.Unlock()
 	if less {
 		l.CloseIdleConnections()
 	}
 }
 
-// take takes one socket of those that may be held.
-func (l *WorkerConns) take() bool {
+// acquireSocket takes one socket of those that may be held.
+func (l *WorkerConns) acquireSocket() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held >= l.max {
+	if l.sockets >= l.maxSockets {
 		return false
 	}
-	l.held++
+	l.sockets++
 	return true
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// carries notes whether a dispatch is on c.
-func (l *WorkerConns) carries(c *workerConn, busy bool) {
+// setBusy notes whether a dispatch is on c.
+func (l *WorkerConns) setBusy(c *workerConn, busy bool) {
 	if c == nil {
 		return
 	}
@@ -193,16 +193,16 @@
 }
 
 func (l *WorkerConns) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if !l.take() {
+	if !l.acquireSocket() {
 		l.CloseIdleConnections()
-		if !l.take() {
-			return nil, errSockets
+		if !l.acquireSocket() {
+			return nil, errNoSocket
 		}
 	}
 	conn, err := (&net.Dialer{Timeout: l.live.Get().ConnectTimeout, KeepAlive: -1}).DialContext(ctx, network, addr)
 	if err != nil {
 		l.mu.Lock()
-		l.held--
+		l.sockets--
 		l.mu.Unlock()
 		return nil, err
 	}
@@ -210,7 +210,7 @@
 	c.release = func() {
 		l.mu.Lock()
 		delete(l.open, c)
-		l.held--
+		l.sockets--
 		l.mu.Unlock()
 	}
 	l.mu.Lock()
