--- a/internal/gateway/simwire/wire.go
+++ b/internal/gateway/simwire/wire.go
@@ -39,8 +39,8 @@
 	actObserve       = 76
 )
 
-// maxFrame bounds the memory one frame may ask for.
-const maxFrame = 1 << 30
+// maxFrameBytes bounds the memory one frame may ask for.
+const maxFrameBytes = 1 << 30
 
 // Worker is an address and a port, packed so that it can be returned unmodified.
 type Worker uint64
@@ -92,11 +92,11 @@
 
 // Batch is a frame of events.
 type Batch struct {
-	Clock float64 // milliseconds
-	n     int
-	body  []byte
-	at    int
-	rec   int
+	Clock   float64 // milliseconds
+	records int
+	body    []byte
+	offset  int
+	record  int
 }
 
 // Reader reads batches.
@@ -118,10 +118,10 @@
 		}
 		return nil, fmt.Errorf("batch header: %d of 16 bytes", n)
 	}
-	b := &Batch{n: int(binary.LittleEndian.Uint32(head[0:])),
+	b := &Batch{records: int(binary.LittleEndian.Uint32(head[0:])),
 		Clock: math.Float64frombits(binary.LittleEndian.Uint64(head[8:]))}
 	size := binary.LittleEndian.Uint32(head[4:])
-	if size > maxFrame {
+	if size > maxFrameBytes {
 		return nil, fmt.Errorf("batch header: length %d is too large", size)
 	}
 	if math.IsNaN(b.Clock) || math.IsInf(b.Clock, 0) {
@@ -141,42 +141,42 @@
 	return b, nil
 }
 
-// fields walks over the bytes of one record; the first shortage sticks.
-type fields struct {
-	b     []byte
-	at    int
-	short bool
+// fieldReader walks over the bytes of one record; the first shortage sticks.
+type fieldReader struct {
+	b         []byte
+	at        int
+	truncated bool
 }
 
-func (f *fields) take(n int) []byte {
-	if f.short || n < 0 || len(f.b)-f.at < n {
-		f.short = true
+func (f *fieldReader) take(n int) []byte {
+	if f.truncated || n < 0 || len(f.b)-f.at < n {
+		f.truncated = true
 		return make([]byte, 8)
 	}
 	f.at += n
 	return f.b[f.at-n : f.at]
 }
-func (f *fields) u8() uint8   { return f.take(1)[0] }
-func (f *fields) u16() uint16 { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) u32() uint32 { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) u64() uint64 { return binary.LittleEndian.Uint64(f.take(8)) }
-func (f *fields) f32() float32 {
+func (f *fieldReader) u8() uint8   { return f.take(1)[0] }
+func (f *fieldReader) u16() uint16 { return binary.LittleEndian.Uint16(f.take(2)) }
+func (f *fieldReader) u32() uint32 { return binary.LittleEndian.Uint32(f.take(4)) }
+func (f *fieldReader) u64() uint64 { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fieldReader) f32() float32 {
 	return math.Float32frombits(f.u32())
 }
-func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
-func (f *fields) worker() Worker {
+func (f *fieldReader) f64() float64 { return math.Float64frombits(f.u64()) }
+func (f *fieldReader) worker() Worker {
 	a := f.take(4)
 	w := Worker(a[0])<<40 | Worker(a[1])<<32 | Worker(a[2])<<24 | Worker(a[3])<<16
 	return w | Worker(f.u16())
 }
-func (f *fields) bytes(n int) []byte {
-	if b := f.take(n); !f.short {
+func (f *fieldReader) bytes(n int) []byte {
+	if b := f.take(n); !f.truncated {
 		return b
 	}
 	return nil
 }
-func (f *fields) load(into []float32) []float32 {
-	for n := int(f.u8()); n > 0 && !f.short; n-- {
+func (f *fieldReader) load(into []float32) []float32 {
+	for n := int(f.u8()); n > 0 && !f.truncated; n-- {
 		into = append(into, f.f32())
 	}
 	return into
@@ -185,33 +185,33 @@
 // Next decodes the next record of the batch into e. It returns false at the
 // end. Records of unknown code are returned with their code alone.
 func (b *Batch) Next(e *Event) (bool, error) {
-	if b.rec == b.n {
-		if b.at != len(b.body) {
-			return false, fmt.Errorf("record %d offset %d: %d bytes after the last record", b.rec, b.at, len(b.body)-b.at)
+	if b.record == b.records {
+		if b.offset != len(b.body) {
+			return false, fmt.Errorf("record %d offset %d: %d bytes after the last record", b.record, b.offset, len(b.body)-b.offset)
 		}
 		return false, nil
 	}
-	if len(b.body)-b.at < 6 {
-		return false, fmt.Errorf("record %d offset %d: truncated record header", b.rec, b.at)
+	if len(b.body)-b.offset < 6 {
+		return false, fmt.Errorf("record %d offset %d: truncated record header", b.record, b.offset)
 	}
-	code := binary.LittleEndian.Uint16(b.body[b.at:])
-	size := int(binary.LittleEndian.Uint32(b.body[b.at+2:]))
-	if size > len(b.body)-b.at-6 {
+	code := binary.LittleEndian.Uint16(b.body[b.offset:])
+	size := int(binary.LittleEndian.Uint32(b.body[b.offset+2:]))
+	if size > len(b.body)-b.offset-6 {
 		return false, fmt.Errorf("record %d offset %d: code %d claims %d bytes, %d are left",
-			b.rec, b.at, code, size, len(b.body)-b.at-6)
+			b.record, b.offset, code, size, len(b.body)-b.offset-6)
 	}
-	f := fields{b: b.body[b.at+6 : b.at+6+size]}
+	f := fieldReader{b: b.body[b.offset+6 : b.offset+6+size]}
 	*e = Event{Code: code, Entries: e.Entries[:0], Load: e.Load[:0]}
-	e.read(&f)
-	if f.short {
-		return false, fmt.Errorf("record %d offset %d: code %d truncated in its fields", b.rec, b.at, code)
+	e.decode(&f)
+	if f.truncated {
+		return false, fmt.Errorf("record %d offset %d: code %d truncated in its fields", b.record, b.offset, code)
 	}
-	b.at += 6 + size
-	b.rec++
+	b.offset += 6 + size
+	b.record++
 	return true, nil
 }
 
-func (e *Event) read(f *fields) {
+func (e *Event) decode(f *fieldReader) {
 	switch e.Code {
 	case EventSelect:
 		e.Instance = f.u32()
@@ -221,7 +221,7 @@
 	case EventTargets:
 		f.u64()
 		e.Form = f.u8()
-		for n := f.u32(); n > 0 && !f.short; n-- {
+		for n := f.u32(); n > 0 && !f.truncated; n-- {
 			e.Entries = append(e.Entries, Entry{Worker: f.worker(), Zone: f.u16(), Kind: f.u16(), Cell: f.u16(),
 				Status: f.u8(), Capacity: f.f32(), LaunchedMillis: f.f64()})
 		}
@@ -253,25 +253,25 @@
 
 // Reply collects the actions that answer one batch.
 type Reply struct {
-	buf []byte
-	n   uint32
+	buf     []byte
+	records uint32
 }
 
 // Reset empties the reply for the next batch.
 func (r *Reply) Reset() {
 	r.buf = append(r.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0)
-	r.n = 0
+	r.records = 0
 }
 
 // Bytes returns the finished frame.
 func (r *Reply) Bytes() []byte {
-	binary.LittleEndian.PutUint32(r.buf[0:], r.n)
+	binary.LittleEndian.PutUint32(r.buf[0:], r.records)
 	binary.LittleEndian.PutUint32(r.buf[4:], uint32(len(r.buf)-8))
 	return r.buf
 }
 
 func (r *Reply) record(code uint16, size int) {
-	r.n++
+	r.records++
 	r.buf = binary.LittleEndian.AppendUint16(r.buf, code)
 	r.u32(uint32(size))
 }
--- a/internal/gateway/simwire/wire_test.go
+++ b/internal/gateway/simwire/wire_test.go
@@ -101,14 +101,14 @@
 
 // Unknown event codes are passed over by their length, extra bytes of a known
 // record too.
-func TestPassesOverTheUnknown(t *testing.T) {
+func TestUnknownRecordsAreSkipped(t *testing.T) {
 	got, err := events(frame(1, record(999, []byte{1, 2, 3}), record(EventAlarm, append(make([]byte, 8), 7))))
 	if err != nil || len(got) != 2 || got[1].Code != EventAlarm {
 		t.Fatalf("%v, %v", got, err)
 	}
 }
 
-func TestRejectsMalformed(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	whole := frame(1, record(EventAlarm, make([]byte, 8)))
 	long := frame(1, record(EventAlarm, make([]byte, 8)))
 	binary.LittleEndian.PutUint32(long[18:], 900)
--- a/internal/gateway/ssefront/front.go
+++ b/internal/gateway/ssefront/front.go
@@ -27,17 +27,17 @@
 // Names of the events sent to clients; what a worker names otherwise goes on
 // under its own name.
 const (
-	typeResult    = "result"    // final: the worker's answer
-	typeError     = "error"     // final: refused or failed
-	typeRestarted = "restarted" // progress begins anew at another try
+	eventResult    = "result"    // final: the worker's answer
+	eventError     = "error"     // final: refused or failed
+	eventRestarted = "restarted" // progress begins anew at another try
 )
 
 // Front answers clients with event streams.
 type Front struct {
-	live   *config.InForce
-	broker *broker.Broker
-	lines  *httpfront.WorkerConns
-	reader *httpfront.RequestReader
+	live    *config.InForce
+	broker  *broker.Broker
+	workers *httpfront.WorkerConns
+	reader  *httpfront.RequestReader
 }
 
 // New makes the front.
@@ -45,8 +45,8 @@
 	return &Front{live, b, l, rd}
 }
 
-// contract finds the team's contract and what it says of this request.
-func (f *Front) contract(r *http.Request) (*config.Contract, *httpfront.Rejection) {
+// authorize finds the team's contract and what it says of this request.
+func (f *Front) authorize(r *http.Request) (*config.Contract, *httpfront.Rejection) {
 	team := r.Header.Get("X-Team")
 	i := slices.IndexFunc(f.live.Get().SSE.Contracts, func(k config.Contract) bool { return k.Team == team })
 	if i < 0 {
@@ -68,7 +68,7 @@
 
 // ServeHTTP answers one request; it is the front's handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	k, rejection := f.contract(r)
+	k, rejection := f.authorize(r)
 	if rejection != nil {
 		rejection.Write(w)
 		return
@@ -84,15 +84,15 @@
 	// and with it the dispatch.
 	ctx, gone := httpfront.ClientContext(r)
 	defer gone()
-	st := newStream(w, f.live.Get().SSE, gone)
-	answer := f.broker.Serve(ctx, s.Request, f.do(s, st))
+	st := newEventStream(w, f.live.Get().SSE, gone)
+	answer := f.broker.Serve(ctx, s.Request, f.attemptFunc(s, st))
 	if answer.Kind == broker.AnswerClientGone {
 		st.abandon()
 		return
 	}
 	rejection = httpfront.RejectionOf(answer)
 	if rejection == nil {
-		st.finish(Event{Type: typeResult, Data: string(answer.Result)})
+		st.finish(Event{Type: eventResult, Data: string(answer.Result)})
 		return
 	}
 	if !st.started() {
@@ -105,13 +105,13 @@
 		RetryAfter float64 `json:"retry_after,omitempty"`
 		Harmless   bool    `json:"retry_harmless"`
 	}{rejection.Status, rejection.Message, rejection.RetryAfterSeconds(), answer.Kind == broker.AnswerRejected})
-	st.finish(Event{Type: typeError, Data: string(text)})
+	st.finish(Event{Type: eventError, Data: string(text)})
 }
 
-// do is the attempt function: one dispatch, its events carried on as progress.
-func (f *Front) do(s *httpfront.JobRequest, st *stream) broker.AttemptFunc {
+// attemptFunc is the attempt function: one dispatch, its events carried on as progress.
+func (f *Front) attemptFunc(s *httpfront.JobRequest, st *eventStream) broker.AttemptFunc {
 	return func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		x, o := f.lines.StartAttempt(ctx, a, s, "text/event-stream, application/json;q=0.5")
+		x, o := f.workers.StartAttempt(ctx, a, s, "text/event-stream, application/json;q=0.5")
 		if x == nil {
 			return o
 		}
@@ -144,7 +144,7 @@
 			case "lost":
 				o = broker.Outcome{Code: broker.ConnectionLost, Load: load}
 			default:
-				f.progress(a, e)
+				f.reportProgress(a, e)
 				st.progress(a.Number, e)
 				continue
 			}
@@ -154,8 +154,8 @@
 	}
 }
 
-// progress tells the broker what an event says of the job.
-func (f *Front) progress(a *broker.Attempt, e Event) {
+// reportProgress tells the broker what an event says of the job.
+func (f *Front) reportProgress(a *broker.Attempt, e Event) {
 	switch e.Type {
 	case "started":
 		a.ReportStarted()
@@ -167,117 +167,117 @@
 	}
 }
 
-// stream is the way to one client. Progress that it is too slow for is dropped,
+// eventStream is the way to one client. Progress that it is too slow for is dropped,
 // oldest first; its final event never is.
-type stream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	cfg     config.SSE
-	gone    func()
+type eventStream struct {
+	w             http.ResponseWriter
+	controller    *http.ResponseController
+	settings      config.SSE
+	cancelRequest func()
 
-	mu      sync.Mutex
-	queue   []Event
-	on      bool // the head is out, or about to be
-	over    bool // nothing more is queued: the final event is, or none will come
-	final   bool // the final event was asked for
-	attempt int
-	count   int
-	poke    chan struct{}
-	ended   chan struct{}
+	mu          sync.Mutex
+	queue       []Event
+	opened      bool // the head is out, or about to be
+	sealed      bool // nothing more is queued: the final event is, or none will come
+	finished    bool // the final event was asked for
+	attempt     int
+	lastEventID int
+	wakeup      chan struct{}
+	writerDone  chan struct{}
 }
 
-func newStream(w http.ResponseWriter, cfg config.SSE, gone func()) *stream {
-	return &stream{w: w, control: http.NewResponseController(w), cfg: cfg, gone: gone,
-		poke: make(chan struct{}, 1), ended: make(chan struct{})}
+func newEventStream(w http.ResponseWriter, cfg config.SSE, gone func()) *eventStream {
+	return &eventStream{w: w, controller: http.NewResponseController(w), settings: cfg, cancelRequest: gone,
+		wakeup: make(chan struct{}, 1), writerDone: make(chan struct{})}
 }
 
-func (st *stream) started() bool {
+func (st *eventStream) started() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.on
+	return st.opened
 }
 
 // progress queues one event of an attempt. A worker's event may not bear the
 // name of a final one: whatever it holds, it is no result.
-func (st *stream) progress(attempt int, e Event) {
+func (st *eventStream) progress(attempt int, e Event) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if e.Type == typeResult || e.Type == typeError || e.Type == typeRestarted {
+	if e.Type == eventResult || e.Type == eventError || e.Type == eventRestarted {
 		e.Type = "progress"
 	}
-	if st.on && attempt != st.attempt {
-		st.put(Event{Type: typeRestarted, Data: `{"attempt":` + strconv.Itoa(attempt+1) + `}`})
+	if st.opened && attempt != st.attempt {
+		st.enqueue(Event{Type: eventRestarted, Data: `{"attempt":` + strconv.Itoa(attempt+1) + `}`})
 	}
 	st.attempt = attempt
-	st.put(e)
+	st.enqueue(e)
 }
 
-// put queues e under the stream's own ids; mu is held.
-func (st *stream) put(e Event) {
-	if st.over {
+// enqueue queues e under the stream's own ids; mu is held.
+func (st *eventStream) enqueue(e Event) {
+	if st.sealed {
 		return
 	}
-	st.count++
-	e.ID = strconv.Itoa(st.count)
-	if len(st.queue) >= st.cfg.BufferEvents {
+	st.lastEventID++
+	e.ID = strconv.Itoa(st.lastEventID)
+	if len(st.queue) >= st.settings.BufferEvents {
 		st.queue = slices.Delete(st.queue, 0, 1)
 	}
 	st.queue = append(st.queue, e)
-	if !st.on {
-		st.on = true
-		go st.write()
+	if !st.opened {
+		st.opened = true
+		go st.writeLoop()
 	}
 	st.signal()
 }
 
-func (st *stream) signal() {
+func (st *eventStream) signal() {
 	select {
-	case st.poke <- struct{}{}:
+	case st.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // finish sends the one final event and waits until it is out.
-func (st *stream) finish(e Event) {
+func (st *eventStream) finish(e Event) {
 	st.mu.Lock()
-	if !invariant.Check(!st.final, "a second final event") {
+	if !invariant.Check(!st.finished, "a second final event") {
 		st.mu.Unlock()
 		return
 	}
-	st.final = true
-	st.put(e)
-	st.over = true
+	st.finished = true
+	st.enqueue(e)
+	st.sealed = true
 	st.mu.Unlock()
 	st.signal()
-	<-st.ended
+	<-st.writerDone
 }
 
 // abandon ends a stream whose client has gone.
-func (st *stream) abandon() {
+func (st *eventStream) abandon() {
 	st.mu.Lock()
-	st.over, st.queue = true, nil
-	on := st.on
+	st.sealed, st.queue = true, nil
+	on := st.opened
 	st.mu.Unlock()
 	if on {
 		st.signal()
-		<-st.ended
+		<-st.writerDone
 	}
 }
 
-// write is the one goroutine that touches the response once a stream is on.
-func (st *stream) write() {
-	defer close(st.ended)
+// writeLoop is the one goroutine that touches the response once a stream is on.
+func (st *eventStream) writeLoop() {
+	defer close(st.writerDone)
 	h := st.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set("X-Accel-Buffering", "no")
-	beat := time.NewTicker(st.cfg.Heartbeat.Duration)
+	beat := time.NewTicker(st.settings.Heartbeat.Duration)
 	defer beat.Stop()
 	var out []byte
 	for {
 		out = out[:0]
 		select {
-		case <-st.poke:
+		case <-st.wakeup:
 		case <-beat.C:
 			out = append(out, ": \n\n"...)
 		}
@@ -286,18 +286,18 @@
 			out = e.Append(out)
 		}
 		st.queue = st.queue[:0]
-		over := st.over
+		over := st.sealed
 		st.mu.Unlock()
 		if len(out) > 0 {
-			st.control.SetWriteDeadline(time.Now().Add(st.cfg.WriteTimeout.Duration))
-			if _, err := st.w.Write(out); err != nil || st.control.Flush() != nil {
+			st.controller.SetWriteDeadline(time.Now().Add(st.settings.WriteTimeout.Duration))
+			if _, err := st.w.Write(out); err != nil || st.controller.Flush() != nil {
 				st.mu.Lock()
-				st.over = true
+				st.sealed = true
 				st.mu.Unlock()
-				st.gone()
+				st.cancelRequest()
 				return
 			}
-			st.control.SetWriteDeadline(time.Time{})
+			st.controller.SetWriteDeadline(time.Time{})
 		}
 		if over {
 			return
--- a/internal/gateway/ssefront/sse_test.go
+++ b/internal/gateway/ssefront/sse_test.go
@@ -17,8 +17,8 @@
 	"yardflow/internal/platform/config"
 )
 
-// all reads a stream's events, its bytes coming one by one or at once.
-func all(text string, limit int, slow bool) ([]Event, error) {
+// readAll reads a stream's events, its bytes coming one by one or at once.
+func readAll(text string, limit int, slow bool) ([]Event, error) {
 	var r io.Reader = strings.NewReader(text)
 	if slow {
 		r = iotest.OneByteReader(r)
@@ -56,7 +56,7 @@
 			[]Event{{"", "", strings.Repeat("x", 40)}, {"", "", strings.Repeat("x", 40)}}, io.EOF},
 	} {
 		for _, slow := range []bool{false, true} {
-			got, err := all(c.text, 64, slow)
+			got, err := readAll(c.text, 64, slow)
 			if diff := cmp.Diff(c.want, got); diff != "" || !errors.Is(err, c.end) {
 				t.Errorf("%s (byte by byte: %v): end %v, -want +got:\n%s", c.name, slow, err, diff)
 			}
@@ -85,7 +85,7 @@
 
 // What is written is read the same by another implementation, and nothing in a
 // value can break out of its field.
-func TestEventsAreReadByOthers(t *testing.T) {
+func TestEventsAreReadByAnotherImplementation(t *testing.T) {
 	events := []Event{{"result", "1", "a\n\nb: c\r\nd\re"}, {"a\nevent: result", "2\n3", "x\n\nevent: result\ndata: y"}, {"", "4", "plain"}}
 	var text []byte
 	for _, e := range events {
@@ -110,10 +110,10 @@
 		Heartbeat: config.Duration{Duration: 20 * time.Millisecond}}
 }
 
-// serve runs use on a stream of a real connection and returns the answer.
-func serve(t *testing.T, use func(*stream)) *http.Response {
+// serveStream runs use on a stream of a real connection and returns the answer.
+func serveStream(t *testing.T, use func(*eventStream)) *http.Response {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		use(newStream(w, streamConfig(), func() {}))
+		use(newEventStream(w, streamConfig(), func() {}))
 	}))
 	t.Cleanup(server.Close)
 	resp, err := http.Get(server.URL)
@@ -126,11 +126,11 @@
 
 // A reader that does not read costs bounded memory and a bounded wait: progress
 // is dropped, oldest first, and the stream counts as left.
-func TestSlowReaderIsLeft(t *testing.T) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	gone, ended := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(ended)
-		st := newStream(w, streamConfig(), func() { close(gone) })
+		st := newEventStream(w, streamConfig(), func() { close(gone) })
 		for big := strings.Repeat("x", 1<<20); ; time.Sleep(time.Millisecond) {
 			st.progress(0, Event{Data: big})
 			st.mu.Lock()
@@ -141,7 +141,7 @@
 			}
 			select {
 			case <-gone:
-				st.finish(Event{Type: typeResult, Data: "late"}) // must not hang
+				st.finish(Event{Type: eventResult, Data: "late"}) // must not hang
 				return
 			default:
 			}
@@ -162,19 +162,19 @@
 
 // Under a flood the final event is never among those dropped, and is the last.
 func TestFinalEventIsNeverDropped(t *testing.T) {
-	resp := serve(t, func(st *stream) {
+	resp := serveStream(t, func(st *eventStream) {
 		for range 1000 {
 			st.progress(0, Event{Type: "progress", Data: "p"})
 		}
-		st.finish(Event{Type: typeResult, Data: "r"})
+		st.finish(Event{Type: eventResult, Data: "r"})
 		st.progress(0, Event{Type: "progress", Data: "behind the end"})
 	})
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, _ := all(string(text), 1<<10, false)
-	if n := len(got); n == 0 || got[n-1] != (Event{typeResult, "1001", "r"}) {
+	got, _ := readAll(string(text), 1<<10, false)
+	if n := len(got); n == 0 || got[n-1] != (Event{eventResult, "1001", "r"}) {
 		t.Errorf("got %d events, the last of %+v", n, got)
 	}
 }
@@ -182,10 +182,10 @@
 // A quiet stream carries comments, so that nothing between takes it for dead.
 func TestQuietStreamHasHeartbeats(t *testing.T) {
 	next := make(chan struct{})
-	resp := serve(t, func(st *stream) {
+	resp := serveStream(t, func(st *eventStream) {
 		st.progress(0, Event{Data: "1"})
 		<-next
-		st.finish(Event{Type: typeResult, Data: "2"})
+		st.finish(Event{Type: eventResult, Data: "2"})
 	})
 	in := bufio.NewReader(resp.Body)
 	for seen := false; ; {
