--- a/internal/gateway/broker/broker_test.go
+++ b/internal/gateway/broker/broker_test.go
@@ -33,15 +33,14 @@
 
 func failOnAttempt(t *testing.T) AttemptFunc {
 	return func(context.Context, *Attempt) Outcome {
-		t.Error("an attempt that must not be")
+		t.Error("an attempt that must not be made")
 		return Outcome{Code: NotSent}
 	}
 }
 
-// scriptedModule is a module that says what it is told to at an arrival, and notes what
-// it hears.
+// scriptedModule is a module that answers an arrival as the test says, and records the events that it gets.
 type scriptedModule struct {
-	dispatch.Dispatcher // nil: a call that is not scripted stops the test
+	dispatch.Dispatcher // nil: a call that is not scripted panics
 	onArrive            func(dispatch.Request, dispatch.Actions)
 	mu                  sync.Mutex
 	disconnects         []string
@@ -71,25 +70,24 @@
 func (s *scriptedModule) UpdateWorkers(time.Duration, dispatch.ListForm, []dispatch.Worker, dispatch.Actions) {
 }
 
-// newScriptedBroker puts a script in the module's place before anything has been posted.
+// newScriptedBroker makes a broker with a scripted module and one worker, "w".
 func newScriptedBroker(t *testing.T, s *scriptedModule) *Broker {
 	b := newTestBroker(t)
 	ready := make(chan struct{})
-	b.post(func(time.Duration, dispatch.Actions) { b.module = s; close(ready) })
+	b.post(func(time.Duration, dispatch.Actions) { b.loop.module = s; close(ready) })
 	<-ready
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
 	return b
 }
 
-// awaitModule waits until the module has been told all that is queued.
+// awaitModule blocks until the module has taken all events that are queued.
 func awaitModule(b *Broker) {
 	done := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) { close(done) })
 	<-done
 }
 
-// A module that stays silent must not cost an answer: the backstop words it
-// before the one who asked gives up, and the module hears of the end.
+// A module that stays silent costs no answer: the session rejects the request before its deadline, and notifies the module.
 func TestServeAnswersByDeadlineWhenModuleIsSilent(t *testing.T) {
 	s := &scriptedModule{onArrive: func(dispatch.Request, dispatch.Actions) {}}
 	b := newScriptedBroker(t, s)
@@ -107,13 +105,12 @@
 	}
 }
 
-// A send that crosses the end of its request is reported as never made, since
-// the module counts a worker's slots by it.
+// A send that crosses the end of its request is reported as never sent: the module counts a worker's slots by outcomes.
 func TestSendAfterRequestEndedIsReportedAsNotSent(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) {
 		leave()
-		time.Sleep(50 * time.Millisecond) // the client's side sees the end first, or not: both must do
+		time.Sleep(50 * time.Millisecond) // whether Serve sees the client leave first or not, the outcome is the same
 		out.Send(r.ID, workerID("w"), 0)
 	}}
 	b := newScriptedBroker(t, s)
@@ -123,12 +120,12 @@
 	})
 	awaitModule(b)
 	if got.Kind != AnswerClientGone || len(s.outcomes) != 1 || s.outcomes[0].Code != NotSent || !s.outcomes[0].Answered {
-		t.Errorf("got %+v, module heard %+v", got, s.outcomes)
+		t.Errorf("got %+v, the module got %+v", got, s.outcomes)
 	}
 }
 
-// Rule 2 holds even against the module: what may have run and must not run twice
-// is never refused, since a refusal tells the client to try again.
+// Rule 2 (no duplicate effect) holds even against the module: a request that may have run and must not run twice is never
+// rejected, since a rejection tells the client to retry.
 func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
@@ -141,7 +138,7 @@
 		got := b.Serve(t.Context(), Request{Class: class, Deadline: time.Now().Add(time.Minute)},
 			func(context.Context, *Attempt) Outcome { return Outcome{Code: ConnectionLost} })
 		if got.Kind != want {
-			t.Errorf("class %d: got %+v, want verdict %d", class, got, want)
+			t.Errorf("class %d: got %+v, want kind %d", class, got, want)
 		}
 	}
 	if invariant.Violations()["refused what may have run"] != before["refused what may have run"]+1 {
@@ -149,8 +146,8 @@
 	}
 }
 
-// A fault of the module costs the request that met it, not the others and not
-// the process; that one still gets its answer in time.
+// A panic of the module fails the request that met it, not the others and not the process; that one still gets its answer
+// by its deadline.
 func TestModulePanicFailsOneRequestOnly(t *testing.T) {
 	if invariant.Debug {
 		t.Skip("a debug build stops here")
@@ -170,26 +167,26 @@
 	}
 }
 
-// The module may call an attempt off; it ends with the outcome its front tells.
+// The module may cancel an attempt; the attempt ends with the outcome that its front reports.
 func TestModuleCancelsAttempt(t *testing.T) {
 	s := &scriptedModule{onArrive: func(r dispatch.Request, out dispatch.Actions) { out.Send(r.ID, workerID("w"), 0) },
 		onOutcome: func(o dispatch.Outcome, out dispatch.Actions) { out.Fail(o.ID) }}
 	b := newScriptedBroker(t, s)
 	got := b.Serve(t.Context(), Request{Deadline: time.Now().Add(time.Minute)}, func(ctx context.Context, a *Attempt) Outcome {
 		b.post(func(_ time.Duration, out dispatch.Actions) {
-			out.Cancel(a.s.id, a.Number+1)
-			out.Cancel(a.s.id, a.Number)
+			out.Cancel(a.session.id, a.Number+1)
+			out.Cancel(a.session.id, a.Number)
 		})
 		<-ctx.Done()
 		return Outcome{Code: Cancelled}
 	})
 	if got.Kind != AnswerFailed || len(s.outcomes) != 1 || s.outcomes[0].Code != Cancelled {
-		t.Errorf("got %+v, module heard %+v", got, s.outcomes)
+		t.Errorf("got %+v, the module got %+v", got, s.outcomes)
 	}
 }
 
-// A team over its rate, or over what it may have open, is refused at once with
-// the time to come back after; nothing of it reaches the module. Others go on.
+// A team over its rate, or over what it may have in flight, is rejected at once with a Retry-After; nothing of it reaches
+// the module, and other teams are served.
 func TestContractLimitsTeam(t *testing.T) {
 	b := newTestBroker(t, Contract{Team: "a", RequestsPerSecond: 0.5, Burst: 2, MaxInFlight: 9}, Contract{Team: "b", RequestsPerSecond: 1000, Burst: 9, MaxInFlight: 1})
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}})
@@ -199,7 +196,7 @@
 	}
 	for range 2 {
 		if got := serve("a", served); got.Kind != AnswerServed {
-			t.Fatalf("inside the budget: %+v", got)
+			t.Fatalf("within the contract: %+v", got)
 		}
 	}
 	if got := serve("a", failOnAttempt(t)); got.Kind != AnswerRejected || !got.OverBudget || got.RetryAfter <= 0 || got.RetryAfter > 2*time.Second {
@@ -211,10 +208,10 @@
 		return Outcome{Code: OK}
 	})
 	if outer.Kind != AnswerServed || inner.Kind != AnswerRejected || !inner.OverBudget || inner.RetryAfter <= 0 {
-		t.Errorf("over what may be open: %+v in %+v", inner, outer)
+		t.Errorf("over what may be in flight: %+v in %+v", inner, outer)
 	}
 	if got := serve("b", served); got.Kind != AnswerServed {
-		t.Errorf("after an answer there is room again: %+v", got)
+		t.Errorf("after an answer the next is admitted: %+v", got)
 	}
 }
 
@@ -230,9 +227,8 @@
 	}
 }
 
-// Ids are the same at every dispatcher, whatever address it reaches a worker at
-// and in whatever order it hears of them: the dispatchers share out the workers
-// by their ids.
+// A worker's id is the same at every dispatcher, whatever address it is reached at and in whatever order workers are
+// listed: the dispatchers share the workers by their ids.
 func TestWorkerIDDependsOnNameOnly(t *testing.T) {
 	// Pinned: dispatchers of two versions run side by side while one replaces the other.
 	if got, want := workerID("s-5be2a07c"), dispatch.WorkerID(0xace623f1fdc27c8a); got != want {
@@ -242,25 +238,24 @@
 	for _, list := range [][]Worker{{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}}, {{ID: "b", Addr: "3"}, {ID: "a", Addr: "4"}}} {
 		b := newTestBroker(t)
 		b.UpdateWorkers(dispatch.ListFull, list)
-		for id, p := range b.workersByID {
-			if old, ok := seen[p.name]; ok && old != id {
-				t.Errorf("%s is %x here and %x there", p.name, id, old)
+		for id, w := range b.workers.byID {
+			if old, ok := seen[w.name]; ok && old != id {
+				t.Errorf("%s is %x here and %x there", w.name, id, old)
 			}
-			seen[p.name] = id
+			seen[w.name] = id
 		}
 	}
 }
 
-// Workers' starts are told in Unix time; the module's clock has the same base.
+// Workers' start times are Unix time; the module's clock has the same base.
 func TestClockIsUnixTime(t *testing.T) {
 	b := newTestBroker(t)
-	if off := b.now() - time.Duration(time.Now().UnixNano()); off.Abs() > time.Minute {
+	if off := b.clock.now() - time.Duration(time.Now().UnixNano()); off.Abs() > time.Minute {
 		t.Errorf("the clock is %v off", off)
 	}
 }
 
-// Whatever the outcomes, each request gets one answer, has one attempt out at a
-// time, and an unsafe one runs once.
+// Whatever the outcomes, a request gets one answer and has one attempt outstanding at a time, and an unsafe one runs once.
 func TestRequestGuaranteesUnderLoad(t *testing.T) {
 	b := newTestBroker(t)
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}})
@@ -296,7 +291,7 @@
 				return Outcome{Code: code}
 			})
 			if out.Load() != 0 {
-				t.Error("an answer while an attempt is out")
+				t.Error("an answer while an attempt is outstanding")
 			}
 		})
 	}
@@ -307,22 +302,22 @@
 	}
 }
 
-// A worker taken out by operators gets nothing new from that call on, whatever
-// the list says; jobs there end. Called back, it counts as just started.
+// A worker that operators have banned gets no new attempt from that call on, whatever the list says; its jobs end. When
+// the ban is lifted it counts as just started.
 func TestBannedWorkerGetsNoNewAttempts(t *testing.T) {
-	type told struct {
+	type update struct {
 		Form  dispatch.ListForm
 		State dispatch.WorkerState
 		Young bool
 	}
-	var heard []told
+	var updates []update
 	var lastStart time.Duration
 	s := &scriptedModule{}
 	b := newScriptedBroker(t, s)
 	ready := make(chan struct{})
 	b.post(func(time.Duration, dispatch.Actions) {
-		b.module = &listRecorder{Dispatcher: s, record: func(now time.Duration, form dispatch.ListForm, w dispatch.Worker) {
-			heard, lastStart = append(heard, told{form, w.State, now-w.Launched < time.Minute}), w.Launched
+		b.loop.module = &listRecorder{Dispatcher: s, record: func(now time.Duration, form dispatch.ListForm, w dispatch.Worker) {
+			updates, lastStart = append(updates, update{form, w.State, now-w.Launched < time.Minute}), w.Launched
 		}}
 		close(ready)
 	})
@@ -333,30 +328,30 @@
 	}
 	b.UpdateWorkers(dispatch.ListFull, []Worker{{ID: "w", Addr: "addr"}, {ID: "other", Addr: "addr2"}})
 	if allowed() || b.maySendTo(workerID("other"), "addr") || b.Stats().Ready != 0 {
-		t.Error("a list lifts a ban")
+		t.Error("a list has lifted a ban")
 	}
 	b.SetBanned(nil)
 	if !allowed() || !b.KnowsWorker("w") || b.KnowsWorker("x") {
-		t.Error("not called back")
+		t.Error("the ban was not lifted")
 	}
 	awaitModule(b)
-	// A start that the list has told of since it was taken out is better known.
+	// A start that the list has named since the ban counts instead.
 	b.SetBanned([]string{"w"})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", StartedAt: time.Now().Add(time.Hour)}})
 	b.SetBanned(nil)
 	awaitModule(b)
-	if last := heard[len(heard)-1]; last.State != dispatch.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
-		t.Errorf("called back as %+v, started %v", last, lastStart)
+	if last := updates[len(updates)-1]; last.State != dispatch.Ready || lastStart < time.Duration(time.Now().Add(30*time.Minute).UnixNano()) {
+		t.Errorf("after the ban it is %+v, started %v", last, lastStart)
 	}
-	heard = heard[:5]
-	want := []told{{dispatch.ListOverride, dispatch.Draining, false}, {dispatch.ListFull, dispatch.Draining, false},
+	updates = updates[:5]
+	want := []update{{dispatch.ListOverride, dispatch.Draining, false}, {dispatch.ListFull, dispatch.Draining, false},
 		{dispatch.ListFull, dispatch.Draining, false}, {dispatch.ListOverride, dispatch.Ready, true}, {dispatch.ListOverride, dispatch.Ready, true}}
-	if diff := cmp.Diff(want, heard); diff != "" {
+	if diff := cmp.Diff(want, updates); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// listRecorder notes each entry of the lists that a module is handed.
+// listRecorder records each entry of the lists that a module is handed.
 type listRecorder struct {
 	dispatch.Dispatcher
 	record func(time.Duration, dispatch.ListForm, dispatch.Worker)
@@ -368,25 +363,24 @@
 	}
 }
 
-// An entry that says a worker is gone need say no more. Its cell stays known: taken
-// for cell 0, what may have run there was sent again to any worker of cell 0, which
-// does not drop the repeat.
+// An entry of a removed worker need have its id alone. Its cell stays known: taken for cell 0, a request that may have run
+// there was retried at any worker of cell 0, which does not drop the duplicate.
 func TestRemovedWorkerKeepsItsCell(t *testing.T) {
-	var heard []dispatch.Worker
+	var updates []dispatch.Worker
 	s := &scriptedModule{}
 	b := newScriptedBroker(t, s)
 	b.post(func(time.Duration, dispatch.Actions) {
-		b.module = &listRecorder{Dispatcher: s, record: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { heard = append(heard, w) }}
+		b.loop.module = &listRecorder{Dispatcher: s, record: func(_ time.Duration, _ dispatch.ListForm, w dispatch.Worker) { updates = append(updates, w) }}
 	})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", Addr: "addr", Zone: 1, Kind: 1, Cell: 7, StartedAt: time.Unix(5, 0)}})
 	b.UpdateWorkers(dispatch.ListDelta, []Worker{{ID: "w", State: dispatch.Removed}, {ID: "never seen", State: dispatch.Removed}})
 	if b.maySendTo(workerID("w"), "addr") {
-		t.Error("a gone worker may be sent to")
+		t.Error("a removed worker may be sent to")
 	}
 	awaitModule(b)
-	want := heard[0]
+	want := updates[0]
 	want.State = dispatch.Removed
-	if diff := cmp.Diff(want, heard[1]); diff != "" {
+	if diff := cmp.Diff(want, updates[1]); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/gateway/broker/room_test.go
+++ b/internal/gateway/broker/reservations_test.go
@@ -14,9 +14,8 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// Room is held through the broker, in virtual time, on stand-in workers: at half of
-// the bound while two processes share the dispatcher, none once new settings take it
-// away, and again when they give it back; whatever is held, no unsafe job runs twice.
+// Reservations are made through the broker, in virtual time, on stand-in workers: half of the maximum while two processes
+// share the dispatcher, none once new settings have none, and again when they come back. No unsafe job runs twice.
 func TestReservationsThroughBroker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := testSettings()
@@ -67,7 +66,7 @@
 		}
 		var wg sync.WaitGroup
 		most := 0
-		// stretch plays some time: a stream of small jobs, and a large one now and then.
+		// stretch runs a stream of small jobs, with a large one now and then, for some time.
 		stretch := func(length time.Duration) {
 			most = 0
 			for began, n := time.Now(), 0; time.Since(began) < length; n++ {
@@ -87,12 +86,12 @@
 		}
 		stretch(15 * time.Second)
 		if most != plan.MaxReservations {
-			t.Errorf("room is held for %d jobs at once, want %d", most, plan.MaxReservations)
+			t.Errorf("capacity is reserved for %d jobs at once, want %d", most, plan.MaxReservations)
 		}
 		b.SetReservationShare(0.5) // a second process has come
 		time.Sleep(plan.ReservationTTL)
 		if stretch(10 * time.Second); most != 1 {
-			t.Errorf("room is held for %d jobs by one of two processes, want 1", most)
+			t.Errorf("capacity is reserved for %d jobs by one of two processes, want 1", most)
 		}
 		off := s
 		off.Backfill = nil
@@ -101,16 +100,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		if _, err := b.Reservations(time.Second); err == nil {
-			t.Error("room is held under settings without")
+			t.Error("reservations under settings without")
 		}
 		if stretch(3 * time.Second); most != 0 {
-			t.Errorf("room is held for %d jobs under settings without", most)
+			t.Errorf("capacity is reserved for %d jobs under settings without", most)
 		}
 		if err := b.Reconfigure(s); err != nil {
 			t.Fatal(err)
 		}
 		if stretch(15 * time.Second); most != 1 { // still one of two processes
-			t.Errorf("room is held for %d jobs after it was given back, want 1", most)
+			t.Errorf("capacity is reserved for %d jobs after reservations came back, want 1", most)
 		}
 		wg.Wait()
 		if n := twice.Load(); n > 0 {
