--- a/internal/gateway/httpfront/clientconn.go
+++ b/internal/gateway/httpfront/clientconn.go
@@ -13,41 +13,51 @@
 	"time"
 )
 
+const (
+	// firstRequestTimeout is how long a connection's first request may take to arrive whole: the protocol owes a client
+	// an answer or a close within 3 s of connecting.
+	firstRequestTimeout = 2400 * time.Millisecond
+	// bodyReadTimeout is how long the body of a later request may take: a slow line is no fault of its client.
+	bodyReadTimeout = 10 * time.Second
+)
+
 // clientConn is one client's connection. The HTTP server reads from it on one goroutine at a time.
 type clientConn struct {
 	*net.TCPConn // embedded by type: the server wants its CloseWrite
 	limiter      *ConnLimiter
-	readAhead    *readAheadBuffer // nil: the client has sent nothing beside a request that is out
+	readAhead    *readAheadBuffer // nil: the client has sent nothing beside a request that is under way
 
-	// Under g.mu.
+	// Under limiter.mu.
 	idleSince     time.Time // accepted, or last answered
-	served        bool      // a request was taken here: a client at work
-	unanswered    int       // requests read whole and not answered
+	served        bool      // it has brought a whole request: an active client
+	unanswered    int       // requests that were read whole and not answered
 	framing       requestFraming
-	closing       bool   // ended here: nothing that comes from now on is served
-	clientClosed  bool   // ended by the client, or broken
-	cancelRequest func() // ends the request that is out; nil: none is
+	closing       bool   // closed here: nothing that comes from now on is served
+	clientClosed  bool   // closed by the client, or broken
+	cancelRequest func() // ends the request that is under way; nil: none is
 }
 
+// hasRequest reports whether a request is under way. The caller holds limiter.mu.
 func (c *clientConn) hasRequest() bool { return c.unanswered > 0 }
-func (c *clientConn) idle() bool       { return c.unanswered == 0 && !c.framing.inRequest }
 
-// hasUnreadBytes tells whether bytes wait in the kernel: a request may be among them.
-func (c *clientConn) hasUnreadBytes() (yes bool) {
+// idle reports whether no byte of a request is unanswered. The caller holds limiter.mu.
+func (c *clientConn) idle() bool { return c.unanswered == 0 && !c.framing.inRequest }
+
+// hasUnreadBytes reports whether bytes wait in the kernel: a request may be among them.
+func (c *clientConn) hasUnreadBytes() (unread bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	raw.Control(func(fd uintptr) { // not Read: the server's reader holds that lock
+	_ = raw.Control(func(fd uintptr) { // not raw.Read: the server's reader holds that lock
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		yes = err == nil && n > 0
+		unread = err == nil && n > 0
 	})
-	return yes
+	return unread
 }
 
-// Read gives the server what the client sent. Once more than the request that is out has come,
-// a goroutine reads ahead, since the server itself reads no further until it has answered, and
-// would not notice that the client leaves.
+// Read gives the server what the client sent. The server itself reads no further than the request that is under way, and
+// would not notice that the client leaves: once more has come, a goroutine reads ahead.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.readAhead != nil {
 		if n, err, ok := c.readAhead.next(p); ok {
@@ -61,7 +71,7 @@
 	return n, err
 }
 
-// receive reads from the socket. beside tells that the bytes came while a request is out.
+// receive reads from the socket. beside says that the bytes came while a request is under way.
 func (c *clientConn) receive(p []byte) (n int, beside bool, err error) {
 	n, err = c.TCPConn.Read(p)
 	if c.limiter.onRead != nil {
@@ -70,7 +80,7 @@
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
 	if c.closing {
-		return 0, false, io.EOF // the client was told the end before this was counted
+		return 0, false, io.EOF // the end was sent to the client before these bytes were counted
 	}
 	if err != nil && !isTimeout(err) {
 		c.clientClosed = true
@@ -82,8 +92,8 @@
 	return n, beside, err
 }
 
-// Close ends the connection in order: the client is told the end, and what it had sent by then
-// is read away and not served. The client sends such a request again on another connection.
+// Close closes the connection gracefully: the end is sent to the client, and what it had sent by then is read away and not
+// served. The client sends such a request again on another connection.
 func (c *clientConn) Close() error {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -93,19 +103,37 @@
 	return nil
 }
 
-// clientLeft ends the request that is out: its client has left.
+// clientLeft ends the request that is under way, because its client has closed the connection.
 func (c *clientConn) clientLeft() {
 	c.limiter.mu.Lock()
 	c.clientClosed = true
-	leave := c.cancelRequest
+	cancel := c.cancelRequest
 	c.limiter.mu.Unlock()
-	if leave != nil {
-		leave()
+	if cancel != nil {
+		cancel()
+	}
+}
+
+// requestRead notes that a handler has read a request whole. The framing of one in chunks does not show that.
+func (c *clientConn) requestRead() {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.served = true
+	c.unanswered = max(c.unanswered, 1)
+}
+
+// framingFault returns what is wrong with the framing so far, empty for nothing, and by when the request is to be read.
+func (c *clientConn) framingFault() (fault string, readBy time.Time) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if c.served {
+		return c.framing.fault, time.Now().Add(bodyReadTimeout)
 	}
+	return c.framing.fault, c.idleSince.Add(firstRequestTimeout)
 }
 
-// ClientContext gives a context for a request that ends when its client leaves, also behind
-// further bytes that it had sent. Stop frees what it holds.
+// ClientContext returns a context for a request that ends when its client leaves, also behind further bytes that the
+// client had sent. stop frees what it holds.
 func ClientContext(r *http.Request) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancel(r.Context())
 	c, ok := r.Context().Value(connKey{}).(*clientConn)
@@ -128,24 +156,7 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// requestRead notes that a request was read whole; of one in chunks only its reader knows.
-func (c *clientConn) requestRead() {
-	c.limiter.mu.Lock()
-	defer c.limiter.mu.Unlock()
-	c.served = true
-	c.unanswered = max(c.unanswered, 1)
-}
-
-// framingFault tells what is wrong with the framing so far, and how long a body may take.
-func (c *clientConn) framingFault() (string, time.Time) {
-	c.limiter.mu.Lock()
-	defer c.limiter.mu.Unlock()
-	if c.served {
-		return c.framing.fault, time.Now().Add(bodyReadTimeout)
-	}
-	return c.framing.fault, c.idleSince.Add(firstRequestTimeout)
-}
-
+// connKey is the key of a request's connection in its context.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
--- a/internal/gateway/httpfront/job.go
+++ b/internal/gateway/httpfront/internalrequest.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// This file owns jobs of our own making, such as steps of workflows: they go over the same
-// connections as clients' requests, and no client waits for them. It must never send one.
+// This file makes requests of the dispatcher's own, such as steps of workflows. They go over the same connections as
+// clients' requests, and no client waits for them.
 
 import (
 	"net/http"
@@ -13,13 +13,14 @@
 
 // InternalJob is a job that no client has asked for.
 type InternalJob struct {
-	ID, IdempotencyKey string // Key: under which a keyed class drops repeats; empty: none
-	Class, Tenant      string // of the configuration
-	Body               []byte
-	MaySend            func() bool // asked just before the first byte; nil: it always may
+	ID             string
+	IdempotencyKey string      // under which a class with deduplication drops retries; empty: none
+	Class, Tenant  string      // of the configuration; an empty Tenant: none
+	Body           []byte      // JSON
+	MaySend        func() bool // asked just before the first byte of each attempt; nil: it always may
 }
 
-// NewInternalRequest makes a request of a job under a configuration that has its class.
+// NewInternalRequest makes a request of a job under a configuration that has its class. It sends nothing.
 func NewInternalRequest(cfg *config.Config, j InternalJob, q broker.Request) *JobRequest {
 	h := http.Header{"X-Priority-Class": {j.Class}, "Content-Type": {"application/json"}}
 	if j.Tenant != "" {
@@ -28,5 +29,6 @@
 	if j.IdempotencyKey != "" {
 		h.Set("Idempotency-Key", j.IdempotencyKey)
 	}
-	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name, header: h, body: j.Body, maySend: j.MaySend}
+	return &JobRequest{ID: j.ID, Request: q, cfg: cfg, method: http.MethodPost, uri: "/" + url.PathEscape(j.Class), host: cfg.Name,
+		header: h, body: j.Body, maySend: j.MaySend}
 }
--- a/internal/gateway/httpfront/listener.go
+++ b/internal/gateway/httpfront/listener.go
@@ -1,6 +1,6 @@
 package httpfront
 
-// This file accepts clients' connections, within the guard's budget.
+// This file accepts clients' connections, within the connection limiter's limit.
 
 import (
 	"io"
@@ -10,22 +10,26 @@
 	"time"
 )
 
-// tooManyResponse is the rejection of a connection that is past the budget and its overflow.
+// tooManyResponse is the rejection of a connection past the limit and its overflow.
 const tooManyResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 const (
-	rejectWriteTimeout = 100 * time.Millisecond
-	// acceptTimeout is how long a close waits for the goroutine in Accept, which a busy machine
-	// may keep from running.
+	// backlogTimeout is how long a listener that is being closed waits for further connections that the kernel has
+	// accepted and that nobody has taken yet.
+	backlogTimeout = 5 * time.Millisecond
+	// acceptTimeout is how long a close waits for the goroutine in Accept, which a busy machine may keep from running.
+	// Beyond it the socket is closed over whatever waits there.
 	acceptTimeout = time.Second
+	// rejectWriteTimeout bounds the write of tooManyResponse. The socket is new and its buffer empty: it never waits.
+	rejectWriteTimeout = 100 * time.Millisecond
 )
 
-// Listen wraps a listener of this machine's, which must be a TCP listener.
+// Listen wraps a listener, which must be a *net.TCPListener.
 func (g *ConnLimiter) Listen(l net.Listener) *Listener {
 	return &Listener{TCPListener: l.(*net.TCPListener), limiter: g, closed: make(chan struct{})}
 }
 
-// Listener accepts clients' connections within a guard's budget.
+// Listener accepts clients' connections within a connection limiter's limit.
 type Listener struct {
 	*net.TCPListener
 	limiter *ConnLimiter
@@ -34,13 +38,13 @@
 	closed  chan struct{} // closed once the socket is
 }
 
-// Accept takes the next connection and makes room for it. Accepting never
-// stops: what the kernel has accepted counts as taken.
+// Accept takes the next connection and makes room for it. Accepting never stops at the limit: a connection that the kernel
+// has accepted counts as taken, and gets at least a rejection.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		closing := l.closing.Load()
-		if closing { // what waits now is taken, however late this goroutine comes to it
-			l.SetDeadline(time.Now().Add(backlogTimeout))
+		if closing { // the backlog is taken, however late this goroutine comes to it
+			_ = l.SetDeadline(time.Now().Add(backlogTimeout))
 		}
 		tcp, err := l.AcceptTCP()
 		switch {
@@ -57,41 +61,41 @@
 		if l.limiter.admit(c) {
 			return c, nil
 		}
-		tcp.SetWriteDeadline(time.Now().Add(rejectWriteTimeout)) // the socket is new: this never waits
+		_ = tcp.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
 		io.WriteString(tcp, tooManyResponse)
-		c.Close()
+		_ = c.Close()
 	}
 }
 
-// Close stops listening once the connections that the kernel has accepted are taken: closed
-// over them, the socket would reset each, and requests may have been written to them. The
-// goroutine in Accept does it, within backlogTimeout of the last one.
+// Close stops listening once the backlog is taken: closed over connections that the kernel has accepted, the socket would
+// reset each of them, and requests may have been written to them. The goroutine in Accept does it, within backlogTimeout
+// of the last one.
 func (l *Listener) Close() error {
 	if !l.closing.CompareAndSwap(false, true) {
 		return net.ErrClosed
 	}
-	l.SetDeadline(time.Now().Add(backlogTimeout))
+	_ = l.SetDeadline(time.Now().Add(backlogTimeout))
 	select {
 	case <-l.closed:
 	case <-time.After(acceptTimeout):
-		l.closeSocket()
+		_ = l.closeSocket()
 	}
 	return nil
 }
 
-// CloseNow stops listening at once, on a socket that another process listens on too: what the kernel
-// has accepted waits for that one.
+// CloseNow stops listening at once, on a socket that another process listens on too: the backlog is that process's.
 func (l *Listener) CloseNow() error {
 	if !l.closing.CompareAndSwap(false, true) {
 		return net.ErrClosed
 	}
-	l.closeSocket()
+	_ = l.closeSocket()
 	return nil
 }
 
+// closeSocket closes the socket and returns net.ErrClosed, which ends the server's loop.
 func (l *Listener) closeSocket() error {
 	l.once.Do(func() {
-		l.TCPListener.Close()
+		_ = l.TCPListener.Close()
 		close(l.closed)
 	})
 	return net.ErrClosed
--- a/internal/gateway/httpfront/listfault.go
+++ b/internal/gateway/httpfront/listerrors.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// This file owns what may go wrong with a call at discovery, worded for whoever is on call. It
-// must never decide what follows from it: the watch does.
+// This file has the errors of calls to the list service ("discovery" in the operators' texts), with advice for whoever is
+// on call. What follows from an error is the watch's decision.
 
 import (
 	"errors"
@@ -13,16 +13,16 @@
 	"yardflow/internal/platform/fault"
 )
 
-// ListError is a call for the server table that brought no list.
+// ListError is a call to the list service that brought no list.
 type ListError struct {
-	Addr string // discovery's
+	Addr string // of the list service
 	Err  error
 }
 
 func (e *ListError) Error() string { return fmt.Sprintf("discovery at %s: %v", e.Addr, e.Err) }
 func (e *ListError) Unwrap() error { return e.Err }
 
-// Code is its word in the operators' table: that of its cause, where that has one.
+// Code is the error's word in the operators' table: that of its cause, where that has one.
 func (e *ListError) Code() string {
 	if f := fault.Of(e.Err); f != nil {
 		return f.Code()
@@ -30,7 +30,7 @@
 	return "list-call"
 }
 
-// Advice is what an operator can do.
+// Advice is what an operator can do now.
 func (e *ListError) Advice() string {
 	if f := fault.Of(e.Err); f != nil {
 		return f.Advice()
@@ -41,48 +41,48 @@
 	return "the list held serves on: see whether discovery is overloaded or down"
 }
 
-// KnownListError is a list of the configuration that can't be read.
+// KnownListError is the configuration's list ("known") that can't be read.
 type KnownListError struct{ Err error }
 
 func (e *KnownListError) Error() string { return fmt.Sprintf("known: %v", e.Err) }
 func (e *KnownListError) Unwrap() error { return e.Err }
 
-// Code is its word in the operators' table.
+// Code is the error's word in the operators' table.
 func (e *KnownListError) Code() string { return "list-known" }
 
-// Advice is what an operator can do.
+// Advice is what an operator can do now.
 func (e *KnownListError) Advice() string {
 	return "correct known in the configuration, or leave it out: the list is then awaited from discovery"
 }
 
-// CallTimeoutError is a call at discovery that gave no sign by its end. What it missed counts as told
-// at Due, whether it came or not: a change made just after it began may have been lost with it.
+// CallTimeoutError is a call to the list service without a response in time. A change made just after it began may have
+// been lost with it.
 type CallTimeoutError struct {
 	Addr       string
 	Waited     time.Duration
-	ChangesDue time.Time
-	Connected  bool // a connection stood: the call may have taken its turn
-	Watch      bool // it was to wait for news; else it may stand in a queue there
+	ChangesDue time.Time // when a change that the call missed counts as known, see freshness.go
+	Connected  bool      // a connection stood: the call may have taken its turn at the service
+	Watch      bool      // the call was to wait for changes; else it may have been in a queue there
 }
 
 func (e *CallTimeoutError) Error() string {
 	return fmt.Sprintf("discovery at %s has given no sign for %v", e.Addr, e.Waited)
 }
 
-// Timeout tells that it is one, as package net has it.
+// Timeout reports true, as net.Error has it.
 func (e *CallTimeoutError) Timeout() bool { return true }
 
-// Code is its word in the operators' table.
+// Code is the error's word in the operators' table.
 func (e *CallTimeoutError) Code() string { return "list-silent" }
 
-// Advice is what an operator can do.
+// Advice is what an operator can do now.
 func (e *CallTimeoutError) Advice() string {
 	return "it is asked again by itself, and nothing new is sent once a drain may have been missed: see whether this machine reaches discovery"
 }
 
-// BadResponseError is an answer of discovery that is no list.
+// BadResponseError is a response of the list service that is no list.
 type BadResponseError struct {
-	Status int // of HTTP; 200: it is the list that is at fault
+	Status int // of HTTP; with 200 it is the list that is at fault
 	Reason string
 }
 
@@ -93,10 +93,10 @@
 	return "its answer is no list: " + e.Reason
 }
 
-// Code is its word in the operators' table.
+// Code is the error's word in the operators' table.
 func (e *BadResponseError) Code() string { return "list-answer" }
 
-// Advice is what an operator can do.
+// Advice is what an operator can do now.
 func (e *BadResponseError) Advice() string {
 	if e.Status != 200 {
 		return "the list held serves on: discovery is overloaded or down, and is asked again after a pause"
@@ -104,22 +104,25 @@
 	return "the list held serves on: see what else answers at that address, or what discovery was told"
 }
 
-// OutdatedListError is a list older than the one that the fleet shares.
-type OutdatedListError struct{ Generation, Known uint64 }
+// OutdatedListError is a list that is older than the one that the fleet shares.
+type OutdatedListError struct {
+	Generation uint64 // of the list
+	Known      uint64 // of the one that is shared
+}
 
 func (e *OutdatedListError) Error() string {
 	return fmt.Sprintf("a list of generation %d, and %d is known", e.Generation, e.Known)
 }
 
-// Code is its word in the operators' table.
+// Code is the error's word in the operators' table.
 func (e *OutdatedListError) Code() string { return "list-older" }
 
-// Advice is what an operator can do.
+// Advice is what an operator can do now.
 func (e *OutdatedListError) Advice() string {
 	return "the newer list serves on: see whether an old copy of the list service answers; one that was set back is believed after a minute"
 }
 
-// isDialTimeout tells that no connection came up in time.
+// isDialTimeout reports whether no connection came up in time.
 func isDialTimeout(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && op.Timeout()
--- a/internal/gateway/httpfront/readahead.go
+++ b/internal/gateway/httpfront/readahead.go
@@ -1,37 +1,40 @@
 package httpfront
 
-// This file reads ahead on the connections of clients that send several requests at once.
+// This file reads ahead on the connections of clients that send several requests at once (pipelining).
 
 import (
 	"io"
 	"sync"
 )
 
-// maxReadAheadBytes bounds what is kept of a client's further requests. A client that sends more is
-// served what is kept and then told the end of the connection.
-const maxReadAheadBytes = 16 << 10
+const (
+	// maxReadAheadBytes bounds what is kept of a client's further requests. A client that sends more is served what is
+	// kept and then sees the end of the connection.
+	maxReadAheadBytes = 16 << 10
+	// readAheadChunkBytes is how much is read from the socket at once.
+	readAheadChunkBytes = 2048
+)
 
-// readAheadBuffer holds what came on a connection while a request was out. A goroutine fills it until
-// the client closes the connection or a read deadline passes; the server's reads empty it. A
-// deadline is the server's own, for one read: that read then goes to the socket itself, and ends
-// by the deadline there if that still stands.
+// readAheadBuffer holds what came on a connection while a request was under way. A goroutine fills it until the client
+// closes the connection or a read deadline passes; the server's reads empty it. A deadline is the server's own, for one
+// read: that read then goes to the socket itself, and ends by the deadline there if it still stands.
 type readAheadBuffer struct {
 	mu       sync.Mutex
-	cond     sync.Cond
+	cond     sync.Cond // of all that follows
 	buffered []byte
-	err      error // what the reads end with once kept is empty
+	err      error // what reads end with once buffered is empty
 	reading  bool  // the goroutine is at work
 }
 
-// startReadAhead begins to read ahead on c.
+// startReadAhead begins to read ahead on c. The goroutine ends with the first error of a read.
 func startReadAhead(c *clientConn) *readAheadBuffer {
 	a := &readAheadBuffer{reading: true}
 	a.cond.L = &a.mu
 	go func() {
-		buffer := make([]byte, 2048)
+		chunk := make([]byte, readAheadChunkBytes)
 		for {
-			n, _, err := c.receive(buffer)
-			a.add(buffer[:n], err)
+			n, _, err := c.receive(chunk)
+			a.add(chunk[:n], err)
 			if err != nil {
 				if !isTimeout(err) {
 					c.clientLeft()
@@ -60,8 +63,8 @@
 	a.cond.Broadcast()
 }
 
-// next gives what was read ahead, waiting for more while the goroutine is at work; ok is false
-// where the caller has to read by itself.
+// next returns what was read ahead, and waits for more while the goroutine is at work; ok is false where the caller has to
+// read from the socket itself.
 func (a *readAheadBuffer) next(p []byte) (n int, err error, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/httpfront/watch_test.go
+++ b/internal/gateway/httpfront/watch_test.go
@@ -312,7 +312,7 @@
 		cfg.Discovery, cfg.Membership = "d:1", config.DefaultMembership()
 		table, b := newTestTable(t, cfg, func(string) {})
 		defer b.Close()
-		table.generation, table.known = 9, true
+		table.applied.generation, table.applied.known = 9, true
 		if _, err := table.parse([]byte(oneWorker), true); err != nil {
 			t.Errorf("by itself: %v", err)
 		}
@@ -324,8 +324,8 @@
 			}
 			time.Sleep(10 * time.Second)
 		}
-		if _, err := table.parse([]byte(oneWorker), true); err != nil || !table.sourceChanged {
-			t.Errorf("after a minute: %v, told afresh %t", err, table.sourceChanged)
+		if _, err := table.parse([]byte(oneWorker), true); err != nil || !table.applied.sourceChanged {
+			t.Errorf("after a minute: %v, told afresh %t", err, table.applied.sourceChanged)
 		}
 	})
 }
@@ -350,7 +350,7 @@
 	if !table.ApplyRelayed(6, true, one) || awaitsUpdate(table) || b.Stats().Ready != 1 {
 		t.Error("another was told all that there is, and it waits still for a word of its own")
 	}
-	table.known, table.sourceChanged = false, true
+	table.applied.known, table.applied.sourceChanged = false, true
 	if table.ApplyRelayed(7, true, one) {
 		t.Error("it was moved, and goes by the list of the place that it has left")
 	}
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -1,10 +1,11 @@
 package httpfront
 
-// This file holds the connections to loan workers: how many there may be, which are kept, and
-// which are not trusted with a request that may be sent once.
+// This file holds the connection pool to workers: how many connections there may be, which are kept for reuse, and which
+// are not trusted with a request that may run only once.
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"sync"
@@ -15,77 +16,88 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// staleConnDistrust is how long kept connections are not trusted with a request that
-// may be sent once, after one was found gone.
-const staleConnDistrust = 30 * time.Second
+const (
+	// staleConnDistrust is how long kept connections are not trusted with a request that may run only once, after one of
+	// them was found closed. A network device that drops idle connections drops many at once.
+	staleConnDistrust = 30 * time.Second
+	// maxWorkerHeaderBytes bounds the head of a worker's response.
+	maxWorkerHeaderBytes = 64 << 10
+	// drainPoll is how often AwaitDrained looks.
+	drainPoll = time.Millisecond
+)
+
+// errNoSocket is the error of a dial past the sockets that may be held: the request was not sent.
+var errNoSocket = errors.New("no socket left for a loan worker")
 
-// WorkerConns carries dispatches to loan workers.
+// WorkerConns is the connection pool to workers, and sends requests over it.
 type WorkerConns struct {
 	live          *config.InForce
-	transport     *http.Transport
-	oneShot       *http.Transport // a connection for each dispatch, closed after it
-	distrustUntil atomic.Int64    // Unix nanoseconds up to which kept connections are in doubt
+	transport     *http.Transport // keeps connections
+	oneShot       *http.Transport // a connection for each request, closed after it
+	distrustUntil atomic.Int64    // Unix nanoseconds up to which kept connections are not trusted
 
 	mu         sync.Mutex
-	draining   int // answers that have ended and are read to their end
-	maxSockets int // sockets to loan workers
-	sockets    int // of them, open or being opened
+	draining   int // responses whose outcome is known, and which are read to their end
+	maxSockets int
+	sockets    int // open, or being opened
 	open       map[*workerConn]struct{}
 }
 
-// NewWorkerConns makes the connections' owner; sockets bounds how many it may hold.
+// NewWorkerConns returns a pool that holds at most so many sockets.
 func NewWorkerConns(live *config.InForce, sockets int) *WorkerConns {
 	l := &WorkerConns{live: live, maxSockets: sockets, open: map[*workerConn]struct{}{}}
 	l.transport, l.oneShot = l.newTransports()
 	return l
 }
 
-func (l *WorkerConns) newTransports() (kept, once *http.Transport) {
+// idleTimeout is how long a connection is kept without a request. A worker closes it after IdleTimeout at the latest, and
+// what is written to it from then on is lost, so it is closed here well before.
+func (l *WorkerConns) idleTimeout() time.Duration { return l.live.Get().IdleTimeout * 3 / 4 }
+
+func (l *WorkerConns) newTransports() (kept, oneShot *http.Transport) {
 	kept = &http.Transport{
 		DialContext:        l.dial,
 		DisableCompression: true,
-		// The library keeps two idle connections a host; every one beyond them
-		// would be opened anew, and opening costs the loan worker work.
-		MaxIdleConns:        l.maxSockets / 2,
-		MaxIdleConnsPerHost: l.maxSockets / 4,
-		// A loan worker closes an idle connection at IdleCloseMs at the latest;
-		// what is written to it from then on is lost. Close well before.
-		IdleConnTimeout:        l.live.Get().IdleTimeout * 3 / 4,
-		MaxResponseHeaderBytes: 64 << 10,
+		// net/http keeps two idle connections a host. Every one beyond them would be opened anew, which costs the worker
+		// work; so one worker may keep a quarter of the sockets, and all of them half.
+		MaxIdleConns:           l.maxSockets / 2,
+		MaxIdleConnsPerHost:    l.maxSockets / 4,
+		IdleConnTimeout:        l.idleTimeout(),
+		MaxResponseHeaderBytes: maxWorkerHeaderBytes,
 	}
-	once = kept.Clone()
-	once.DisableKeepAlives = true
-	return kept, once
+	oneShot = kept.Clone()
+	oneShot.DisableKeepAlives = true
+	return kept, oneShot
 }
 
-// Reconfigure takes up the settings in force. Connections kept under the old ones may
-// be closed by their loan workers sooner than was known: they are not used again.
+// Reconfigure applies the settings in force. Connections that were kept under another IdleTimeout may be closed by their
+// workers sooner than was known, so they are not used again.
 func (l *WorkerConns) Reconfigure() {
 	l.mu.Lock()
-	old := l.transport
-	if old.IdleConnTimeout != l.live.Get().IdleTimeout*3/4 {
+	former := l.transport
+	if former.IdleConnTimeout != l.idleTimeout() {
 		l.transport, l.oneShot = l.newTransports()
 	}
-	changed := old != l.transport
+	changed := former != l.transport
 	l.mu.Unlock()
 	if changed {
-		old.CloseIdleConnections() // those that carry a dispatch are closed after it
+		former.CloseIdleConnections() // those that carry a request are closed after it
 	}
 }
 
-// transportFor chooses how a request goes. A kept connection may have been closed or
-// reset since its last use without our knowing, and what is written to it then
-// may have run: a request with one life is not risked on it once that was seen.
-func (l *WorkerConns) transportFor(s *JobRequest) *http.Transport {
+// transportFor chooses the transport of a request. A kept connection may have been closed since its last use without a
+// sign, and what is written to it then may have run: a request that may run only once is not risked on one for a while
+// after that was seen.
+func (l *WorkerConns) transportFor(r *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.cfg.Dispatch.Classes[s.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.distrustUntil.Load() {
+	if r.cfg.Dispatch.Classes[r.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.distrustUntil.Load() {
 		return l.oneShot
 	}
 	return l.transport
 }
 
-// CloseIdleConnections closes the connections that carry nothing.
+// CloseIdleConnections closes the connections that carry no request.
 func (l *WorkerConns) CloseIdleConnections() {
 	l.mu.Lock()
 	t := l.transport
@@ -93,8 +105,8 @@
 	t.CloseIdleConnections()
 }
 
-// AwaitDrained waits until answers that have ended are read to their end. Others may end
-// meanwhile, which a WaitGroup does not allow.
+// AwaitDrained blocks until all responses whose outcome is known are read to their end. Others may end meanwhile, which a
+// sync.WaitGroup does not allow.
 func (l *WorkerConns) AwaitDrained() {
 	for {
 		l.mu.Lock()
@@ -103,28 +115,28 @@
 		if n == 0 {
 			return
 		}
-		time.Sleep(time.Millisecond)
+		time.Sleep(drainPoll)
 	}
 }
 
-func (l *WorkerConns) addDraining(by int) {
+func (l *WorkerConns) addDraining(n int) {
 	l.mu.Lock()
-	l.draining += by
+	l.draining += n
 	l.mu.Unlock()
 }
 
 // Resize bounds how many sockets may be held from now on.
 func (l *WorkerConns) Resize(sockets int) {
 	l.mu.Lock()
-	less := sockets < l.maxSockets
+	fewer := sockets < l.maxSockets
 	l.maxSockets = sockets
 	l.mu.Unlock()
-	if less {
+	if fewer {
 		l.CloseIdleConnections()
 	}
 }
 
-// acquireSocket takes one socket of those that may be held.
+// acquireSocket takes one of the sockets that may be held; false where all are.
 func (l *WorkerConns) acquireSocket() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,63 +147,76 @@
 	return true
 }
 
-// workerConn is one connection. Closing it is complete when Close returns, which is
-// what lets a dispatch be told as ended.
+// releaseSocket gives a socket back; c is its connection, or nil where none came up.
+func (l *WorkerConns) releaseSocket(c *workerConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c != nil {
+		delete(l.open, c)
+	}
+	l.sockets--
+}
+
+// workerConn is one connection. Closing it is complete when Close returns, on which the end of an attempt rests.
 type workerConn struct {
 	net.Conn
 	addr    string
-	busy    bool // carries a dispatch; under WorkerConns.mu
-	stale   bool // to be closed once it carries none; under WorkerConns.mu
-	written atomic.Int64
+	written atomic.Int64 // bytes
+
+	busy  bool // carries a request; under WorkerConns.mu
+	stale bool // is closed once it carries none; under WorkerConns.mu
+
 	once    sync.Once
 	release func()
 }
 
-// RetireConnections closes the kept connections to a loan worker that was taken out: it is
-// restarted meanwhile, and what is written to one from before may be lost. One
-// that carries a dispatch is closed after it.
+func (c *workerConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	c.written.Add(int64(n))
+	return n, err
+}
+
+func (c *workerConn) Close() error {
+	err := c.Conn.Close()
+	c.once.Do(c.release)
+	return err
+}
+
+// RetireConnections closes the kept connections to a worker that operators have banned: it is restarted meanwhile, and
+// what is written to a connection from before may be lost. One that carries a request is closed after it.
 func (l *WorkerConns) RetireConnections(addr string) {
 	l.mu.Lock()
 	var idle []*workerConn
 	for c := range l.open {
-		if c.addr == addr {
-			if c.stale = true; !c.busy {
-				idle = append(idle, c)
-			}
+		if c.addr != addr {
+			continue
+		}
+		c.stale = true
+		if !c.busy {
+			idle = append(idle, c)
 		}
 	}
 	l.mu.Unlock()
 	for _, c := range idle {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
-// setBusy notes whether a dispatch is on c.
+// setBusy says whether a connection carries a request; c may be nil.
 func (l *WorkerConns) setBusy(c *workerConn, busy bool) {
 	if c == nil {
 		return
 	}
 	l.mu.Lock()
 	c.busy = busy
-	over := c.stale && !busy
+	retired := c.stale && !busy
 	l.mu.Unlock()
-	if over {
-		c.Close()
+	if retired {
+		_ = c.Close()
 	}
 }
 
-func (c *workerConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.written.Add(int64(n))
-	return n, err
-}
-
-func (c *workerConn) Close() error {
-	err := c.Conn.Close()
-	c.once.Do(c.release)
-	return err
-}
-
+// dial opens a connection. Past the sockets that may be held, idle connections are closed to free one.
 func (l *WorkerConns) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if !l.acquireSocket() {
 		l.CloseIdleConnections()
@@ -201,18 +226,11 @@
 	}
 	conn, err := (&net.Dialer{Timeout: l.live.Get().ConnectTimeout, KeepAlive: -1}).DialContext(ctx, network, addr)
 	if err != nil {
-		l.mu.Lock()
-		l.sockets--
-		l.mu.Unlock()
+		l.releaseSocket(nil)
 		return nil, err
 	}
 	c := &workerConn{Conn: conn, addr: addr}
-	c.release = func() {
-		l.mu.Lock()
-		delete(l.open, c)
-		l.sockets--
-		l.mu.Unlock()
-	}
+	c.release = func() { l.releaseSocket(c) }
 	l.mu.Lock()
 	l.open[c] = struct{}{}
 	l.mu.Unlock()
