--- a/internal/gateway/httpfront/connlimiter_test.go
+++ b/internal/gateway/httpfront/connlimiter_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// A stranger's bytes stay unread for 20 turns, as on a machine whose processors others hold:
-// the connection of a client at work is not the one that makes room.
+// The bytes of a new client stay unread for 20 waits, as on a machine whose processors others hold: the connection of an
+// active client is not the one that is evicted.
 func TestLateReaderDoesNotEvictActiveClient(t *testing.T) {
-	guard := NewConnLimiter(2)
+	limiter := NewConnLimiter(2)
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &Listener{TCPListener: tcp, limiter: guard, closed: make(chan struct{})}
-	t.Cleanup(func() { tcp.Close() })
+	listener := &Listener{TCPListener: tcp, limiter: limiter, closed: make(chan struct{})}
+	t.Cleanup(func() { _ = tcp.Close() })
 	connect := func(bytes string) *clientConn {
 		client, err := net.Dial("tcp", tcp.Addr().String())
 		if err != nil {
@@ -33,26 +33,26 @@
 		}
 		return accepted.(*clientConn)
 	}
-	atWork := connect("")
-	atWork.requestRead()
-	guard.onConnState(atWork, http.StateIdle) // its request was answered
-	stranger := connect("POST /issue-loan HTTP/1.1\r\nX-")
-	for limit := time.Now().Add(10 * time.Second); !stranger.hasUnreadBytes(); {
+	active := connect("")
+	active.requestRead()
+	limiter.onConnState(active, http.StateIdle) // its request was answered
+	newcomer := connect("POST /issue-loan HTTP/1.1\r\nX-")
+	for limit := time.Now().Add(10 * time.Second); !newcomer.hasUnreadBytes(); {
 		if time.Now().After(limit) {
-			t.Fatal("the stranger's bytes never came")
+			t.Fatal("the new client's bytes never came")
 		}
 	}
-	turns := 0
-	guard.onReaderWait = func() {
-		if turns++; turns == 20 {
-			stranger.Read(make([]byte, 64))
+	waits := 0
+	limiter.onReaderWait = func() {
+		if waits++; waits == 20 {
+			_, _ = newcomer.Read(make([]byte, 64)) // half a request: its error is not the subject
 		}
 	}
 	connect("")
-	if atWork.closing {
-		t.Error("the client at work made room for a newcomer")
+	if active.closing {
+		t.Error("the active client was evicted for a newcomer")
 	}
-	if !stranger.closing {
-		t.Error("the stranger with half a request stayed")
+	if !newcomer.closing {
+		t.Error("the new client with half a request stayed")
 	}
 }
--- a/internal/gateway/httpfront/exchange.go
+++ b/internal/gateway/httpfront/exchange.go
@@ -115,22 +115,22 @@
 
 // StartAttempt writes a request to the attempt's worker and reads the head of the response. accept is the request's
 // Accept header; empty: none. Where the status is not 200 the exchange is nil and the outcome is the attempt's.
-func (l *WorkerConns) StartAttempt(ctx context.Context, a *broker.Attempt, r *JobRequest, accept string) (*Exchange, broker.Outcome) {
+func (l *WorkerConns) StartAttempt(ctx context.Context, a *broker.Attempt, job *JobRequest, accept string) (*Exchange, broker.Outcome) {
 	// ctx ends as soon as the request is answered, before the response's stream has ended, and the transport would close
 	// a sound connection for it. So the exchange has a context of its own, which follows ctx until DrainAndReuse.
 	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	detach := context.AfterFunc(ctx, cancel)
-	send := &sendState{conns: l, attempt: a, request: r}
-	req := r.toWorker(httptrace.WithClientTrace(own, send.trace(ctx)), a, accept)
+	send := &sendState{conns: l, attempt: a, request: job}
+	req := job.toWorker(httptrace.WithClientTrace(own, send.trace(ctx)), a, accept)
 	send.header = req.Header
 	setTimeoutHeader(req.Header, ctx)
-	resp, err := l.transportFor(r).RoundTrip(req)
+	resp, err := l.transportFor(job).RoundTrip(req)
 	if err != nil {
 		cancel()
 		return nil, send.failure(ctx, err)
 	}
 	x := &Exchange{Body: bufio.NewReaderSize(resp.Body, responseBufferBytes), Header: resp.Header, ctx: ctx, resp: resp, conn: send.conn,
-		conns: l, cfg: r.cfg, detach: detach, cancel: cancel}
+		conns: l, cfg: job.cfg, detach: detach, cancel: cancel}
 	if resp.StatusCode == http.StatusOK {
 		return x, broker.Outcome{}
 	}
--- a/internal/gateway/httpfront/front_test.go
+++ b/internal/gateway/httpfront/front_test.go
@@ -19,7 +19,7 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// frontTest is a dispatcher's front on real connections, with one scripted worker behind it.
+// frontTest is a front on real connections, with one scripted worker behind it.
 type frontTest struct {
 	*testing.T
 	limiter  *ConnLimiter
@@ -29,7 +29,7 @@
 	worker   *script.Worker
 	workers  *WorkerConns
 	broker   *broker.Broker
-	reads    atomic.Int64           // from clients' sockets, counted before their bytes are
+	reads    atomic.Int64           // from clients' sockets; counted before their bytes are
 	onRead   atomic.Pointer[func()] // runs then
 }
 
@@ -55,16 +55,16 @@
 			(*f)()
 		}
 	}
-	t.Cleanup(func() { e.server.Close() })
+	t.Cleanup(func() { _ = e.server.Close() })
 	return e
 }
 
 func (e *frontTest) start() *frontTest {
-	go e.server.Serve(e.listener)
+	go func() { _ = e.server.Serve(e.listener) }() // ends with the server
 	return e
 }
 
-// idleClient has a client get one answer, so that its connection rests.
+// idleClient has a client get one answer, so that its connection is idle.
 func (e *frontTest) idleClient() *script.Client {
 	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "first"))
@@ -72,13 +72,13 @@
 	if status, _ := c.Answer(); status != 200 {
 		e.Fatal("status", status)
 	}
-	e.await("the connection rests", func() bool {
+	e.await("the connection is idle", func() bool {
 		return e.allConns(func(c *clientConn) bool { return c.idle() })
 	})
 	return c
 }
 
-// allConns tells whether a condition holds for every connection.
+// allConns reports whether a condition holds for every connection.
 func (e *frontTest) allConns(holds func(*clientConn) bool) bool {
 	e.limiter.mu.Lock()
 	defer e.limiter.mu.Unlock()
@@ -94,24 +94,23 @@
 	e.Helper()
 	for limit := time.Now().Add(script.Patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			e.Fatal("it never comes about that ", what)
+			e.Fatal("timed out waiting until ", what)
 		}
 	}
 }
 
-// assertNoCall checks that no call has reached the worker; whoever calls it has waited for an event
-// behind which none can come.
+// assertNoCall checks that no request has reached the worker. The caller has waited for an event after which none can.
 func (e *frontTest) assertNoCall() {
 	e.Helper()
 	select {
 	case call := <-e.worker.Calls:
-		e.Errorf("the worker got %s: it can never be answered", call.ID)
+		e.Errorf("the worker got %s, which can never be answered", call.ID)
 	default:
 	}
 }
 
-// sendDuringClose has the client write a request in the moment in which its connection is closed,
-// and the close go on only once the bytes are there.
+// sendDuringClose has the client write a request while its connection is being closed, and the close go on only once the
+// bytes are there.
 func (e *frontTest) sendDuringClose(c *script.Client, request string) {
 	var once sync.Once
 	e.limiter.onClose = func(held *clientConn) {
@@ -128,8 +127,8 @@
 	}
 }
 
-// Whoever closes a connection: a request that comes in that moment is neither reset, with
-// whatever answer is still on its way, nor served where no answer can follow.
+// Whoever closes a connection: a request that comes at that moment is neither reset, with an answer that may be on its
+// way, nor served where no answer can follow.
 func TestRequestDuringCloseIsNeitherResetNorServed(t *testing.T) {
 	for name, end := range map[string]func(*frontTest, *script.Client){
 		"a planned restart": func(e *frontTest, _ *script.Client) { e.limiter.CloseIdleConnections() },
@@ -145,7 +144,7 @@
 				e.Errorf("the client got %q", body)
 			}
 		},
-		"the server's end": func(e *frontTest, _ *script.Client) { e.server.Close() },
+		"the server's end": func(e *frontTest, _ *script.Client) { _ = e.server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newFrontTest(t, nil).start()
@@ -156,13 +155,13 @@
 				t.Errorf("the connection ends in order: %t, after %q", inOrder, rest)
 			}
 			c.Close()
-			e.await("the socket is given back", func() bool { return e.limiter.LingeringConnections() == 0 })
+			e.await("the socket is released", func() bool { return e.limiter.LingeringConnections() == 0 })
 			e.assertNoCall()
 		})
 	}
 }
 
-// The server's own time-out for idle connections closes as all others do.
+// The server's own time-out for idle connections closes them in the same way.
 func TestIdleTimeoutDoesNotResetConcurrentRequest(t *testing.T) {
 	e := newFrontTest(t, nil)
 	e.server.IdleTimeout = 20 * time.Millisecond
@@ -178,8 +177,8 @@
 	e.assertNoCall()
 }
 
-// A request is read from the socket, and before it is counted its connection, idle to all
-// appearance, is closed. It was sent on to a worker, and its answer had nowhere to go.
+// A request is read from the socket, and before it is counted its connection, which seems idle, is closed. (It was once
+// forwarded to a worker, and its answer had nowhere to go.)
 func TestRequestReadDuringCloseIsNotServed(t *testing.T) {
 	e := newFrontTest(t, nil).start()
 	c := e.idleClient()
@@ -193,16 +192,16 @@
 	other := script.Dial(e, e.listener.Addr())
 	other.Send(script.Job("unsafe", "other"))
 	if call := e.worker.Next(); call.ID != "other" {
-		t.Errorf("the worker got %s: it can never be answered", call.ID)
+		t.Errorf("the worker got %s, which can never be answered", call.ID)
 	}
 }
 
-// Past the budget and its overflow the rejection goes out unasked. Its request has come already:
-// the reset for it may overtake the rejection.
+// Past the limit and its overflow the rejection is sent before any request is read. The client's request has come already:
+// the reset for it could overtake the rejection.
 func TestRejectionPastLimitIsNotReset(t *testing.T) {
 	e := newFrontTest(t, nil)
 	for range e.limiter.max + maxOverflow {
-		e.limiter.conns[&clientConn{limiter: e.limiter, unanswered: 1}] = struct{}{} // their requests are out
+		e.limiter.conns[&clientConn{limiter: e.limiter, unanswered: 1}] = struct{}{} // their requests are under way
 	}
 	var past []*script.Client
 	for range 2 {
@@ -245,7 +244,7 @@
 	}
 }
 
-// Where another process listens on the same socket, what waits is that one's.
+// Where another process listens on the same socket, the backlog is that process's.
 func TestListenerCloseNowLeavesBacklog(t *testing.T) {
 	e := newFrontTest(t, nil)
 	file, err := e.listener.File()
@@ -277,7 +276,7 @@
 	}
 }
 
-// A listener that nobody accepts from is closed all the same.
+// A listener that nobody accepts from is closed too.
 func TestListenerCloseWithoutAccept(t *testing.T) {
 	e := newFrontTest(t, nil)
 	if err := e.listener.Close(); err != nil || !errors.Is(e.listener.Close(), net.ErrClosed) {
@@ -285,16 +284,16 @@
 	}
 }
 
-// answerCounts counts how requests that were answered ended at the broker.
+// answerCounts counts the broker's answers by their kind.
 func (e *frontTest) answerCounts() func(broker.AnswerKind) int {
 	var mu sync.Mutex
 	count := map[string]int{}
 	e.broker.SetTrace(func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
-		var id, verdict int
-		if n, _ := fmt.Sscanf(line, "answer %d verdict=%d", &id, &verdict); n == 2 {
-			count[strconv.Itoa(verdict)]++
+		var id, kind int
+		if n, _ := fmt.Sscanf(line, "answer %d verdict=%d", &id, &kind); n == 2 {
+			count[strconv.Itoa(kind)]++
 		}
 	})
 	return func(v broker.AnswerKind) int {
@@ -304,13 +303,13 @@
 	}
 }
 
-// A client sends more behind its request and leaves. The server reads no further than the first
-// byte of that until it has answered: the request waited on, and was sent when a worker came.
+// A client sends more behind its request and leaves. The server reads no further than the first byte of that until it has
+// answered. (Without reading ahead the request waited on, and was sent when a worker came.)
 func TestClientDisconnectBehindFurtherBytesIsNoticed(t *testing.T) {
 	for name, further := range map[string]string{"a request": script.Job("unsafe", "second"), "half a request": "POST /unsafe HT", "more than is kept": strings.Repeat("x", 3*maxReadAheadBytes)} {
 		t.Run(name, func(t *testing.T) {
 			e := newFrontTest(t, nil)
-			verdicts := e.answerCounts()
+			answers := e.answerCounts()
 			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr, State: dispatch.Draining}})
 			e.start()
 			c := script.Dial(e, e.listener.Addr())
@@ -319,17 +318,17 @@
 			c.Send(further)
 			c.Close()
 			e.await("all requests have ended", func() bool { return e.broker.Stats().Open == 0 })
-			if verdicts(broker.AnswerClientGone) < 1 || verdicts(broker.AnswerRejected) > 0 {
-				t.Errorf("%d requests ended as their client's who left, %d as refused", verdicts(broker.AnswerClientGone), verdicts(broker.AnswerRejected))
+			if answers(broker.AnswerClientGone) < 1 || answers(broker.AnswerRejected) > 0 {
+				t.Errorf("%d requests ended because their client left, %d were rejected", answers(broker.AnswerClientGone), answers(broker.AnswerRejected))
 			}
 			e.broker.UpdateWorkers(dispatch.ListFull, []broker.Worker{{ID: "s", Addr: e.worker.Addr}})
-			e.await("the connection is given back", func() bool { return e.limiter.OpenConnections() == 0 })
+			e.await("the connection is released", func() bool { return e.limiter.OpenConnections() == 0 })
 			e.assertNoCall()
 		})
 	}
 }
 
-// Requests that come behind one that is out, in pieces of any size, are served in turn.
+// Requests that come behind one that is under way, in pieces of any size, are served in order.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	e := newFrontTest(t, nil).start()
 	c := script.Dial(e, e.listener.Addr())
@@ -360,8 +359,8 @@
 	}
 }
 
-// A client that sends more beside a request than is kept is served what is kept, and then told
-// the end in order.
+// A client that sends more beside a request than is kept is served what is kept, and then sees the end of the connection
+// without a reset.
 func TestFloodBehindRequestEndsWithoutReset(t *testing.T) {
 	e := newFrontTest(t, nil).start()
 	c := script.Dial(e, e.listener.Addr())
@@ -381,7 +380,7 @@
 	}
 }
 
-// slowDial makes every connection to a worker come up only at a moment.
+// slowDial makes every connection to a worker come up only at a given time.
 func (e *frontTest) slowDial(until func() time.Time) {
 	dial := e.workers.transport.DialContext
 	e.workers.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -390,7 +389,7 @@
 	}
 }
 
-// The time told to a worker is what is left once the connection has come up, not before.
+// X-Timeout says what is left once the connection to the worker has come up, not before.
 func TestTimeoutHeaderIsTimeLeftAfterConnect(t *testing.T) {
 	e := newFrontTest(t, nil)
 	const connecting = 200 * time.Millisecond
@@ -400,16 +399,16 @@
 	begun := time.Now()
 	c.Send(script.Job("unsafe", "r"))
 	call := e.worker.Next()
-	told, err := strconv.ParseFloat(call.Header.Get("X-Timeout"), 64)
-	if took := time.Since(begun); err != nil || told > 5-connecting.Seconds() || told < 5-took.Seconds()-0.1 {
-		t.Errorf("the worker is told %v s (%v) after %v", told, err, took)
+	left, err := strconv.ParseFloat(call.Header.Get("X-Timeout"), 64)
+	if took := time.Since(begun); err != nil || left > 5-connecting.Seconds() || left < 5-took.Seconds()-0.1 {
+		t.Errorf("X-Timeout is %v s (%v) after %v", left, err, took)
 	}
 	call.Done("ok")
 	c.Answer()
 }
 
-// A repeat of a keyed job is decided on inside its window, and its connection comes up after it:
-// there the worker would no longer drop it, and it would run twice.
+// A retry of a job with an idempotency key is decided on inside its window, and its connection comes up after it: the
+// worker would no longer drop it as a duplicate, and it would run twice.
 func TestRetryIsNotSentPastDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	e := newFrontTest(t, func(cfg *config.Config) {
@@ -430,20 +429,20 @@
 	e.assertNoCall()
 }
 
-// A client leaves while the connection for its request is being made: nothing is written to it.
+// A client leaves while the connection for its request is being made: nothing is written to that.
 func TestClientDisconnectDuringConnectPreventsSend(t *testing.T) {
 	e := newFrontTest(t, nil)
-	dialing, left := make(chan struct{}), make(chan struct{})
+	connecting, left := make(chan struct{}), make(chan struct{})
 	dial := e.workers.transport.DialContext
 	e.workers.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		close(dialing)
+		close(connecting)
 		<-left
 		return dial(context.WithoutCancel(ctx), network, addr) // it comes up all the same
 	}
 	e.start()
 	c := script.Dial(e, e.listener.Addr())
 	c.Send(script.Job("unsafe", "r"))
-	<-dialing
+	<-connecting
 	c.Close()
 	e.await("the request has ended", func() bool { return e.broker.Stats().Open == 0 })
 	close(left)
@@ -455,8 +454,8 @@
 	e.assertNoCall()
 }
 
-// What a worker sends behind its last line, and how its connection ends then, changes nothing; what
-// ends before a last line may have run, and is not sent again.
+// What a worker sends behind its final line, and how its connection ends then, changes nothing. A response that ends
+// before a final line may have run, and is not retried.
 func TestWorkerResponseEndings(t *testing.T) {
 	line := func(state string) string { return `{"id":"r","state":"` + state + `","result":"ok"}` + "\n" }
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n"
@@ -490,7 +489,7 @@
 	}
 }
 
-// A worker takes a body of many packets whole and resets the connection: it may have run.
+// A worker reads a body of many packets whole and resets the connection: the job may have run.
 func TestResetBehindLargeBodyMayHaveRun(t *testing.T) {
 	e := newFrontTest(t, nil).start()
 	client := script.Dial(e, e.listener.Addr())
--- a/internal/gateway/httpfront/lingering.go
+++ b/internal/gateway/httpfront/lingering.go
@@ -31,7 +31,7 @@
 	delete(g.conns, c)
 	c.closing = true
 	if c.clientClosed {
-		c.TCPConn.Close()
+		_ = c.TCPConn.Close()
 		return
 	}
 	if g.onClose != nil {
@@ -40,7 +40,7 @@
 	_ = c.CloseWrite()
 	g.lingering = append(g.lingering, c)
 	for len(g.lingering) > 0 && len(g.conns)+len(g.lingering) > g.max+maxLingering {
-		g.lingering[0].TCPConn.Close()
+		_ = g.lingering[0].TCPConn.Close()
 		g.lingering = g.lingering[1:]
 	}
 	go g.linger(c)
@@ -49,7 +49,7 @@
 // linger reads away what still comes on a connection that was closed here, until its client closes it too or
 // lingerTimeout has passed.
 func (g *ConnLimiter) linger(c *clientConn) {
-	defer time.AfterFunc(lingerTimeout, func() { c.TCPConn.Close() }).Stop()
+	defer time.AfterFunc(lingerTimeout, func() { _ = c.TCPConn.Close() }).Stop()
 	var discarded [512]byte
 	for {
 		_ = c.SetReadDeadline(time.Time{}) // the server may have left one that has passed
@@ -57,7 +57,7 @@
 			break
 		}
 	}
-	c.TCPConn.Close()
+	_ = c.TCPConn.Close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if i := slices.Index(g.lingering, c); i >= 0 {
--- a/internal/gateway/httpfront/sharing_test.go
+++ b/internal/gateway/httpfront/sharing_test.go
@@ -14,14 +14,13 @@
 	"yardflow/internal/platform/config"
 )
 
-// roundTripFunc is discovery as a function.
+// roundTripFunc is a list service as a function.
 type roundTripFunc func(r *http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// TestRelayedListEndsNoCalls keeps that a dispatcher whose calls at the list service fail goes on calling when it has
-// taken in what another one was told: it may be the one that reads for all next. Before, the module took the relayed list
-// for the answer to its own call, and never asked again.
+// A dispatcher whose calls to the list service fail goes on calling when it has applied a relayed list: it may be the one
+// that calls for all next. (The module once took the relayed list for the response to its own call, and asked no more.)
 func TestRelayedListEndsNoCalls(t *testing.T) {
 	t.Run("many dispatchers, calls that fail", func(t *testing.T) { assertCallsContinue(t, 80, false) })
 	t.Run("a few, calls that are silent", func(t *testing.T) { assertCallsContinue(t, 6, true) })
@@ -35,7 +34,7 @@
 	defer func(f func() http.RoundTripper) { discoveryTransport = f }(discoveryTransport)
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		failed, told := atomic.Int32{}, atomic.Int32{}
+		failed, answered := atomic.Int32{}, atomic.Int32{}
 		discoveryTransport = func() http.RoundTripper {
 			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				if time.Since(began) < back {
@@ -46,7 +45,7 @@
 					}
 					return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 				}
-				told.Add(1)
+				answered.Add(1)
 				select {
 				case <-time.After(time.Second):
 				case <-r.Context().Done():
@@ -68,8 +67,8 @@
 			table.ApplyRelayed(min(generation, 8), !silent, list)
 		}
 		time.Sleep(within)
-		if failed.Load() == 0 || told.Load() == 0 {
-			t.Errorf("%d calls that failed, %d in the %v behind that", failed.Load(), told.Load(), within)
+		if failed.Load() == 0 || answered.Load() == 0 {
+			t.Errorf("%d calls that failed, %d in the %v behind that", failed.Load(), answered.Load(), within)
 		}
 		b.Close()
 	})
--- a/internal/gateway/httpfront/workerconns.go
+++ b/internal/gateway/httpfront/workerconns.go
@@ -88,10 +88,10 @@
 // transportFor chooses the transport of a request. A kept connection may have been closed since its last use without a
 // sign, and what is written to it then may have run: a request that may run only once is not risked on one for a while
 // after that was seen.
-func (l *WorkerConns) transportFor(r *JobRequest) *http.Transport {
+func (l *WorkerConns) transportFor(job *JobRequest) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.cfg.Dispatch.Classes[r.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.distrustUntil.Load() {
+	if job.cfg.Dispatch.Classes[job.Request.Class].Semantics == dispatch.AtMostOnce && time.Now().UnixNano() < l.distrustUntil.Load() {
 		return l.oneShot
 	}
 	return l.transport
--- a/internal/gateway/httpfront/workerrequest.go
+++ b/internal/gateway/httpfront/workerrequest.go
@@ -46,22 +46,22 @@
 }
 
 // toWorker makes the HTTP request of one attempt.
-func (r *JobRequest) toWorker(ctx context.Context, a *broker.Attempt, accept string) *http.Request {
+func (job *JobRequest) toWorker(ctx context.Context, a *broker.Attempt, accept string) *http.Request {
 	h := make(http.Header, 10)
 	for _, name := range forwardedHeaders {
-		if v, ok := r.header[name]; ok {
+		if v, ok := job.header[name]; ok {
 			h[name] = v
 		}
 	}
-	h.Set("X-Request-Id", r.ID)
+	h.Set("X-Request-Id", job.ID)
 	h["User-Agent"] = nil
 	if accept != "" {
 		h.Set("Accept", accept)
 	}
-	req := &http.Request{Method: r.method, URL: &url.URL{Scheme: "http", Host: a.Addr, Opaque: r.uri},
-		Host: r.host, Header: h, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Body: &singleUseBody{r.body}, ContentLength: int64(len(r.body))}
-	if len(r.body) == 0 {
+	req := &http.Request{Method: job.method, URL: &url.URL{Scheme: "http", Host: a.Addr, Opaque: job.uri},
+		Host: job.host, Header: h, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Body: &singleUseBody{job.body}, ContentLength: int64(len(job.body))}
+	if len(job.body) == 0 {
 		// net/http sends an empty body of a type that it doesn't know in chunks, and resends one that it knows to be
 		// empty. So there is no transfer encoding, and the length comes in a spelling that net/http passes on.
 		req.TransferEncoding = []string{"identity"}
--- a/internal/gateway/httpfront/workerresponse.go
+++ b/internal/gateway/httpfront/workerresponse.go
@@ -51,19 +51,19 @@
 }
 
 // AttemptFunc returns the attempt function of a client's request at this front.
-func (l *WorkerConns) AttemptFunc(r *JobRequest) broker.AttemptFunc {
+func (l *WorkerConns) AttemptFunc(job *JobRequest) broker.AttemptFunc {
 	return func(ctx context.Context, a *broker.Attempt) broker.Outcome {
-		x, o := l.StartAttempt(ctx, a, r, "")
+		x, o := l.StartAttempt(ctx, a, job, "")
 		if x == nil {
 			return o
 		}
-		return x.ReadLines(a, r, x.HeaderLoad(), nil)
+		return x.ReadLines(a, job, x.HeaderLoad(), nil)
 	}
 }
 
 // ReadLines reads a worker's status lines to the final one and returns the attempt's outcome, with load or the latest
 // load report after it. It ends the exchange. Each line that is not final goes to progress too, where that is not nil.
-func (x *Exchange) ReadLines(a *broker.Attempt, r *JobRequest, load []float64, progress func(state string, line []byte)) broker.Outcome {
+func (x *Exchange) ReadLines(a *broker.Attempt, job *JobRequest, load []float64, progress func(state string, line []byte)) broker.Outcome {
 	for {
 		text, err := readLine(x.Body)
 		if err != nil {
@@ -73,7 +73,7 @@
 			continue
 		}
 		var line statusLine
-		if json.Unmarshal(text, &line) != nil || line.ID != r.ID {
+		if json.Unmarshal(text, &line) != nil || line.ID != job.ID {
 			return x.abortUnreadable() // not this request's response: what the worker did is not known
 		}
 		if report := x.ParseLoad(line.Load); report != nil {
