--- a/internal/gateway/ssefront/sse_test.go
+++ b/internal/gateway/ssefront/ssefront_test.go
@@ -17,7 +17,7 @@
 	"yardflow/internal/platform/config"
 )
 
-// readAll reads a stream's events, its bytes coming one by one or at once.
+// readAll reads a stream's events, its bytes coming one by one (slow) or at once.
 func readAll(text string, limit int, slow bool) ([]Event, error) {
 	var r io.Reader = strings.NewReader(text)
 	if slow {
@@ -64,7 +64,7 @@
 	}
 }
 
-// An event whose blank line has come is handed on without waiting for more.
+// An event whose blank line has come is returned without waiting for more.
 func TestScannerDoesNotWaitBehindAnEvent(t *testing.T) {
 	for _, text := range []string{"data: 1\n\n", "data: 1\r\n\r", "data: 1\r\r"} {
 		r, w := io.Pipe()
@@ -77,14 +77,13 @@
 				t.Errorf("%q: %+v", text, e)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("%q: still waits", text)
+			t.Errorf("%q: it still waits", text)
 		}
-		w.Close()
+		_ = w.Close()
 	}
 }
 
-// What is written is read the same by another implementation, and nothing in a
-// value can break out of its field.
+// What is written is read alike by another implementation, and nothing in a value can break out of its field.
 func TestEventsAreReadByAnotherImplementation(t *testing.T) {
 	events := []Event{{"result", "1", "a\n\nb: c\r\nd\re"}, {"a\nevent: result", "2\n3", "x\n\nevent: result\ndata: y"}, {"", "4", "plain"}}
 	var text []byte
@@ -110,7 +109,7 @@
 		Heartbeat: config.Duration{Duration: 20 * time.Millisecond}}
 }
 
-// serveStream runs use on a stream of a real connection and returns the answer.
+// serveStream runs use on a stream of a real connection and returns the response.
 func serveStream(t *testing.T, use func(*eventStream)) *http.Response {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		use(newEventStream(w, streamConfig(), func() {}))
@@ -124,8 +123,8 @@
 	return resp
 }
 
-// A reader that does not read costs bounded memory and a bounded wait: progress
-// is dropped, oldest first, and the stream counts as left.
+// A client that does not read costs bounded memory and bounded time: progress is dropped, the oldest first, and the client
+// counts as left.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	gone, ended := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +136,7 @@
 			n := len(st.queue)
 			st.mu.Unlock()
 			if n > 4 {
-				t.Errorf("%d events are held", n)
+				t.Errorf("%d events are queued", n)
 			}
 			select {
 			case <-gone:
@@ -156,11 +155,11 @@
 	select {
 	case <-ended:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the reader is still waited for")
+		t.Fatal("the client is still waited for")
 	}
 }
 
-// Under a flood the final event is never among those dropped, and is the last.
+// In a flood of events the final one is never dropped, and is the last.
 func TestFinalEventIsNeverDropped(t *testing.T) {
 	resp := serveStream(t, func(st *eventStream) {
 		for range 1000 {
@@ -179,7 +178,7 @@
 	}
 }
 
-// A quiet stream carries comments, so that nothing between takes it for dead.
+// A quiet stream carries heartbeats, so that no proxy takes it for dead.
 func TestQuietStreamHasHeartbeats(t *testing.T) {
 	next := make(chan struct{})
 	resp := serveStream(t, func(st *eventStream) {
