--- a/internal/gateway/hotrestart/handover_test.go
+++ b/internal/gateway/hotrestart/hotrestart_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Two processes change the set at once: no change is lost, twice out needs one
-// call back, and whoever opens the file next has it.
+// Two processes change the list at the same time: no change is lost, one call lifts a ban that was made twice, and whoever
+// opens the file next has the list.
 func TestBansSurviveProcess(t *testing.T) {
 	dir := t.TempDir()
 	var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 	}
 }
 
-// testProcess is one process at the meeting place.
+// testProcess is one process of the dispatcher.
 type testProcess struct {
 	*Siblings
 	inherited     string
@@ -58,34 +58,33 @@
 }
 
 func startProcess(t *testing.T, dir, state string) *testProcess {
-	m := &testProcess{processCounts: make(chan int, 64), bans: make(chan bool, 64)}
-	var met []byte
-	m.Siblings, met = Join(dir, "n0", func(string) {})
-	m.inherited = string(met)
-	err := m.Serve(Hooks{State: func() []byte { return []byte(state) }, SiblingsChanged: func(n int) { m.processCounts <- n },
-		BansChanged: func() { m.bans <- true }})
+	p := &testProcess{processCounts: make(chan int, 64), bans: make(chan bool, 64)}
+	var inherited []byte
+	p.Siblings, inherited = Join(dir, "n0", func(string) {})
+	p.inherited = string(inherited)
+	err := p.Serve(Hooks{State: func() []byte { return []byte(state) }, SiblingsChanged: func(n int) { p.processCounts <- n },
+		BansChanged: func() { p.bans <- true }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(m.Close)
-	return m
+	t.Cleanup(p.Close)
+	return p
 }
 
-func (m *testProcess) expectCount(t *testing.T, want int) {
+func (p *testProcess) expectCount(t *testing.T, want int) {
 	t.Helper()
 	select {
-	case got := <-m.processCounts:
+	case got := <-p.processCounts:
 		if got != want {
-			t.Errorf("told that %d share, want %d", got, want)
+			t.Errorf("notified that %d processes share, want %d", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not told that %d share", want)
+		t.Fatalf("not notified that %d processes share", want)
 	}
 }
 
-// The old process is small before the new one goes on, each learns of the other's
-// end, a ban made at one reaches the other, and what a dead process left stops
-// nobody. The folder's path may be longer than a socket's address can be.
+// The old process shrinks before the new one goes on, each is notified of the other's end, a ban made at one reaches the
+// other, and what a killed process left behind stops nobody. The folder's path may be longer than a socket's address.
 func TestProcessesJoinAndLeave(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -93,9 +92,9 @@
 	}
 	first := startProcess(t, dir, "one")
 	second := startProcess(t, dir, "two")
-	first.expectCount(t, 2) // already in the channel: told before the state was
+	first.expectCount(t, 2) // already in the channel: notified before the state was sent
 	if second.inherited != "one" || !first.HasSuccessor() || second.HasSuccessor() || second.Count() != 1 {
-		t.Errorf("met %q; succeeded %v, %v", second.inherited, first.HasSuccessor(), second.HasSuccessor())
+		t.Errorf("inherited %q; successors %v, %v", second.inherited, first.HasSuccessor(), second.HasSuccessor())
 	}
 	second.NotifyBans()
 	<-first.bans
@@ -105,28 +104,28 @@
 	second.expectCount(t, 1)
 	third := startProcess(t, dir, "three")
 	second.expectCount(t, 2)
-	third.Close() // it fails, and its name stays behind
+	third.Close() // it fails, and the socket's name stays behind
 	second.expectCount(t, 1)
 	for limit := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if conn, err := second.dial(); err == nil { // a look, which does not count
+		if conn, err := second.dial(); err == nil { // this does not join
 			conn.Close()
 			break
 		} else if time.Now().After(limit) {
-			t.Fatal("the name is still the failed one's:", err)
+			t.Fatal("the socket's name is still the failed process's:", err)
 		}
 	}
 	fourth := startProcess(t, dir, "four")
 	if second.expectCount(t, 2); fourth.inherited != "two" {
-		t.Errorf("the next one met %q", fourth.inherited)
+		t.Errorf("the next one inherited %q", fourth.inherited)
 	}
 	second.Close()
 	fourth.Close()
 	if alone := startProcess(t, dir, "five"); alone.inherited != "" || alone.Count() != 0 {
-		t.Errorf("met %q after all have gone", alone.inherited)
+		t.Errorf("inherited %q after all have ended", alone.inherited)
 	}
 	select {
 	case n := <-first.processCounts:
-		t.Errorf("told that %d share after the end", n)
+		t.Errorf("notified that %d processes share after the end", n)
 	default:
 	}
 }
