--- a/internal/gateway/datagram/peers_test.go
+++ b/internal/gateway/datagram/datagram_test.go
@@ -11,13 +11,13 @@
 
 func open(t *testing.T, listen string, peers []string) (*Conn, chan string, chan string) {
 	t.Helper()
-	heard, beside := make(chan string, 100), make(chan string, 100)
-	l, err := Open(listen, "", peers, func(m []byte) { heard <- string(m) }, func(m []byte) { beside <- string(m) })
+	received, forwarded := make(chan string, 100), make(chan string, 100)
+	l, err := Open(listen, "", peers, func(m []byte) { received <- string(m) }, func(m []byte) { forwarded <- string(m) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l, heard, beside
+	t.Cleanup(func() { _ = l.Close() })
+	return l, received, forwarded
 }
 
 func next(t *testing.T, from chan string, want string) {
@@ -32,20 +32,20 @@
 	}
 }
 
-// Datagrams of a peer's are heard, whole ones of at most 256 bytes; a stranger's are not.
-// The other process of the dispatcher is handed what is heard and what is told.
+// Datagrams of a peer are received, of at most 256 bytes; a stranger's are not. The other process of the dispatcher is
+// handed what is received and what is sent.
 func TestDatagramsOfPeersAreReceived(t *testing.T) {
 	free := func() string { // two addresses that know of each other before either is open
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		return c.LocalAddr().String()
 	}
 	a, b := free(), free()
-	one, _, toldBeside := open(t, a, []string{b})
-	_, heard, heardBeside := open(t, b, []string{a})
+	one, _, sentForwarded := open(t, a, []string{b})
+	_, received, receivedForwarded := open(t, b, []string{a})
 	stranger, err := net.Dial("udp4", b)
 	if err != nil {
 		t.Fatal(err)
@@ -56,35 +56,41 @@
 	}
 	one.Broadcast([]byte(strings.Repeat("x", 257)))
 	one.Broadcast([]byte("hello"))
-	next(t, heard, "hello")
-	next(t, heardBeside, "hello")
-	next(t, toldBeside, strings.Repeat("x", 257))
-	next(t, toldBeside, "hello")
+	next(t, received, "hello")
+	next(t, receivedForwarded, "hello")
+	next(t, sentForwarded, strings.Repeat("x", 257))
+	next(t, sentForwarded, "hello")
 }
 
-// The process that takes over listens at the same address, while the one before still does
-// and after it has gone.
+// The process that takes over listens at the same address, while the former one still does and after it has ended.
 func TestBothProcessesOfHotRestartListen(t *testing.T) {
-	before, heard, _ := open(t, "127.0.0.1:0", nil)
+	before, received, _ := open(t, "127.0.0.1:0", nil)
 	_, after, _ := open(t, before.Addr().String(), nil)
 	sender, err := net.Dial("udp4", before.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer sender.Close()
-	sender.Write([]byte("to either"))
+	send(t, sender, "to either")
 	select {
-	case <-heard:
+	case <-received:
 	case <-after:
 	case <-time.After(patience):
-		t.Fatal("neither hears")
+		t.Fatal("neither process receives it")
 	}
-	before.Close()
-	sender.Write([]byte("to the second"))
+	_ = before.Close()
+	send(t, sender, "to the second")
 	next(t, after, "to the second")
 }
 
-// What can't go out waits for nobody.
+func send(t *testing.T, to net.Conn, text string) {
+	t.Helper()
+	if _, err := to.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A message that can't be sent blocks nobody.
 func TestBroadcastNeverBlocks(t *testing.T) {
 	l := &Conn{queue: make(chan []byte, maxQueuedMessages)}
 	for range 10 * maxQueuedMessages {
