--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -63,7 +63,7 @@
 	return record(1, append(b, settings...))
 }
 
-// A started instance gets its cached list, a request, and sends it.
+// An instance that was started gets its cached list and a request, and sends that.
 func TestServesAnInstance(t *testing.T) {
 	list := binary.LittleEndian.AppendUint64(nil, 1)
 	list = append(list, 3, 1, 0, 0, 0)
@@ -81,7 +81,7 @@
 	}
 }
 
-// Bad input stops the adapter with one plain line that names the place.
+// Input that can't be read ends the adapter with one line that names the record.
 func TestBadInputErrorNamesRecord(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"truncated":     batch(record(7, make([]byte, 8)))[:20],
--- a/internal/gateway/simwire/wire_test.go
+++ b/internal/gateway/simwire/simwire_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -19,7 +20,7 @@
 	return b
 }
 
-// frame puts records into a batch with the given clock.
+// frame puts records into a batch at a time in milliseconds.
 func frame(clock float64, records ...[]byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(records)))
 	n := 0
@@ -34,8 +35,8 @@
 	return b
 }
 
-func record(code uint16, body []byte) []byte {
-	b := binary.LittleEndian.AppendUint16(nil, code)
+func record(code EventCode, body []byte) []byte {
+	b := binary.LittleEndian.AppendUint16(nil, uint16(code))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	return append(b, body...)
 }
@@ -45,7 +46,7 @@
 	r := NewReader(bytes.NewReader(in))
 	for {
 		b, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return got, nil
 		}
 		if err != nil {
@@ -73,7 +74,7 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	e := got[1]
-	if got[0].Instance != 3 || e.Code != EventAsk || e.LeftMs != 240 || e.HintMs != 12 || e.Slots != 2 ||
+	if got[0].Instance != 3 || e.Code != EventAsk || e.TimeLeftMs != 240 || e.WorkHintMs != 12 || e.Slots != 2 ||
 		e.Memory != 1.5 || e.Flags != FlagHint {
 		t.Errorf("got %+v", e)
 	}
@@ -90,17 +91,16 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	l := got[0].Entries
-	if len(l) != 2 || l[1].Zone != 1 || l[1].Capacity != 1.5 || l[1].LaunchedMillis != 6100 || got[0].Form != 3 {
+	if len(l) != 2 || l[1].Zone != 1 || l[1].Capacity != 1.5 || l[1].LaunchedMs != 6100 || got[0].ListForm != 3 {
 		t.Errorf("list %+v", got[0])
 	}
 	s := got[1]
-	if s.Worker != l[0].Worker || !s.Ended || s.Latency != 18.5 || len(s.Load) != 4 || s.Load[0] != 3 {
+	if s.Worker != l[0].Worker || !s.Answered || s.LatencyMs != 18.5 || len(s.Load) != 4 || s.Load[0] != 3 {
 		t.Errorf("outcome %+v", s)
 	}
 }
 
-// Unknown event codes are passed over by their length, extra bytes of a known
-// record too.
+// Records of an unknown code are skipped by their length, extra bytes of a known one too.
 func TestUnknownRecordsAreSkipped(t *testing.T) {
 	got, err := events(frame(1, record(999, []byte{1, 2, 3}), record(EventAlarm, append(make([]byte, 8), 7))))
 	if err != nil || len(got) != 2 || got[1].Code != EventAlarm {
@@ -135,7 +135,7 @@
 func TestEncodesReply(t *testing.T) {
 	var r Reply
 	r.Reset()
-	w := Worker(0x0a124a07)<<16 | 11203
+	w := WorkerAddr(0x0a124a07)<<16 | 11203
 	r.For(3)
 	r.SubmitTo(0x2650a5d3a91c4, w, 80)
 	r.NotifyMe(500, 77)
