--- a/internal/gateway/broker/limits.go
+++ b/internal/gateway/broker/limits.go
@@ -36,30 +36,30 @@
 }
 
 // admit lets a request in under its team's contract and the fleet's limits; ok is false where the answer is a rejection.
-func (b *Broker) admit(q *Request) (in *admission, rejection Answer, ok bool) {
-	in = &admission{}
+func (b *Broker) admit(q *Request) (admitted *admission, rejection Answer, ok bool) {
+	admitted = &admission{}
 	if bucket := (*b.contracts.Load())[q.Team]; bucket != nil {
 		if retryAfter, ok := bucket.take(time.Now()); !ok {
 			return nil, Answer{Kind: AnswerRejected, RetryAfter: retryAfter, OverBudget: true}, false
 		}
-		in.bucket = bucket
+		admitted.bucket = bucket
 	}
 	if b.limits.limiter == nil {
-		return in, Answer{}, true
+		return admitted, Answer{}, true
 	}
 	if b.Tracing() {
-		in.at = time.Now()
+		admitted.at = time.Now()
 	}
 	ticket, exceeded, retryAfter := b.limits.limiter.Admit(b.limits.now(), limitScope(q), q.Slots)
 	if exceeded != "" {
 		if b.Tracing() {
 			b.Tracef("over limit=%s wait=%v", exceeded, retryAfter)
 		}
-		in.releaseContract()
+		admitted.releaseContract()
 		return nil, Answer{Kind: AnswerRejected, RetryAfter: retryAfter, OverBudget: true}, false
 	}
-	in.ticket = &ticket
-	return in, Answer{}, true
+	admitted.ticket = &ticket
+	return admitted, Answer{}, true
 }
 
 // limitScope says which of the fleet's limits a request counts under.
@@ -72,19 +72,19 @@
 }
 
 // release gives back what the request was let in under.
-func (in *admission) release(limiter *quota.Limiter) {
-	if in.ticket != nil {
-		if in.retryTaken {
-			limiter.ReturnRetry(in.ticket)
+func (a *admission) release(limiter *quota.Limiter) {
+	if a.ticket != nil {
+		if a.retryTaken {
+			limiter.ReturnRetry(a.ticket)
 		}
-		limiter.Done(in.ticket, in.workerTime)
+		limiter.Done(a.ticket, a.workerTime)
 	}
-	in.releaseContract()
+	a.releaseContract()
 }
 
-func (in *admission) releaseContract() {
-	if in.bucket != nil {
-		in.bucket.release()
+func (a *admission) releaseContract() {
+	if a.bucket != nil {
+		a.bucket.release()
 	}
 }
 
--- a/internal/gateway/broker/session.go
+++ b/internal/gateway/broker/session.go
@@ -42,7 +42,7 @@
 	id        dispatch.RequestID
 	settings  *dispatch.Settings
 	class     *dispatch.Class
-	in        *admission
+	admission *admission
 	waiting   *atomic.Int64 // the count of those of its kind that have no attempt outstanding
 	attempts  int           // begun
 	mayRun    bool          // an attempt may have run
@@ -64,15 +64,15 @@
 	if q.Class < 0 || q.Class >= len(q.Settings.Classes) {
 		return Answer{Kind: AnswerFailed}
 	}
-	in, rejection, ok := b.admit(&q)
+	admitted, rejection, ok := b.admit(&q)
 	if !ok {
 		return rejection
 	}
-	defer in.release(b.limits.limiter)
-	s := b.startSession(q, in)
+	defer admitted.release(b.limits.limiter)
+	s := b.startSession(q, admitted)
 	defer s.end()
 	if b.Tracing() {
-		b.Tracef("arrive %d class=%d left=%.3f retry=%t policy=%d at=%d in=%d", s.id, q.Class, time.Until(q.Deadline).Seconds(), q.ClientRetry, q.PolicyVersion, max(q.AdmittedAt.UnixNano(), 0), max(in.at.UnixNano(), 0))
+		b.Tracef("arrive %d class=%d left=%.3f retry=%t policy=%d at=%d in=%d", s.id, q.Class, time.Until(q.Deadline).Seconds(), q.ClientRetry, q.PolicyVersion, max(q.AdmittedAt.UnixNano(), 0), max(admitted.at.UnixNano(), 0))
 	}
 	ctx, stop := b.withDeadline(ctx, q.Deadline)
 	defer stop()
@@ -97,8 +97,8 @@
 }
 
 // startSession makes a session and hands its request to the module.
-func (b *Broker) startSession(q Request, in *admission) *session {
-	s := &session{b: b, id: dispatch.RequestID(b.lastID.Add(1)), settings: q.Settings, class: &q.Settings.Classes[q.Class], in: in,
+func (b *Broker) startSession(q Request, admitted *admission) *session {
+	s := &session{b: b, id: dispatch.RequestID(b.lastID.Add(1)), settings: q.Settings, class: &q.Settings.Classes[q.Class], admission: admitted,
 		waiting: &b.counts.waitingRequests, decisions: make(chan decision, 2)}
 	if q.EarlierWorker != nil {
 		s.firstRun = time.Now().Add(-q.EarlierRunAge)
@@ -185,7 +185,7 @@
 func (s *session) attempt(ctx context.Context, d decision, do AttemptFunc) (*Attempt, Outcome) {
 	b := s.b
 	a, w, incarnation := s.newAttempt(d.worker)
-	s.in.retryTaken = false
+	s.admission.retryTaken = false
 	if b.Tracing() {
 		b.Tracef("send %d n=%d to=%s", s.id, a.Number, a.Worker)
 	}
@@ -235,7 +235,7 @@
 	}
 	s.b.endAttempt(w)
 	if o.MayHaveRun() {
-		s.in.workerTime += time.Since(began)
+		s.admission.workerTime += time.Since(began)
 	}
 	return o
 }
@@ -281,8 +281,8 @@
 	}
 	gone, finalAttempt := clientGone(ctx), false
 	if limits := &s.b.limits; limits.limiter != nil && !gone && o.Code != NotSent {
-		s.in.retryTaken = limits.limiter.TakeRetry(limits.now(), s.in.ticket)
-		finalAttempt = !s.in.retryTaken
+		s.admission.retryTaken = limits.limiter.TakeRetry(limits.now(), s.admission.ticket)
+		finalAttempt = !s.admission.retryTaken
 	}
 	s.report(a, o, gone, finalAttempt)
 	return Answer{Kind: AnswerClientGone}, gone
@@ -333,7 +333,7 @@
 	if s.cancel == nil || s.outstanding != attempt {
 		return
 	}
-	if limits := &s.b.limits; limits.limiter != nil && !limits.limiter.CanRetry(limits.now(), s.in.ticket) {
+	if limits := &s.b.limits; limits.limiter != nil && !limits.limiter.CanRetry(limits.now(), s.admission.ticket) {
 		return
 	}
 	s.cancel()
--- a/internal/gateway/httpfront/watch.go
+++ b/internal/gateway/httpfront/watch.go
@@ -47,7 +47,7 @@
 	nextCall        time.Time     // the earliest time of the next call
 	continues       bool          // the next call continues a watch
 	failures        int           // calls in a row that failed
-	hurriedRetries  int           // of them, those after which the next call was made by the time its update was due
+	deadlineRetries int           // of them, those after which the next call was made by the time its update was due
 	timeouts        int           // calls in a row that timed out
 	strain          int           // by how much the list service is spared, after calls that failed
 	lastWait        time.Duration // that the last call named
@@ -164,7 +164,7 @@
 	if len(update.Instances) == 0 {
 		t.watch.strain = max(t.watch.strain-1, 0) // a wait that ended without a change: the list service keeps up
 	}
-	t.watch.failures, t.watch.hurriedRetries, t.watch.timeouts = 0, 0, 0
+	t.watch.failures, t.watch.deadlineRetries, t.watch.timeouts = 0, 0, 0
 	t.updateLatest(*update, form == dispatch.ListFull)
 	t.deliver(form, workersFrom(update.Instances))
 	t.applied.origin, t.applied.updatedAt, t.watch.continues = originDiscovery, time.Now(), true
@@ -234,15 +234,15 @@
 	t.deliver(dispatch.ListFailed, nil)
 	left := t.timeToDeadline()
 	_, failedOnly := t.awaitsUpdate()
-	if left > 0 && (failedOnly || left > t.watch.lastFailureTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.watch.hurriedRetries+1) {
-		t.watch.hurriedRetries++
-		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.watch.hurriedRetries, left, max(t.watch.lastFailureTime, defaultFailureTime), t.draw())
+	if left > 0 && (failedOnly || left > t.watch.lastFailureTime) && backoff.RetriesWithinDeadline(t.dispatchers(), t.watch.deadlineRetries+1) {
+		t.watch.deadlineRetries++
+		return false, backoff.BeforeRetryWithin(t.dispatchers(), t.watch.deadlineRetries, left, max(t.watch.lastFailureTime, defaultFailureTime), t.draw())
 	}
-	if t.watch.failures > t.watch.hurriedRetries+1 {
+	if t.watch.failures > t.watch.deadlineRetries+1 {
 		t.assumeOutage()
 	}
 	// This pause runs beside the module's own, which ends when it wants an update again.
-	return true, backoff.BeforeRetry(t.dispatchers(), max(t.watch.failures-t.watch.hurriedRetries, 1), t.draw())
+	return true, backoff.BeforeRetry(t.dispatchers(), max(t.watch.failures-t.watch.deadlineRetries, 1), t.draw())
 }
 
 // callTimeouts returns the wait that the next call names, and how long the call is given in all.
