--- a/cmd/yardflow/signals_test.go
+++ b/cmd/yardflow/signals_test.go
@@ -29,9 +29,9 @@
 	os.Exit(m.Run())
 }
 
-// program starts the program as a process of its own, with one worker that discovery tells of. It
+// startProgram starts the program as a process of its own, with one worker in discovery's list. It
 // gives the process and its standard error.
-func program(t *testing.T, worker string) (*exec.Cmd, *bufio.Scanner) {
+func startProgram(t *testing.T, worker string) (*exec.Cmd, *bufio.Scanner) {
 	list := listservice.Start()
 	t.Cleanup(list.Close)
 	list.Set(listservice.Entry{ID: "s-1", Addr: worker, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
@@ -61,23 +61,31 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it fails where the process has ended
 	return cmd, bufio.NewScanner(stderr)
 }
 
-// ended waits for the process's end, and fails where it exits in error or not at all.
-func ended(t *testing.T, cmd *exec.Cmd) {
+// send sends the process a signal.
+func send(t *testing.T, cmd *exec.Cmd, signal os.Signal) {
+	t.Helper()
+	if err := cmd.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// wantExitInOrder waits for the process's end, and fails where it exits in error or not at all.
+func wantExitInOrder(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
-	inOrder(t, done)
+	wantStopInOrder(t, done)
 }
 
 // A second and a third SIGTERM, and a SIGHUP between them, change nothing about a stop: what was
 // taken is answered.
 func TestASecondSIGTERMCutsNothingShort(t *testing.T) {
 	worker := script.NewWorker(t)
-	cmd, log := program(t, worker.Addr)
+	cmd, log := startProgram(t, worker.Addr)
 	line := func(part string) string {
 		for log.Scan() {
 			if strings.Contains(log.Text(), part) {
@@ -97,12 +105,12 @@
 	request := strings.Replace(fmt.Sprintf(job, "r1"), "X-Timeout: 5\n", "X-Timeout: 5\nContent-Length: 1\n", 1)
 	c.Send(strings.ReplaceAll(request, "\n", "\r\n"))
 	call := worker.Next()
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	line("stopping")
-	cmd.Process.Signal(syscall.SIGTERM)
-	cmd.Process.Signal(syscall.SIGHUP)
+	send(t, cmd, syscall.SIGTERM)
+	send(t, cmd, syscall.SIGHUP)
 	line("reload")
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	call.Done("ok")
 	if status, body := c.Answer(); status != 200 || body != "ok" {
 		t.Errorf("status %d, body %q", status, body)
@@ -110,16 +118,16 @@
 	c.Close()
 	for log.Scan() {
 	}
-	ended(t, cmd)
+	wantExitInOrder(t, cmd)
 }
 
 // SIGTERM in the moment in which the program begins to serve ends it in order.
 func TestSIGTERMAtTheStartEndsInOrder(t *testing.T) {
-	cmd, log := program(t, script.NewWorker(t).Addr)
+	cmd, log := startProgram(t, script.NewWorker(t).Addr)
 	for log.Scan() && !strings.Contains(log.Text(), "serves on") {
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	send(t, cmd, syscall.SIGTERM)
 	for log.Scan() {
 	}
-	ended(t, cmd)
+	wantExitInOrder(t, cmd)
 }
