--- a/lab/prove-verdicts/main.go
+++ b/lab/prove-verdicts/main.go
@@ -33,8 +33,8 @@
 	t.End()
 }
 
-func base(dispatchers, workers int, rate float64) harness.Jury {
-	return harness.Jury{Dispatchers: dispatchers, Workers: workers, Zones: min(3, max(dispatchers/2, 1)), Rate: rate, Errors: 0.01, Verdicts: true, Length: 50 * time.Second, Every: time.Second}
+func base(dispatchers, workers int, rate float64) harness.OutlierSimulation {
+	return harness.OutlierSimulation{Dispatchers: dispatchers, Workers: workers, Zones: min(3, max(dispatchers/2, 1)), Rate: rate, Errors: 0.01, EjectByFleet: true, Length: 50 * time.Second, ReportInterval: time.Second}
 }
 
 func lost(t *prove.Table, dispatchers, workers int, rate float64) {
@@ -48,14 +48,14 @@
 		wg.Go(func() {
 			j := base(dispatchers, workers, rate)
 			j.Seed = *seed*100 + i
-			j.Bad = func(at time.Duration, _, w int) bool { return w == 0 && at >= 8*time.Second && at < 28*time.Second }
+			j.Unhealthy = func(at time.Duration, _, w int) bool { return w == 0 && at >= 8*time.Second && at < 28*time.Second }
 			a := j.Run()
-			j.Verdicts = false
+			j.EjectByFleet = false
 			b := j.Run()
 			mu.Lock()
 			defer mu.Unlock()
-			with, without, sentences, wrong = with+a.Lost, without+b.Lost, sentences+a.Sentences, wrong+a.False
-			know, all, back, bytes = max(know, a.Know95), max(all, a.KnowAll), max(back, a.Back), max(bytes, a.Bytes)
+			with, without, sentences, wrong = with+a.LostJobs, without+b.LostJobs, sentences+a.Ejections, wrong+a.WrongEjections
+			know, all, back, bytes = max(know, a.Avoided95), max(all, a.AvoidedByAll), max(back, a.ReinstatedAfter), max(bytes, a.ReportBytes)
 		})
 	}
 	wg.Wait()
@@ -85,9 +85,9 @@
 					j.Seed, j.Length = 10000+uint64(i), 20*time.Second
 					got := j.Run()
 					mu.Lock()
-					passed += got.Sentences
+					passed += got.Ejections
 					seconds += j.Length.Seconds()
-					oldest = max(oldest, got.Oldest)
+					oldest = max(oldest, got.OldestNotice)
 					mu.Unlock()
 				}
 			})
--- a/lab/rig/harness/startsim_test.go
+++ b/lab/rig/harness/coldstart_simulation_test.go
@@ -13,12 +13,12 @@
 func TestColdStarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
-		c := ColdStart{Seed: seed, Dispatchers: 300, Zones: 6, Workers: 200, Calls: 5, Keepers: true, Relay: true, Late: time.Duration(seed%4) * time.Second}
+		c := ColdStart{Seed: seed, Dispatchers: 300, Zones: 6, Workers: 200, CallsPerSecond: 5, Coordinators: true, RelayList: true, CoordinatorDelay: time.Duration(seed%4) * time.Second}
 		if seed%2 == 1 {
 			c.Killed = 0.3
 		}
 		got := c.Run()
-		if got.Never > 0 || got.Peak > c.Calls || got.Failed > 0 || c.Killed == 0 && got.Calls > 2*c.Zones {
+		if got.WithoutList > 0 || got.PeakCalls > c.CallsPerSecond || got.FailedCalls > 0 || c.Killed == 0 && got.ListCalls > 2*c.Zones {
 			t.Errorf("seed %d: %+v", seed, got)
 		}
 		if again := c.Run(); again != got {
@@ -26,8 +26,8 @@
 		}
 	}
 	// A service that takes a tenth of what drawn pauses ask of it: it comes out of that by itself.
-	alone := ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, Calls: 5, Horizon: 10 * time.Minute}
-	if got := alone.Run(); got.Never > 0 {
+	alone := ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, CallsPerSecond: 5, Horizon: 10 * time.Minute}
+	if got := alone.Run(); got.WithoutList > 0 {
 		t.Errorf("without keepers: %+v", got)
 	}
 }
