--- a/internal/fleet/transport/session.go
+++ b/internal/fleet/transport/session.go
@@ -294,7 +294,7 @@
 	return actions, void
 }
 
-// carryOut does what the holder leaves to its caller: it votes on a proposed policy, then applies the one in force. It
+// handleCommand does what the holder leaves to its caller: it votes on a proposed policy, then applies the one in force. It
 // reports whether to request a lease at once.
 func (s *LeaseSession) carryOut(ctx context.Context, actions policylease.Actions) (again bool, err error) {
 	again = actions.RequestAgain
--- a/internal/testing/emulator/addresses_test.go
+++ b/internal/testing/emulator/addresses_test.go
@@ -9,7 +9,7 @@
 )
 
 // reuseAddresses crashes workers, in pairs of two racks, whose addresses are used again while they are listed.
-func reuseAddresses(y *Yard, _ *rand.Rand, end time.Time) {
+func reuseAddresses(y *Cluster, _ *rand.Rand, end time.Time) {
 	for place := 0; time.Now().Before(end); place += 2 {
 		for _, crashed := range []int{place, place + 1} {
 			y.list.Reuse(crashed % y.Shape.Workers)
--- a/internal/testing/emulator/judge.go
+++ b/internal/testing/emulator/checker.go
@@ -9,8 +9,8 @@
 	"yardflow/scheduling/job"
 )
 
-// Judge sees what workers, clients and operators see, and notes each broken rule.
-type Judge struct {
+// Checker sees what workers, clients and operators see, and notes each broken rule.
+type Checker struct {
 	mu      sync.Mutex
 	broken  []string
 	began   time.Time
@@ -46,13 +46,13 @@
 	done      map[job.StepKey]int
 }
 
-// NewJudge returns a judge who has seen nothing.
-func NewJudge() *Judge {
-	return &Judge{began: time.Now(), tasks: map[string]*taskSeen{}, jobs: map[string]*jobSeen{}, used: map[*Worker]job.Resources{},
+// NewChecker returns a judge who has seen nothing.
+func NewChecker() *Checker {
+	return &Checker{began: time.Now(), tasks: map[string]*taskSeen{}, jobs: map[string]*jobSeen{}, used: map[*Worker]job.Resources{},
 		bodies: map[int64]string{}}
 }
 
-func (j *Judge) breaks(rule, format string, args ...any) {
+func (j *Checker) violated(rule, format string, args ...any) {
 	if j.stopped {
 		return
 	}
@@ -60,70 +60,70 @@
 	j.broken = append(j.broken, fmt.Sprintf("%s at %.3f s: %s", rule, at, fmt.Sprintf(format, args...)))
 }
 
-// Note is breaks for those who do not hold the lock.
-func (j *Judge) Note(rule, format string, args ...any) {
+// AddViolation is breaks for those who do not hold the lock.
+func (j *Checker) AddViolation(rule, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.breaks(rule, format, args...)
+	j.violated(rule, format, args...)
 }
 
-// Broken returns all broken rules so far.
-func (j *Judge) Broken() []string {
+// Violations returns all broken rules so far.
+func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.broken...)
 }
 
 // Submitted takes in that a client is about to hand a job in.
-func (j *Judge) Submitted(id string, request job.Request) {
+func (j *Checker) Submitted(id string, request job.Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id] = &jobSeen{request: request, done: map[job.StepKey]int{}}
 }
 
 // Accepted takes in that a job was answered with success.
-func (j *Judge) Accepted(id string) {
+func (j *Checker) Accepted(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].accepted = true
 }
 
-// Shown takes in a state that a client was told.
-func (j *Judge) Shown(id, state string) {
+// StateShown takes in a state that a client was told.
+func (j *Checker) StateShown(id, state string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	seen := j.jobs[id]
 	seen.state = state
 	if state == "failed" && !j.hasFailed(id, &seen.request) {
-		j.breaks("LOST", "%s is shown as failed, and no task of it has failed %d times", id, attempts)
+		j.violated("LOST", "%s is shown as failed, and no task of it has failed %d times", id, attempts)
 	}
 	if state != "completed" {
 		return
 	}
 	for step := range seen.request.Steps {
 		if seen.done[job.StepKey{Step: step}] < seen.request.Steps[step].Count {
-			j.breaks("MIXED", "%s is shown as completed", id)
+			j.violated("MIXED", "%s is shown as completed", id)
 		}
 	}
 }
 
 // Gone takes in that a client was told that there is no such job.
-func (j *Judge) Gone(id string) {
+func (j *Checker) Gone(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if seen := j.jobs[id]; seen.accepted && !seen.cancelled {
-		j.breaks("LOST", "%s was accepted and is not known", id)
+		j.violated("LOST", "%s was accepted and is not known", id)
 	}
 }
 
 // started judges a start, and says how long the run takes and whether it fails.
-func (j *Judge) started(w *Worker, o *order) (takes time.Duration, fails bool) {
+func (j *Checker) started(w *Worker, o *workerCommand) (takes time.Duration, fails bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	id, key, ok := job.ParseTaskName(o.Task)
 	seen := j.jobs[id]
 	if !ok || seen == nil || key.Step >= len(seen.request.Steps) || o.Spec != seen.request.Spec {
-		j.breaks("UNASKED", "%s on %s", o.Task, w)
+		j.violated("UNASKED", "%s on %s", o.Task, w)
 		return time.Second, false
 	}
 	task := j.tasks[o.Task]
@@ -132,22 +132,22 @@
 		j.tasks[o.Task] = task
 	}
 	if len(task.runs) > 0 {
-		j.breaks("TWICE", "%s run %d on %s runs elsewhere", o.Task, o.Command, w)
+		j.violated("TWICE", "%s run %d on %s runs elsewhere", o.Task, o.Command, w)
 	}
 	if task.doneSeen {
-		j.breaks("TWICE", "%s run %d on %s was done", o.Task, o.Command, w)
+		j.violated("TWICE", "%s run %d on %s was done", o.Task, o.Command, w)
 	}
 	task.starts = append(task.starts, len(task.failures))
 	j.checkAttempts(o.Task, task)
 	step := &seen.request.Steps[key.Step]
 	for _, earlier := range step.DependsOn {
 		if seen.done[job.StepKey{Step: earlier}] < seen.request.Steps[earlier].Count {
-			j.breaks("ORDER", "%s before step %d is done", o.Task, earlier)
+			j.violated("ORDER", "%s before step %d is done", o.Task, earlier)
 		}
 	}
 	j.used[w] = j.used[w].Plus(step.Demand())
 	if !w.Capacity.Covers(j.used[w]) {
-		j.breaks("LIMIT", "%s brings %s to %v", o.Task, w, j.used[w])
+		j.violated("LIMIT", "%s brings %s to %v", o.Task, w, j.used[w])
 	}
 	task.runs[w] = true
 	takes = time.Duration(step.EstimateMs) * time.Millisecond
@@ -159,7 +159,7 @@
 
 // checkAttempts notes a start that came after as many failed runs as a task may have, if these ends were taken
 // note of, then or later.
-func (j *Judge) checkAttempts(name string, task *taskSeen) {
+func (j *Checker) checkAttempts(name string, task *taskSeen) {
 	for _, before := range task.starts {
 		noted := 0
 		for _, failed := range task.failures[:before] {
@@ -169,13 +169,13 @@
 		}
 		if noted >= attempts && !task.overrun {
 			task.overrun = true
-			j.breaks("BUDGET", "%s was started again after %d failed runs", name, noted)
+			j.violated("BUDGET", "%s was started again after %d failed runs", name, noted)
 		}
 	}
 }
 
 // ended takes in the end of a run; number is that of the worker's end, 0 where it has none.
-func (j *Judge) ended(w *Worker, name, how string, number uint64) {
+func (j *Checker) ended(w *Worker, name, how string, number uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	id, key, _ := job.ParseTaskName(name)
@@ -198,8 +198,8 @@
 	}
 }
 
-// noted takes in that the owner has noted an end. It does not count if the hold has lapsed since.
-func (j *Judge) noted(w *Worker, end workerEnd) {
+// endAcknowledged takes in that the owner has noted an end. It does not count if the hold has lapsed since.
+func (j *Checker) endAcknowledged(w *Worker, end workerEnd) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	task := j.tasks[end.task]
@@ -216,7 +216,7 @@
 }
 
 // hasFailed reports whether a task of the job has failed as often as it may.
-func (j *Judge) hasFailed(id string, request *job.Request) bool {
+func (j *Checker) hasFailed(id string, request *job.Request) bool {
 	for name, task := range j.tasks {
 		if of, _, _ := job.ParseTaskName(name); of == id && len(task.failures) >= attempts {
 			return true
@@ -225,42 +225,42 @@
 	return false
 }
 
-func (j *Judge) configured(version, base int64, body string) {
+func (j *Checker) configured(version, base int64, body string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if known, taken := j.bodies[version]; taken && known != body {
-		j.breaks("CONFIG", "two bodies are acknowledged under version %d", version)
+		j.violated("CONFIG", "two bodies are acknowledged under version %d", version)
 	}
 	if version <= j.latest {
 		return // acknowledged again
 	}
 	if base != j.latest {
-		j.breaks("CONFIG", "version %d on top of %d is acknowledged, %d was current", version, base, j.latest)
+		j.violated("CONFIG", "version %d on top of %d is acknowledged, %d was current", version, base, j.latest)
 	}
 	j.latest, j.bodies[version] = version, body
 }
 
 // newestVersion returns the newest version acknowledged so far.
-func (j *Judge) newestVersion() int64 {
+func (j *Checker) newestVersion() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.latest
 }
 
 // readBack judges what a read was answered that was sent when a version had been acknowledged.
-func (j *Judge) readBack(acknowledged, version int64, body string) {
+func (j *Checker) readBack(acknowledged, version int64, body string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if version < acknowledged {
-		j.breaks("CONFIG", "version %d is read back, %d was acknowledged", version, acknowledged)
+		j.violated("CONFIG", "version %d is read back, %d was acknowledged", version, acknowledged)
 	}
 	if want, known := j.bodies[version]; known && want != body {
-		j.breaks("CONFIG", "version %d reads back differently", version)
+		j.violated("CONFIG", "version %d reads back differently", version)
 	}
 }
 
 // Finish judges what must hold at the end.
-func (j *Judge) Finish() (accepted, completed int) {
+func (j *Checker) Finish() (accepted, completed int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for id, seen := range j.jobs {
@@ -272,7 +272,7 @@
 		case seen.state == "completed" || seen.state == "failed" && isPoison(&seen.request):
 			completed++
 		case !seen.cancelled:
-			j.breaks("LOST", "%s was accepted and is %q at the end", id, seen.state)
+			j.violated("LOST", "%s was accepted and is %q at the end", id, seen.state)
 		}
 	}
 	j.stopped = true
@@ -280,7 +280,7 @@
 }
 
 // summary says of each job what became of it, in the order of their names.
-func (j *Judge) summary() []string {
+func (j *Checker) summary() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	lines := []string{}
--- a/internal/testing/emulator/clients.go
+++ b/internal/testing/emulator/clients.go
@@ -12,7 +12,7 @@
 	"yardflow/scheduling/job"
 )
 
-func (y *Yard) call(method, url, body string, within time.Duration, match string) (int, string) {
+func (y *Cluster) call(method, url, body string, within time.Duration, match string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -38,10 +38,10 @@
 }
 
 // Client hands in one job and follows it to its end, at any dispatcher.
-func (y *Yard) Client(random *rand.Rand, until time.Time) {
+func (y *Cluster) Client(random *rand.Rand, until time.Time) {
 	id := fmt.Sprintf("%016x", random.Uint64())
 	request := y.randomJob(random)
-	y.Judge.Submitted(id, request)
+	y.Checker.Submitted(id, request)
 	body := encodeJob(request)
 	anywhere := func() string {
 		return "http://" + y.Address(fmt.Sprint("front-", 1+random.IntN(y.Shape.Dispatchers))) + route + id
@@ -50,7 +50,7 @@
 	for range 5 {
 		status, _ := y.call(http.MethodPost, anywhere(), body, 3*time.Second, "")
 		if accepted = status == http.StatusOK; accepted {
-			y.Judge.Accepted(id)
+			y.Checker.Accepted(id)
 			break
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -60,12 +60,12 @@
 		switch status {
 		case http.StatusOK:
 			state := strings.TrimSuffix(strings.TrimPrefix(text, `{"State":"`), `"}`)
-			y.Judge.Shown(id, state)
+			y.Checker.StateShown(id, state)
 			if state != "queued" && state != "running" {
 				return
 			}
 		case http.StatusGone:
-			y.Judge.Gone(id)
+			y.Checker.Gone(id)
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
@@ -80,18 +80,18 @@
 func isPoison(request *job.Request) bool { return request.Spec == poisonSpec }
 
 // RandomJob returns a job to hand in, and the body of the call that does so.
-func (y *Yard) RandomJob(random *rand.Rand) (job.Request, string) {
+func (y *Cluster) RandomJob(random *rand.Rand) (job.Request, string) {
 	request := y.randomJob(random)
 	return request, encodeJob(request)
 }
 
-// RouteHost and RoutePrefix name the yard's only queue.
+// RouteHost and RoutePrefix name the cluster's only queue.
 const (
 	RouteHost   = routeHost
 	RoutePrefix = route
 )
 
-func (y *Yard) randomJob(random *rand.Rand) job.Request {
+func (y *Cluster) randomJob(random *rand.Rand) job.Request {
 	request := job.Request{Spec: fmt.Sprint("spec ", random.IntN(1000))}
 	if random.IntN(poisonOneIn) == 0 {
 		request.Spec = poisonSpec
--- a/internal/testing/emulator/yard.go
+++ b/internal/testing/emulator/cluster.go
@@ -17,7 +17,7 @@
 	"yardflow/internal/platform/settings"
 )
 
-// Shape says how large a yard is.
+// Shape says how large a cluster is.
 type Shape struct {
 	Cores       int
 	Tolerate    int
@@ -38,11 +38,11 @@
 	HoldsOutlast       // workers let tasks run on beyond their hold
 )
 
-// Yard is a whole emulated deployment.
-type Yard struct {
+// Cluster is a whole emulated deployment.
+type Cluster struct {
 	Shape   Shape
-	Network Links
-	Judge   *Judge
+	Network Transport
+	Checker *Checker
 	// Address returns where a machine serves. It may be set before the start.
 	Address     func(machine string) string
 	seed        uint64
@@ -71,8 +71,8 @@
 	clientName = "client"
 )
 
-// Links is what connects the machines.
-type Links interface {
+// Transport is what connects the machines.
+type Transport interface {
 	// Machine returns the network as the named machine sees it.
 	Machine(name string) frame.Network
 	// Kill ends all that a machine's process has open; others see resets.
@@ -86,9 +86,9 @@
 	Cut(from, to string, cut bool)
 }
 
-// NewYard returns a yard whose machines are not started.
-func NewYard(shape Shape, network Links, seed uint64, logs io.Writer) *Yard {
-	y := &Yard{seed: seed, Shape: shape, Network: network, Judge: NewJudge(), Address: emulatedAddress, random: rand.New(rand.NewPCG(seed, 1)),
+// NewCluster returns a cluster whose machines are not started.
+func NewCluster(shape Shape, network Transport, seed uint64, logs io.Writer) *Cluster {
+	y := &Cluster{seed: seed, Shape: shape, Network: network, Checker: NewChecker(), Address: emulatedAddress, random: rand.New(rand.NewPCG(seed, 1)),
 		lateRandom: rand.New(rand.NewPCG(seed, 2)), logger: zerolog.New(logs).With().Logger()}
 	y.client = &http.Client{Transport: &http.Transport{DisableCompression: true,
 		DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
@@ -97,17 +97,17 @@
 	y.list = newInstanceList(y)
 	y.Operator = newOperator(y, seed)
 	for i := range shape.Cores {
-		y.cores = append(y.cores, &core{yard: y, name: fmt.Sprint("core-", i+1), zone: fmt.Sprint("z", i%3),
+		y.cores = append(y.cores, &core{cluster: y, name: fmt.Sprint("core-", i+1), zone: fmt.Sprint("z", i%3),
 			disk: NewDisk(syncTime, rand.New(rand.NewPCG(seed, uint64(i+10))))})
 		y.cores[i].disk.lies = shape.Planted == SyncsLie
 	}
 	for i := range shape.Dispatchers {
-		y.dispatchers = append(y.dispatchers, &dispatcherProcess{yard: y, name: fmt.Sprint("front-", i+1), zone: fmt.Sprint("z", i%3)})
+		y.dispatchers = append(y.dispatchers, &dispatcherProcess{cluster: y, name: fmt.Sprint("front-", i+1), zone: fmt.Sprint("z", i%3)})
 	}
 	return y
 }
 
-func (y *Yard) settings(name, zone string) *settings.Settings {
+func (y *Cluster) settings(name, zone string) *settings.Settings {
 	s := &settings.Settings{Node: name, Zone: zone, Cloud: settings.Cloud{Address: y.Address(cloudName)}}
 	cores := y.Cores()
 	for i := range min(3, len(cores)) {
@@ -121,34 +121,34 @@
 
 func emulatedAddress(machine string) string { return machine + ":1" }
 
-// Settings returns what a machine's process is told of the yard; the addresses at which it serves are not set.
-func (y *Yard) Settings(machine, zone string) *settings.Settings { return y.settings(machine, zone) }
+// Settings returns what a machine's process is told of the cluster; the addresses at which it serves are not set.
+func (y *Cluster) Settings(machine, zone string) *settings.Settings { return y.settings(machine, zone) }
 
 // StartStandIns starts what processes that run elsewhere need: the platform's list and the workers.
-func (y *Yard) StartStandIns() { y.list.start() }
+func (y *Cluster) StartStandIns() { y.list.start() }
 
 // StopStandIns ends them, and the clients' connections.
-func (y *Yard) StopStandIns() {
+func (y *Cluster) StopStandIns() {
 	y.list.stop()
 	y.client.CloseIdleConnections()
 	y.Network.Kill(clientName)
 }
 
 // RestartWorker crashes the worker in the place; its next incarnation begins after a while.
-func (y *Yard) RestartWorker(place int, after time.Duration) { y.list.Restart(place, after) }
+func (y *Cluster) RestartWorker(place int, after time.Duration) { y.list.Restart(place, after) }
 
 // ReuseAddress crashes the worker in the place; another one begins at its address while it is still listed.
-func (y *Yard) ReuseAddress(place int) { y.list.Reuse(place) }
+func (y *Cluster) ReuseAddress(place int) { y.list.Reuse(place) }
 
 // Cores returns the present control machines.
-func (y *Yard) Cores() []*core {
+func (y *Cluster) Cores() []*core {
 	y.coresMu.Lock()
 	defer y.coresMu.Unlock()
 	return append([]*core(nil), y.cores...)
 }
 
 // Start starts every machine for the first time.
-func (y *Yard) Start() {
+func (y *Cluster) Start() {
 	y.list.start()
 	for _, c := range y.Cores() {
 		c.start(true)
@@ -159,7 +159,7 @@
 }
 
 // Stop ends every process.
-func (y *Yard) Stop() {
+func (y *Cluster) Stop() {
 	for _, d := range y.dispatchers {
 		d.Kill()
 	}
@@ -169,14 +169,14 @@
 	y.StopStandIns()
 }
 
-// LateOrders lets a share of the orders to workers go without an answer, and be carried out 2 to 12 s later.
-func (y *Yard) LateOrders(span time.Duration) {
+// DelayCommands lets a share of the orders to workers go without an answer, and be carried out 2 to 12 s later.
+func (y *Cluster) DelayCommands(span time.Duration) {
 	y.lateMu.Lock()
 	y.lateUntil = time.Now().Add(span)
 	y.lateMu.Unlock()
 }
 
-func (y *Yard) late() time.Duration {
+func (y *Cluster) late() time.Duration {
 	y.lateMu.Lock()
 	defer y.lateMu.Unlock()
 	if time.Now().After(y.lateUntil) || y.lateRandom.IntN(12) > 0 {
--- a/internal/testing/emulator/demo.go
+++ b/internal/testing/emulator/demo.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Demo runs a small yard on loopback for some seconds: jobs, a killed control machine, a changed
+// Demo runs a small cluster on loopback for some seconds: jobs, a killed control machine, a changed
 // configuration, a crashed worker, and what became of each job. It reports whether every rule held.
 func Demo(out io.Writer, logs io.Writer) bool {
 	const jobs = 40
-	y := NewYard(Shape{Cores: 3, Tolerate: 1, Dispatchers: 3, Workers: 6, Guards: true}, NewLoopback(), 7, logs)
+	y := NewCluster(Shape{Cores: 3, Tolerate: 1, Dispatchers: 3, Workers: 6, Guards: true}, NewLoopback(), 7, logs)
 	began := time.Now()
 	say := func(format string, args ...any) {
 		fmt.Fprintf(out, "%6.2f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
@@ -50,12 +50,12 @@
 		<-ended
 	}
 	y.Operator.ReadBack()
-	accepted, completed := y.Judge.Finish()
-	for _, line := range y.Judge.summary() {
+	accepted, completed := y.Checker.Finish()
+	for _, line := range y.Checker.summary() {
 		fmt.Fprintln(out, "          "+line)
 	}
 	say("%d jobs accepted, %d completed", accepted, completed)
-	broken := y.Judge.Broken()
+	broken := y.Checker.Violations()
 	for _, rule := range broken {
 		say("broken rule: %s", rule)
 	}
--- a/internal/testing/emulator/disruptions_test.go
+++ b/internal/testing/emulator/disruptions_test.go
@@ -15,47 +15,47 @@
 	changing = 12 * time.Second // changes come in quick succession for so long
 )
 
-// disruption is one kind of what befalls a yard. Play returns once it is over, but for the time that machines
+// disruption is one kind of what befalls a cluster. Play returns once it is over, but for the time that machines
 // count as lost afterwards.
 type disruption struct {
 	name string
-	play func(y *Yard, random *rand.Rand, span time.Duration)
+	play func(y *Cluster, random *rand.Rand, span time.Duration)
 }
 
 func anyOf[T any](random *rand.Rand, list []T) T { return list[random.IntN(len(list))] }
 
-func anyWorker(y *Yard, random *rand.Rand) string {
+func anyWorker(y *Cluster, random *rand.Rand) string {
 	return fmt.Sprint("worker-", random.IntN(y.Shape.Workers)+1)
 }
 
 // disruptions are all kinds. None takes more disks at once than the shape is to bear.
 var disruptions = []disruption{
-	{"core killed", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core killed", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		core := anyOf(random, y.Cores())
 		core.Kill()
 		time.Sleep(span / 4)
 		core.Back()
 	}},
-	{"core without power", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core without power", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		core := anyOf(random, y.Cores())
 		core.PowerOff()
 		time.Sleep(span)
 		core.Back()
 	}},
-	{"core disk lost", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core disk lost", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		core := anyOf(random, y.Cores())
 		core.PowerOff()
 		core.disk.Wipe()
 		time.Sleep(span)
 		core.Back()
 	}},
-	{"core cut off", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core cut off", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		core := anyOf(random, y.Cores())
 		cutOff(y, core.name, random.IntN(2) == 0, true)
 		time.Sleep(span)
 		cutOff(y, core.name, true, false)
 	}},
-	{"all cores without power", func(y *Yard, _ *rand.Rand, span time.Duration) {
+	{"all cores without power", func(y *Cluster, _ *rand.Rand, span time.Duration) {
 		cores := y.Cores()
 		for _, core := range cores {
 			core.PowerOff()
@@ -65,7 +65,7 @@
 			core.Back()
 		}
 	}},
-	{"all cores killed", func(y *Yard, _ *rand.Rand, span time.Duration) {
+	{"all cores killed", func(y *Cluster, _ *rand.Rand, span time.Duration) {
 		cores := y.Cores()
 		for _, core := range cores {
 			core.Kill()
@@ -75,69 +75,69 @@
 			core.Back()
 		}
 	}},
-	{"core replaced", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core replaced", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		y.ReplaceCore(random.IntN(y.Shape.Cores), span/4)
 	}},
-	{"dispatcher killed", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"dispatcher killed", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		front := anyOf(random, y.dispatchers)
 		front.Kill()
 		time.Sleep(span / 4)
 		front.Back()
 	}},
-	{"dispatcher without power", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"dispatcher without power", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		front := anyOf(random, y.dispatchers)
 		front.PowerOff()
 		time.Sleep(span)
 		front.Back()
 	}},
-	{"dispatcher cut off from the core", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"dispatcher cut off from the core", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		front := anyOf(random, y.dispatchers)
 		y.CutDispatcher(front.name, true)
 		time.Sleep(span)
 		y.CutDispatcher(front.name, false)
 	}},
-	{"worker crashed", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"worker crashed", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		y.list.Restart(random.IntN(y.Shape.Workers), span)
 	}},
-	{"worker crashed, and its address used again", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"worker crashed, and its address used again", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		y.list.Reuse(random.IntN(y.Shape.Workers))
 		time.Sleep(reuseAfter + span)
 	}},
-	{"worker cut off", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"worker cut off", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		worker := anyWorker(y, random)
 		cutOff(y, worker, random.IntN(2) == 0, true)
 		time.Sleep(span)
 		cutOff(y, worker, true, false)
 	}},
-	{"orders carried out late", func(y *Yard, _ *rand.Rand, span time.Duration) { y.LateOrders(span) }},
-	{"late orders at a worker that is cut off beyond its hold", func(y *Yard, random *rand.Rand, _ time.Duration) {
+	{"orders carried out late", func(y *Cluster, _ *rand.Rand, span time.Duration) { y.DelayCommands(span) }},
+	{"late orders at a worker that is cut off beyond its hold", func(y *Cluster, random *rand.Rand, _ time.Duration) {
 		worker := anyWorker(y, random)
-		y.LateOrders(2 * time.Second)
+		y.DelayCommands(2 * time.Second)
 		time.Sleep(time.Second)
 		cutOff(y, worker, true, true)
 		time.Sleep(longCut)
 		cutOff(y, worker, true, false)
 	}},
-	{"core cut off from the core for 20 s", func(y *Yard, random *rand.Rand, _ time.Duration) {
+	{"core cut off from the core for 20 s", func(y *Cluster, random *rand.Rand, _ time.Duration) {
 		// Operators and dispatchers reach both sides, and write on both.
 		cutAmong(y, []*core{anyOf(random, y.Cores())}, true)
 		time.Sleep(coldCut)
 		joinAll(y)
 	}},
-	{"core cut into halves", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core cut into halves", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		cores := y.Cores()
 		random.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
 		cutAmong(y, cores[:len(cores)/2], true)
 		time.Sleep(span + time.Second)
 		joinAll(y)
 	}},
-	{"core replaced in order, then a disk lost", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core replaced in order, then a disk lost", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		place := random.IntN(y.Shape.Cores)
-		y.ReplaceInOrder(place, time.Second)
+		y.ReplaceGracefully(place, time.Second)
 		time.Sleep(catchUp)
 		loseDisk(y, (place+1+random.IntN(y.Shape.Cores-1))%y.Shape.Cores, span)
 	}},
-	{"core replaced, then a disk lost", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"core replaced, then a disk lost", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		place := random.IntN(y.Shape.Cores)
 		y.ReplaceCore(place, span/4)
 		if y.Shape.Tolerate < 2 { // with two to be borne the second loss comes at once
@@ -145,7 +145,7 @@
 		}
 		loseDisk(y, (place+1+random.IntN(y.Shape.Cores-1))%y.Shape.Cores, span)
 	}},
-	{"hundreds of changes round a restart", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"hundreds of changes round a restart", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		y.hurry.Store(true)
 		time.Sleep(changing / 4)
 		core := anyOf(random, y.Cores())
@@ -155,7 +155,7 @@
 		time.Sleep(changing / 4)
 		y.hurry.Store(false)
 	}},
-	{"disk full at the start", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"disk full at the start", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		core := anyOf(random, y.Cores())
 		core.disk.Fill(true)
 		core.Kill()
@@ -166,13 +166,13 @@
 		time.Sleep(span)
 		core.disk.Fill(false)
 	}},
-	{"every connection reset", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"every connection reset", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		for range 1 + random.IntN(4) {
 			y.Network.Reset()
 			time.Sleep(span / 8)
 		}
 	}},
-	{"disks lost while all other machines are dark", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"disks lost while all other machines are dark", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		cores := y.Cores()
 		for _, core := range cores {
 			core.PowerOff()
@@ -191,7 +191,7 @@
 			front.Back()
 		}
 	}},
-	{"cores stopped in order, in turn", func(y *Yard, random *rand.Rand, span time.Duration) {
+	{"cores stopped in order, in turn", func(y *Cluster, random *rand.Rand, span time.Duration) {
 		for _, core := range y.Cores() {
 			core.Terminate()
 			time.Sleep(span / 8)
@@ -201,7 +201,7 @@
 	}},
 }
 
-func loseDisk(y *Yard, place int, span time.Duration) {
+func loseDisk(y *Cluster, place int, span time.Duration) {
 	core := y.Cores()[place]
 	core.PowerOff()
 	core.disk.Wipe()
@@ -210,7 +210,7 @@
 }
 
 // cutAmong cuts some control machines off from the other ones.
-func cutAmong(y *Yard, some []*core, cut bool) {
+func cutAmong(y *Cluster, some []*core, cut bool) {
 	inside := map[string]bool{}
 	for _, core := range some {
 		inside[core.name] = true
@@ -225,7 +225,7 @@
 }
 
 // joinAll joins all control machines.
-func joinAll(y *Yard) {
+func joinAll(y *Cluster) {
 	for _, one := range y.Cores() {
 		for _, other := range y.Cores() {
 			y.Network.Cut(one.name, other.name, false)
@@ -234,7 +234,7 @@
 }
 
 // cutOff cuts a machine off from all others, in both directions or in one.
-func cutOff(y *Yard, name string, both, cut bool) {
+func cutOff(y *Cluster, name string, both, cut bool) {
 	others := []string{}
 	for _, c := range y.Cores() {
 		others = append(others, c.name)
@@ -271,7 +271,7 @@
 
 // faults plays disruptions one after the other during the traffic: kinds in turn, so that few schedules bring all
 // about, and kinds at random.
-func faults(y *Yard, random *rand.Rand, end time.Time) {
+func faults(y *Cluster, random *rand.Rand, end time.Time) {
 	next := int(y.seed) * leastDisruptions / 2
 	for count := 0; count < leastDisruptions || time.Now().Before(end); count++ {
 		time.Sleep(time.Duration(300+random.IntN(2500)) * time.Millisecond)
--- a/internal/testing/emulator/history_test.go
+++ b/internal/testing/emulator/history_test.go
@@ -20,16 +20,16 @@
 	taken   string // "version:body;" of each, in order
 }
 
-func takenKey(call *ConfigCall) string { return fmt.Sprintf("%d:%s;", call.Version, call.Body) }
+func acceptedKey(call *ConfigCall) string { return fmt.Sprintf("%d:%s;", call.Version, call.Body) }
 
 // put returns what may have become of a change: it is acknowledged, and in force or again acknowledged; or it is
 // refused; and without a clear answer either of both.
 func (s configState) put(call *ConfigCall) []any {
-	again := strings.Contains(s.taken, takenKey(call))
+	again := strings.Contains(s.taken, acceptedKey(call))
 	fits := call.Base == s.version && call.Version > s.version
 	after := s
 	if !again && fits {
-		after = configState{call.Version, call.Body, s.taken + takenKey(call)}
+		after = configState{call.Version, call.Body, s.taken + acceptedKey(call)}
 	}
 	switch {
 	case call.Status == http.StatusOK && (again || fits):
@@ -84,7 +84,7 @@
 }
 
 // coreFaults plays what befalls the control machines alone.
-func coreFaults(y *Yard, random *rand.Rand, end time.Time) {
+func coreFaults(y *Cluster, random *rand.Rand, end time.Time) {
 	kinds := []string{"core killed", "core without power", "core cut off", "all cores killed", "core replaced",
 		"core cut into halves", "core cut off from the core for 20 s", "every connection reset"}
 	for time.Now().Before(end) {
--- a/internal/testing/emulator/list.go
+++ b/internal/testing/emulator/instance_list.go
@@ -25,7 +25,7 @@
 
 // instanceList is the platform's list with the workers on it.
 type instanceList struct {
-	yard    *Yard
+	cluster *Cluster
 	mu      sync.Mutex
 	workers []*Worker
 	servers []*http.Server
@@ -45,20 +45,22 @@
 	Labels   []string
 }
 
-func newInstanceList(y *Yard) *instanceList { return &instanceList{yard: y, down: map[int]bool{}} }
+func newInstanceList(y *Cluster) *instanceList {
+	return &instanceList{cluster: y, down: map[int]bool{}}
+}
 
 func (l *instanceList) start() {
 	l.serve(cloudName, http.HandlerFunc(l.answer))
-	for i := range l.yard.Shape.Workers {
+	for i := range l.cluster.Shape.Workers {
 		l.add(i)
 	}
 	l.show()
 }
 
 func (l *instanceList) serve(machine string, handler http.Handler) {
-	listener, err := l.yard.Network.Machine(machine).Listen(l.yard.Address(machine))
+	listener, err := l.cluster.Network.Machine(machine).Listen(l.cluster.Address(machine))
 	if err != nil {
-		panic(err) // an emulated machine can always listen, and a real one's address belongs to the yard
+		panic(err) // an emulated machine can always listen, and a real one's address belongs to the cluster
 	}
 	server := &http.Server{Handler: handler}
 	l.mu.Lock()
@@ -72,10 +74,10 @@
 	l.mu.Lock()
 	l.number++
 	machine := workerName(place)
-	address := l.yard.Address(machine)
-	w := newWorker(l.yard.Judge, fmt.Sprint("i-", l.number), service, address, fmt.Sprint("z", place%3),
+	address := l.cluster.Address(machine)
+	w := newWorker(l.cluster.Checker, fmt.Sprint("i-", l.number), service, address, fmt.Sprint("z", place%3),
 		[]string{"a", fmt.Sprint("r", place/3)}, job.Resources{CPU: 8000, MemoryMB: 8000})
-	w.late, w.planted = l.yard.late, l.yard.Shape.Planted
+	w.late, w.planted = l.cluster.late, l.cluster.Shape.Planted
 	if place < len(l.workers) {
 		l.workers[place] = w
 	} else {
@@ -97,9 +99,9 @@
 		return
 	}
 	w.Crash()
-	l.yard.Network.PowerOff(workerName(place))
+	l.cluster.Network.PowerOff(workerName(place))
 	time.AfterFunc(after, func() {
-		l.yard.Network.PowerOn(workerName(place))
+		l.cluster.Network.PowerOn(workerName(place))
 		l.add(place)
 		l.mu.Lock()
 		delete(l.down, place)
--- a/internal/testing/emulator/loopback.go
+++ b/internal/testing/emulator/loopback.go
@@ -11,12 +11,12 @@
 	"yardflow/coordination/frame"
 )
 
-// Loopback connects the machines of a yard by real TCP on the loopback address, for demonstrations. It
+// Loopback connects the machines of a cluster by real TCP on the loopback address, for demonstrations. It
 // plays no cuts, and a loss of power looks like the end of a process.
 type Loopback struct {
-	fixed     bool // the yard's addresses are real ones
+	fixed     bool // the cluster's addresses are real ones
 	mu        sync.Mutex
-	real      map[string]string // addresses of the yard, and the real ones
+	real      map[string]string // addresses of the cluster, and the real ones
 	listeners map[string][]net.Listener
 	conns     map[string][]net.Conn
 }
@@ -26,7 +26,7 @@
 	return &Loopback{real: map[string]string{}, listeners: map[string][]net.Listener{}, conns: map[string][]net.Conn{}}
 }
 
-// NewFixedLoopback returns links without machines, for a yard whose addresses are real ones of the loopback range:
+// NewFixedLoopback returns links without machines, for a cluster whose addresses are real ones of the loopback range:
 // processes that run elsewhere reach the machines there.
 func NewFixedLoopback() *Loopback {
 	l := NewLoopback()
@@ -73,7 +73,7 @@
 	name  string
 }
 
-// Dial opens a connection to an address of the yard.
+// Dial opens a connection to an address of the cluster.
 func (m *loopbackMachine) Dial(address string, within time.Duration) (net.Conn, error) {
 	m.links.mu.Lock()
 	target := m.links.real[address]
@@ -94,7 +94,7 @@
 	return conn, nil
 }
 
-// Listen listens at an address of the yard.
+// Listen listens at an address of the cluster.
 func (m *loopbackMachine) Listen(address string) (net.Listener, error) {
 	real := "127.0.0.1:0"
 	if m.links.fixed {
--- a/internal/testing/emulator/operator.go
+++ b/internal/testing/emulator/operator.go
@@ -19,19 +19,19 @@
 // Operator changes the configuration, and reads it, at any control machine. Some answers to it are lost on their
 // way.
 type Operator struct {
-	yard    *Yard
+	cluster *Cluster
 	random  *rand.Rand
 	version int64 // newest version that was acknowledged
 	History *ConfigHistory
 }
 
 // newOperator returns an operator with own luck.
-func newOperator(y *Yard, seed uint64) *Operator {
-	return &Operator{yard: y, random: rand.New(rand.NewPCG(seed, 5)), History: &ConfigHistory{began: time.Now()}}
+func newOperator(y *Cluster, seed uint64) *Operator {
+	return &Operator{cluster: y, random: rand.New(rand.NewPCG(seed, 5)), History: &ConfigHistory{began: time.Now()}}
 }
 
 // configBody returns a configuration; note tells two under one version apart.
-func (y *Yard) configBody(version int64, note string) string {
+func (y *Cluster) configBody(version int64, note string) string {
 	return fmt.Sprintf(`{"Version":%d,"Note":"%s","Routes":[{"Host":"%s","PathPrefix":"%s","Service":"%s","TimeoutMs":3000,`+
 		`"MaxAttempts":%d,"TargetLatencyMs":%d}],"Services":[{"Name":"%s","Guards":%v}]}`,
 		version, note, routeHost, route, service, attempts, 100+version, service, y.Shape.Guards)
@@ -41,7 +41,7 @@
 func (o *Operator) Configure() bool {
 	base := o.version
 	version := base + 1 + int64(o.random.IntN(3))
-	body := o.yard.configBody(version, "")
+	body := o.cluster.configBody(version, "")
 	if o.send(o.random, version, base, body) != http.StatusOK {
 		return false
 	}
@@ -57,13 +57,13 @@
 		lost := random.IntN(4) == 0
 		switch status {
 		case http.StatusOK:
-			o.yard.Judge.configured(version, base, body)
+			o.cluster.Checker.configured(version, base, body)
 			if acknowledged = true; !lost {
 				return status
 			}
 		case http.StatusPreconditionFailed, http.StatusBadRequest:
 			if acknowledged {
-				o.yard.Judge.Note("CONFIG", "version %d was acknowledged and is refused with %d when sent again", version, status)
+				o.cluster.Checker.AddViolation("CONFIG", "version %d was acknowledged and is refused with %d when sent again", version, status)
 			}
 			return status
 		}
@@ -77,7 +77,7 @@
 
 func (o *Operator) put(random *rand.Rand, version, base int64, body string) int {
 	done := o.History.begin(ConfigCall{Put: true, Version: version, Base: base, Body: body})
-	status, _ := o.yard.call(http.MethodPut, o.yard.anyCore(random), body, callWithin, fmt.Sprint(base))
+	status, _ := o.cluster.call(http.MethodPut, o.cluster.anyCore(random), body, callWithin, fmt.Sprint(base))
 	done(status, "")
 	return status
 }
@@ -90,7 +90,7 @@
 	var both sync.WaitGroup
 	for i := range answers {
 		random := rand.New(rand.NewPCG(o.random.Uint64(), uint64(i)))
-		body := o.yard.configBody(version, fmt.Sprint("operator ", i))
+		body := o.cluster.configBody(version, fmt.Sprint("operator ", i))
 		both.Go(func() { answers[i] = o.send(random, version, base, body) })
 	}
 	both.Wait()
@@ -99,22 +99,22 @@
 		o.version = version
 	}
 	if answers[0] == http.StatusOK && answers[1] == http.StatusOK {
-		o.yard.Judge.Note("CONFIG", "two operators are acknowledged under version %d", version)
+		o.cluster.Checker.AddViolation("CONFIG", "two operators are acknowledged under version %d", version)
 	}
 	if !taken && answers[0] != 0 && answers[1] != 0 {
-		o.yard.Judge.Note("CONFIG", "both changes to version %d are refused", version)
+		o.cluster.Checker.AddViolation("CONFIG", "both changes to version %d are refused", version)
 	}
 	return taken
 }
 
 // Read reads the configuration at any control machine; what is older than what was acknowledged before is noted.
 func (o *Operator) Read(random *rand.Rand) (status int) {
-	newest := o.yard.Judge.newestVersion()
+	newest := o.cluster.Checker.newestVersion()
 	done := o.History.begin(ConfigCall{})
-	status, body := o.yard.call(http.MethodGet, o.yard.anyCore(random), "", callWithin, "")
+	status, body := o.cluster.call(http.MethodGet, o.cluster.anyCore(random), "", callWithin, "")
 	done(status, body)
 	if status == http.StatusOK {
-		o.yard.Judge.readBack(newest, versionOf(body), body)
+		o.cluster.Checker.readBack(newest, versionOf(body), body)
 	}
 	return status
 }
@@ -127,7 +127,7 @@
 		}
 		time.Sleep(operatorPause)
 	}
-	o.yard.Judge.Note("CONFIG", "the configuration can't be read back")
+	o.cluster.Checker.AddViolation("CONFIG", "the configuration can't be read back")
 }
 
 func versionOf(body string) (version int64) {
@@ -136,7 +136,7 @@
 }
 
 // anyCore returns the address of the configuration at some control machine.
-func (y *Yard) anyCore(random *rand.Rand) string {
+func (y *Cluster) anyCore(random *rand.Rand) string {
 	cores := y.Cores()
 	return "http://" + y.Address(cores[random.IntN(len(cores))].name) + "/-/config"
 }
--- a/internal/testing/emulator/processes.go
+++ b/internal/testing/emulator/processes.go
@@ -12,43 +12,43 @@
 
 // core is a control machine.
 type core struct {
-	yard *Yard
-	name string
-	zone string
-	disk *Disk
-	stop chan struct{}
-	http *http.Server
-	run  *server.Process
+	cluster *Cluster
+	name    string
+	zone    string
+	disk    *Disk
+	stop    chan struct{}
+	http    *http.Server
+	run     *server.Process
 }
 
 func (c *core) up() bool { return c.stop != nil }
 
 func (c *core) start(first bool) {
-	s := c.yard.settings(c.name, c.zone)
-	s.Listen.Control, s.DataDir, s.Bootstrap = c.yard.Address(c.name), "data", first
-	machine := c.yard.Network.Machine(c.name)
-	control := server.NewProcess(s, machine, c.disk, c.yard.logger.With().Str("node", c.name).Logger())
+	s := c.cluster.settings(c.name, c.zone)
+	s.Listen.Control, s.DataDir, s.Bootstrap = c.cluster.Address(c.name), "data", first
+	machine := c.cluster.Network.Machine(c.name)
+	control := server.NewProcess(s, machine, c.disk, c.cluster.logger.With().Str("node", c.name).Logger())
 	listener, _ := machine.Listen(s.Listen.Control)
 	c.http = &http.Server{Handler: control}
 	stop := make(chan struct{})
 	c.stop, c.run = stop, control
 	go func() { _ = c.http.Serve(listener) }()
 	go func() {
-		defer c.yard.noteStopped(c.name)
+		defer c.cluster.noteStopped(c.name)
 		if err := control.Run(stop); err != nil {
-			c.yard.Judge.Note("START", "%s: %v", c.name, err)
+			c.cluster.Checker.AddViolation("START", "%s: %v", c.name, err)
 		}
 	}()
 }
 
 // noteStopped notes a process that a broken invariant has stopped, where a fault is planted: lying disks break what
 // the processes rely on. Elsewhere it stops the test.
-func (y *Yard) noteStopped(name string) {
+func (y *Cluster) noteStopped(name string) {
 	if y.Shape.Planted == NoFault {
 		return
 	}
 	if stopped := recover(); stopped != nil {
-		y.Judge.Note("LOST", "%s stops: %v", name, stopped)
+		y.Checker.AddViolation("LOST", "%s stops: %v", name, stopped)
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // Kill ends the process; the disk stays as it is.
 func (c *core) Kill() {
-	c.yard.Network.Kill(c.name)
+	c.cluster.Network.Kill(c.name)
 	c.end()
 	c.disk.Crash()
 }
@@ -79,29 +79,29 @@
 
 // PowerOff takes the machine's power; what was not synced may be lost.
 func (c *core) PowerOff() {
-	c.yard.Network.PowerOff(c.name)
+	c.cluster.Network.PowerOff(c.name)
 	c.end()
 	c.disk.LosePower()
 }
 
 // Back starts the machine again.
 func (c *core) Back() {
-	c.yard.Network.PowerOn(c.name)
+	c.cluster.Network.PowerOn(c.name)
 	if !c.up() {
 		c.start(false)
 	}
 }
 
 // ReplaceCore takes a control machine away for good; an empty one at another address comes after a while.
-func (y *Yard) ReplaceCore(place int, after time.Duration) {
+func (y *Cluster) ReplaceCore(place int, after time.Duration) {
 	y.Cores()[place].PowerOff()
 	time.Sleep(after)
 	y.addSuccessor(place).start(false)
 }
 
-// ReplaceInOrder starts an empty control machine at another address, and stops the one that it is to replace in
+// ReplaceGracefully starts an empty control machine at another address, and stops the one that it is to replace in
 // order a while later.
-func (y *Yard) ReplaceInOrder(place int, after time.Duration) {
+func (y *Cluster) ReplaceGracefully(place int, after time.Duration) {
 	former := y.Cores()[place]
 	y.addSuccessor(place).start(false)
 	time.Sleep(after)
@@ -109,18 +109,18 @@
 }
 
 // addSuccessor puts a new machine in the place of another one.
-func (y *Yard) addSuccessor(place int) *core {
+func (y *Cluster) addSuccessor(place int) *core {
 	y.coresMu.Lock()
 	defer y.coresMu.Unlock()
 	y.replaced++
-	successor := &core{yard: y, name: fmt.Sprint("core-", len(y.cores)+y.replaced), zone: y.cores[place].zone,
+	successor := &core{cluster: y, name: fmt.Sprint("core-", len(y.cores)+y.replaced), zone: y.cores[place].zone,
 		disk: NewDisk(syncTime, rand.New(rand.NewPCG(uint64(y.replaced), 77)))}
 	y.cores[place] = successor
 	return successor
 }
 
 // CutDispatcher cuts a dispatcher off from all control machines, or joins it again; it reaches workers all the while.
-func (y *Yard) CutDispatcher(name string, cut bool) {
+func (y *Cluster) CutDispatcher(name string, cut bool) {
 	for _, c := range y.Cores() {
 		y.Network.Cut(name, c.name, cut)
 		y.Network.Cut(c.name, name, cut)
@@ -129,18 +129,18 @@
 
 // dispatcherProcess is a front machine.
 type dispatcherProcess struct {
-	yard *Yard
-	name string
-	zone string
-	stop chan struct{}
-	http *http.Server
+	cluster *Cluster
+	name    string
+	zone    string
+	stop    chan struct{}
+	http    *http.Server
 }
 
 func (d *dispatcherProcess) start() {
-	s := d.yard.settings(d.name, d.zone)
-	s.Listen.Front = d.yard.Address(d.name)
-	machine := d.yard.Network.Machine(d.name)
-	dispatcher := dispatcher.New(s, machine, d.yard.logger.With().Str("node", d.name).Logger())
+	s := d.cluster.settings(d.name, d.zone)
+	s.Listen.Front = d.cluster.Address(d.name)
+	machine := d.cluster.Network.Machine(d.name)
+	dispatcher := dispatcher.New(s, machine, d.cluster.logger.With().Str("node", d.name).Logger())
 	listener, _ := machine.Listen(s.Listen.Front)
 	d.http = &http.Server{Handler: dispatcher}
 	d.stop = make(chan struct{})
@@ -149,10 +149,10 @@
 }
 
 // Kill ends the process.
-func (d *dispatcherProcess) Kill() { d.end(d.yard.Network.Kill) }
+func (d *dispatcherProcess) Kill() { d.end(d.cluster.Network.Kill) }
 
 // PowerOff takes the machine's power.
-func (d *dispatcherProcess) PowerOff() { d.end(d.yard.Network.PowerOff) }
+func (d *dispatcherProcess) PowerOff() { d.end(d.cluster.Network.PowerOff) }
 
 func (d *dispatcherProcess) end(off func(name string)) {
 	off(d.name)
@@ -166,7 +166,7 @@
 
 // Back starts the machine again.
 func (d *dispatcherProcess) Back() {
-	d.yard.Network.PowerOn(d.name)
+	d.cluster.Network.PowerOn(d.name)
 	if d.stop == nil {
 		d.start()
 	}
--- a/internal/testing/emulator/schedule_test.go
+++ b/internal/testing/emulator/schedule_test.go
@@ -32,9 +32,9 @@
 
 // provoke plays what the planted faults show in: orders without an answer at half of the workers, which are cut
 // off right after for longer than their holds, and losses of power of all control machines.
-func provoke(y *Yard, random *rand.Rand, end time.Time) {
+func provoke(y *Cluster, random *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
-		y.LateOrders(1500 * time.Millisecond)
+		y.DelayCommands(1500 * time.Millisecond)
 		time.Sleep(time.Second)
 		first := random.IntN(2)
 		for place := first; place < y.Shape.Workers; place += 2 {
@@ -56,7 +56,7 @@
 }
 
 // troubles plays faults until the given time.
-type troubles func(y *Yard, random *rand.Rand, end time.Time)
+type troubles func(y *Cluster, random *rand.Rand, end time.Time)
 
 // playing bounds how many schedules are played at once: other packages' tests run beside them, and some of
 // those wait for real time. Where a number of schedules is asked for, they have the machine to themselves.
@@ -73,7 +73,7 @@
 	playing <- struct{}{}
 	defer func() { <-playing }()
 	synctest.Test(t, func(t *testing.T) {
-		y := NewYard(shape, NewNetwork(), seed, logs)
+		y := NewCluster(shape, NewNetwork(), seed, logs)
 		y.Start()
 		y.Operator.Configure()
 		time.Sleep(warmUp)
@@ -103,8 +103,8 @@
 		}
 		y.Operator.ReadBack()
 		result.calls = y.Operator.History.Calls()
-		result.accepted, result.completed = y.Judge.Finish()
-		result.broken = y.Judge.Broken()
+		result.accepted, result.completed = y.Checker.Finish()
+		result.broken = y.Checker.Violations()
 		y.Stop()
 		time.Sleep(20 * time.Second) // orders under way and timers run out
 	})
@@ -113,7 +113,7 @@
 
 // playOperators changes the configuration until the disruptions are over, alone and in races, and reads it
 // meanwhile; the channel gets the number of changes that were taken.
-func playOperators(y *Yard, seed uint64, over <-chan struct{}) <-chan int {
+func playOperators(y *Cluster, seed uint64, over <-chan struct{}) <-chan int {
 	taken := make(chan int, 1)
 	random := rand.New(rand.NewPCG(seed, 6))
 	wait := func(span time.Duration) bool {
--- a/internal/testing/emulator/slowlink_test.go
+++ b/internal/testing/emulator/slowlink_test.go
@@ -16,7 +16,7 @@
 )
 
 // attach opens a session at a control machine, as a dispatcher without clients would, and keeps it until stop is closed.
-func attach(y *Yard, name, control string, stop <-chan struct{}) {
+func attach(y *Cluster, name, control string, stop <-chan struct{}) {
 	conn, err := frame.Dial(y.Network.Machine(name), y.Address(control), protocol.DispatcherPath, time.Second)
 	if err != nil {
 		return
@@ -56,7 +56,7 @@
 }
 
 // behind returns how many dispatchers have not acknowledged the configuration in force.
-func behind(y *Yard) int {
+func behind(y *Cluster) int {
 	count := 0
 	for _, core := range y.Cores() {
 		code, body := y.call(http.MethodGet, "http://"+y.Address(core.name)+"/-/status", "", time.Second, "")
@@ -69,9 +69,9 @@
 	return count
 }
 
-// TestConfigurationOvertakesAStorm has hundreds of sessions come and go, which all dispatchers are told of, while one
+// TestConfigurationOvertakesABurst has hundreds of sessions come and go, which all dispatchers are told of, while one
 // dispatcher's link carries 2 Mbit/s. A change of the configuration must be in force there within a second.
-func TestConfigurationOvertakesAStorm(t *testing.T) {
+func TestConfigurationOvertakesABurst(t *testing.T) {
 	const (
 		slow     = 250_000 // bytes a second
 		crowd    = 300
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork()
 		network.SetSpeed("front-1", slow)
-		y := NewYard(Shape{Cores: 3, Tolerate: 1, Dispatchers: 2, Workers: 200}, network, 1, io.Discard)
+		y := NewCluster(Shape{Cores: 3, Tolerate: 1, Dispatchers: 2, Workers: 200}, network, 1, io.Discard)
 		y.Start()
 		y.Operator.Configure()
 		time.Sleep(warmUp)
--- a/internal/testing/emulator/worker.go
+++ b/internal/testing/emulator/worker.go
@@ -13,7 +13,7 @@
 // Worker is an emulated worker. It reports starts and ends to the judge.
 type Worker struct {
 	mu       sync.Mutex
-	judge    *Judge
+	judge    *Checker
 	ID       string
 	Service  string
 	Address  string
@@ -52,15 +52,15 @@
 
 const holdMaxMs = 6000
 
-func newWorker(judge *Judge, id, service, address, zone string, labels []string, capacity job.Resources) *Worker {
+func newWorker(judge *Checker, id, service, address, zone string, labels []string, capacity job.Resources) *Worker {
 	return &Worker{judge: judge, ID: id, Service: service, Address: address, Zone: zone, Labels: labels, Capacity: capacity,
 		began: time.Now(), running: map[string]*workerRun{}, outdated: map[string]uint64{}, changed: make(chan struct{})}
 }
 
 func (w *Worker) clockMs() int64 { return 5000 + time.Since(w.began).Milliseconds() }
 
-// order is the body of any order to a worker.
-type order struct {
+// workerCommand is the body of any order to a worker.
+type workerCommand struct {
 	Task       string
 	Command    uint64
 	Spec       string
@@ -72,7 +72,7 @@
 
 // ServeHTTP carries out orders.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	o := order{}
+	o := workerCommand{}
 	if json.NewDecoder(r.Body).Decode(&o) != nil {
 		out.WriteHeader(http.StatusBadRequest)
 		return
@@ -85,14 +85,14 @@
 		return
 	}
 	if delay := w.late(); delay > 0 {
-		time.AfterFunc(delay, func() { w.carryOut(r.URL.Path, &o) })
+		time.AfterFunc(delay, func() { w.handleCommand(r.URL.Path, &o) })
 		<-r.Context().Done() // no answer
 		return
 	}
-	status, body := w.carryOut(r.URL.Path, &o)
+	status, body := w.handleCommand(r.URL.Path, &o)
 	if r.URL.Path == "/-/hold" && status == http.StatusOK && o.WaitMs > 0 {
 		w.waitForEnd(r, time.Duration(o.WaitMs)*time.Millisecond)
-		body = w.lists()
+		body = w.status()
 	}
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (w *Worker) carryOut(path string, o *order) (int, map[string]any) {
+func (w *Worker) handleCommand(path string, o *workerCommand) (int, map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	answer := map[string]any{"ClockMs": w.clockMs()}
@@ -127,7 +127,7 @@
 		return http.StatusConflict, answer
 	}
 	w.fence = o.FenceToken
-	w.extend(o.UntilMs)
+	w.renewLease(o.UntilMs)
 	switch path {
 	case "/-/run-start":
 		if reason := w.start(o); reason != "" {
@@ -144,14 +144,14 @@
 		return http.StatusOK, answer
 	}
 	for len(w.ended) > 0 && w.ended[0].number <= o.LastSeen {
-		w.judge.noted(w, w.ended[0])
+		w.judge.endAcknowledged(w, w.ended[0])
 		w.ended = w.ended[1:]
 	}
-	return http.StatusOK, w.listsLocked()
+	return http.StatusOK, w.statusLocked()
 }
 
-// extend lengthens the hold, and lets all that runs lapse when it is over.
-func (w *Worker) extend(untilMs int64) {
+// renewLease lengthens the hold, and lets all that runs lapse when it is over.
+func (w *Worker) renewLease(untilMs int64) {
 	untilMs = min(untilMs, w.clockMs()+holdMaxMs)
 	if untilMs <= w.untilMs {
 		return
@@ -160,10 +160,10 @@
 	if w.planted == HoldsOutlast {
 		return
 	}
-	time.AfterFunc(time.Duration(untilMs-w.clockMs())*time.Millisecond, w.lapse)
+	time.AfterFunc(time.Duration(untilMs-w.clockMs())*time.Millisecond, w.expireLease)
 }
 
-func (w *Worker) lapse() {
+func (w *Worker) expireLease() {
 	w.mu.Lock()
 	over := w.clockMs() >= w.untilMs
 	var lapsed []string
@@ -185,7 +185,7 @@
 	}
 }
 
-func (w *Worker) start(o *order) string {
+func (w *Worker) start(o *workerCommand) string {
 	if run := w.running[o.Task]; run != nil {
 		if run.command == o.Command {
 			return ""
@@ -237,13 +237,13 @@
 	w.running = map[string]*workerRun{}
 }
 
-func (w *Worker) lists() map[string]any {
+func (w *Worker) status() map[string]any {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.listsLocked()
+	return w.statusLocked()
 }
 
-func (w *Worker) listsLocked() map[string]any {
+func (w *Worker) statusLocked() map[string]any {
 	running, ended := [][]any{}, [][]any{}
 	for task, run := range w.running {
 		percent := int(100 * time.Since(run.began) / max(run.takes, 1))
--- a/lab/soak/main.go
+++ b/lab/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak plays yards of real processes on the loopback range under overlapping signals, restarts and changes. It
+// Command soak plays clusters of real processes on the loopback range under overlapping signals, restarts and changes. It
 // ends by itself, with exit code 1 where a rule was broken; the logs of such a run are kept.
 package main
 
@@ -53,7 +53,7 @@
 	}
 	playing.Wait()
 	if failed {
-		fmt.Println("a rule was broken, or a yard did not start; the processes' logs stand in", *folder)
+		fmt.Println("a rule was broken, or a cluster did not start; the processes' logs stand in", *folder)
 		os.Exit(1)
 	}
 }
--- a/lab/soak/scenario/block.go
+++ b/lab/soak/scenario/block.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// Ports of the yard's machines; each machine has an address of its own in the loopback range.
+// Ports of the cluster's machines; each machine has an address of its own in the loopback range.
 const (
 	controlPort = 8146
 	frontPort   = 8144
--- a/lab/soak/scenario/client.go
+++ b/lab/soak/scenario/client.go
@@ -143,24 +143,24 @@
 // runJob hands one job in and follows it to its end.
 func (c *caller) runJob() {
 	id := fmt.Sprintf("%016x", c.random.Uint64())
-	request, body := c.soak.yard.RandomJob(c.random)
-	c.soak.yard.Judge.Submitted(id, request)
+	request, body := c.soak.cluster.RandomJob(c.random)
+	c.soak.cluster.Checker.Submitted(id, request)
 	if !c.handIn(id, body) {
 		return
 	}
-	c.soak.yard.Judge.Accepted(id)
+	c.soak.cluster.Checker.Accepted(id)
 	deadline := time.Now().Add(c.soak.config.Span + drainWithin)
 	for time.Now().Before(deadline) {
 		status, text := c.call(http.MethodGet, id, "")
 		switch status {
 		case http.StatusOK:
 			state := strings.TrimSuffix(strings.TrimPrefix(text, `{"State":"`), `"}`)
-			c.soak.yard.Judge.Shown(id, state)
+			c.soak.cluster.Checker.StateShown(id, state)
 			if state != "queued" && state != "running" {
 				return
 			}
 		case http.StatusGone:
-			c.soak.yard.Judge.Gone(id)
+			c.soak.cluster.Checker.Gone(id)
 		}
 		time.Sleep(askPause)
 	}
--- a/lab/soak/scenario/client_test.go
+++ b/lab/soak/scenario/client_test.go
@@ -16,11 +16,11 @@
 	"yardflow/internal/testing/emulator"
 )
 
-// callerAt returns a client of a yard without processes, connected to a front that answers each request by a function.
+// callerAt returns a client of a cluster without processes, connected to a front that answers each request by a function.
 func callerAt(t *testing.T, answer func(conn net.Conn)) *caller {
 	t.Helper()
 	s := &soak{config: Config{Folder: t.TempDir()}, stopping: make(chan struct{}), counted: map[string]int{}}
-	s.yard = emulator.NewYard(emulator.Shape{Cores: 1, Dispatchers: 1, Workers: 1}, emulator.NewFixedLoopback(), 1, io.Discard)
+	s.cluster = emulator.NewCluster(emulator.Shape{Cores: 1, Dispatchers: 1, Workers: 1}, emulator.NewFixedLoopback(), 1, io.Discard)
 	front := newProcess(s, "front-1", "z0", "dispatcher")
 	client, server := net.Pipe()
 	t.Cleanup(func() { client.Close(); server.Close() })
@@ -37,7 +37,7 @@
 // rules returns the rules that are noted as broken.
 func (s *soak) rules() []string {
 	var rules []string
-	for _, broken := range s.yard.Judge.Broken() {
+	for _, broken := range s.cluster.Checker.Violations() {
 		rule, _, _ := strings.Cut(broken, " ")
 		rules = append(rules, rule)
 	}
@@ -127,7 +127,7 @@
 			}
 			p.start(true)
 			c.after(p)
-			broken := s.yard.Judge.Broken()
+			broken := s.cluster.Checker.Violations()
 			if c.want == "" && len(broken) > 0 || c.want != "" && (len(broken) != 1 || !strings.Contains(broken[0], c.want)) {
 				t.Errorf("broken: %q, want one with %q", broken, c.want)
 			}
--- a/lab/soak/scenario/process.go
+++ b/lab/soak/scenario/process.go
@@ -27,7 +27,7 @@
 	askWithin   = 500 * time.Millisecond // for the platform's check
 )
 
-// process is one machine of the yard with its program.
+// process is one machine of the cluster with its program.
 type process struct {
 	soak   *soak
 	name   string
@@ -50,7 +50,7 @@
 
 // writeSettings lays the settings file as the platform would, whole at once.
 func (p *process) writeSettings(first bool) {
-	told := p.soak.yard.Settings(p.name, p.zone)
+	told := p.soak.cluster.Settings(p.name, p.zone)
 	told.Role, told.Bootstrap, told.Bounds.GraceS = p.role, first, graceS
 	told.Limits = settings.Limits{Cores: 1, MemoryMb: memoryMb, DiskMb: 16}
 	if p.role == "control" {
--- a/lab/soak/scenario/series.go
+++ b/lab/soak/scenario/series.go
@@ -168,13 +168,13 @@
 		switch random.IntN(3) {
 		case 0:
 			s.count("worker crashes")
-			s.yard.RestartWorker(place, between(random, 0, longPause))
+			s.cluster.RestartWorker(place, between(random, 0, longPause))
 		case 1:
 			s.count("addresses used again")
-			s.yard.ReuseAddress(place)
+			s.cluster.ReuseAddress(place)
 		default:
 			s.count("spells of late orders")
-			s.yard.LateOrders(longPause)
+			s.cluster.DelayCommands(longPause)
 		}
 	}
 }
@@ -184,9 +184,9 @@
 	random := s.random(changeStream)
 	for time.Now().Before(end) {
 		pause := between(random, shortPause, longPause)
-		change := s.yard.Operator.Configure
+		change := s.cluster.Operator.Configure
 		if random.IntN(3) == 0 {
-			change = s.yard.Operator.Race
+			change = s.cluster.Operator.Race
 		}
 		for range 1 + random.IntN(6) {
 			if change() {
--- a/lab/soak/scenario/soak.go
+++ b/lab/soak/scenario/soak.go
@@ -1,4 +1,4 @@
-// Package scenario plays a small yard of real processes on the loopback range: control machines and dispatchers are
+// Package scenario plays a small cluster of real processes on the loopback range: control machines and dispatchers are
 // processes of their own, with stand-ins for the workers, the platform's list, clients and operators. Signals, restarts
 // and changes come in several series at once, so that they overlap. Clients keep using their connections until the
 // processes close them. What happens when is drawn from a seed; real processes make of it what they will.
@@ -30,7 +30,7 @@
 
 // Config says what is played.
 type Config struct {
-	Program string // the path of yard
+	Program string // the path of cluster
 	Folder  string // for settings, disks and logs
 	Seed    uint64
 	Span    time.Duration // of disruptions and traffic
@@ -62,7 +62,7 @@
 // soak is one run.
 type soak struct {
 	config    Config
-	yard      *emulator.Yard
+	cluster   *emulator.Cluster
 	block     *block
 	cores     []*process
 	fronts    []*process
@@ -80,20 +80,20 @@
 	}
 	defer reserved.release()
 	s := &soak{config: config, block: reserved, stopping: make(chan struct{}), counted: map[string]int{}}
-	s.yard = emulator.NewYard(config.Shape, emulator.NewFixedLoopback(), config.Seed, io.Discard)
-	s.yard.Address = reserved.address
+	s.cluster = emulator.NewCluster(config.Shape, emulator.NewFixedLoopback(), config.Seed, io.Discard)
+	s.cluster.Address = reserved.address
 	if err := s.prepare(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	defer s.killAll()
-	s.yard.StartStandIns()
-	defer s.yard.StopStandIns()
+	s.cluster.StartStandIns()
+	defer s.cluster.StopStandIns()
 	return s.play()
 }
 
 // prepare lays the processes' folders.
 func (s *soak) prepare() error {
-	for i, core := range s.yard.Cores() {
+	for i, core := range s.cluster.Cores() {
 		s.cores = append(s.cores, newProcess(s, core.Name(), fmt.Sprint("z", i%3), "control"))
 	}
 	for i := range s.config.Shape.Dispatchers {
@@ -131,19 +131,19 @@
 	close(s.stopping)
 	s.backAll()
 	clients.Wait()
-	s.yard.Operator.ReadBack()
-	report.Accepted, report.Completed = s.yard.Judge.Finish()
+	s.cluster.Operator.ReadBack()
+	report.Accepted, report.Completed = s.cluster.Checker.Finish()
 	report.Calls = s.calls.Load()
 	report.PeakMemoryMb = s.checkProcesses()
 	s.stopAll()
-	report.Done, report.Broken = s.counted, s.yard.Judge.Broken()
+	report.Done, report.Broken = s.counted, s.cluster.Checker.Violations()
 	return report, nil
 }
 
 // awaitReady puts the first configuration in force, and waits until all dispatchers call themselves ready.
 func (s *soak) awaitReady() error {
 	deadline := time.Now().Add(startWithin)
-	for !s.yard.Operator.Configure() {
+	for !s.cluster.Operator.Configure() {
 		if time.Now().After(deadline) {
 			return errors.New("the first configuration is not taken; the processes' logs say why")
 		}
@@ -160,9 +160,11 @@
 }
 
 // breaks notes a broken rule.
-func (s *soak) breaks(rule, format string, args ...any) { s.yard.Judge.Note(rule, format, args...) }
+func (s *soak) breaks(rule, format string, args ...any) {
+	s.cluster.Checker.AddViolation(rule, format, args...)
+}
 
-// count counts what was done to the yard.
+// count counts what was done to the cluster.
 func (s *soak) count(what string) {
 	s.countedMu.Lock()
 	defer s.countedMu.Unlock()
