--- a/internal/testing/emulator/instance_list.go
+++ b/internal/testing/emulator/instance_list.go
@@ -29,6 +29,7 @@
 	mu      sync.Mutex
 	workers []*Worker
 	servers []*http.Server
+	stopped bool         // no incarnation begins any more
 	crashed []*Worker    // that are still listed
 	down    map[int]bool // places whose next incarnation has not begun
 	shown   []listEntry
@@ -101,6 +102,9 @@
 	w.Crash()
 	l.cluster.Network.PowerOff(workerName(place))
 	time.AfterFunc(after, func() {
+		if l.isStopped() {
+			return // a server begun now would never be closed
+		}
 		l.cluster.Network.PowerOn(workerName(place))
 		l.add(place)
 		l.mu.Lock()
@@ -158,6 +162,7 @@
 func (l *instanceList) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	l.stopped = true
 	for _, w := range l.workers {
 		w.Crash()
 	}
@@ -166,6 +171,12 @@
 	}
 }
 
+func (l *instanceList) isStopped() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.stopped
+}
+
 // encodeJob returns the body with which a client hands a job in.
 func encodeJob(request job.Request) string {
 	data, err := json.Marshal(request)
