--- a/internal/fleet/coldstart/relay/relay_test.go
+++ b/internal/fleet/coldstart/relay/relay_test.go
@@ -5,104 +5,121 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
-// One reader after another publishes whole lists and changes; holders take what is new whenever
-// they come. Each that has the latest mark has just the reader's list, however far behind it was.
-func TestWhoHasTheMarkHasTheList(t *testing.T) {
+// One reader after another publishes complete lists and changes; dispatchers take what is new whenever they ask. Each that
+// is at the latest watermark has the reader's list, however far behind it was.
+func TestDispatchersAtTheWatermarkHaveTheList(t *testing.T) {
 	for seed := range uint64(300) {
-		rnd := rand.New(rand.NewPCG(seed, 11))
-		var l List
-		truth := map[string]Entry{}
-		mine := make([]map[string]Entry, 8)
-		marks := make([]Watermark, len(mine))
-		for i := range mine {
-			mine[i] = map[string]Entry{}
-		}
-		generation, whole := uint64(1), true
-		l.Appoint("r0")
+		z := newZone(seed)
 		for step := range 400 {
-			if rnd.IntN(20) == 0 {
-				l.Vacate(false)
-				l.Appoint(fmt.Sprint("r", step))
-				whole = true
-			}
-			var told []Entry
-			for range rnd.IntN(4) {
-				e := Entry{ID: fmt.Sprint("s-", rnd.IntN(30)), Addr: "a", State: uint8(rnd.IntN(2)), Removed: rnd.IntN(4) == 0}
-				if told = append(told, e); e.Removed {
-					delete(truth, e.ID)
-				} else {
-					truth[e.ID] = e
-				}
-			}
-			seen := map[string]bool{}
-			for i := len(told) - 1; i >= 0; i-- { // each once, by its last word
-				if seen[told[i].ID] {
-					told = append(told[:i], told[i+1:]...)
-				} else {
-					seen[told[i].ID] = true
-				}
-			}
-			if whole {
-				told = nil
-				for _, e := range truth {
-					told = append(told, e)
-				}
+			if z.rnd.IntN(20) == 0 {
+				z.list.Vacate(false)
+				z.list.Appoint(fmt.Sprint("r", step))
+				z.complete = true
 			}
-			generation++
-			if err := l.Publish(l.Reader, l.FencingToken, Publication{Generation: generation, Complete: whole, Entries: told}); err != nil {
+			if err := z.publish(); err != nil {
 				t.Fatal(err)
 			}
-			whole = rnd.IntN(10) == 0
-			if whole {
-				continue // the next is
+			if z.complete = z.rnd.IntN(10) == 0; z.complete {
+				continue // the next publication is a complete list
 			}
-			for i := range mine {
-				if rnd.IntN(1+i*20) > 0 {
+			for i := range z.dispatchers {
+				if z.rnd.IntN(1+i*20) > 0 {
 					continue
 				}
-				u := l.UpdateSince(marks[i])
-				if u == nil {
-					continue
-				}
-				if u.Complete {
-					clear(mine[i])
-				}
-				for _, e := range u.Entries {
-					if e.Removed {
-						delete(mine[i], e.ID)
-					} else {
-						mine[i][e.ID] = e
-					}
-				}
-				if marks[i].Seq = u.Seq; !maps.Equal(mine[i], truth) {
-					t.Fatalf("seed %d, step %d: holder %d has %v, the list is %v", seed, step, i, mine[i], truth)
+				if d := &z.dispatchers[i]; d.update(&z.list) && !maps.Equal(d.entries, z.truth) {
+					t.Fatalf("seed %d, step %d: dispatcher %d has %v, the list is %v", seed, step, i, d.entries, z.truth)
 				}
 			}
 		}
 	}
 }
 
-// A reader that lost its seat, and one that read an older list, are refused, each saying why.
-func TestNothingOldIsHandedOut(t *testing.T) {
-	var l List
-	l.Appoint("a")
-	if err := l.Publish("a", 1, Publication{Generation: 10, Complete: true, Entries: []Entry{{ID: "s1"}, {ID: "s2"}}}); err != nil {
+// zone is one zone's list, and the dispatchers that have it.
+type zone struct {
+	rnd         *rand.Rand
+	list        List
+	truth       map[string]Entry // the list service's list, by ID
+	generation  uint64
+	complete    bool // the next publication has to be a complete list
+	dispatchers [8]dispatcher
+}
+
+func newZone(seed uint64) *zone {
+	z := &zone{rnd: rand.New(rand.NewPCG(seed, 11)), truth: map[string]Entry{}, generation: 1, complete: true}
+	for i := range z.dispatchers {
+		z.dispatchers[i].entries = map[string]Entry{}
+	}
+	z.list.Appoint("r0")
+	return z
+}
+
+// publish changes the truth, and has the reader publish the changes or the complete list.
+func (z *zone) publish() error {
+	var published []Entry
+	for range z.rnd.IntN(4) {
+		e := Entry{ID: fmt.Sprint("s-", z.rnd.IntN(30)), Addr: "a", State: uint8(z.rnd.IntN(2)), Removed: z.rnd.IntN(4) == 0}
+		published = slices.DeleteFunc(published, func(earlier Entry) bool { return earlier.ID == e.ID })
+		if published = append(published, e); e.Removed {
+			delete(z.truth, e.ID)
+		} else {
+			z.truth[e.ID] = e
+		}
+	}
+	if z.complete {
+		published = slices.Collect(maps.Values(z.truth))
+	}
+	z.generation++
+	return z.list.Publish(z.list.Reader, z.list.FencingToken, Publication{Generation: z.generation, Complete: z.complete, Entries: published})
+}
+
+// dispatcher has the list up to a watermark.
+type dispatcher struct {
+	entries   map[string]Entry // by ID
+	watermark Watermark
+}
+
+// update takes what is new of the list, and reports whether there was anything.
+func (d *dispatcher) update(list *List) bool {
+	u := list.UpdateSince(d.watermark)
+	if u == nil {
+		return false
+	}
+	if u.Complete {
+		clear(d.entries)
+	}
+	for _, e := range u.Entries {
+		if e.Removed {
+			delete(d.entries, e.ID)
+		} else {
+			d.entries[e.ID] = e
+		}
+	}
+	d.watermark.Seq = u.Seq
+	return true
+}
+
+// A reader that was replaced, and one with an older list, are rejected, each with its error.
+func TestOutdatedPublicationsAreRejected(t *testing.T) {
+	var list List
+	list.Appoint("a")
+	if err := list.Publish("a", 1, Publication{Generation: 10, Complete: true, Entries: []Entry{{ID: "s1"}, {ID: "s2"}}}); err != nil {
 		t.Fatal(err)
 	}
-	l.Vacate(false)
-	l.Appoint("b")
+	list.Vacate(false)
+	list.Appoint("b")
 	var fence *FenceError
-	if err := l.Publish("a", 1, Publication{Generation: 11, Complete: true, Entries: nil}); !errors.As(err, &fence) || fence.Advice() == "" || len(l.Entries) != 2 {
+	if err := list.Publish("a", 1, Publication{Generation: 11, Complete: true, Entries: nil}); !errors.As(err, &fence) || fence.Advice() == "" || len(list.Entries) != 2 {
 		t.Errorf("the one that was replaced: %v", err)
 	}
-	var older *OutdatedListError
-	if err := l.Publish("b", 2, Publication{Generation: 9, Complete: true, Entries: []Entry{{ID: "s9"}}}); !errors.As(err, &older) || older.Advice() == "" || len(l.Entries) != 2 {
+	var outdated *OutdatedListError
+	if err := list.Publish("b", 2, Publication{Generation: 9, Complete: true, Entries: []Entry{{ID: "s9"}}}); !errors.As(err, &outdated) || outdated.Advice() == "" || len(list.Entries) != 2 {
 		t.Errorf("an old list: %v", err)
 	}
-	if err := l.Publish("b", 2, Publication{Generation: 12, Complete: true, Entries: []Entry{{ID: "s2", State: 1}}}); err != nil || len(l.Entries) != 1 || l.Seq != 2 {
-		t.Errorf("%v, %+v", err, l)
+	if err := list.Publish("b", 2, Publication{Generation: 12, Complete: true, Entries: []Entry{{ID: "s2", State: 1}}}); err != nil || len(list.Entries) != 1 || list.Seq != 2 {
+		t.Errorf("%v, %+v", err, list)
 	}
 }
--- a/internal/gateway/httpfront/relayed_test.go
+++ b/internal/gateway/httpfront/sharing_test.go
@@ -14,20 +14,19 @@
 	"yardflow/internal/platform/config"
 )
 
-// transport is discovery as a function.
-type transport func(r *http.Request) (*http.Response, error)
+// roundTripFunc is a list service as a function.
+type roundTripFunc func(r *http.Request) (*http.Response, error)
 
-func (f transport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// TestRelayedListEndsNoCalls keeps that a dispatcher whose calls at the list service fail goes on calling when it has
-// taken in what another one was told: it may be the one that reads for all next. Before, the module took the relayed list
-// for the answer to its own call, and never asked again.
+// A dispatcher whose calls to the list service fail goes on calling when it has applied a relayed list: it may be the one
+// that calls for all next. (The module once took the relayed list for the response to its own call, and asked no more.)
 func TestRelayedListEndsNoCalls(t *testing.T) {
-	t.Run("many dispatchers, calls that fail", func(t *testing.T) { callsGoOn(t, 80, false) })
-	t.Run("a few, calls that are silent", func(t *testing.T) { callsGoOn(t, 6, true) })
+	t.Run("many dispatchers, calls that fail", func(t *testing.T) { assertCallsContinue(t, 80, false) })
+	t.Run("a few, calls that are silent", func(t *testing.T) { assertCallsContinue(t, 6, true) })
 }
 
-func callsGoOn(t *testing.T, dispatchers int, silent bool) {
+func assertCallsContinue(t *testing.T, dispatchers int, silent bool) {
 	const (
 		back   = 40 * time.Second // the list service fails until then
 		within = 60 * time.Second // of which it is asked again, since pauses grow to some 30 s
@@ -35,9 +34,9 @@
 	defer func(f func() http.RoundTripper) { discoveryTransport = f }(discoveryTransport)
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		failed, told := atomic.Int32{}, atomic.Int32{}
+		failed, answered := atomic.Int32{}, atomic.Int32{}
 		discoveryTransport = func() http.RoundTripper {
-			return transport(func(r *http.Request) (*http.Response, error) {
+			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				if time.Since(began) < back {
 					failed.Add(1)
 					if silent {
@@ -46,7 +45,7 @@
 					}
 					return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 				}
-				told.Add(1)
+				answered.Add(1)
 				select {
 				case <-time.After(time.Second):
 				case <-r.Context().Done():
@@ -59,8 +58,8 @@
 		cfg := testConfig()
 		cfg.Discovery, cfg.KnownList, cfg.Membership = "d:1", json.RawMessage(oneWorker), config.DefaultMembership()
 		cfg.Dispatch.DispatcherCount, cfg.Dispatch.MustSubscribe = dispatchers, true
-		table, b := testTable(t, cfg, func(string) {})
-		table.EnableSharing(open{}, func(ListUpdate) {})
+		table, b := newTestTable(t, cfg, func(string) {})
+		table.EnableSharing(unlimitedCalls{}, func(ListUpdate) {})
 		go table.Run(t.Context())
 		list := []membership.Worker{{ID: "s1", Addr: "h:1", Zone: "a", Kind: "m1", Weight: 1}}
 		for generation := uint64(2); time.Since(began) < back; generation++ {
@@ -68,8 +67,8 @@
 			table.ApplyRelayed(min(generation, 8), !silent, list)
 		}
 		time.Sleep(within)
-		if failed.Load() == 0 || told.Load() == 0 {
-			t.Errorf("%d calls that failed, %d in the %v behind that", failed.Load(), told.Load(), within)
+		if failed.Load() == 0 || answered.Load() == 0 {
+			t.Errorf("%d calls that failed, %d in the %v behind that", failed.Load(), answered.Load(), within)
 		}
 		b.Close()
 	})
