--- a/internal/emulator/yard.go
+++ b/internal/testing/emulator/yard.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"yardflow/coordination/frame"
-	"yardflow/internal/settings"
+	"yardflow/internal/platform/settings"
 )
 
 // Shape says how large a yard is.
--- a/internal/standin/shop/shop.go
+++ b/internal/testing/standin/deployment/shop.go
@@ -1,10 +1,10 @@
-// Package shop is a whole installation on loopback: the real program as a child
+// Package deployment is a whole installation on loopback: the real program as a child
 // process, with a stand-in roster, name servers, loan workers and clients.
 //
 // It serves proofs and the demonstration. It owns every process and socket that it
 // starts, and ends them. It must never listen anywhere but on loopback, and every
 // load it makes is bounded in rate and time.
-package shop
+package deployment
 
 import (
 	"bufio"
@@ -25,15 +25,15 @@
 	"syscall"
 	"time"
 
-	"yardflow/internal/standin/dnsd"
-	"yardflow/internal/standin/roster"
-	"yardflow/internal/standin/worker"
+	"yardflow/internal/testing/standin/dnsserver"
+	"yardflow/internal/testing/standin/listservice"
+	"yardflow/internal/testing/standin/worker"
 )
 
 // Shop is one installation.
 type Shop struct {
-	Roster  *roster.Roster
-	DNS     []*dnsd.Server
+	Roster  *listservice.Roster
+	DNS     []*dnsserver.Server
 	Workers map[string]*worker.Worker
 	Listen  string // where clients connect
 	Console string
@@ -53,10 +53,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Shop{Roster: roster.Start(), Workers: map[string]*worker.Worker{}, dir: dir, Log: &Log{},
+	s := &Shop{Roster: listservice.Start(), Workers: map[string]*worker.Worker{}, dir: dir, Log: &Log{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	for range nameServers {
-		d, err := dnsd.Start()
+		d, err := dnsserver.Start()
 		if err != nil {
 			s.Close()
 			return nil, err
@@ -76,8 +76,8 @@
 }
 
 // Entry is a worker as the roster would name it.
-func (s *Shop) Entry(id string) roster.Entry {
-	return roster.Entry{ID: id, Addr: s.Workers[id].Addr, Zone: "north", Kind: "standard", Lifecycle: "SERVING", Weight: 1}
+func (s *Shop) Entry(id string) listservice.Entry {
+	return listservice.Entry{ID: id, Addr: s.Workers[id].Addr, Zone: "north", Kind: "standard", Lifecycle: "SERVING", Weight: 1}
 }
 
 // Record is a worker's lines in a zone file.
--- a/internal/standin/dnsd/dnsd.go
+++ b/internal/testing/standin/dnsserver/dnsd.go
@@ -1,9 +1,9 @@
-// Package dnsd is a stand-in DNS server on loopback: an authority for whatever
+// Package dnsserver is a stand-in DNS server on loopback: an authority for whatever
 // records it is given, over UDP and TCP, which misbehaves as it is told to.
 //
 // It serves tests, proofs and the demonstration. It must never listen anywhere but
 // on loopback, and never ask another server.
-package dnsd
+package dnsserver
 
 import (
 	"encoding/binary"
--- a/internal/standin/roster/mood.go
+++ b/internal/testing/standin/listservice/mood.go
@@ -1,4 +1,4 @@
-package roster
+package listservice
 
 // This file owns how a list service misbehaves: overloaded, silent, with an old list, or gone in
 // the middle of an answer; and the count of its calls. It must never change the list itself.
--- a/internal/standin/roster/roster.go
+++ b/internal/testing/standin/listservice/roster.go
@@ -1,9 +1,9 @@
-// Package roster is a stand-in for discovery on loopback: the list of loan workers
+// Package listservice is a stand-in for discovery on loopback: the list of loan workers
 // over HTTP, whole or as a watch on changes, as the platform's protocol has it.
 //
 // It serves tests, proofs and the demonstration. It must never listen anywhere but
 // on loopback, and says when it has told what, so that nobody need sleep.
-package roster
+package listservice
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/timers"
+	"yardflow/internal/platform/timers"
 )
 
 // Entry is one loan worker as discovery words it.
--- a/internal/standin/worker/engine.go
+++ b/internal/testing/standin/worker/engine.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/standin/machine"
-	"yardflow/internal/timers"
+	"yardflow/internal/platform/timers"
+	"yardflow/internal/testing/standin/machine"
 )
 
 // Engine runs one machine in time.
--- a/internal/standin/worker/worker.go
+++ b/internal/testing/standin/worker/worker.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"yardflow/internal/standin/machine"
+	"yardflow/internal/testing/standin/machine"
 )
 
 // Arrival is one request that came.
--- a/lab/demo-system/main.go
+++ b/lab/demo-system/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"yardflow/internal/emulator"
+	"yardflow/internal/testing/emulator"
 )
 
 func main() {
--- a/lab/rig/stage/coldstart.go
+++ b/lab/rig/stage/coldstart.go
@@ -15,15 +15,15 @@
 	"syscall"
 	"time"
 
-	"yardflow/internal/accord"
-	"yardflow/internal/fleet/start"
-	"yardflow/internal/fleet/start/relay"
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
-	"yardflow/internal/membership"
-	"yardflow/internal/platform"
-	"yardflow/internal/standin/roster"
-	"yardflow/internal/workers/relayed"
+	"yardflow/internal/discovery/membership"
+	"yardflow/internal/discovery/relayedlist"
+	"yardflow/internal/fleet/coldstart"
+	"yardflow/internal/fleet/coldstart/relay"
+	"yardflow/internal/fleet/policylease"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
+	"yardflow/internal/gateway/httpfront"
+	"yardflow/internal/testing/standin/listservice"
 )
 
 // startCalls is what the list service is stated to take a second.
@@ -218,13 +218,13 @@
 	began := time.Now()
 	for _, m := range []struct {
 		name string
-		mood roster.Mood
+		mood listservice.Mood
 	}{
-		{"silent, with nothing relayed", roster.Mood{Silent: true}},
-		{"overloaded", roster.Mood{Calls: startCalls}},
-		{"gone in mid-list", roster.Mood{Cut: true}},
-		{"silent", roster.Mood{Silent: true}},
-		{"old", roster.Mood{Old: true}},
+		{"silent, with nothing relayed", listservice.Mood{Silent: true}},
+		{"overloaded", listservice.Mood{Calls: startCalls}},
+		{"gone in mid-list", listservice.Mood{Cut: true}},
+		{"silent", listservice.Mood{Silent: true}},
+		{"old", listservice.Mood{Old: true}},
 	} {
 		down(r.Dispatcher...)
 		r.List.Be(m.mood)
@@ -248,7 +248,7 @@
 				return false
 			}))
 		}
-		r.List.Be(roster.Mood{Calls: startCalls})
+		r.List.Be(listservice.Mood{Calls: startCalls})
 		serve(t, r, at)
 		drained(t, r, 0, func() {
 			check(t, Until("the change is relayed", func() bool {
@@ -408,12 +408,12 @@
 func startMany(t T, r *Rig) {
 	const holders, zones, workers = 300, 6, 200
 	force(t, r, startPolicy)
-	var list []roster.Entry
+	var list []listservice.Entry
 	for i := range workers {
-		list = append(list, roster.Entry{ID: fmt.Sprintf("s-%08x", i*7919), Addr: fmt.Sprintf("10.1.%d.%d:7070", i/250, i%250), Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
+		list = append(list, listservice.Entry{ID: fmt.Sprintf("s-%08x", i*7919), Addr: fmt.Sprintf("10.1.%d.%d:7070", i/250, i%250), Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1})
 	}
 	r.List.Set(list...)
-	r.List.Be(roster.Mood{Calls: startCalls})
+	r.List.Be(listservice.Mood{Calls: startCalls})
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer func() { stop(); wg.Wait() }()
@@ -429,16 +429,19 @@
 		p := &paper{}
 		all[i] = p
 		now := func() time.Duration { return time.Since(began) }
-		desk := start.NewDesk(now, Patience)
+		desk := coldstart.NewDesk(now, Patience)
 		name := fmt.Sprint("h", i)
-		var carrier *relayed.Carrier
-		h := link.NewHolder(link.NewClient(fleet, addrs), accord.New(name, uint64(i+1), "", keeper.Refuse), began, link.Hooks{
-			Check: func(keeper.Policy) error { return nil }, Log: func(string) {},
-			Apply: func(p keeper.Policy) error { desk.Bind(p.Start != nil); return nil },
+		var carrier *relayedlist.Carrier
+		h := transport.NewHolder(transport.NewClient(fleet, addrs), policylease.New(name, uint64(i+1), "", statemachine.Refuse), began, transport.Hooks{
+			Check: func(statemachine.Policy) error { return nil }, Log: func(string) {},
+			Apply: func(p statemachine.Policy) error { desk.Bind(p.Start != nil); return nil },
 			Zone:  i % zones, Asks: desk.Want, Has: desk.Has, Starved: desk.Urgent,
-			Start: func(asked, until time.Duration, w *start.Word) { u, _ := desk.Hear(asked, until, w); carrier.Take(u) },
-			List:  func(u *relay.Update) { carrier.Take(desk.News(u)) }})
-		carrier = relayed.New(name, i%zones, desk, p, h, func(string) {})
+			Start: func(asked, until time.Duration, w *coldstart.Word) {
+				u, _ := desk.Hear(asked, until, w)
+				carrier.Take(u)
+			},
+			List: func(u *relay.Update) { carrier.Take(desk.News(u)) }})
+		carrier = relayedlist.New(name, i%zones, desk, p, h, func(string) {})
 		wg.Go(func() { h.Run(ctx) })
 		wg.Go(func() { carrier.Run(ctx) })
 		wg.Go(func() { read(ctx, r.List.Addr, desk, carrier, p) })
@@ -469,7 +472,7 @@
 }
 
 // read asks for the list in its turn, and hands it on.
-func read(ctx context.Context, addr string, desk *start.Desk, carrier *relayed.Carrier, p *paper) {
+func read(ctx context.Context, addr string, desk *coldstart.Desk, carrier *relayedlist.Carrier, p *paper) {
 	for ctx.Err() == nil {
 		ok, wait, changed := desk.May(true, false)
 		if !ok {
@@ -487,7 +490,7 @@
 		}
 		var reply struct {
 			Generation uint64
-			Instances  []roster.Entry
+			Instances  []listservice.Entry
 		}
 		err = json.NewDecoder(resp.Body).Decode(&reply)
 		resp.Body.Close()
@@ -500,7 +503,7 @@
 			list = append(list, membership.Worker{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight})
 		}
 		p.Relayed(reply.Generation, true, list)
-		carrier.Told(platform.Told{Generation: reply.Generation, Changed: list, All: func() []membership.Worker { return list }})
+		carrier.Told(httpfront.Told{Generation: reply.Generation, Changed: list, All: func() []membership.Worker { return list }})
 		return
 	}
 }
--- a/lab/rig/stage/dispatchers.go
+++ b/lab/rig/stage/dispatchers.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/standin/roster"
+	"yardflow/internal/testing/standin/listservice"
 )
 
 // This file owns what a dispatcher of the stage is given: its links, its files and the lists that
@@ -102,14 +102,14 @@
 		l.Target(r.List.Addr)
 		return l.Addr(), nil
 	}
-	list := roster.Start()
+	list := listservice.Start()
 	r.rosters[name] = list
 	return list.Addr, r.list(name, func(int) time.Time { return time.Time{} })
 }
 
 // list tells a dispatcher's roster all workers, each behind its relay.
 func (r *Rig) list(name string, started func(worker int) time.Time) error {
-	var all []roster.Entry
+	var all []listservice.Entry
 	for i, w := range r.Workers {
 		l := r.Link(name, w.ID)
 		if l == nil {
@@ -131,7 +131,7 @@
 
 // Tell tells the one list service all workers, each at its own address.
 func (r *Rig) Tell(started func(worker int) time.Time) error {
-	var all []roster.Entry
+	var all []listservice.Entry
 	for i, w := range r.Workers {
 		e := r.entry(i, w.Addr)
 		if at := started(i); !at.IsZero() {
@@ -144,8 +144,8 @@
 }
 
 // entry is a worker as a list tells of it.
-func (r *Rig) entry(i int, addr string) roster.Entry {
-	e := roster.Entry{ID: r.Workers[i].ID, Addr: addr, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1, Cell: i % max(r.Cells, 1)}
+func (r *Rig) entry(i int, addr string) listservice.Entry {
+	e := listservice.Entry{ID: r.Workers[i].ID, Addr: addr, Zone: "praha-holesovice", Kind: "dual-fast", Lifecycle: "SERVING", Weight: 1, Cell: i % max(r.Cells, 1)}
 	if r.Kinds > 1 && i%r.Kinds == 1 {
 		e.Kind = "triple-slow"
 	}
--- a/lab/rig/stage/folders.go
+++ b/lab/rig/stage/folders.go
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
 )
 
 // A folder that is lost, another's or damaged is refused by name, and nothing is made anew.
 func folders(t T, r *Rig) {
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	k := r.Keeper[2]
 	dir := filepath.Join(r.Dir, k.Name)
 	file := filepath.Join(dir, "keeper.db")
@@ -62,7 +62,7 @@
 	check(t, os.WriteFile(file, whole, 0o600))
 	check(t, k.Start())
 	check(t, r.Propose("two", third, 1, false))
-	changed(t, r, "two", keeper.InForce)
+	changed(t, r, "two", statemachine.InForce)
 }
 
 // A keeper whose folder is full stops and says so; the others go on, and with room again it is
@@ -79,11 +79,11 @@
 		check(t, err)
 	}
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	full.Limit(0)
 	full.Kill()
 	check(t, full.Start())
-	only := link.NewClient(fleet, []string{full.Addr})
+	only := transport.NewClient(fleet, []string{full.Addr})
 	defer only.Close()
 	check(t, Until("it knows version 1", func() bool {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
@@ -97,7 +97,7 @@
 // it would go back on what it has acknowledged.
 func olderFolder(t T, r *Rig) {
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	k := r.Keeper[2]
 	file := filepath.Join(r.Dir, k.Name, "keeper.db")
 	k.Kill()
@@ -106,8 +106,8 @@
 	check(t, k.Start())
 	// What follows is taken in by all three: by the two others alone it would not be k3's.
 	check(t, r.Propose("two", third, 1, false))
-	changed(t, r, "two", keeper.InForce)
-	only := link.NewClient(fleet, []string{k.Addr})
+	changed(t, r, "two", statemachine.InForce)
+	only := transport.NewClient(fleet, []string{k.Addr})
 	defer only.Close()
 	check(t, Until("it knows version 2", func() bool {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
@@ -128,7 +128,7 @@
 	check(t, os.WriteFile(file, whole, 0o600))
 	check(t, k.Start())
 	check(t, r.Propose("three", second, 2, false))
-	changed(t, r, "three", keeper.InForce)
+	changed(t, r, "three", statemachine.InForce)
 	under(t, r, r.Dispatcher[0], 3)
 }
 
@@ -139,7 +139,7 @@
 	stop := r.Load()
 	defer stop()
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 1)
 	}
@@ -173,7 +173,7 @@
 	check(t, err)
 	staff(t, r, 0, "members", "add", "10", addr)
 	check(t, r.Propose("two", third, 1001, false))
-	changed(t, r, "two", keeper.InForce)
+	changed(t, r, "two", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 1002)
 	}
@@ -188,7 +188,7 @@
 	for _, k := range before[1:] {
 		check(t, k.Start())
 	}
-	only := link.NewClient(fleet, []string{before[1].Addr, before[2].Addr})
+	only := transport.NewClient(fleet, []string{before[1].Addr, before[2].Addr})
 	defer only.Close()
 	check(t, Until("those of before lead", func() bool {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
@@ -203,7 +203,7 @@
 		r.Link(d.Name, "k1").Cut(false)
 	}
 	check(t, r.Propose("three", second, 1002, false))
-	changed(t, r, "three", keeper.InForce)
+	changed(t, r, "three", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 1003)
 	}
--- a/lab/rig/stage/history.go
+++ b/lab/rig/stage/history.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 	"time"
-	"yardflow/internal/quota"
+	"yardflow/internal/fleet/quota"
 )
 
 // This file owns what is judged of the history of admissions. It must never start or end anything.
--- a/lab/rig/stage/keepers.go
+++ b/lab/rig/stage/keepers.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/accord"
-	"yardflow/internal/keeper"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/policylease"
+	"yardflow/internal/fleet/statemachine"
+	"yardflow/internal/fleet/transport"
 )
 
 // The keeper that leads is killed while a change is under way, then the next one stands still
@@ -29,11 +29,11 @@
 	first := lead()
 	check(t, r.Propose("one", second, 0, false))
 	first.Kill()
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	next := lead()
 	next.Stop()
 	check(t, r.Propose("two", third, 1, false))
-	changed(t, r, "two", keeper.InForce)
+	changed(t, r, "two", statemachine.InForce)
 	next.Go()
 	check(t, first.Start())
 	for _, d := range r.Dispatcher {
@@ -41,7 +41,7 @@
 	}
 	// Those that come back know what was agreed on without them.
 	for _, k := range []*Process{first, next} {
-		only := link.NewClient(fleet, []string{k.Addr})
+		only := transport.NewClient(fleet, []string{k.Addr})
 		check(t, Until(k.Name+" knows version 2", func() bool {
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
 			defer end()
@@ -57,7 +57,7 @@
 // nothing is admitted then; back, all serve again. Under last all serve on, by the last.
 func keepersLost(t T, r *Rig) {
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 1)
 	}
@@ -85,7 +85,7 @@
 	check(t, r.Keeper[0].Start())
 	check(t, r.Keeper[1].Start())
 	check(t, r.Propose("two", third, 1, false))
-	changed(t, r, "two", keeper.InForce)
+	changed(t, r, "two", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 2)
 	}
@@ -114,7 +114,7 @@
 		}
 	}()
 	check(t, r.Propose("one", second, 0, true))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	<-over
 	for _, k := range r.Keeper {
 		r.Link("d1", k.Name).Slow(0)
@@ -146,7 +146,7 @@
 		check(t, Until("another leads", func() bool { _, l, err := r.State(); return err == nil && l > 0 && r.Keeper[l-1] != first }))
 		id := fmt.Sprint("out ", out)
 		check(t, r.Propose(id, fmt.Sprintf("attempts = %d\n", version+2), version, true))
-		changed(t, r, id, keeper.InForce)
+		changed(t, r, id, statemachine.InForce)
 		version++
 		cut(first.Name, false, false)
 		for _, d := range r.Dispatcher {
@@ -157,7 +157,7 @@
 	cut(deaf.Name, false, true)
 	serves(t, r, deaf, false)
 	check(t, r.Propose("deaf", third, version, true))
-	changed(t, r, "deaf", keeper.InForce)
+	changed(t, r, "deaf", statemachine.InForce)
 	under(t, r, r.Dispatcher[0], version+1)
 	cut(deaf.Name, false, false)
 	under(t, r, deaf, version+1)
@@ -186,7 +186,7 @@
 		check(t, r.Propose(id, fmt.Sprintf("attempts = %d\n", version+2), version, true))
 		one.Kill()
 		check(t, one.Start())
-		changed(t, r, id, keeper.InForce)
+		changed(t, r, id, statemachine.InForce)
 		for _, d := range r.Dispatcher {
 			under(t, r, d, version+1)
 		}
@@ -201,14 +201,14 @@
 	still := r.Dispatcher[1]
 	still.Stop() // the change waits for it
 	check(t, r.Propose("one", second, 0, true))
-	changed(t, r, "one", keeper.Proposed)
+	changed(t, r, "one", statemachine.Proposed)
 	for _, k := range r.Keeper {
 		k.Kill()
 	}
 	for _, k := range r.Keeper {
 		check(t, k.Start())
 	}
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	still.Go()
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 1)
@@ -223,7 +223,7 @@
 	stop := r.Load()
 	defer stop()
 	check(t, r.Propose("one", second, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	fourth, addr, err := r.Join("k4", 4)
 	check(t, err)
 	if out := staff(t, r, 0, "members", "add", "4", addr); !strings.Contains(out, "4 learns") || !strings.Contains(out, "4 is a member") {
@@ -236,7 +236,7 @@
 	id := strings.TrimPrefix(out.Name, "k")
 	check(t, r.Propose("two", third, 1, false))
 	staff(t, r, 0, "members", "remove", id)
-	changed(t, r, "two", keeper.InForce)
+	changed(t, r, "two", statemachine.InForce)
 	out.Kill()
 	if out := staff(t, r, 1, "members", "add", id, out.Addr); !strings.Contains(out, "a number is used once") {
 		t.Errorf("taken in again: %s", out)
@@ -254,7 +254,7 @@
 		t.Errorf("one of the two that answer is taken out: %s", out)
 	}
 	check(t, r.Propose("three", second, 2, true))
-	changed(t, r, "three", keeper.InForce)
+	changed(t, r, "three", statemachine.InForce)
 	for _, d := range r.Dispatcher {
 		under(t, r, d, 3)
 	}
@@ -266,7 +266,7 @@
 func restartLast(t T, r *Rig) {
 	d, k := r.Dispatcher[0], r.Keeper[0]
 	check(t, r.Propose("one", third, 0, false))
-	changed(t, r, "one", keeper.InForce)
+	changed(t, r, "one", statemachine.InForce)
 	under(t, r, d, 1)
 	k.Kill()
 	before := r.Admitted(d.Name, 1)
@@ -296,7 +296,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer func() { stop(); wg.Wait() }()
-	var all []*link.Holder
+	var all []*transport.Holder
 	for i := range 300 {
 		var addrs []string
 		for _, k := range r.Keeper {
@@ -304,8 +304,8 @@
 			check(t, err)
 			addrs = append(addrs, l.Addr())
 		}
-		h := link.NewHolder(link.NewClient(fleet, addrs), accord.New(fmt.Sprint("h", i), 1, "", keeper.Refuse), time.Now(),
-			link.Hooks{Check: func(keeper.Policy) error { return nil }, Apply: func(keeper.Policy) error { return nil }, Log: func(string) {}})
+		h := transport.NewHolder(transport.NewClient(fleet, addrs), policylease.New(fmt.Sprint("h", i), 1, "", statemachine.Refuse), time.Now(),
+			transport.Hooks{Check: func(statemachine.Policy) error { return nil }, Apply: func(statemachine.Policy) error { return nil }, Log: func(string) {}})
 		all = append(all, h)
 		wg.Go(func() { h.Run(ctx) })
 	}
--- a/lab/rig/stage/limits.go
+++ b/lab/rig/stage/limits.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"yardflow/internal/keeper"
+	"yardflow/internal/fleet/statemachine"
 )
 
 // force puts a policy in force, and waits until all serve under it.
@@ -17,7 +17,7 @@
 	version = s.InForce().Version + 1
 	id := fmt.Sprint("v", version)
 	check(t, r.Propose(id, text, version-1, true))
-	changed(t, r, id, keeper.InForce)
+	changed(t, r, id, statemachine.InForce)
 	return version
 }
 
--- a/lab/rig/stage/links.go
+++ b/lab/rig/stage/links.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 	"time"
-	"yardflow/internal/link"
+	"yardflow/internal/fleet/transport"
 )
 
 // This file owns the links between processes: each its own relay, which can be cut either way,
@@ -29,7 +29,7 @@
 		}
 		addrs = append(addrs, l.Addr())
 	}
-	r.Client = link.NewClient(fleet, addrs)
+	r.Client = transport.NewClient(fleet, addrs)
 	return nil
 }
 
--- a/lab/soak/main.go
+++ b/lab/soak/main.go
@@ -10,12 +10,12 @@
 	"sync"
 	"time"
 
-	"yardflow/internal/emulator"
+	"yardflow/internal/testing/emulator"
 	"yardflow/lab/soak/play"
 )
 
 func main() {
-	program := flag.String("program", "bin/yard", "the system's program")
+	program := flag.String("program", "bin/scheduler", "the system's program")
 	folder := flag.String("folder", "logs/soak", "for settings, disks and logs; a run's part is emptied first")
 	first := flag.Uint64("first", 1, "first seed")
 	seeds := flag.Int("seeds", 1, "how many seeds are played")
--- a/lab/soak/play/client.go
+++ b/lab/soak/play/client.go
@@ -13,7 +13,7 @@
 
 	"github.com/juju/errors"
 
-	"yardflow/internal/emulator"
+	"yardflow/internal/testing/emulator"
 )
 
 // Bounds of clients.
--- a/lab/soak/play/process.go
+++ b/lab/soak/play/process.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"yardflow/internal/settings"
+	"yardflow/internal/platform/settings"
 )
 
 // Bounds of processes.
--- a/lab/soak/play/soak.go
+++ b/lab/soak/play/soak.go
@@ -17,7 +17,7 @@
 
 	"github.com/juju/errors"
 
-	"yardflow/internal/emulator"
+	"yardflow/internal/testing/emulator"
 )
 
 // Spans of a soak.
--- a/lab/worth/main.go
+++ b/lab/worth/main.go
@@ -2,7 +2,7 @@
 // refused or not over, and at which stage of their way the time went. It reads the debug log of the dispatchers
 // as the bench prints it, and the bench's report of the same play for comparison.
 //
-//	fleetbench run SITE DAY --log front --report REPORT >LOG   with run = "target/yard -log-level debug dispatcher"
+//	fleetbench run SITE DAY --log front --report REPORT >LOG   with run = "target/scheduler -log-level debug dispatcher"
 //	go run ./lab/worth -log LOG -report REPORT
 package main
 
--- a/internal/room/room.go
+++ b/scheduling/backfill/room.go
@@ -1,4 +1,4 @@
-// Package room plans each worker's slots over time, so that a large job can be held
+// Package backfill plans each worker's slots over time, so that a large job can be held
 // room for while small ones fill the gaps.
 //
 // The terms are those of the scheduling literature. A reservation keeps a job's slots
@@ -16,7 +16,7 @@
 // This package does no I/O and has no clock or randomness: time is what the caller
 // passes in, on a clock that does not run back. It never decides whether or where a
 // job is sent; it says what a plan would bear. The same calls give the same plan.
-package room
+package backfill
 
 import (
 	"cmp"
--- a/internal/room/room_test.go
+++ b/scheduling/backfill/room_test.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"fmt"
--- a/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
-package linnetlift
+package dispatch
 
 // Every decision and every constant of the dispatcher is in this file; the
-// interface it serves (settings, events, actions) is in linnetlift.go, what it
+// interface it serves (settings, events, actions) is in api.go, what it
 // remembers in state.go.
 //
 // Reading order: constants; events; the ordinary path (choose, pick);
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/pools"
+	"yardflow/scheduling/workerpool"
 )
 
 const (
@@ -761,7 +761,7 @@
 			shares = append(shares, share)
 		}
 	}
-	if pools.Moved(d.shares, shares) {
+	if workerpool.Moved(d.shares, shares) {
 		d.shares = shares
 		d.setHomes()
 	}
--- a/golden_test.go
+++ b/scheduling/dispatch/golden_test.go
@@ -1,4 +1,4 @@
-package linnetlift
+package dispatch
 
 import (
 	"encoding/json"
--- a/internal/estimate/estimate.go
+++ b/scheduling/waitestimate/estimate.go
@@ -1,11 +1,11 @@
-// Package estimate keeps what one dispatcher of many can know of how long a job would
+// Package waitestimate keeps what one dispatcher of many can know of how long a job would
 // wait at a worker. It meets each worker seldom, so a report of free slots is long out
 // of date when it is used; but a queue that has built up stays for some seconds, and
 // how long the last job waited there tells of it. What is known fades into what is
 // common to the fleet, which all of this dispatcher's jobs together tell.
 //
 // It owns these figures. It has no clock and no randomness, and it must never choose.
-package estimate
+package waitestimate
 
 import (
 	"math"
--- a/internal/estimate/estimate_test.go
+++ b/scheduling/waitestimate/estimate_test.go
@@ -1,4 +1,4 @@
-package estimate
+package waitestimate
 
 import (
 	"math"
--- a/scheduling/worker/answers.go
+++ b/scheduling/worker/answers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/job"
 )
 
@@ -34,13 +34,13 @@
 		r.phase = owed // the lists tell whether it ended here
 		a.bumps++
 	case NoRoom:
-		a.release(r, cluster.NotStarted, Rejected)
+		a.release(r, statemachine.NotStarted, Rejected)
 	case Unhealthy, Invalid:
 		a.out.Blames = append(a.out.Blames, 0.4)
-		a.release(r, cluster.NotStarted, Rejected)
+		a.release(r, statemachine.NotStarted, Rejected)
 	case Unreached:
 		a.out.Blames = append(a.out.Blames, 0.4)
-		a.release(r, cluster.NotStarted, NeverSent)
+		a.release(r, statemachine.NotStarted, NeverSent)
 	case OtherLife:
 		r.phase = owed // this life has not taken the order; whether it is over the next look shows
 		a.bumps++
@@ -182,11 +182,11 @@
 		}
 		switch {
 		case r.phase == owed && hold.Fence > r.fence && r.outdated:
-			a.release(r, cluster.NotStarted, NeverOrdered)
+			a.release(r, statemachine.NotStarted, NeverOrdered)
 		case r.phase == owed && hold.Fence > r.fence:
 			r.phase = wanted
 		case r.phase == running && hold.Sequence >= r.knownFrom && len(lists.Ended) < endsAtOnce:
-			a.release(r, cluster.Lost, NotInLists)
+			a.release(r, statemachine.Lost, NotInLists)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 		r.saved = listed.Saved
 		if id, key, ok := job.ParseName(r.Task); ok {
 			a.checkpoints++
-			a.out.Checkpoints = append(a.out.Checkpoints, cluster.Checkpoint{Worker: a.id, Job: id, Task: key,
+			a.out.Checkpoints = append(a.out.Checkpoints, statemachine.Checkpoint{Worker: a.id, Job: id, Task: key,
 				Run: r.Run, Saved: listed.Saved, Token: a.token, Sequence: a.checkpoints})
 		}
 	}
--- a/scheduling/worker/orders.go
+++ b/scheduling/worker/orders.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"yardflow/internal/control/cluster"
+	"yardflow/internal/control/statemachine"
 	"yardflow/scheduling/job"
 )
 
@@ -29,7 +29,7 @@
 		case r.phase == owed:
 			settling = true
 		case r.phase == wanted && (r.Stopping || !a.reachable || a.unlistedAt > 0):
-			a.release(r, cluster.NotStarted, NeverOrdered)
+			a.release(r, statemachine.NotStarted, NeverOrdered)
 		case r.phase == wanted && a.contacted && a.fresh(now):
 			a.start(now, r)
 		case r.phase == wanted:
@@ -65,7 +65,7 @@
 func (a *Agent) giveUp(evidence Evidence) {
 	for _, task := range a.tasks() {
 		if r := a.runs[task]; r.phase == running || r.phase == owed || r.phase == ordered {
-			a.release(r, cluster.Lost, evidence)
+			a.release(r, statemachine.Lost, evidence)
 		}
 	}
 }
@@ -106,12 +106,12 @@
 }
 
 // release reports that a run is not at work and never will be.
-func (a *Agent) release(r *run, how cluster.How, evidence Evidence) {
+func (a *Agent) release(r *run, how statemachine.How, evidence Evidence) {
 	r.phase = over
 	a.report(0, r.Task, r.Run, how, "", evidence)
 }
 
-func (a *Agent) report(number uint64, task string, command uint64, how cluster.How, saved string,
+func (a *Agent) report(number uint64, task string, command uint64, how statemachine.How, saved string,
 	evidence Evidence) {
 	id, key, ok := job.ParseName(task)
 	if !ok {
@@ -120,6 +120,6 @@
 		}
 		return
 	}
-	a.out.Reports = append(a.out.Reports, Report{number, cluster.Ended{Worker: a.id, Job: id, Task: key,
+	a.out.Reports = append(a.out.Reports, Report{number, statemachine.Ended{Worker: a.id, Job: id, Task: key,
 		Run: command, How: how, Saved: saved, Token: a.token}, evidence})
 }
--- a/internal/pools/pools.go
+++ b/scheduling/workerpool/pools.go
@@ -1,4 +1,4 @@
-// Package pools parts loan workers among those who would else meet at all of them: the
+// Package workerpool parts loan workers among those who would else meet at all of them: the
 // dispatchers, each of which keeps to an arc of a circle, and the classes of jobs, each of
 // which has a pool in the measure of its work.
 //
@@ -11,7 +11,7 @@
 // Crovella and Murta (SITA, 1999), by class here, since sizes are not told.
 //
 // It owns that arithmetic. It has no clock and no randomness, and must never choose a worker.
-package pools
+package workerpool
 
 import "math"
 
--- a/internal/pools/pools_test.go
+++ b/scheduling/workerpool/pools_test.go
@@ -1,4 +1,4 @@
-package pools
+package workerpool
 
 import (
 	"math"
