--- a/internal/testing/standin/day/day.go
+++ b/internal/testing/standin/virtualday/day.go
@@ -1,4 +1,4 @@
-// Package day plays a stretch of service in virtual time: dispatchers (the decision
+// Package virtualday plays a stretch of service in virtual time: dispatchers (the decision
 // module itself), stand-in loan workers and clients on one clock of discrete events.
 // Nothing waits for the wall, and the same seed gives the same day.
 //
@@ -6,7 +6,7 @@
 // in time, and it watches the rules: one final answer a request, never two attempts
 // at once, no unsafe job twice. It must never show a dispatcher what a real one could
 // not see.
-package day
+package virtualday
 
 import (
 	"cmp"
--- a/internal/testing/standin/day/norace_test.go
+++ b/internal/testing/standin/virtualday/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package day
+package virtualday
 
 func seeds(all, _ uint64) uint64 { return all }
--- a/internal/testing/standin/day/plan.go
+++ b/internal/testing/standin/virtualday/plan.go
@@ -1,4 +1,4 @@
-package day
+package virtualday
 
 // This file owns the plan of one who knows everything: all jobs that will come,
 // their true sizes and the workers' speeds. It shows how much a policy could win at
--- a/internal/testing/standin/day/policies.go
+++ b/internal/testing/standin/virtualday/policies.go
@@ -1,4 +1,4 @@
-package day
+package virtualday
 
 // This file owns what the module is measured against: policies that put any job at a worker
 // as soon as it comes, by chance, by the better of two, or by the true state of all, which no
--- a/internal/testing/standin/day/talk_test.go
+++ b/internal/testing/standin/virtualday/talk_test.go
@@ -1,4 +1,4 @@
-package day
+package virtualday
 
 import (
 	"testing"
--- a/lab/prove-start/main.go
+++ b/lab/prove-start/main.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
+	"yardflow/lab/rig/harness"
 	"yardflow/lab/rig/prove"
-	"yardflow/lab/rig/stage"
 )
 
 const (
@@ -29,11 +29,11 @@
 	ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
 	var bytes [3]float64
 	for i, n := range []int{30, 300, 3000} {
-		c := stage.ColdStart{Dispatchers: n, Zones: max(n/50, 3), Workers: 200, Calls: calls, Keepers: true, Relay: true}
+		c := harness.ColdStart{Dispatchers: n, Zones: max(n/50, 3), Workers: 200, Calls: calls, Keepers: true, Relay: true}
 		if n == 3000 {
 			c.Zones = 12
 		}
-		var worst stage.Started
+		var worst harness.Started
 		for seed := range uint64(seeds) {
 			c.Seed = seed
 			got := c.Run()
@@ -50,9 +50,9 @@
 		t.Row(who+": 95% of what is asked for is served after, s", fmt.Sprintf("%.2f", serve), fmt.Sprintf("at most 1.3 of a clairvoyant fleet's %.2f", full()), serve <= 1.3*full())
 	}
 	t.Row("bytes of lists a dispatcher, 30, 300, 3,000", fmt.Sprintf("%.0f, %.0f, %.0f", bytes[0], bytes[1], bytes[2]), "not growing with how many there are", bytes[2] <= 1.1*bytes[0])
-	turns := stage.ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, Calls: calls, Keepers: true}.Run()
+	turns := harness.ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, Calls: calls, Keepers: true}.Run()
 	t.Row("300 by turns alone, without a relay: calls in the fullest second, and the last after", fmt.Sprintf("%d, %s", turns.Peak, ms(turns.Last)), fmt.Sprintf("at most %d", calls), turns.Peak <= calls)
-	alone := stage.ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, Calls: calls, Horizon: 10 * time.Minute}.Run()
+	alone := harness.ColdStart{Seed: 1, Dispatchers: 300, Zones: 6, Workers: 200, Calls: calls, Horizon: 10 * time.Minute}.Run()
 	t.Row("300 without keepers, by drawn pauses: calls in the fullest second, failed", fmt.Sprintf("%d, %d", alone.Peak, alone.Failed), "", true)
 	t.Row("the same: half, 95%, the last have a list after", ms(alone.Median)+", "+ms(alone.Most)+", "+ms(alone.Last), "all in 10m: no lasting overload", alone.Never == 0)
 	t.Scenarios(1, "start-power", "start-reader", "start-list", "start-alone", "start-again", "start-storm", "start-300")
--- a/lab/prove-verdicts/main.go
+++ b/lab/prove-verdicts/main.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"yardflow/lab/rig/harness"
 	"yardflow/lab/rig/prove"
-	"yardflow/lab/rig/stage"
 )
 
 var (
@@ -33,8 +33,8 @@
 	t.End()
 }
 
-func base(dispatchers, workers int, rate float64) stage.Jury {
-	return stage.Jury{Dispatchers: dispatchers, Workers: workers, Zones: min(3, max(dispatchers/2, 1)), Rate: rate, Errors: 0.01, Verdicts: true, Length: 50 * time.Second, Every: time.Second}
+func base(dispatchers, workers int, rate float64) harness.Jury {
+	return harness.Jury{Dispatchers: dispatchers, Workers: workers, Zones: min(3, max(dispatchers/2, 1)), Rate: rate, Errors: 0.01, Verdicts: true, Length: 50 * time.Second, Every: time.Second}
 }
 
 func lost(t *prove.Table, dispatchers, workers int, rate float64) {
--- a/lab/rig/stage/coldstart.go
+++ b/lab/rig/harness/coldstart.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios of cold starts: everything at one moment, in any order, with a
 // list service in any mood and readers that fall. Asserted each time: no second has more calls at
--- a/lab/rig/stage/dispatchers.go
+++ b/lab/rig/harness/dispatchers.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 import (
 	"encoding/json"
--- a/lab/rig/stage/flows.go
+++ b/lab/rig/harness/flows.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns what scenarios of workflows share: a policy with templates, submissions, and what
 // must hold of every step by what the workers have seen. It must never look into a dispatcher.
--- a/lab/rig/stage/folders.go
+++ b/lab/rig/harness/folders.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios of keepers' folders: lost, damaged, full, older, or the only one that is left.
 
--- a/lab/rig/stage/jury.go
+++ b/lab/rig/harness/jury.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the jury: dispatchers that send jobs to workers, some of them bad, and tell the
 // keepers' ledger what they see, in virtual time. It counts what is lost at bad workers, with
--- a/lab/rig/stage/keepers.go
+++ b/lab/rig/harness/keepers.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios of keepers that fall, come back, and are taken in and out.
 
--- a/lab/rig/stage/limits.go
+++ b/lab/rig/harness/limits.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios of limits of the whole fleet.
 
--- a/lab/rig/stage/proposer.go
+++ b/lab/rig/harness/proposer.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenario of a proposer that is killed.
 
--- a/lab/rig/stage/scenarios.go
+++ b/lab/rig/harness/scenarios.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the scenarios: each is what several real processes go through, and what must
 // and must not come of it. Tests play them in CI, and go run ./lab/rig by hand. What must never
--- a/lab/rig/stage/scenarios_test.go
+++ b/lab/rig/harness/scenarios_test.go
@@ -2,7 +2,7 @@
 
 // Once is enough: the race detector does not reach into the programs.
 
-package stage
+package harness
 
 import (
 	"flag"
--- a/lab/rig/stage/sim.go
+++ b/lab/rig/harness/sim.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns the simulation: keepers on the raft library and hundreds of dispatchers' halves
 // in virtual time, with messages that are late, lost and doubled, keepers that crash and come
--- a/lab/rig/stage/sim_test.go
+++ b/lab/rig/harness/sim_test.go
@@ -2,7 +2,7 @@
 
 // One goroutine a schedule: nothing for the race detector, at ten times the price.
 
-package stage
+package harness
 
 import (
 	"testing"
--- a/lab/rig/stage/stage.go
+++ b/lab/rig/harness/stage.go
@@ -1,10 +1,10 @@
-// Package stage starts the real programs, keepers and dispatchers, with stand-ins for all else on
+// Package harness starts the real programs, keepers and dispatchers, with stand-ins for all else on
 // loopback, leads every link between them through a relay of its own, and injects faults into
 // relays and processes. What dispatchers write of each admission is the history that it judges.
 //
 // Ports are the kernel's. It must never touch a process that it has not started, and nothing
 // that it says may hang on how long something took but by a wide limit.
-package stage
+package harness
 
 import (
 	"cmp"
--- a/lab/rig/stage/startsim.go
+++ b/lab/rig/harness/startsim.go
@@ -1,4 +1,4 @@
-package stage
+package harness
 
 // This file owns cold starts in virtual time: the keepers' state, the dispatchers' halves and a
 // list service of stated capacity, thousands of them, by seed. The same seed gives the same run.
--- a/lab/rig/stage/startsim_test.go
+++ b/lab/rig/harness/startsim_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package stage
+package harness
 
 import (
 	"testing"
--- a/lab/soak/play/client_test.go
+++ b/lab/soak/scenario/client_test.go
@@ -1,4 +1,4 @@
-package play
+package scenario
 
 import (
 	"bufio"
--- a/lab/soak/play/soak.go
+++ b/lab/soak/scenario/soak.go
@@ -1,8 +1,8 @@
-// Package play plays a small yard of real processes on the loopback range: control machines and dispatchers are
+// Package scenario plays a small yard of real processes on the loopback range: control machines and dispatchers are
 // processes of their own, with stand-ins for the workers, the platform's list, clients and operators. Signals, restarts
 // and changes come in several series at once, so that they overlap. Clients keep using their connections until the
 // processes close them. What happens when is drawn from a seed; real processes make of it what they will.
-package play
+package scenario
 
 import (
 	"fmt"
--- a/lab/worth/main.go
+++ b/lab/valueloss/main.go
@@ -3,7 +3,7 @@
 // as the bench prints it, and the bench's report of the same play for comparison.
 //
 //	fleetbench run SITE DAY --log front --report REPORT >LOG   with run = "target/scheduler -log-level debug dispatcher"
-//	go run ./lab/worth -log LOG -report REPORT
+//	go run ./lab/valueloss -log LOG -report REPORT
 package main
 
 import (
