--- a/internal/control/statemachine/configurations.go
+++ b/internal/control/statemachine/configurations.go
@@ -7,84 +7,85 @@
 	"yardflow/internal/control/patch"
 )
 
-// keptDigests is how many configurations are remembered as acknowledged: some minutes of changes in quick
-// succession, in 50 KB of state. A change that was acknowledged before and is sent again gets no clear answer.
-const keptDigests = 1024
+// maxConfigDigests is for how many configurations the state remembers that they were acknowledged: minutes of changes in
+// quick succession, in 50 KB of state. An older one that is sent again gets Unknown, since it can't be told whether it
+// was ever in force.
+const maxConfigDigests = 1024
 
+// digest returns the SHA-256 of a configuration's body, by which one that is sent again is recognised.
 func digest(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return sum[:]
 }
 
-// NewConfigure returns the command that puts a body in force on top of a version: as a patch where that version
-// is the present one here.
-func (c *FSM) NewConfigure(version, match int64, body []byte) *Configure {
-	if match != c.ConfigVersion || match == 0 {
-		return &Configure{Version: version, BaseVersion: match, Body: body}
+// NewConfigure returns the command that puts a body in force on top of baseVersion: as a patch where that is the
+// version in force here, else as a whole.
+func (f *FSM) NewConfigure(version, baseVersion int64, body []byte) *Configure {
+	if baseVersion != f.ConfigVersion || baseVersion == 0 {
+		return &Configure{Version: version, BaseVersion: baseVersion, Body: body}
 	}
-	made := patch.Diff(c.ConfigBody, body)
-	return &Configure{Version: version, BaseVersion: match, Patch: &made, Digest: digest(body)}
+	change := patch.Diff(f.ConfigBody, body)
+	return &Configure{Version: version, BaseVersion: baseVersion, Patch: &change, Digest: digest(body)}
 }
 
-// configure puts a configuration in force. One that was acknowledged is acknowledged again.
-func (c *FSM) configure(command *Configure) Result {
+// configure puts a configuration in force that builds on the present one. One that was in force before is acknowledged
+// again, also where another one is in force by now: its operator never got the answer.
+func (f *FSM) configure(command *Configure) Result {
 	sum := command.Digest
 	if command.Patch == nil {
 		sum = digest(command.Body)
 	}
-	if known := c.ConfigDigests[command.Version]; known != nil && bytes.Equal(known, sum) {
+	if known := f.ConfigDigests[command.Version]; known != nil && bytes.Equal(known, sum) {
 		return Result{}
 	}
-	if command.Version <= c.ForgottenThrough && command.BaseVersion < command.Version {
+	if command.Version <= f.ForgottenThrough && command.BaseVersion < command.Version {
 		return Result{Code: Unknown} // it may be one that was acknowledged long ago
 	}
-	if command.BaseVersion != c.ConfigVersion {
+	if command.BaseVersion != f.ConfigVersion {
 		return Result{Code: Conflict}
 	}
-	if command.Version <= c.ConfigVersion {
+	if command.Version <= f.ConfigVersion {
 		return Result{Code: Invalid}
 	}
-	body := command.Body
-	change := command.Patch
-	if change == nil {
-		made := patch.Diff(c.ConfigBody, body)
-		change = &made
-	} else if made, fits := change.Apply(c.ConfigBody); fits {
-		body = made
-	} else {
+	body, change, ok := f.bodyAndPatch(command)
+	if !ok {
 		return Result{Code: Unknown}
 	}
-	c.tellAll(Update{Config: &ConfigUpdate{Version: command.Version, BaseVersion: c.ConfigVersion, Patch: change}})
-	c.ConfigVersion, c.ConfigBody = command.Version, body
-	c.acknowledge(command.Version, sum)
+	f.notifyAll(Update{Config: &ConfigUpdate{Version: command.Version, BaseVersion: f.ConfigVersion, Patch: change}})
+	f.ConfigVersion, f.ConfigBody = command.Version, body
+	f.rememberDigest(command.Version, sum)
 	return Result{}
 }
 
-// acknowledge remembers a configuration in force, and forgets the oldest one where there are too many.
-func (c *FSM) acknowledge(version int64, sum []byte) {
-	c.ConfigDigests[version] = sum
-	if len(c.ConfigDigests) <= keptDigests {
-		return
-	}
-	oldest := version
-	for known := range c.ConfigDigests {
-		oldest = min(oldest, known)
+// bodyAndPatch returns the body that a command puts in force and the patch that leads there from the present one. It is
+// not ok where the command's patch was made from another body, which the same version can't have.
+func (f *FSM) bodyAndPatch(command *Configure) (body []byte, change *patch.Patch, ok bool) {
+	if command.Patch != nil {
+		body, ok = command.Patch.Apply(f.ConfigBody)
+		return body, command.Patch, ok
 	}
-	delete(c.ConfigDigests, oldest)
-	c.ForgottenThrough = max(c.ForgottenThrough, oldest)
+	made := patch.Diff(f.ConfigBody, command.Body)
+	return command.Body, &made, true
 }
 
-// FullConfig returns the update that brings the configuration in force as a whole; it is nil before there is one.
-func (c *FSM) FullConfig() *ConfigUpdate {
-	if c.ConfigVersion == 0 {
-		return nil
+// rememberDigest remembers that a configuration was in force, and forgets the lowest version where there are too many.
+func (f *FSM) rememberDigest(version int64, sum []byte) {
+	f.ConfigDigests[version] = sum
+	if len(f.ConfigDigests) <= maxConfigDigests {
+		return
+	}
+	lowest := version
+	for known := range f.ConfigDigests {
+		lowest = min(lowest, known)
 	}
-	return &ConfigUpdate{Version: c.ConfigVersion, Body: c.ConfigBody}
+	delete(f.ConfigDigests, lowest)
+	f.ForgottenThrough = max(f.ForgottenThrough, lowest)
 }
 
-func (c *FSM) readConfig() Result {
-	if c.ConfigVersion == 0 {
-		return Result{Code: NotFound}
+// FullConfig returns the update that brings the whole configuration in force, or nil before there is one.
+func (f *FSM) FullConfig() *ConfigUpdate {
+	if f.ConfigVersion == 0 {
+		return nil
 	}
-	return Result{Body: c.ConfigBody}
+	return &ConfigUpdate{Version: f.ConfigVersion, Body: f.ConfigBody}
 }
--- a/lab/worth/main.go
+++ b/lab/valueloss/main.go
@@ -3,7 +3,7 @@
 // as the bench prints it, and the bench's report of the same play for comparison.
 //
 //	fleetbench run SITE DAY --log front --report REPORT >LOG   with run = "target/scheduler -log-level debug dispatcher"
-//	go run ./lab/worth -log LOG -report REPORT
+//	go run ./lab/valueloss -log LOG -report REPORT
 package main
 
 import (
@@ -119,7 +119,7 @@
 		printRow(writer, fmt.Sprint("priority ", priority), priorities[-1-priority], 0)
 	}
 	printRow(writer, "all", whole, 0)
-	writer.Flush()
+	_ = writer.Flush()
 }
 
 func printRow(out io.Writer, name string, r *row, bench float64) {
