--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -156,7 +156,7 @@
 	w, r := a.worker, a.request
 	a.startedAt = d.now
 	w.startedSentAt = max(w.startedSentAt, a.sentAt)
-	d.settleOvercommit(a, false)
+	d.recordOvercommitOutcome(a, false)
 	d.planAttempt(a)
 	if a.lost { // it was only late: it holds a slot after all
 		a.lost = false
@@ -189,7 +189,7 @@
 	atLimit := w.usage.busy() >= w.limit.slots
 	d.removeAttempt(a)
 	neverRan := o.Code == Rejected || o.Code == ConnectFailed || o.Code == NotSent
-	d.settleOvercommit(a, neverRan)
+	d.recordOvercommitOutcome(a, neverRan)
 	d.learnOutcome(a, o.Code, atLimit, out)
 	if neverRan {
 		d.spreadRetries(r, w)
@@ -225,7 +225,7 @@
 			d.growLimit(w, r.Slots)
 		}
 	case Rejected:
-		d.shrinkLimit(w, rejectionBackoffs)
+		d.shrinkLimit(w, maxRejectionDoublings)
 	case ConnectionLost:
 		d.recordFailure(w, connectionLossWeight, out)
 	case Failed, TimedOut, ConnectFailed, Unknown:
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -65,11 +65,11 @@
 		fleet:      fleetState{workers: map[WorkerID]*worker{}},
 		speeds:     newSpeedModel(),
 		poolShares: []float64{1},
-		reclaims:   reclaimBudget{tokens: maxReclaims},
+		reclaims:   reclaimBudget{tokens: maxReclaimBurst},
 		quotas:     make([]tokenBucket, len(s.Tenants)),
 		granted:    grantedLimits{slowStartPart: -1},
 	}
-	d.numberPools()
+	d.assignClassPools()
 	d.configureReservations()
 	return d
 }
@@ -129,7 +129,7 @@
 	}
 	d.Settings, d.quotas = s, quotas
 	d.stopBroadcasts()
-	d.numberPools()
+	d.assignClassPools()
 	d.configureReservations()
 }
 
--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -53,7 +53,7 @@
 func (d *dispatcher) recordFailure(w *worker, weight float64, out Actions) {
 	w.errorShare = min(errorShareGrowth*w.errorShare+weight, 1)
 	if w.errorShare > distrustErrorShare {
-		d.shrinkLimit(w, failureBackoffs)
+		d.shrinkLimit(w, maxFailureDoublings)
 	}
 	if w.errorShare > loggedErrorShare {
 		next := w.limit.backoffUntil - d.now
@@ -129,9 +129,9 @@
 		return
 	}
 	a.startLate = true
-	d.settleOvercommit(a, true)
+	d.recordOvercommitOutcome(a, true)
 	w.usage.slots -= r.Slots // what waits does not run
-	d.shrinkLimit(w, rejectionBackoffs)
+	d.shrinkLimit(w, maxRejectionDoublings)
 	w.usage.slots += r.Slots
 }
 
--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -63,7 +63,7 @@
 	if f.freeMemory >= 0 {
 		r.freeMemory = f.freeMemory + w.usage.memory
 	}
-	if k := &d.fleet.kindOf(w).slots; f.freeSlots >= clearSightingFactor*k.seen && d.usageKnown() {
+	if k := &d.fleet.kindOf(w).slots; f.freeSlots >= certainObservationFactor*k.seen && d.usageKnown() {
 		k.seen = math.Round(f.freeSlots)
 	}
 	d.observeSlots(w, math.Round(f.freeSlots))
--- a/scheduling/dispatch/loadreport_test.go
+++ b/scheduling/dispatch/loadreport_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// A kind's slots must be learned from reports on a large fleet too: sightings that decay once a worker
+// A kind's slots must be learned from reports on a large fleet too: observations that decay once a worker
 // instead of once a kind never add up.
 func TestKindSlotsAreLearnedOnALargeFleet(t *testing.T) {
 	s := testSettings()
--- a/scheduling/dispatch/overcommit.go
+++ b/scheduling/dispatch/overcommit.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// Pacing of sends beyond known capacity.
+// Pacing of overcommitted sends, that is, sends to workers without known free capacity.
 const (
-	// overcommitGrowth is the factor on the gap after a send that found no capacity; with more, a few
-	// rejections in a row stop all sends while there is capacity left to find.
+	// overcommitGrowth multiplies the gap after an overcommitted send that found no capacity. With a larger
+	// factor, a few rejections in a row stop all such sends while some workers still have capacity.
 	overcommitGrowth = 1.3
-	// overcommitDecay is the divisor of the gap after a send that found capacity: back to normal within
-	// a few of them.
+	// overcommitDecay divides the gap after an overcommitted send that found capacity, so that a few
+	// successes bring the rate back to normal.
 	overcommitDecay = 2.0
-	// overcommitLeastRuns is the gap, in mean runs, that the first wasted send sets: well below what
-	// one worker could use.
-	overcommitLeastRuns = 1.0 / 256
-	// overcommitMostRuns is the largest gap, in mean runs. Without a bound a dispatcher would not notice
-	// when the overload has ended.
-	overcommitMostRuns = 4.0
+	// overcommitMinGapRuns is the gap after the first wasted send, in mean run times. It is well below the
+	// time between two jobs of one busy worker.
+	overcommitMinGapRuns = 1.0 / 256
+	// overcommitMaxGapRuns is the largest gap, in mean run times. Without a bound a dispatcher would not
+	// notice the end of an overload.
+	overcommitMaxGapRuns = 4.0
 )
 
-// overcommitPacer spaces out the sends that go to workers without known capacity while most of them
-// are rejected or kept waiting. Such attempts cost workers and dispatchers time, use up the attempts of
-// their requests, and move the queue to where nothing can be reclaimed or reordered.
+// overcommitPacer increases the gaps between overcommitted sends while most of them are rejected or kept
+// waiting. Such attempts cost workers and dispatchers time, use up the attempts of their requests, and move
+// the queue to the workers, where requests cannot be reclaimed or reordered.
 type overcommitPacer struct {
-	nextAt     time.Duration // no such send before
-	gapSeconds float64       // mean time between two
+	nextAt     time.Duration // no overcommitted send before this time
+	gapSeconds float64       // mean time between two overcommitted sends
 }
 
-// settle takes in how such a send ended: wasted, or with capacity found after all.
-func (p *overcommitPacer) settle(wasted bool, meanRun float64) {
+// recordOutcome adapts the gap to the outcome of an overcommitted send: wasted, or capacity was found.
+func (p *overcommitPacer) recordOutcome(wasted bool, meanRun float64) {
 	if wasted {
-		grown := max(p.gapSeconds*overcommitGrowth, overcommitLeastRuns*meanRun)
-		p.gapSeconds = min(grown, overcommitMostRuns*meanRun)
+		grown := max(p.gapSeconds*overcommitGrowth, overcommitMinGapRuns*meanRun)
+		p.gapSeconds = min(grown, overcommitMaxGapRuns*meanRun)
 	} else {
 		p.gapSeconds /= overcommitDecay
 	}
 }
 
-// settleOvercommit takes in how an attempt ended that was sent beyond known capacity; once for each.
-func (d *dispatcher) settleOvercommit(a *attempt, wasted bool) {
+// recordOvercommitOutcome passes the outcome of an overcommitted attempt to the pacer, once per attempt. It
+// ignores other attempts.
+func (d *dispatcher) recordOvercommitOutcome(a *attempt, wasted bool) {
 	if a.overcommitted {
-		d.overcommit.settle(wasted, d.speeds.meanRun.Seconds())
+		d.overcommit.recordOutcome(wasted, d.speeds.meanRun.Seconds())
 	}
 	a.overcommitted = false
 }
 
-// mayOvercommit tells whether r may be sent now to where no capacity is known. A large job would
-// keep a queue waiting there; so would any while a large one is due.
+// mayOvercommit reports whether r may be sent now to a worker without known free capacity. While slots are
+// scarce, a large job may not, as it would make a queue wait there; nor may any job while a large one waits.
 func (d *dispatcher) mayOvercommit(r *request) bool {
 	return d.now >= r.holdUntil && d.now >= d.overcommit.nextAt &&
-		(!d.slotsScarce() || r.Slots == 1 && !d.large.due)
+		(!d.slotsScarce() || r.Slots == 1 && !d.large.waiting)
 }
 
-// sendOvercommitted sends r to where it should end first, with known capacity or not.
+// sendOvercommitted sends r to the worker where it is expected to end first, with known capacity or not.
 func (d *dispatcher) sendOvercommitted(r *request, out Actions) bool {
 	r.rejectedBy = r.rejectedBy[:0]
-	w := d.guessWorker(r)
+	w := d.earliestEndWorker(r)
 	if d.usageKnown() {
-		w, _ = d.pickWorker(r) // where all usage is known, what has no capacity would only wait at a worker
+		w, _ = d.pickWorker(r) // with all usage known, r could only wait at a worker without capacity
 	}
 	if w == nil || !d.send(r, w, out) {
 		return false
@@ -69,23 +70,23 @@
 	return true
 }
 
-// guessWeight is how many times worse a wait that is only guessed counts than the same time of a known
-// slow run. A smaller one has jobs join queues at fast workers on old reports.
-const guessWeight = 8.0
+// estimatedWaitWeight is the weight of a second of estimated waiting, relative to a second of known run time.
+// With a smaller weight, jobs join the queues of fast workers on the basis of old load reports.
+const estimatedWaitWeight = 8.0
 
-// guessWorker picks, for a request that can be held no longer, the worker where it should end first
-// by what is known, with capacity or not; nil where none may be sent it.
-func (d *dispatcher) guessWorker(r *request) *worker {
+// earliestEndWorker returns the worker where r is expected to end first, with free capacity or not; nil if r
+// may be sent to no worker. It serves requests that can be held no longer.
+func (d *dispatcher) earliestEndWorker(r *request) *worker {
 	var best *worker
 	least := math.Inf(1)
 	for _, w := range d.fleet.ranked {
 		if w.rankTime >= least {
-			break // none behind can end sooner
+			break // at no later worker can it end sooner
 		}
 		if !d.eligible(w, r) || !d.slowStartAllows(w, r) || !d.mayBackfill(w, r) {
 			continue
 		}
-		wait := d.guessedWait(w, r)
+		wait := d.estimatedWait(w, r)
 		if wait > 0 && r.demoted {
 			continue
 		}
@@ -96,9 +97,9 @@
 	return best
 }
 
-// guessedWait is the time, in seconds, that r is taken to wait for capacity at w. A report fades into the
-// worker's average, and a worker in backoff counts as busy.
-func (d *dispatcher) guessedWait(w *worker, r *request) float64 {
+// estimatedWait returns the weighted time, in seconds, for which r is expected to wait for capacity at w.
+// With age, a load report fades to the worker's average. A worker in backoff counts as busy.
+func (d *dispatcher) estimatedWait(w *worker, r *request) float64 {
 	run := d.speeds.meanRun.Seconds()
 	free := max(w.limit.slots, 1) - w.usage.busy()
 	if w.report.known {
@@ -108,5 +109,5 @@
 	if d.now < w.limit.backoffUntil {
 		free = min(free, 0)
 	}
-	return guessWeight * max(r.Slots-free, 0) * run / d.fleet.kindSlots(w)
+	return estimatedWaitWeight * max(r.Slots-free, 0) * run / d.fleet.kindSlots(w)
 }
--- a/scheduling/dispatch/overcommit_test.go
+++ b/scheduling/dispatch/overcommit_test.go
@@ -2,24 +2,25 @@
 
 import "testing"
 
-// Under overload sends beyond known capacity thin out, and come back once they succeed.
-func TestOvercommittedSendsArePaced(t *testing.T) {
+// Wasted overcommitted sends increase the gap up to its bound; sends that find capacity reduce it again.
+// Attempts with known capacity leave it unchanged.
+func TestOvercommitGapFollowsOutcomes(t *testing.T) {
 	d := newDispatcher(testSettings(), 5)
-	waste := func() { d.settleOvercommit(&attempt{overcommitted: true}, true) }
+	waste := func() { d.recordOvercommitOutcome(&attempt{overcommitted: true}, true) }
 	for range 200 {
 		waste()
 	}
-	top := d.overcommit.gapSeconds
-	if waste(); d.overcommit.gapSeconds != top || top < 0.2 {
-		t.Fatalf("gap %v s after 200 wasted attempts, %v after one more", top, d.overcommit.gapSeconds)
+	maxGap := d.overcommit.gapSeconds
+	if waste(); d.overcommit.gapSeconds != maxGap || maxGap < 0.2 {
+		t.Fatalf("gap is %v s after 200 wasted attempts and %v s after one more; want the same, at least 0.2 s", maxGap, d.overcommit.gapSeconds)
 	}
 	for range 20 {
-		d.settleOvercommit(&attempt{overcommitted: true}, false)
+		d.recordOvercommitOutcome(&attempt{overcommitted: true}, false)
 	}
 	if d.overcommit.gapSeconds > 0.001 {
-		t.Errorf("gap still %v s after 20 that found capacity", d.overcommit.gapSeconds)
+		t.Errorf("gap is still %v s after 20 attempts that found capacity, want at most 0.001 s", d.overcommit.gapSeconds)
 	}
-	d.settleOvercommit(&attempt{}, true)
+	d.recordOvercommitOutcome(&attempt{}, true)
 	if d.overcommit.gapSeconds > 0.001 {
 		t.Error("an attempt with known capacity changed the gap")
 	}
--- a/scheduling/dispatch/overload.go
+++ b/scheduling/dispatch/overload.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// retryAfter is the advice when a rejected client should come back: not before a slot may come
-// free, and spread over the fleet's warm-up while much of it is cold, so that no one wave comes back.
+// retryAfter returns the time after which a rejected client should retry: not before a slot may come free.
+// While much of the fleet warms up, the times are spread over the warm-up, so that the clients do not all
+// retry at once.
 func (d *dispatcher) retryAfter() time.Duration {
 	at := max(d.speeds.meanRun, seconds(d.overcommit.gapSeconds))
 	spread := min(seconds(d.fleet.warmingShare*d.SlowStart.Time.Seconds()), d.Attempts.MaxRetryAfter-at)
@@ -13,16 +14,16 @@
 	return min(d.Attempts.MaxRetryAfter, at)
 }
 
-// lotteryJoinOdds sheds load past what the fleet can do, where the usual wait is longer than a
-// request's slack: it is tried with odds of so many times slack over expected wait, else given up at
-// once, since what waits in vain keeps those behind it from being on time. On days of 80 dispatchers with
-// too little capacity 0.730 of the value was served on time with it, 0.713 without. It is over 1, since the
-// wait expected is rough.
-const lotteryJoinOdds = 1.5
+// admissionFactor sets how much load is shed when the mean wait is longer than a request's slack. The request
+// is then admitted with probability admissionFactor * slack / expected wait, and otherwise given up at once,
+// since a request that waits in vain makes the requests behind it late. On days of 80 dispatchers with too
+// little capacity, 0.730 of the value was served on time with load shedding and 0.713 without. The factor is
+// above 1 because the expected wait is a rough estimate.
+const admissionFactor = 1.5
 
-// shedsLoad tells whether r is better given up than sent to w, the worker where it would wait least.
+// shedsLoad reports whether to give up r instead of sending it to w, the worker where it would wait least.
 func (d *dispatcher) shedsLoad(r *request, w *worker) bool {
 	slack := (r.latestStart - d.now).Seconds()
 	return d.fleetWait.Mean() > slack &&
-		d.random.Float64() >= lotteryJoinOdds*slack/w.wait.Expected(d.now, &d.fleetWait)
+		d.random.Float64() >= admissionFactor*slack/w.wait.Expected(d.now, &d.fleetWait)
 }
--- a/scheduling/dispatch/overload_test.go
+++ b/scheduling/dispatch/overload_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Where jobs wait longer than they can at all workers, load is shed: part of them is given up at once, as
-// many as it takes, and none while waits are short.
-func TestLoadIsShedWhereWaitsAreHopeless(t *testing.T) {
+// When jobs wait longer than their slack at all workers, part of them are rejected at once: the more, the
+// longer the waits are, and none while waits are short.
+func TestLoadIsShedWhenWaitsExceedSlack(t *testing.T) {
 	for _, c := range []struct {
 		wait        time.Duration
-		least, most int // of 60 given up
+		least, most int // rejected, of 60
 	}{{50 * ms, 0, 0}, {1500 * ms, 10, 50}, {6 * time.Second, 45, 60}} {
 		s := testSettings()
 		s.Fleet.Count, s.Classes[0].LateValueShare, s.Attempts.MaxRetryAfter = 40, 0, time.Second
@@ -30,21 +30,21 @@
 			now += c.wait + 400*ms
 		}
 		if rejected < c.least || rejected > c.most {
-			t.Errorf("waits of %v: %d of 60 given up, want %d to %d", c.wait, rejected, c.least, c.most)
+			t.Errorf("waits of %v: %d of 60 requests rejected, want %d to %d", c.wait, rejected, c.least, c.most)
 		}
 	}
 }
 
-// While most of the fleet warms up, rejected clients are advised to come back over the time which that
-// takes, not as one wave; with a warm fleet all get the same advice.
+// While most of the fleet warms up, the retry times of rejected clients are spread over the warm-up, so that
+// they do not all retry at once. With a warm fleet all clients get the same retry time.
 func TestRetryAfterIsSpreadWhileTheFleetWarmsUp(t *testing.T) {
-	for _, cold := range []bool{true, false} {
+	for _, warming := range []bool{true, false} {
 		s := testSettings()
 		s.Attempts.MaxRetryAfter = 4 * time.Second
 		d, out := mustNew(t, s, 1), &recorder{}
 		at := 100 * time.Second
 		list := []Worker{{ID: 1, State: Ready, Weight: 1}, {ID: 2, State: Ready, Weight: 1}}
-		if cold {
+		if warming {
 			list[0].Launched, list[1].Launched = at, at
 		}
 		d.UpdateWorkers(at, ListFull, list, out)
@@ -57,8 +57,8 @@
 				}
 			}
 		}
-		if n < 30 || most > s.Attempts.MaxRetryAfter || cold != (most-least > 2*time.Second) {
-			t.Errorf("cold %t: %d rejected, to come back in %v to %v", cold, n, least, most)
+		if n < 30 || most > s.Attempts.MaxRetryAfter || warming != (most-least > 2*time.Second) {
+			t.Errorf("fleet warming up %t: %d rejected, with retry times from %v to %v", warming, n, least, most)
 		}
 	}
 }
--- a/scheduling/dispatch/peers.go
+++ b/scheduling/dispatch/peers.go
@@ -6,27 +6,29 @@
 	"yardflow/coordination/gossip"
 )
 
-// What dispatchers broadcast grows by the square of their number. So many broadcast at the most, and by
-// the price of a message no more than so much of each request's value is spent on it.
+// Limits of broadcasting. The total volume of broadcasts grows with the square of the number of dispatchers.
 const (
+	// maxBroadcasters is the largest number of dispatchers that broadcast to each other.
 	maxBroadcasters = 64
-	// maxBroadcastCost is the most that broadcasts may cost a request, in values of a request. Measured for 6
-	// to 48 dispatchers on 8 workers they cost 0.008 to 0.056 and earn 0.08 to 0.33.
+	// maxBroadcastCost is the most that broadcasts may cost per request, in values of a request. With 6 to 48
+	// dispatchers on 8 workers, broadcasts cost 0.008 to 0.056 and gain 0.08 to 0.33, by measurement.
 	maxBroadcastCost = 0.08
-	// broadcastBytesPerJob is what one dispatcher broadcasts to each other one per request, for that bound.
+	// broadcastBytesPerJob is the assumed number of bytes per request that one dispatcher broadcasts to each
+	// other one. The cost of broadcasts is computed from it.
 	broadcastBytesPerJob = 32.0
-	// incarnationUnitMs is the unit, in ms, of the start time that tells apart incarnations of a dispatcher.
+	// incarnationUnitMs is the unit, in ms, of the start time that distinguishes the incarnations of a
+	// dispatcher.
 	incarnationUnitMs = 64
 )
 
-// peerUsage is this dispatcher's side of the broadcasts.
+// peerUsage is the dispatcher's state of usage broadcasts.
 type peerUsage struct {
 	participant *gossip.Participant // nil: nothing is broadcast
-	mergedAt    time.Duration       // when the workers' peer usage was last brought up to date
+	mergedAt    time.Duration       // when the workers' peer usage was last updated
 }
 
-// usageKnown tells whether what all dispatchers have outstanding is known, a network's delay ago: there is
-// no other, or they broadcast it. One that is silent is taken to be down.
+// usageKnown reports whether the usage of all dispatchers is known, up to the network's delay: there is no
+// other dispatcher, or all of them broadcast their usage. A silent dispatcher is assumed to be down.
 func (d *dispatcher) usageKnown() bool {
 	messages := float64(d.Fleet.Count-1) * broadcastBytesPerJob / gossip.MaxMessageBytes
 	return d.Fleet.Count == 1 || d.Fleet.Peers && d.Fleet.Count <= maxBroadcasters &&
@@ -41,7 +43,7 @@
 	}
 }
 
-// mergePeerUsage brings the workers' peer usage up to date.
+// mergePeerUsage updates the peer usage of all listed workers.
 func (d *dispatcher) mergePeerUsage() {
 	d.peers.mergedAt = d.now
 	for _, w := range d.fleet.ranked {
@@ -50,8 +52,8 @@
 	}
 }
 
-// broadcastUsage broadcasts what is outstanding, where that is due. A dispatcher that is alone does, too:
-// another process of it may receive it.
+// broadcastUsage broadcasts this dispatcher's usage if a message is due. A single dispatcher broadcasts too,
+// since another process of the same dispatcher may receive the message.
 func (d *dispatcher) broadcastUsage(out Actions) {
 	if !d.Fleet.Peers || !d.usageKnown() {
 		return
@@ -62,7 +64,7 @@
 		d.peers.participant = p
 	}
 	if d.now-d.peers.mergedAt > gossip.HeartbeatInterval {
-		d.mergePeerUsage() // what is silent has expired
+		d.mergePeerUsage() // drops the usage of silent dispatchers, which has expired
 	}
 	if !p.Due(d.now) {
 		return
@@ -74,18 +76,19 @@
 			usages = append(usages, own)
 		}
 	}
-	gossip.SortBySlots(usages) // in one order, whatever the map's
+	gossip.SortBySlots(usages) // a fixed order, independent of the map's
 	out.Broadcast(p.NextMessage(d.now, usages))
 }
 
-// usageChanged notes that what is outstanding has changed.
+// usageChanged marks this dispatcher's usage as changed since its last broadcast.
 func (d *dispatcher) usageChanged() {
 	if d.peers.participant != nil {
 		d.peers.participant.MarkChanged()
 	}
 }
 
-// stopBroadcasts forgets what peers have broadcast where, by the settings in force, they do not any more.
+// stopBroadcasts discards the usage received from peers if the dispatchers no longer broadcast under the
+// current settings.
 func (d *dispatcher) stopBroadcasts() {
 	if d.peers.participant == nil || d.Fleet.Peers && d.usageKnown() {
 		return
--- a/scheduling/dispatch/peers_test.go
+++ b/scheduling/dispatch/peers_test.go
@@ -6,11 +6,11 @@
 	"yardflow/coordination/gossip"
 )
 
-// New settings under which dispatchers may not broadcast any more, or are too many to: what they broadcast
-// last does not fill their workers for good.
-func TestPeerUsageEndsWithBroadcasts(t *testing.T) {
-	for name, change := range map[string]func(*Settings){"not allowed": func(s *Settings) { s.Fleet.Peers = false },
-		"too many": func(s *Settings) { s.Fleet.Count = 1000 }} {
+// When new settings disable broadcasts, or raise the number of dispatchers above the limit for broadcasts, the
+// usage received last is discarded. Otherwise it would count as used slots forever.
+func TestPeerUsageIsDiscardedWhenBroadcastsStop(t *testing.T) {
+	for name, change := range map[string]func(*Settings){"broadcasts disabled": func(s *Settings) { s.Fleet.Peers = false },
+		"too many dispatchers": func(s *Settings) { s.Fleet.Count = 1000 }} {
 		s := testSettings()
 		s.Fleet.Peers, s.Fleet.Count = true, 2
 		d, out := newDispatcher(s, 1), &recorder{}
@@ -18,11 +18,11 @@
 		other := gossip.New(1, 2, 9)
 		d.PeerMessage(ms, 1, other.NextMessage(ms, []gossip.Usage{{WorkerHash: d.fleet.workers[1].gossipHash, Slots: 1}}), out)
 		if d.fleet.workers[1].usage.peerSlots != 1 {
-			t.Fatalf("%s: %v slots were broadcast", name, d.fleet.workers[1].usage.peerSlots)
+			t.Fatalf("%s: peer usage is %v slots after the broadcast, want 1", name, d.fleet.workers[1].usage.peerSlots)
 		}
 		change(&s)
 		if d.Reconfigure(2*ms, s, out); d.fleet.workers[1].usage.peerSlots != 0 {
-			t.Errorf("%s: %v slots count as used", name, d.fleet.workers[1].usage.peerSlots)
+			t.Errorf("%s: peer usage is %v slots after broadcasts stopped, want 0", name, d.fleet.workers[1].usage.peerSlots)
 		}
 	}
 }
--- a/scheduling/dispatch/ranking.go
+++ b/scheduling/dispatch/ranking.go
@@ -51,7 +51,7 @@
 func (d *dispatcher) refreshEstimates() {
 	d.refreshAt = d.now + refreshInterval
 	d.partitionWorkers()
-	d.fleet.decaySightings()
+	d.fleet.decaySlotObservations()
 	d.speeds.crossZoneSeconds = d.speeds.startDelay[1] +
 		crossZoneWeight*d.Values.CrossZoneCost*d.totalLatencyTarget()/float64(len(d.Classes))
 	for _, w := range d.fleet.ranked {
--- a/scheduling/dispatch/reclaim_test.go
+++ b/scheduling/dispatch/reclaim_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Where a cancelled job stays in its worker's queue, each one reclaimed is work for nobody and makes more
-// late: a fleet reclaimed a fifth of its sends, and fell to half of what random choice serves. So many and no more
-// are reclaimed, however long all of them wait.
-func TestReclaimingHasABudget(t *testing.T) {
+// The number of reclaimed attempts stays within the budget, however long all jobs wait. A cancelled job that
+// stays in its worker's queue is wasted work and makes other jobs late: without the budget, a fleet reclaimed
+// a fifth of its sends and served half as much as with random choice of workers.
+func TestReclaimedAttemptsStayWithinBudget(t *testing.T) {
 	s := testSettings()
 	s.Fleet.Count, s.Workers.FIFO, s.Attempts.Max = 40, true, 50
 	d, out := mustNew(t, s, 3), &recorder{}
@@ -18,7 +18,7 @@
 	}
 	d.UpdateWorkers(0, ListFull, list, out)
 	const jobs = 40
-	tries, back := map[RequestID]int{}, 0
+	sends, reclaimed := map[RequestID]int{}, 0
 	for now, id := time.Duration(0), RequestID(0); now < 20*time.Second; now += 25 * ms {
 		if id < jobs && now%(250*ms) == 0 {
 			id++
@@ -28,20 +28,20 @@
 		for _, a := range out.take() {
 			switch a.what {
 			case "send":
-				tries[a.id]++
+				sends[a.id]++
 			case "cancel":
-				back++
+				reclaimed++
 				d.AttemptEnded(now, Outcome{ID: a.id, Attempt: a.attempt, Worker: 1, Code: Cancelled}, out)
 			}
 		}
 	}
-	if most := int(maxReclaims + reclaimShare*jobs); back < 2 || back > most {
-		t.Errorf("%d of %d jobs are reclaimed, want 2 to %d", back, jobs, most)
+	if most := int(maxReclaimBurst + reclaimShare*jobs); reclaimed < 2 || reclaimed > most {
+		t.Errorf("%d attempts of %d jobs were reclaimed, want 2 to %d", reclaimed, jobs, most)
 	}
 }
 
-// One of many dispatchers finds a queue by standing in it. What may be retried is reclaimed from there and
-// sent to another worker that drops a repeat; an AtMostOnce request stays.
+// With many dispatchers, a Deduplicated request that has not started is reclaimed and sent to another worker of
+// the same cell, which drops repeats. An AtMostOnce request is not reclaimed.
 func TestUnstartedRetryableJobsAreReclaimed(t *testing.T) {
 	for class, want := range map[int]string{1: "cancel", 2: ""} {
 		s := testSettings()
@@ -57,14 +57,14 @@
 			}
 		}
 		if got != want {
-			t.Fatalf("class %d, unstarted for %v: %q, want %q", class, now, got, want)
+			t.Fatalf("class %d, not started for %v: action %q, want %q", class, now, got, want)
 		}
 		if want == "" {
 			continue
 		}
 		d.AttemptEnded(now, Outcome{ID: 1, Worker: first.worker, Code: Cancelled}, out)
 		var to WorkerID
-		for range 200 { // queued until a worker of the cell may be used
+		for range 200 { // the request is queued until a worker of the cell may be used
 			for _, a := range out.take() {
 				if a.what == "send" {
 					to = a.worker
@@ -74,7 +74,7 @@
 			d.Timer(now, 0, out)
 		}
 		if to == 0 || (to+1)/2 != (first.worker+1)/2 {
-			t.Errorf("sent again to worker %d, first to %d: want one of the same cell", to, first.worker)
+			t.Errorf("sent again to worker %d, first to worker %d; want a worker of the same cell", to, first.worker)
 		}
 	}
 }
--- a/scheduling/dispatch/reservations.go
+++ b/scheduling/dispatch/reservations.go
@@ -7,35 +7,36 @@
 	"yardflow/scheduling/backfill"
 )
 
-// Reservations for large jobs. Package backfill plans the workers' slots; it is told here of what is
-// outstanding, and asked when workers are picked.
+// Reservations for large jobs. Package backfill plans the workers' slots. The dispatcher reports outstanding
+// attempts to the plan and consults it when it picks a worker.
 const (
-	// largeJobMemory is for how long after a large job another one is reckoned with. Without one, small jobs
-	// are served as if reservations were off.
-	largeJobMemory = 10 * time.Second
-	// reservationCandidates is how many of the fastest workers are looked at for a large job; more cost
-	// processor time for workers where it would end later.
+	// largeJobExpectation is the time after a large job for which another one is expected. When no large job
+	// is expected, small jobs are served as if reservations were off.
+	largeJobExpectation = 10 * time.Second
+	// reservationCandidates is the number of fastest workers that are considered for a large job. Considering
+	// more takes processor time for workers where the job would end later.
 	reservationCandidates = 8
-	// reservationLead is how long before the latest start of a large job slots are reserved for it. Earlier
-	// ones alone brought nothing, by measurement; they leave more slots idle.
+	// reservationLead is the time before the latest start of a large job at which slots are reserved for it.
+	// By measurement, earlier reservations gave no benefit; they leave more slots idle.
 	reservationLead = 2 * time.Second
-	// scarceUsedShare is the part of the fleet's slots in use from which reservations are made.
+	// scarceUsedShare is the share of the fleet's slots in use from which slots count as scarce and
+	// reservations are made.
 	scarceUsedShare = 0.6
 )
 
-// largeJobs is the state of reservations.
+// largeJobs is the dispatcher's state of reservations for large jobs.
 type largeJobs struct {
 	plan        *backfill.Plan // nil: nothing is reserved
-	share       float64        // part of the plan's bounds that is this process's; 0: all
-	due         bool           // a large job is: small ones go where they fit most tightly
-	expectUntil time.Duration  // large jobs are reckoned with until then
+	share       float64        // this process's share of the plan's bounds; 0: all of them
+	waiting     bool           // a large job waits, so others go to the tightest fit
+	expectUntil time.Duration  // until when another large job is expected
 }
 
-// configureReservations makes the plan, bounds it anew, or ends it, by the settings in force.
+// configureReservations creates the plan, updates its settings or removes it, by the current settings.
 func (d *dispatcher) configureReservations() {
 	switch {
 	case d.Backfill == nil:
-		d.large.plan, d.large.due = nil, false
+		d.large.plan, d.large.waiting = nil, false
 	case d.large.plan == nil:
 		d.large.plan = backfill.New(*d.Backfill)
 		d.SetReservationShare(d.large.share)
@@ -62,29 +63,29 @@
 		Fulfilled: p.Fulfilled, Expired: p.Expired, Backfilled: p.Backfilled, Delayed: p.Delayed}
 }
 
-// isLarge tells whether slots may be reserved for r.
+// isLarge reports whether r is a large job, for which slots may be reserved.
 func (d *dispatcher) isLarge(r *request) bool {
 	return d.Backfill.IsLarge(r.Slots, d.expectedWork(r)/d.speeds.meanRun.Seconds())
 }
 
-// expectLargeJobs notes that large jobs come, where r is one.
+// expectLargeJobs extends the time for which large jobs are expected, if r is one.
 func (d *dispatcher) expectLargeJobs(r *request) {
 	if d.large.plan != nil && d.isLarge(r) {
-		d.large.expectUntil = d.now + largeJobMemory
+		d.large.expectUntil = d.now + largeJobExpectation
 	}
 }
 
-// slotsScarce tells whether reservations may be needed: large jobs come, and most slots are used.
+// slotsScarce reports whether reservations may be needed: large jobs are expected, and most slots are in use.
 func (d *dispatcher) slotsScarce() bool {
 	p := d.large.plan
 	return p != nil && !d.sparse() && p.WarmedUp(d.now) && d.now < d.large.expectUntil &&
 		p.UsedSlots() >= scarceUsedShare*d.fleet.slots
 }
 
-// serveLargeJobs sends large jobs that would else miss their time to wherever there is capacity, and
-// reserves slots for them where they would end first.
+// serveLargeJobs sends each queued large job that would otherwise start too late to a worker with free
+// capacity. If there is none, it reserves slots at the worker where the job would end first.
 func (d *dispatcher) serveLargeJobs(out Actions) {
-	d.large.due = false
+	d.large.waiting = false
 	if !d.slotsScarce() {
 		return
 	}
@@ -93,10 +94,10 @@
 		if d.now >= r.latestStart || !d.isLarge(r) {
 			continue
 		}
-		d.large.due = true
-		w, at := d.earliestEnd(r)
+		d.large.waiting = true
+		w, at := d.bestReservation(r)
 		if w == nil || d.large.plan.ReservationOf(uint64(r.ID)) == nil && at+reservationLead < r.latestStart {
-			continue // nowhere, or on time without
+			continue // no worker, or on time without a reservation
 		}
 		if f, _ := d.pickWorker(r); f != nil && d.send(r, f, out) {
 			i--
@@ -106,8 +107,9 @@
 	}
 }
 
-// earliestEnd is where r would end first with the slots it needs, and when these are free.
-func (d *dispatcher) earliestEnd(r *request) (best *worker, at time.Duration) {
+// bestReservation returns the worker where r would end first, given the slots that it needs, and the time at
+// which these slots come free. The worker is nil if none can run r.
+func (d *dispatcher) bestReservation(r *request) (best *worker, at time.Duration) {
 	least := time.Duration(math.MaxInt64)
 	for _, w := range d.fleet.ranked[:min(len(d.fleet.ranked), reservationCandidates)] {
 		if d.now < w.limit.backoffUntil || !d.eligible(w, r) || !d.slowStartAllows(w, r) {
@@ -123,13 +125,13 @@
 	return best, at
 }
 
-// mayBackfill tells whether r would not delay what is reserved at w.
+// mayBackfill reports whether r may start at w by the plan; see [backfill.Plan.MayBackfill].
 func (d *dispatcher) mayBackfill(w *worker, r *request) bool {
 	return d.large.plan == nil || d.large.plan.MayBackfill(d.now, uint64(w.ID), uint64(r.ID), r.Slots,
 		d.usableSlots(w), d.runTime(r, w), d.slowStartOf(w))
 }
 
-// planAttempt tells the plan of an attempt, at its send and again at its start.
+// planAttempt adds an attempt to the plan when it is sent, and updates it when it starts.
 func (d *dispatcher) planAttempt(a *attempt) {
 	if d.large.plan != nil && !a.lost {
 		d.large.plan.Start(a.startedOrSentAt(), uint64(a.worker.ID), uint64(a.request.ID), a.request.Slots,
@@ -143,7 +145,7 @@
 	}
 }
 
-// releaseReservation frees what is reserved for a request that has ended.
+// releaseReservation releases the slots reserved for a request that has ended.
 func (d *dispatcher) releaseReservation(r *request) {
 	if d.large.plan != nil {
 		d.large.plan.Forget(d.now, uint64(r.ID))
@@ -156,12 +158,12 @@
 	}
 }
 
-// runTime is what is known of the run time of r at w once that is warm.
+// runTime returns the estimated distribution of the run time of r at w, for a w that is warm.
 func (d *dispatcher) runTime(r *request, w *worker) backfill.RunTime {
 	return backfill.RunTime{LogMean: math.Log(d.expectedRun(r, w)), LogStdDev: math.Sqrt(r.stats.logVariance)}
 }
 
-// slowStartOf is how w warms up.
+// slowStartOf returns the warm-up of w in the form of package backfill.
 func (d *dispatcher) slowStartOf(w *worker) backfill.SlowStart {
 	if w.Launched == 0 {
 		return backfill.SlowStart{}
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -63,7 +63,7 @@
 			w != nil && d.spareSlots(c) >= d.spareSlots(w) {
 			continue
 		}
-		if w = c; !d.large.due { // else the tightest fit, so that slots stay free together
+		if w = c; !d.large.waiting { // else the tightest fit, so that slots stay free together
 			break
 		}
 	}
--- a/scheduling/dispatch/settings.go
+++ b/scheduling/dispatch/settings.go
@@ -8,20 +8,20 @@
 	"yardflow/scheduling/backfill"
 )
 
-// Semantics says what may be done with a request that may have run.
+// Semantics states how a request that may have run may be treated.
 type Semantics uint8
 
-// What may be done with a request that may have run.
+// The values of Semantics.
 const (
-	Retryable    Semantics = iota // idempotent: safe to retry and to reject
-	Deduplicated                  // workers of one DedupScope drop repeats for DedupWindow
-	AtMostOnce                    // must never run twice
+	Retryable    Semantics = iota // idempotent: may be retried, and rejected as harmless to retry
+	Deduplicated                  // the workers of one DedupScope drop repeats for DedupWindow
+	AtMostOnce                    // must not run twice
 )
 
-// DedupScope is the group of workers that drops repeats of a Deduplicated request.
+// DedupScope is the group of workers within which repeats of a Deduplicated request are dropped.
 type DedupScope uint8
 
-// The groups of workers that can drop repeats.
+// The values of DedupScope.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
@@ -31,27 +31,27 @@
 // Class describes one class of requests.
 type Class struct {
 	Name           string
-	LatencyTarget  time.Duration // on time within LatencyTarget + Stretch x work
-	Stretch        float64       // part of the target that grows with the request's work
-	Deadline       time.Duration // after which the client gives up
-	Value          float64       // of an answer on time, in the operators' unit
-	LateValueShare float64       // part of Value that an answer after the target still has, 0 to 1
+	LatencyTarget  time.Duration // a request is on time within LatencyTarget + Stretch x work
+	Stretch        float64       // factor on the request's work; see LatencyTarget
+	Deadline       time.Duration // time after which the client gives up
+	Value          float64       // value of an answer on time, in the operators' unit
+	LateValueShare float64       // share of Value for an answer after the target, 0 to 1
 	Semantics      Semantics
 	DedupScope     DedupScope
-	DedupWindow    time.Duration // for how long workers drop repeats, for Deduplicated
-	WorkerKind     int           // the one kind of worker that runs it, or -1 for any
+	DedupWindow    time.Duration // time for which workers drop repeats, for Deduplicated
+	WorkerKind     int           // the only kind of worker that can run its requests; -1: any
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second, over all dispatchers; 0: none
+	Quota float64 // requests per second, over all dispatchers; 0: no quota
 }
 
-// LoadField names one value of a load report.
+// LoadField identifies a value in a load report.
 type LoadField uint8
 
-// The values of a load report that a dispatcher knows.
+// The fields of a load report. A dispatcher ignores LoadOther.
 const (
 	LoadOther LoadField = iota
 	LoadActive
@@ -63,7 +63,7 @@
 	LoadFreeMemory
 )
 
-// Settings is what a dispatcher is configured with at its start, and anew by Reconfigure.
+// Settings is the configuration of a dispatcher, passed to New and Reconfigure.
 type Settings struct {
 	Classes     []Class
 	Tenants     []Tenant
@@ -75,78 +75,77 @@
 	List      ListSettings
 	Attempts  AttemptSettings
 	SlowStart SlowStartSettings
-	Backfill  *backfill.Settings // bounds of reservations for large jobs; nil: none are made
+	Backfill  *backfill.Settings // bounds of reservations for large jobs; nil: no reservations
 }
 
-// ValueSettings weigh what operators gain and pay, beside the values of the classes.
+// ValueSettings holds values and prices beside the values of the classes.
 type ValueSettings struct {
-	OverQuotaShare float64 // part of its value that a request over quota has
-	PerWork        bool    // a class's value counts per unit of work, not per request
+	OverQuotaShare float64 // share of its value that a request over quota has
+	PerWork        bool    // a class's value is per unit of work, not per request
 	CrossZoneCost  float64 // price of one attempt crossing zones, in mean values of a request
 }
 
-// FleetSettings say which of the dispatchers this one is, and whether they talk.
+// FleetSettings describes this dispatcher's place among all dispatchers, and whether they broadcast.
 type FleetSettings struct {
-	Index           int     // of this dispatcher, from 0
-	Count           int     // of dispatchers
-	Zone            int     // of this dispatcher
+	Index           int     // index of this dispatcher, from 0
+	Count           int     // number of dispatchers
+	Zone            int     // zone of this dispatcher
 	Peers           bool    // dispatchers may broadcast to each other
-	PeerMessageCost float64 // price of a whole message (256 bytes) at each receiver, in requests
+	PeerMessageCost float64 // price of a full message (256 bytes) at each receiver, in requests
 }
 
-// WorkerSettings say how workers serve and what they report.
+// WorkerSettings describes how workers serve jobs and what they report.
 type WorkerSettings struct {
-	FIFO               bool          // they serve their queues strictly first in, first out
-	StartNotifications bool          // they notify when a job starts
+	FIFO               bool          // workers serve their queues strictly first in, first out
+	StartNotifications bool          // workers notify the dispatcher when a job starts
 	ProgressInterval   time.Duration // between progress notifications; 0: none
 	LoadFields         []LoadField   // order of the values in load reports
-	DrainGrace         time.Duration // for which a draining worker may be sent to: bounds the age of the list that is served by
+	DrainGrace         time.Duration // for which jobs may go to a draining worker; bounds the list's age
 }
 
-// ListSettings say how the worker list is obtained.
+// ListSettings describes how the worker list is obtained.
 type ListSettings struct {
-	MustSubscribe   bool          // it comes only when asked for
+	MustSubscribe   bool          // the list service sends the list on request only
 	RefreshInterval time.Duration // ask the list service at least this often
 }
 
-// AttemptSettings bound the attempts of one request and its answer.
+// AttemptSettings limits the attempts of one request and its answer.
 type AttemptSettings struct {
-	Max           int           // of one request, the first among them
+	Max           int           // most attempts of one request, including the first
 	Hedging       bool          // two attempts of one request may be outstanding at once
 	Cancellation  bool          // attempts may be cancelled; their workers may still run them
-	MaxRetryAfter time.Duration // longest advice when to come back; 0: clients take none
-	AnswerSlack   time.Duration // an answer may come so long after the deadline
+	MaxRetryAfter time.Duration // longest retry time that clients are given; 0: they are given none
+	AnswerSlack   time.Duration // time after the deadline by which an answer may still come
 }
 
-// SlowStartSettings describe what a worker that has just started bears.
+// SlowStartSettings describes the capacity of a worker that has just started.
 type SlowStartSettings struct {
-	Share           float64       // it has at least this share of its capacity at once
-	Time            time.Duration // and all of it after this time
-	CrashLoadFactor float64       // more than this multiple of its present capacity
-	CrashLoadTime   time.Duration // for this time makes it crash
+	Share           float64       // least share of its full capacity that the worker has at its start
+	Time            time.Duration // time from the worker's start to full capacity
+	CrashLoadFactor float64       // load, in multiples of its present capacity, above which it crashes
+	CrashLoadTime   time.Duration // how long such a load has to last to crash it
 }
 
-// Validate reports settings no dispatcher can act on: no class, no dispatcher
-// or an own index outside their range, a class without deadline, attempts
-// that can never be made, and negative figures.
+// Validate returns an error if the settings are unusable: they have no classes, Fleet.Index is out of range
+// for Fleet.Count, no attempt is allowed, a class has no deadline, or a value is negative or out of range.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("dispatch: no classes")
 	}
 	if s.Fleet.Count < 1 || s.Fleet.Index < 0 || s.Fleet.Index >= s.Fleet.Count {
-		return fmt.Errorf("dispatch: dispatcher %d of %d", s.Fleet.Index, s.Fleet.Count)
+		return fmt.Errorf("dispatch: index %d out of range for %d dispatchers", s.Fleet.Index, s.Fleet.Count)
 	}
 	if s.Attempts.Max < 1 {
-		return fmt.Errorf("dispatch: at most %d attempts", s.Attempts.Max)
+		return fmt.Errorf("dispatch: at most %d attempts are allowed, want at least 1", s.Attempts.Max)
 	}
 	for i, c := range s.Classes {
 		if c.Deadline <= 0 || c.LatencyTarget < 0 || c.Stretch < 0 || c.Value < 0 || c.DedupWindow < 0 ||
 			c.Semantics > AtMostOnce || c.DedupScope > ScopeCell {
-			return fmt.Errorf("dispatch: class %d (%s) has impossible figures", i, c.Name)
+			return fmt.Errorf("dispatch: class %d (%s) has a value out of range", i, c.Name)
 		}
 	}
 	if s.MinEventGap < 0 || s.Attempts.AnswerSlack < 0 || s.List.RefreshInterval < 0 || !s.Workers.valid() || !s.SlowStart.valid() {
-		return errors.New("dispatch: negative or impossible rule figures")
+		return errors.New("dispatch: a setting is negative or out of range")
 	}
 	if s.Backfill != nil {
 		if err := s.Backfill.Validate(); err != nil {
--- a/scheduling/dispatch/shares_test.go
+++ b/scheduling/dispatch/shares_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// With many dispatchers the home shares of one add up to its share of the fleet, not to a slot
-// everywhere.
+// With many dispatchers, the home shares of one dispatcher add up to its fair share of the fleet, and the
+// home shares of one worker add up to 1.
 func TestHomeSharesDivideTheFleet(t *testing.T) {
 	const n = 40
 	var list []Worker
 	for i := range n {
 		list = append(list, Worker{ID: WorkerID(i + 1), Weight: 1})
 	}
-	owners := map[WorkerID]float64{}
+	totalShares := map[WorkerID]float64{}
 	for me := range n {
 		s := testSettings()
 		s.Fleet.Index, s.Fleet.Count = me, n
@@ -22,15 +22,15 @@
 		own := 0.0
 		for _, w := range d.fleet.ranked {
 			own += w.home.share
-			owners[w.ID] += w.home.share
+			totalShares[w.ID] += w.home.share
 		}
 		if math.Abs(own-1) > 1e-9 {
-			t.Fatalf("dispatcher %d owns %v workers of %d for %d dispatchers", me, own, n, n)
+			t.Fatalf("dispatcher %d has home shares of %v in total, with %d workers and %d dispatchers; want 1", me, own, n, n)
 		}
 	}
-	for id, sum := range owners {
+	for id, sum := range totalShares {
 		if math.Abs(sum-1) > 1e-6 {
-			t.Errorf("worker %d is owned %v times", id, sum)
+			t.Errorf("home shares of worker %d add up to %v, want 1", id, sum)
 		}
 	}
 }
--- a/scheduling/dispatch/slotlimit.go
+++ b/scheduling/dispatch/slotlimit.go
@@ -5,47 +5,50 @@
 	"time"
 )
 
-// Limits of slots per worker, in the manner of TCP's window. A limit falls to what runs there on a rejection
-// or a late start, and rises by one after a clean completion at it. After a backoff it is the own share at
-// least. It goes beyond the slots that the worker's kind was seen to have by trial alone.
+// Each worker has an adaptive slot limit, similar to TCP's congestion window. A rejection or a late start
+// lowers the limit to the slots in use at the worker; a clean completion while the limit is reached raises it
+// by one. After a backoff the limit is at least this dispatcher's home slots. Only a trial raises it above
+// the slot count observed for the worker's kind.
 const (
-	// rejectionBackoffs is how often the backoff after a rejection or late start doubles: to 8 mean runs.
-	// With more, a worker that has free slots again is left out for longer.
-	rejectionBackoffs = 3
-	// failureBackoffs is the same after failures. With 6 (64 runs) a worker that was well again was left
-	// out for 13.8 s.
-	failureBackoffs = 3
-	// kindBackoffs is the same for trying a whole kind beyond the slots it was seen to have: to 256 runs.
-	kindBackoffs = 8
-	// unusedReturn is how many slots beyond the own share are given back per refresh where they are not used,
-	// so that other dispatchers can have them. With more, each short lull costs trials anew.
-	unusedReturn = 0.5
+	// maxRejectionDoublings limits how often the backoff after a rejection or late start doubles: up to 8
+	// mean run times. More doublings keep a worker unused for longer after its slots have come free.
+	maxRejectionDoublings = 3
+	// maxFailureDoublings limits how often the backoff after a failure doubles. With 6 (64 mean run times), a
+	// worker that had recovered stayed unused for 13.8 s.
+	maxFailureDoublings = 3
+	// maxKindDoublings limits how often the backoff doubles between trials of a worker kind above its
+	// observed slot count: up to 256 mean run times.
+	maxKindDoublings = 8
+	// unusedSlotsReturned is how many unused slots above the home slots a limit gives up per refresh, so that
+	// other dispatchers can use them. A larger value makes each short lull cost new trials.
+	unusedSlotsReturned = 0.5
 )
 
-// slotLimit bounds the slots used at one worker where free slots are not reported.
+// slotLimit bounds the slots in use at one worker that does not report its free slots.
 type slotLimit struct {
 	slots        float64
-	backoffUntil time.Duration // no trial beyond slots before this
-	backoffs     int           // since the limit last rose, halved when it rises
+	backoffUntil time.Duration // no trial above slots before this time
+	backoffs     int           // reductions of the limit; halved when it rises
 }
 
-// kindSlots is what was seen of the slots of a kind of worker.
+// kindSlots is the observed slot count of a worker kind.
 type kindSlots struct {
-	seen         float64 // most seen at work at once
-	sightings    float64 // of more than that, decaying
-	growAt       time.Duration
-	growBackoffs int // after trials beyond seen that failed
+	seen         float64       // most slots observed in use at once at one worker
+	observations float64       // of a larger count than seen; decays
+	growAt       time.Duration // no trial above seen before this time
+	growBackoffs int           // failed trials above seen
 }
 
-// returnUnused gives back what was gained beyond the own share where it is not used.
+// returnUnused lowers a limit that is above the home slots and not fully used.
 func (l *slotLimit) returnUnused(home, busy float64) {
 	if l.slots > home && busy < l.slots {
-		l.slots = max(home, l.slots-unusedReturn)
+		l.slots = max(home, l.slots-unusedSlotsReturned)
 	}
 }
 
-// growLimit raises the limit of w after a clean completion at it that freed so many slots. Not during
-// the backoff after a shrink: at a steady load every raise costs a job that waits.
+// growLimit raises the limit of w after a clean completion while the limit was reached; the completed job
+// freed the given number of slots. The limit does not rise during the backoff after a reduction: under a
+// steady load each increase makes one job wait.
 func (d *dispatcher) growLimit(w *worker, freed float64) {
 	if !d.Workers.StartNotifications && len(d.Workers.LoadFields) == 0 {
 		d.observeSlots(w, w.usage.slots+freed)
@@ -57,13 +60,13 @@
 	}
 }
 
-// shrinkLimit lowers the limit of w to what runs there now. The way back is one trial after a jittered
-// backoff, which doubles up to so many times.
+// shrinkLimit lowers the limit of w to the slots in use there. The limit can rise again by one trial after a
+// jittered backoff, which doubles with each reduction, up to the given number of doublings.
 func (d *dispatcher) shrinkLimit(w *worker, doublings int) {
 	pause := d.speeds.meanRun.Seconds() * (0.5 + d.random.Float64())
 	if k := &d.fleet.kindOf(w).slots; w.limit.slots > k.seen {
-		// The whole kind was tried beyond what it was seen to run; try that less and less often.
-		k.growAt = d.now + seconds(pause*math.Exp2(float64(min(k.growBackoffs, kindBackoffs))))
+		// This was a trial above the slot count observed for the kind; make such trials less and less often.
+		k.growAt = d.now + seconds(pause*math.Exp2(float64(min(k.growBackoffs, maxKindDoublings))))
 		k.growBackoffs++
 	}
 	w.limit.slots = min(w.limit.slots, w.usage.busy())
@@ -72,34 +75,36 @@
 	w.limit.backoffs++
 }
 
-// Seeing how many slots a kind has.
+// Estimation of the slot count of a worker kind.
 const (
-	// slotSightings is how often more slots than known must be seen for one more to count: reports are
-	// noisy, and a start may be heard of before the end that made room for it.
-	slotSightings = 4
-	// sightingDecay is what is left of the sightings after each refresh: slotSightings must come within some
-	// ten seconds, so that noise alone never adds up.
-	sightingDecay = 0.9
-	// clearSightingFactor is how many times the known slots a report must tell of to count at once: well
-	// beyond any noise. Without it half of the slots went unused in a day's first seconds.
-	clearSightingFactor = 1.5
+	// minSlotObservations is how many observations of a larger slot count raise the estimate by one slot:
+	// load reports are noisy, and a start notification may arrive before the end that freed the slot.
+	minSlotObservations = 4
+	// observationDecay multiplies the number of observations at each refresh: minSlotObservations of them
+	// must arrive within about ten seconds, so noise alone never accumulates to that number.
+	observationDecay = 0.9
+	// certainObservationFactor is the multiple of the known slot count from which a load report is accepted
+	// at once, as it is well above any noise. Without it half of the slots were unused in the first seconds
+	// of a day.
+	certainObservationFactor = 1.5
 )
 
-// decaySightings ages sightings once a kind: aged once a worker, they would never add up on a large fleet.
-func (f *fleetState) decaySightings() {
+// decaySlotObservations decays the observations once per worker kind. A decay per worker would keep them from
+// ever reaching minSlotObservations on a large fleet.
+func (f *fleetState) decaySlotObservations() {
 	for i := range f.kinds {
-		f.kinds[i].slots.sightings *= sightingDecay
+		f.kinds[i].slots.observations *= observationDecay
 	}
 }
 
-// observeSlots takes in how many slots w seems to have.
+// observeSlots records an observation that w has n slots.
 func (d *dispatcher) observeSlots(w *worker, n float64) {
 	k := &d.fleet.kindOf(w).slots
 	if n <= k.seen {
 		return
 	}
-	// Where few jobs pass, sightings would never add up: there one is enough.
-	if k.sightings++; k.sightings >= slotSightings || d.sparse() {
-		k.seen, k.sightings = k.seen+1, 0
+	// A sparse dispatcher sends too few jobs to collect several observations: one is enough.
+	if k.observations++; k.observations >= minSlotObservations || d.sparse() {
+		k.seen, k.observations = k.seen+1, 0
 	}
 }
--- a/scheduling/dispatch/slowstart.go
+++ b/scheduling/dispatch/slowstart.go
@@ -2,57 +2,60 @@
 
 import "time"
 
-// Slow start: a worker that has just started bears a part of its load, which grows over
-// SlowStartSettings.Time. All dispatchers together must stay below CrashLoadFactor times what it has at
-// the moment, over CrashLoadTime.
+// Slow start of workers. A worker that has just started has a part of its capacity, which grows to all of it
+// over SlowStartSettings.Time. Over any period of CrashLoadTime, the load from all dispatchers together must
+// stay below CrashLoadFactor times the worker's present capacity.
 const (
-	// slowStartSafety is the part of that budget that is used, over all dispatchers: jobs' sizes are
-	// estimates, and a worker that crashes costs all that runs there. With more, long jobs that come together
-	// overload it.
+	// slowStartSafety is the share of this bound that all dispatchers together use: job sizes are estimates,
+	// and a crashing worker loses all jobs that run there. With a larger share, long jobs that arrive
+	// together overload the worker.
 	slowStartSafety = 0.3
-	// sparseSlowStartFactor is what all parts come to in a sparse fleet: over 1, since some of the
-	// dispatchers whose home a worker is have no job for it.
+	// sparseSlowStartFactor is the sum of all dispatchers' shares of a worker's budget in a sparse fleet. It
+	// is above 1, since some of the dispatchers with a home share of the worker have no job for it.
 	sparseSlowStartFactor = 1.2
-	// fewDispatchers is up to how many dispatchers each may use any warming worker: its one home may
-	// have ejected it, or be down. All parts come to at most 1.5 then, 0.45 of what the worker bears.
+	// fewDispatchers is the largest number of dispatchers with which each may use any warming worker: the
+	// only dispatcher with a home share of the worker may have ejected it, or be down. The shares of the
+	// budget then add up to at most 1.5, so the load is at most 0.45 of the bound.
 	fewDispatchers = 4
-	// fewDispatchersShare is the least share of the budget that each of few has, in even shares.
+	// fewDispatchersShare is the least share of the budget that each of few dispatchers has, in units of an
+	// equal share.
 	fewDispatchersShare = 0.5
-	// leastWarmUpShare is the share of its capacity that a worker is taken to have at the least, so
-	// that no estimate divides by nothing.
-	leastWarmUpShare = 0.05
+	// minWarmUpShare is the least share of its capacity that a worker is assumed to have, so that no estimate
+	// divides by zero.
+	minWarmUpShare = 0.05
 )
 
 // slowStartBudget is a token bucket of slot-seconds at one worker.
 type slowStartBudget struct {
-	tokens      float64 // below 0: nothing may be sent
-	at          time.Duration
-	incarnation time.Duration // the worker's start that it is for
+	tokens      float64       // if negative, nothing may be sent
+	at          time.Duration // of the last refill
+	incarnation time.Duration // start time of the worker incarnation that the budget is for
 }
 
-// warmUpShare is the share of its capacity that w has now at the least.
+// warmUpShare returns the least share of its full capacity that w has now, 0 to 1.
 func (d *dispatcher) warmUpShare(w *worker) float64 {
 	age := d.now - w.Launched
 	if w.Launched == 0 || age >= d.SlowStart.Time {
 		return 1
 	}
 	grown := (1 - d.SlowStart.Share) * float64(max(age, 0)) / float64(d.SlowStart.Time)
-	return max(d.SlowStart.Share+grown, leastWarmUpShare)
+	return max(d.SlowStart.Share+grown, minWarmUpShare)
 }
 
-// slowStartAllows tells whether the budget of w bears r now. The budget is a part of what a warming worker
-// bears, by own share (split evenly, its few owners could hardly use it), from a random phase.
+// slowStartAllows reports whether the slow-start budget of w allows r now. The budget is this dispatcher's
+// share of the load that a warming worker can bear. It is divided by home shares: with equal shares for all,
+// the few dispatchers with a home share could hardly use the worker. It starts at a random phase.
 func (d *dispatcher) slowStartAllows(w *worker, r *request) bool {
 	if d.warmUpShare(w) == 1 {
 		return true
 	}
 	share := d.slowStartShare(w)
 	cost := r.Slots * d.expectedRun(r, w)
-	bears := d.SlowStart.CrashLoadFactor * d.warmUpShare(w) * d.fleet.kindSlots(w)
-	if share == 0 || bears*d.SlowStart.CrashLoadTime.Seconds() < 2*cost {
+	maxLoad := d.SlowStart.CrashLoadFactor * d.warmUpShare(w) * d.fleet.kindSlots(w)
+	if share == 0 || maxLoad*d.SlowStart.CrashLoadTime.Seconds() < 2*cost {
 		return false
 	}
-	rate := slowStartSafety * bears * share
+	rate := slowStartSafety * maxLoad * share
 	b := &w.slowStart
 	if b.incarnation != w.Launched {
 		b.incarnation, b.at = w.Launched, d.now
@@ -63,11 +66,11 @@
 	return b.tokens >= 0
 }
 
-// slowStartShare is this dispatcher's share of the slow-start budget of w.
+// slowStartShare returns this dispatcher's share of the slow-start budget of w.
 func (d *dispatcher) slowStartShare(w *worker) float64 {
 	switch share := w.home.share; {
 	case d.granted.slowStartPart >= 0:
-		return d.granted.slowStartPart // all parts that the fleet grants come to one whole
+		return d.granted.slowStartPart // the parts granted by the fleet add up to 1
 	case d.sparse():
 		return share * (sparseSlowStartFactor / sparseHomeShares)
 	case d.usageKnown():
@@ -79,7 +82,7 @@
 	}
 }
 
-// spendSlowStart takes what r costs from the budget of w.
+// spendSlowStart deducts the cost of r from the slow-start budget of w.
 func (d *dispatcher) spendSlowStart(w *worker, r *request) {
 	if d.warmUpShare(w) < 1 {
 		w.slowStart.tokens -= r.Slots * d.expectedRun(r, w)
