--- a/scheduling/dispatch/example_test.go
+++ b/scheduling/dispatch/example_test.go
@@ -7,8 +7,8 @@
 	"yardflow/scheduling/dispatch"
 )
 
-// host is a process's side of the module: it carries out what the dispatcher
-// decides. This one only prints what it is asked to do.
+// host implements dispatch.Actions for a process that embeds a Dispatcher. It
+// prints the actions instead of carrying them out.
 type host struct{ sent []dispatch.WorkerID }
 
 func (h *host) Send(id dispatch.RequestID, w dispatch.WorkerID, _ time.Duration) {
@@ -24,8 +24,8 @@
 func (h *host) Broadcast([]byte)                              {}
 func (h *host) Log(line string)                               {}
 
-// A process embeds a Dispatcher and carries one job through a rejection to its
-// answer, without any network.
+// This example passes the events of one job to a Dispatcher, from its arrival
+// through a rejection by the first worker to the answer of a second one.
 func Example() {
 	d, err := dispatch.New(dispatch.Settings{
 		Fleet:    dispatch.FleetSettings{Count: 1},
@@ -44,7 +44,7 @@
 	d.UpdateWorkers(now, dispatch.ListCached, []dispatch.Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}, h)
 	d.Arrive(now, dispatch.Request{ID: 7, TimeLeft: 5 * time.Second, Slots: 1}, h)
 
-	// The worker is full: the job returns to the queue and goes elsewhere.
+	// The worker rejects the job, which returns to the queue and goes to another worker.
 	now += time.Millisecond
 	d.AttemptEnded(now, dispatch.Outcome{ID: 7, Attempt: 0, Worker: h.sent[0], Code: dispatch.Rejected}, h)
 	for len(h.sent) == 1 {
--- a/scheduling/dispatch/golden_test.go
+++ b/scheduling/dispatch/golden_test.go
@@ -7,8 +7,9 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden file was written at b99a1ea: what one process has learned is restored by the next one.
-func TestEncodingOfLearnedFiguresDoesNotChange(t *testing.T) {
+// A process must be able to restore the snapshots of other versions, so the encoding must stay as in the
+// golden file, which was written at commit b99a1ea.
+func TestSnapshotEncodingIsStable(t *testing.T) {
 	wiretest.AssertEncoding(t, "memory",
 		func(value snapshot) ([]byte, error) { return json.Marshal(value) },
 		func(data []byte, value *snapshot) error { return json.Unmarshal(data, value) })
--- a/scheduling/dispatch/helpers_test.go
+++ b/scheduling/dispatch/helpers_test.go
@@ -18,7 +18,7 @@
 	in      time.Duration
 }
 
-// recorder is an Actions sink that records.
+// recorder is an Actions sink that records all calls.
 type recorder struct{ actions []action }
 
 func (r *recorder) Send(id RequestID, w WorkerID, within time.Duration) {
@@ -47,7 +47,7 @@
 
 func (r *recorder) Log(line string) { r.actions = append(r.actions, action{what: "log " + line}) }
 
-// take returns what was recorded, without wakes, broadcasts and logs, and empties it.
+// take returns the recorded actions, without wakes, broadcasts and logs, and clears the record.
 func (r *recorder) take() []action {
 	var got []action
 	for _, a := range r.actions {
@@ -86,7 +86,7 @@
 	return d
 }
 
-// sends returns the sends among what was recorded.
+// sends returns the recorded sends and clears the record.
 func (r *recorder) sends() (out []action) {
 	for _, a := range r.take() {
 		if a.what == "send" {
--- a/scheduling/dispatch/slowstart_test.go
+++ b/scheduling/dispatch/slowstart_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The owner of a warming worker may use its whole part of the budget, others none: an even split among all
-// dispatchers left new workers idle through their warm-up.
-func TestWarmingWorkerIsUsedByItsOwner(t *testing.T) {
+// A dispatcher with a home share of a warming worker may use that share of the budget, others nothing. An
+// equal split among all dispatchers left new workers idle during their warm-up.
+func TestWarmingWorkerIsUsedByHomeDispatchers(t *testing.T) {
 	const n = 20
 	users := 0
 	for me := range n {
@@ -22,49 +22,49 @@
 		}
 		list[0].Launched = time.Hour
 		d.UpdateWorkers(time.Hour, ListCached, list, out)
-		cold, sent := d.fleet.workers[1], 0
+		warming, sent := d.fleet.workers[1], 0
 		for now := time.Hour; now < time.Hour+5*time.Second; now += 25 * ms {
 			d.now = now
-			if r := (&request{Request: Request{Slots: 1, WorkHint: 100 * ms}}); d.slowStartAllows(cold, r) {
-				d.spendSlowStart(cold, r)
+			if r := (&request{Request: Request{Slots: 1, WorkHint: 100 * ms}}); d.slowStartAllows(warming, r) {
+				d.spendSlowStart(warming, r)
 				sent++
 			}
 		}
 		if sent > 0 {
 			users++
 		}
-		if cold.home.share == 0 && sent > 0 {
-			t.Errorf("dispatcher %d owns nothing of the warming worker and sent %d jobs", me, sent)
+		if warming.home.share == 0 && sent > 0 {
+			t.Errorf("dispatcher %d has no home share of the warming worker and sent it %d jobs, want 0", me, sent)
 		}
-		if cold.home.share == 1 && sent < 15 {
-			t.Errorf("the owner sent %d jobs in 5 s", sent)
+		if warming.home.share == 1 && sent < 15 {
+			t.Errorf("the only dispatcher with a home share sent %d jobs in 5 s, want at least 15", sent)
 		}
 	}
 	if users == 0 {
-		t.Error("nobody used the warming worker")
+		t.Error("no dispatcher sent a job to the warming worker")
 	}
 }
 
-// A worker that comes back and warms up, as one that operators reinstate does, is of use to each of few
-// dispatchers, also to those whose own share of the workers it is not in: the one whose home it is may
-// have ejected it, or be down. It was left unused through its warm-up, with no other worker there.
+// With few dispatchers, each of them sends jobs to a reinstated worker that warms up, also without a home
+// share of it: the only dispatcher with a home share may have ejected the worker, or be down. Before, the
+// worker was unused during its warm-up although no other worker could run the jobs.
 func TestReinstatedWorkerIsUsedByAll(t *testing.T) {
 	const workers = 6
-	for _, talk := range []bool{false, true} {
+	for _, broadcasts := range []bool{false, true} {
 		for n := 1; n <= 3; n++ {
 			for me := range n {
-				for back := range workers {
+				for reinstated := range workers {
 					s := testSettings()
-					s.Fleet.Index, s.Fleet.Count, s.Fleet.Peers, s.Classes[0].WorkerKind = me, n, talk, 1
+					s.Fleet.Index, s.Fleet.Count, s.Fleet.Peers, s.Classes[0].WorkerKind = me, n, broadcasts, 1
 					d, out := mustNew(t, s, uint64(me)), &recorder{}
 					var list []Worker
 					for i := range workers {
 						list = append(list, Worker{ID: WorkerID(i + 1), Weight: 1})
 					}
-					list[back].Kind = 1 // the jobs' own: no other can run them
+					list[reinstated].Kind = 1 // no other worker can run the jobs
 					d.UpdateWorkers(0, ListCached, list, out)
-					list[back].Launched = time.Minute
-					d.UpdateWorkers(time.Minute, ListOverride, list[back:back+1], out)
+					list[reinstated].Launched = time.Minute
+					d.UpdateWorkers(time.Minute, ListOverride, list[reinstated:reinstated+1], out)
 					out.take()
 					sent := 0
 					for now, id := time.Minute, RequestID(1); now < time.Minute+3*time.Second; now += 25 * ms {
@@ -80,7 +80,7 @@
 						}
 					}
 					if sent == 0 {
-						t.Errorf("dispatcher %d of %d, broadcasts %v: worker %d was sent nothing in 3 s", me, n, talk, back+1)
+						t.Errorf("dispatcher %d of %d, broadcasts %v: worker %d received no job in 3 s", me, n, broadcasts, reinstated+1)
 					}
 				}
 			}
@@ -88,9 +88,10 @@
 	}
 }
 
-// The slow-start budget holds for all dispatchers together, one or many.
-func TestSlowStartBudget(t *testing.T) {
-	const restartAfter = 5 * time.Second // its start
+// The load from all dispatchers together on a warming worker stays below the crash load, with one dispatcher
+// or many, and also after a restart of the worker.
+func TestSlowStartBudgetHoldsForAllDispatchers(t *testing.T) {
+	const restartAfter = 5 * time.Second // time from the worker's first start to its second
 	for _, n := range []int{1, 2, 4, 5, 20, 30, 250, 300} {
 		var sent []time.Duration
 		for me := range n {
@@ -101,7 +102,7 @@
 			d.UpdateWorkers(start, ListCached, []Worker{{ID: 1, Weight: 1, Launched: start}}, out)
 			id, running := RequestID(0), map[time.Duration]action{}
 			for now := start; now < start+restartAfter+8*time.Second; now += 25 * ms {
-				if now == start+restartAfter { // it restarts
+				if now == start+restartAfter { // the worker restarts
 					d.UpdateWorkers(now, ListDelta, []Worker{{ID: 1, Weight: 1, Launched: now}}, out)
 				}
 				id++
@@ -129,34 +130,35 @@
 				}
 			}
 			age := from
-			if from+s.SlowStart.CrashLoadTime > restartAfter { // what was sent to its former incarnation does not count
+			if from+s.SlowStart.CrashLoadTime > restartAfter { // jobs sent to the former incarnation do not count
 				age = max(from-restartAfter, 0)
 			}
 			share := s.SlowStart.Share + (1-s.SlowStart.Share)*age.Seconds()/s.SlowStart.Time.Seconds()
 			if limit := s.SlowStart.CrashLoadFactor * share * s.SlowStart.CrashLoadTime.Seconds(); work > limit {
-				t.Fatalf("%d dispatchers sent %.2f slot-seconds from %v, the worker bears %.2f", n, work, from, limit)
+				t.Fatalf("%d dispatchers sent %.2f slot-seconds from %v on, want at most %.2f", n, work, from, limit)
 			}
 		}
 		if len(sent) == 0 {
-			t.Fatalf("%d dispatchers sent nothing in 8 s", n)
+			t.Fatalf("%d dispatchers sent no job in 13 s", n)
 		}
 	}
 }
 
-// Each of 40 dispatchers sends to a warming worker by the part that the fleet has granted it. All parts come
-// to one, so all together send it no more than it bears, and one without a part nothing.
-func TestWarmingWorkerIsSentByGrantedParts(t *testing.T) {
+// Each of 40 dispatchers sends to a warming worker according to the part of its budget that the fleet has
+// granted. The parts add up to 1, so all dispatchers together stay below the crash load, and a dispatcher
+// with part 0 sends nothing.
+func TestSlowStartBudgetFollowsGrantedParts(t *testing.T) {
 	const n = 40
 	s := testSettings()
 	s.Fleet.Count = n
 	launched := 100 * time.Second
 	var sent []time.Duration
-	none := 0
+	sentWithoutPart := 0
 	sum := 0.0
 	for me := range n {
 		s.Fleet.Index = me
 		d, out := mustNew(t, s, uint64(me+1)), &recorder{}
-		part := 2 * float64(me) / (n * (n - 1)) // 0 for the first, much for the last
+		part := 2 * float64(me) / (n * (n - 1)) // 0 for the first dispatcher, the largest for the last
 		sum += part
 		d.SetWorkerLimits(launched-time.Second, 0, part, out)
 		d.UpdateWorkers(launched, ListFull, []Worker{{ID: 9, State: Ready, Weight: 1, Launched: launched}}, out)
@@ -170,7 +172,7 @@
 					continue
 				}
 				if sent = append(sent, now); me == 0 {
-					none++
+					sentWithoutPart++
 				}
 				d.AttemptEnded(now+10*ms, Outcome{ID: a.id, Worker: 9, Code: OK, Answered: true}, out)
 				out.take()
@@ -178,14 +180,14 @@
 		}
 	}
 	slices.Sort(sent)
-	run := 0.2 // seconds that a job is taken to run where none was seen
+	run := 0.2 // expected run time, in seconds, before any job has run
 	for i, at := range sent {
-		bears := s.SlowStart.CrashLoadFactor * (s.SlowStart.Share + (1-s.SlowStart.Share)*(at+s.SlowStart.CrashLoadTime/2-launched).Seconds()/s.SlowStart.Time.Seconds()) * s.SlowStart.CrashLoadTime.Seconds() / run
-		if got, _ := slices.BinarySearch(sent[i:], at+s.SlowStart.CrashLoadTime); float64(got) > bears+3*math.Sqrt(bears)+3 {
-			t.Fatalf("%d jobs in the time from %v on, of %.1f that it bears", got, at-launched, bears)
+		maxJobs := s.SlowStart.CrashLoadFactor * (s.SlowStart.Share + (1-s.SlowStart.Share)*(at+s.SlowStart.CrashLoadTime/2-launched).Seconds()/s.SlowStart.Time.Seconds()) * s.SlowStart.CrashLoadTime.Seconds() / run
+		if got, _ := slices.BinarySearch(sent[i:], at+s.SlowStart.CrashLoadTime); float64(got) > maxJobs+3*math.Sqrt(maxJobs)+3 {
+			t.Fatalf("%d jobs within CrashLoadTime from %v on; the worker can bear %.1f", got, at-launched, maxJobs)
 		}
 	}
-	if none > 0 || len(sent) < 5 || math.Abs(sum-1) > 1e-9 {
-		t.Errorf("%d jobs by one without a part, %d in all, by parts of %v", none, len(sent), sum)
+	if sentWithoutPart > 0 || len(sent) < 5 || math.Abs(sum-1) > 1e-9 {
+		t.Errorf("%d jobs from the dispatcher with part 0, want 0; %d jobs in total, want at least 5; sum of parts %v, want 1", sentWithoutPart, len(sent), sum)
 	}
 }
--- a/scheduling/dispatch/snapshot.go
+++ b/scheduling/dispatch/snapshot.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// snapshotVersion is that of the form below; one of another version is ignored. Its JSON keys are read
-// by processes of other versions and by package speeds, so they stay where Go names change.
+// snapshotVersion is the version of the encoding below; a snapshot of another version is ignored. Processes
+// of other versions and package speeds read the JSON keys, so the keys must not change when Go names do.
 const snapshotVersion = 1
 
-// snapshot is all that was learned, with nothing of requests or attempts in it: those end where
-// they began. Times are on the host's clock, in ns; logarithms are natural, of seconds.
+// snapshot holds all estimates that a dispatcher has learned. It holds no requests or attempts: these end in
+// the process where they began. Times are on the host's clock, in ns; logarithms are natural, of seconds.
 type snapshot struct {
 	Version           int                         `json:"Version"`
-	SpeedsOnly        bool                        `json:"Speeds"` // for a dispatcher that is at work
+	SpeedsOnly        bool                        `json:"Speeds"` // speeds only, for a running dispatcher
 	LogMeanRun        float64                     `json:"MeanRun"`
 	LogFleetSlowness  float64                     `json:"MidSlow"`
-	MeanStep          float64                     `json:"MeanStep"` // of the learner, in seconds
+	MeanStep          float64                     `json:"MeanStep"` // of the actor-critic learner, in seconds
 	AverageCost       float64                     `json:"Eta"`
 	QueueWeight       float64                     `json:"Omega0"`
 	OvercommitSeconds float64                     `json:"ForceGap"`
@@ -68,12 +68,12 @@
 	for name, c := range d.speeds.classes {
 		s.Classes[name] = [2]float64{c.logWork, c.evidence}
 	}
-	for _, w := range d.fleet.ranked { // the listed ones: others start anew when they are back
+	for _, w := range d.fleet.ranked { // listed workers only; others start without estimates when they return
 		s.Workers[w.ID] = w.snapshot()
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
-		return nil // a figure that is not a number: better nothing than a fault
+		return nil // a value is NaN or infinite: hand over no snapshot rather than fail
 	}
 	return text
 }
@@ -124,20 +124,21 @@
 	l := &d.learner
 	l.meanStep, l.averageCost, l.queueWeight = s.MeanStep, s.AverageCost, s.QueueWeight
 	l.squaredLength = l.queueWeight * l.queueWeight
-	for _, id := range slices.Sorted(maps.Keys(s.Workers)) { // in one order, so that the sum has the same last bits
+	for _, id := range slices.Sorted(maps.Keys(s.Workers)) { // fixed order, for the same rounding of the sum
 		w := d.fleet.workerOf(id, d.Fleet.Index)
 		w.restore(s.Workers[id])
 		l.squaredLength += w.threshold.omega * w.threshold.omega
 	}
 }
 
-// restoreSpeeds takes in what others know of kinds and classes of which less is known here.
+// restoreSpeeds adopts the speeds in s of those kinds and classes for which this dispatcher has less
+// evidence. It adopts the mean run time only before this dispatcher has seen any run.
 func (d *dispatcher) restoreSpeeds(s snapshot) {
-	fresh := true
+	noEvidence := true
 	for _, c := range d.speeds.classes {
-		fresh = fresh && c.evidence == 0
+		noEvidence = noEvidence && c.evidence == 0
 	}
-	if fresh {
+	if noEvidence {
 		d.speeds.logMeanRun, d.speeds.meanRun = s.LogMeanRun, seconds(math.Exp(s.LogMeanRun))
 	}
 	for i, k := range s.Kinds {
--- a/scheduling/dispatch/snapshot_test.go
+++ b/scheduling/dispatch/snapshot_test.go
@@ -8,9 +8,9 @@
 	"yardflow/internal/fleet/coldstart/speeds"
 )
 
-// A dispatcher that takes over knows what the one before had learned, but for a worker that restarted in
-// between, and nothing of its requests.
-func TestSnapshotIsRestored(t *testing.T) {
+// A dispatcher that takes over has the estimates of the former one, except for a worker that has restarted in
+// between, and none of its requests.
+func TestSnapshotRestoresEstimatesButNotRequests(t *testing.T) {
 	s, list := testSettings(), []Worker{{ID: 1, Launched: time.Second}, {ID: 2, Kind: 1}}
 	old, out := newDispatcher(s, 1), &recorder{}
 	old.UpdateWorkers(time.Hour, ListFull, list, out)
@@ -25,16 +25,16 @@
 	next.Restore(old.Snapshot())
 	list[0].Launched = 2 * time.Second
 	next.UpdateWorkers(time.Hour, ListCached, list, out)
-	if a, b := next.fleet.workers[1], next.fleet.workers[2]; a.speed.logSlowness != 0 || a.errorShare != 0 || b.speed.logSlowness != 0.5 || b.errorShare < 0.2 || b.limit.slots != 2 || b.speed.evidence != 9 {
-		t.Errorf("restarted %+v, the other %+v", a, b)
+	if restarted, other := next.fleet.workers[1], next.fleet.workers[2]; restarted.speed.logSlowness != 0 || restarted.errorShare != 0 || other.speed.logSlowness != 0.5 || other.errorShare < 0.2 || other.limit.slots != 2 || other.speed.evidence != 9 {
+		t.Errorf("restarted worker %+v, other worker %+v", restarted, other)
 	}
-	if k := next.fleet.kindOf(next.fleet.workers[2]).slots.seen; k != 3 || next.speeds.classes["safe"].logWork != -1 || len(next.requests)+len(next.attempts) != 0 {
-		t.Errorf("%v slots, %+v, %d requests", k, next.speeds.classes["safe"], len(next.requests))
+	if slots := next.fleet.kindOf(next.fleet.workers[2]).slots.seen; slots != 3 || next.speeds.classes["safe"].logWork != -1 || len(next.requests)+len(next.attempts) != 0 {
+		t.Errorf("%v slots, want 3; class %+v, want logWork -1; %d requests, want none", slots, next.speeds.classes["safe"], len(next.requests))
 	}
 }
 
-// Speeds of the fleet may come after the first list. They fill in what is not known and leave the rest:
-// start delays, own evidence, and the numbering of kinds.
+// A snapshot of speeds may be restored after the first list. It supplies missing speeds and changes nothing
+// else: start delays, estimates with more evidence, and the numbering of kinds stay.
 func TestSpeedsAreRestoredAfterTheFirstList(t *testing.T) {
 	old, out := mustNew(t, testSettings(), 1), &recorder{}
 	old.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
@@ -46,20 +46,20 @@
 	}
 	known := speeds.Decode(old.Snapshot())
 	if known == nil {
-		t.Fatal("a module that has seen jobs has nothing to say")
+		t.Fatal("no speeds in the snapshot of a dispatcher that has completed jobs")
 	}
 	d := mustNew(t, testSettings(), 2).(*dispatcher)
 	d.UpdateWorkers(ms, ListFull, []Worker{{ID: 1, State: Ready, Weight: 1, Kind: 1}}, out)
 	kinds, delay := len(d.fleet.kinds), d.speeds.startDelay
 	d.Restore(known.Encode())
-	was := old.(*dispatcher)
-	if len(d.fleet.kinds) != kinds || d.speeds.startDelay != delay || d.speeds.logMeanRun != was.speeds.logMeanRun || d.fleet.kinds[1].evidence != was.fleet.kinds[1].evidence || d.speeds.classes["safe"].logWork != was.speeds.classes["safe"].logWork {
-		t.Errorf("%d kinds of %d, delays %v of %v, typical run %v of %v", len(d.fleet.kinds), kinds, d.speeds.startDelay, delay, d.speeds.logMeanRun, was.speeds.logMeanRun)
+	source := old.(*dispatcher)
+	if len(d.fleet.kinds) != kinds || d.speeds.startDelay != delay || d.speeds.logMeanRun != source.speeds.logMeanRun || d.fleet.kinds[1].evidence != source.fleet.kinds[1].evidence || d.speeds.classes["safe"].logWork != source.speeds.classes["safe"].logWork {
+		t.Errorf("%d kinds, want %d; start delays %v, want %v; log mean run %v, want %v", len(d.fleet.kinds), kinds, d.speeds.startDelay, delay, d.speeds.logMeanRun, source.speeds.logMeanRun)
 	}
 }
 
-// A memory is restored to the same figures to the last bit each time.
-func TestRestoreGivesTheSameFiguresEachTime(t *testing.T) {
+// Restoring the same snapshot several times gives bit-identical values.
+func TestRestoreIsDeterministic(t *testing.T) {
 	s, out := testSettings(), &recorder{}
 	var list []Worker
 	for id := range 40 {
@@ -70,13 +70,13 @@
 	for id, w := range old.fleet.workers {
 		w.threshold.omega = 0.1 + math.Pow(3, float64(id%17))*1e-9
 	}
-	memory, sums := old.Snapshot(), map[float64]bool{}
+	data, sums := old.Snapshot(), map[float64]bool{}
 	for range 50 {
 		next := newDispatcher(s, 2)
-		next.Restore(memory)
+		next.Restore(data)
 		sums[next.learner.squaredLength] = true
 	}
 	if len(sums) != 1 {
-		t.Errorf("%d different sums of one memory: %v", len(sums), sums)
+		t.Errorf("%d different sums restored from one snapshot: %v", len(sums), sums)
 	}
 }
--- a/scheduling/dispatch/speed.go
+++ b/scheduling/dispatch/speed.go
@@ -7,83 +7,86 @@
 	"yardflow/scheduling/workerpool"
 )
 
-// Learning of speeds. Run times are long-tailed, so all of it is in logarithms (ln of seconds): one run
-// is split into the class's work, the kind's slowness and the worker's own, each of which moves by
-// its part of the residual, the more slowly the more evidence there is.
+// Estimation of speeds. Run times are long-tailed, so all estimates are logarithms (ln of seconds). The
+// expected ln run time is the sum of the class's work, the worker kind's slowness and the worker's own
+// slowness. Each run moves all three by a part of its residual; the part shrinks with the number of runs
+// seen.
 const (
-	// maxResidual bounds (ln) what one run tells of speed: what ran over 4.5 times longer than expected
-	// counts as 4.5 times, so that a long tail cannot blur a speed. With less, a worker that has become
-	// much slower is believed late.
+	// maxResidual bounds the residual (ln) of one run: a run that took over 4.5 times longer than expected
+	// counts as 4.5 times, so that a long tail cannot distort an estimate. With a smaller bound, the estimate
+	// of a worker that has become much slower adapts late.
 	maxResidual = 1.5
-	// maxEvidence is how many runs the figures of a class or kind are taken over at the most. With more, a
-	// change of the work is followed late; with fewer, the figures follow single runs.
+	// maxEvidence is the largest number of runs that the estimates of a class or kind average over. With
+	// more, they follow a change of the work late; with fewer, they follow single runs.
 	maxEvidence = 200
-	// leastRunSeconds is the shortest run that is told apart: a shorter one counts as this, since 0 has no
-	// logarithm.
-	leastRunSeconds = 1e-4
-	// kindEvidence and varianceEvidence count as runs seen before the first one, so that it does not decide
-	// alone.
-	kindEvidence, varianceEvidence = 3, 3
-	// meanRunStep is what one run moves the (ln) mean run by: a memory of some 100 runs of all classes.
+	// minRunSeconds is the shortest run time in the estimates: a shorter run counts as this long, since 0 has
+	// no logarithm.
+	minRunSeconds = 1e-4
+	// kindPriorRuns and variancePriorRuns are the weights of the initial values of a kind's slowness and a
+	// class's variance, in runs, so that the first run does not determine the estimate alone.
+	kindPriorRuns, variancePriorRuns = 3, 3
+	// meanRunStep is the weight of one run in the mean ln run time, which averages over about 100 runs of all
+	// classes.
 	meanRunStep = 0.01
-	// initialMeanRunSeconds is what a job is taken to run before any was seen. Pauses and margins that are
-	// counted in mean runs begin with it; some 100 runs correct it.
+	// initialMeanRunSeconds is the assumed mean run time before any run was seen. Pauses and margins in units
+	// of the mean run time start from it; about 100 runs correct it.
 	initialMeanRunSeconds = 0.2
-	// unknownLogVariance is the variance of ln run times that is taken until jobs have shown theirs: a
-	// standard deviation of 1.65 times.
-	unknownLogVariance = 0.25
+	// initialLogVariance is the assumed variance of ln run times of a class before any run was seen: one
+	// standard deviation is a factor of 1.65.
+	initialLogVariance = 0.25
 )
 
-// evidenceWeight is how fast a worker's own slowness is learned. A smaller prior or most follows single runs.
+// evidenceWeight sets how fast the estimate of a worker's own slowness adapts. With smaller values it follows
+// single runs.
 type evidenceWeight struct {
-	prior float64 // counts as runs seen before the first one
-	most  float64 // runs that it is taken over at the most
+	priorRuns float64 // weight of the initial value, in runs
+	maxRuns   float64 // largest number of runs that the estimate averages over
 }
 
 var (
-	hintedRuns = evidenceWeight{prior: 3, most: 8}
-	// Without a hint the job's own size is most of the residual.
-	unhintedRuns = evidenceWeight{prior: 12, most: 30}
+	hintedRunWeight = evidenceWeight{priorRuns: 3, maxRuns: 8}
+	// Without a work hint, most of the residual is due to the job's own size.
+	unhintedRunWeight = evidenceWeight{priorRuns: 12, maxRuns: 30}
 )
 
-// speedModel is what is known of run times over all workers.
+// speedModel holds the estimates of run times that are common to all workers.
 type speedModel struct {
-	classes          map[string]*classStats // by name: indexes change with the settings
-	logMeanRun       float64                // ln of the typical work over all classes, in seconds
-	meanRun          time.Duration          // e to the logMeanRun
+	classes          map[string]*classStats // by class name, since indexes change with the settings
+	logMeanRun       float64                // ln of the typical work of a job over all classes, in seconds
+	meanRun          time.Duration          // exp(logMeanRun)
 	logFleetSlowness float64                // mean of ln slowness over all slots of the fleet
-	startDelay       [2]float64             // seconds from send to start notification: own zone, other zones
-	crossZoneSeconds float64                // what crossing zones is taken to cost
+	startDelay       [2]float64             // seconds from send to start; own zone, other zones
+	crossZoneSeconds float64                // assumed cost of crossing zones, in seconds
 }
 
-// classStats is what is known of one class's run times.
+// classStats holds the estimates of one class's run times.
 type classStats struct {
 	logWork     float64 // ln of the typical work, in seconds
-	evidence    float64 // for it: runs seen, up to maxEvidence
-	logVariance float64 // of ln of the work
-	pool        int     // of workers, the class's own
+	evidence    float64 // number of runs seen, up to maxEvidence
+	logVariance float64 // variance of ln of the work
+	pool        int     // index of the class's own pool of workers
 	recentWork  workerpool.RecentWork
 }
 
-// workerSpeed is what is known of one worker's speed.
+// workerSpeed holds the estimates of one worker's speed.
 type workerSpeed struct {
-	logSlowness float64 // ln, against its kind
-	evidence    float64 // for it: runs seen
-	logLateness float64 // ln of how far its most overdue attempt is past when it counted as overdue
+	logSlowness float64 // ln of its slowness relative to its kind
+	evidence    float64 // number of runs seen, up to evidenceWeight.maxRuns
+	logLateness float64 // ln of the ratio of its most overdue attempt's age to the age limit
 }
 
 func newSpeedModel() speedModel {
 	return speedModel{
 		classes:    map[string]*classStats{},
 		logMeanRun: math.Log(initialMeanRunSeconds), meanRun: seconds(initialMeanRunSeconds),
-		startDelay: [2]float64{0.01, 0.04}, // of a local and a wider network; learned from the first start on
+		startDelay: [2]float64{0.01, 0.04}, // of a local and a wider network; adapts from the first start on
 	}
 }
 
 func (s *speedModel) classOf(c *Class) *classStats {
 	stats := s.classes[c.Name]
 	if stats == nil {
-		stats = &classStats{logVariance: unknownLogVariance}
+		stats = &classStats{logVariance: initialLogVariance}
 		s.classes[c.Name] = stats
 	}
 	return stats
@@ -95,7 +98,7 @@
 	}
 }
 
-// expectedWork is the expected run time of r on a worker of slowness 1, in seconds.
+// expectedWork returns the expected run time of r on a worker of slowness 1, in seconds.
 func (d *dispatcher) expectedWork(r *request) float64 {
 	if r.WorkHint > 0 {
 		return r.WorkHint.Seconds()
@@ -106,51 +109,52 @@
 	return math.Exp(d.speeds.logMeanRun)
 }
 
-// expectedRun is the expected run time of r at w once it is warm, in seconds.
+// expectedRun returns the expected run time of r at w, for a w that is warm, in seconds.
 func (d *dispatcher) expectedRun(r *request, w *worker) float64 {
 	return d.expectedWork(r) * math.Exp(d.fleet.kindOf(w).logSlowness+w.speed.logSlowness)
 }
 
-// currentSpeed is the speed of w as it is now, against a worker of slowness 1.
+// currentSpeed returns the present speed of w relative to a warm worker of slowness 1.
 func (d *dispatcher) currentSpeed(w *worker) float64 {
 	logSpeed := -d.fleet.kindOf(w).logSlowness - w.speed.logSlowness - w.speed.logLateness
 	return d.warmUpShare(w) * math.Exp(logSpeed-errorSlowness*w.errorShare)
 }
 
-// learnRunTime takes in one run time, in seconds.
+// learnRunTime updates all speed estimates with the run time of r at w, in seconds.
 func (d *dispatcher) learnRunTime(r *request, w *worker, run float64) {
 	k, s := d.fleet.kindOf(w), r.stats
-	run = math.Log(max(run, leastRunSeconds))
+	run = math.Log(max(run, minRunSeconds))
 	if s.evidence == 0 && r.WorkHint == 0 {
 		s.logWork = run
 	}
 	residual := run - math.Log(d.expectedWork(r)) - k.logSlowness - w.speed.logSlowness
 	residual = min(max(residual, -maxResidual), maxResidual)
-	weight := unhintedRuns
+	weight := unhintedRunWeight
 	if r.WorkHint > 0 {
-		weight = hintedRuns
+		weight = hintedRunWeight
 	}
 	s.evidence = min(s.evidence+1, maxEvidence)
-	s.logVariance += (residual*residual - s.logVariance) / (varianceEvidence + s.evidence)
+	s.logVariance += (residual*residual - s.logVariance) / (variancePriorRuns + s.evidence)
 	if r.WorkHint == 0 {
 		s.logWork += residual / (1 + s.evidence)
 	}
 	d.speeds.logMeanRun += meanRunStep * (math.Log(d.expectedWork(r)) - d.speeds.logMeanRun)
 	d.speeds.meanRun = seconds(math.Exp(d.speeds.logMeanRun))
 	k.evidence = min(k.evidence+1, maxEvidence)
-	k.logSlowness += residual / (kindEvidence + k.evidence)
-	w.speed.evidence = min(w.speed.evidence+1, weight.most)
-	w.speed.logSlowness += residual / (weight.prior + w.speed.evidence)
+	k.logSlowness += residual / (kindPriorRuns + k.evidence)
+	w.speed.evidence = min(w.speed.evidence+1, weight.maxRuns)
+	w.speed.logSlowness += residual / (weight.priorRuns + w.speed.evidence)
 }
 
-// Start delays. The typical one is a low quantile: a mean would take waiting at the workers for the
-// ordinary delay, and stop seeing it just when every worker is full.
+// Estimation of start delays. The typical start delay is a low quantile. A mean would include waiting at the
+// workers, and so fail to detect waiting just when all workers are full.
 const (
-	startDelayStep   = 0.2  // part of the way that a shorter delay moves it down
-	startDelayGrowth = 1.02 // factor by which a longer one moves it up: 35 such starts double it
+	startDelayStep   = 0.2  // weight of a shorter delay, which lowers the estimate
+	startDelayGrowth = 1.02 // factor of increase for a longer delay: 35 of them double the estimate
 )
 
-// learnStartDelay takes in the time from an attempt's send to the notification of its start, in seconds.
+// learnStartDelay updates the wait and start-delay estimates with the time from an attempt's send to the
+// notification of its start, in seconds.
 func (d *dispatcher) learnStartDelay(w *worker, delay float64) {
 	typical := d.typicalStartDelay(w)
 	w.wait.Observe(d.now, delay)
--- a/scheduling/dispatch/speed_test.go
+++ b/scheduling/dispatch/speed_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Waiting at the workers must not be taken for the ordinary start delay.
-func TestStartDelayIsALowQuantile(t *testing.T) {
+// The typical start delay is estimated from jobs that do not wait at the worker, also when half of the jobs
+// wait.
+func TestStartDelayExcludesWaiting(t *testing.T) {
 	d, out := newDispatcher(testSettings(), 5), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
 	now := time.Duration(0)
@@ -14,7 +15,7 @@
 		d.Arrive(now, Request{ID: id, TimeLeft: time.Second}, out)
 		delay := ms
 		if id%2 == 0 {
-			delay = 25 * ms // waited
+			delay = 25 * ms // waits at the worker
 		}
 		for _, a := range out.take() {
 			if a.what == "send" {
@@ -25,6 +26,6 @@
 		now += 200 * ms
 	}
 	if d.speeds.startDelay[0] > 0.005 {
-		t.Errorf("ordinary start delay %v s, want near the 1 ms of jobs that did not wait", d.speeds.startDelay[0])
+		t.Errorf("typical start delay %v s, want at most 0.005 s, near the 1 ms of jobs that did not wait", d.speeds.startDelay[0])
 	}
 }
