--- a/scheduling/dispatch/actorcritic.go
+++ b/scheduling/dispatch/actorcritic.go
@@ -44,7 +44,7 @@
 	averageCost            float64 // eta
 	queueWeight            float64 // omega of the queue's feature
 	squaredLength          float64 // of omega, over all features
-	actor                  *worker // whose threshold the open step's decision went by; nil: none
+	decisionWorker         *worker // whose threshold the open step's decision went by; nil: none
 	gradient               float64 // of log pi, for that decision
 }
 
@@ -99,10 +99,10 @@
 	return to
 }
 
-// drawRelease draws whether a request goes to w, which is not the fastest, by its soft threshold, or waits.
-func (d *dispatcher) drawRelease(w *worker) bool {
+// drawSend draws whether a request goes to w, which is not the fastest, by its soft threshold, or waits.
+func (d *dispatcher) drawSend(w *worker) bool {
 	p := 1 / (1 + math.Exp(-sharpness*(float64(len(d.queue))-w.threshold.theta)))
-	if d.learner.actor = w; d.random.Float64() >= p {
+	if d.learner.decisionWorker = w; d.random.Float64() >= p {
 		d.learner.gradient = sharpness * p
 		return false
 	}
@@ -180,12 +180,12 @@
 
 // updateActor moves the threshold that the decision went by: line 10.
 func (l *actorCritic) updateActor(delta float64) {
-	if l.actor == nil {
+	if l.decisionWorker == nil {
 		return
 	}
-	t := &l.actor.threshold
+	t := &l.decisionWorker.threshold
 	t.theta -= actorStep / (1 + l.averageCost) * delta * l.gradient
 	t.theta = min(max(t.theta, 0), queueScale)
 	t.updates++
-	l.actor = nil
+	l.decisionWorker = nil
 }
--- a/scheduling/dispatch/actorcritic_test.go
+++ b/scheduling/dispatch/actorcritic_test.go
@@ -15,7 +15,7 @@
 	w.threshold.theta, w.threshold.updates = 3, 10
 	d.learner.meanStep, d.learner.averageCost = 0.1, 2
 	d.learner.features, d.learner.jobs, d.learner.openedAt, d.learner.open = []feature{{nil, 0.1}}, 4, d.now, true
-	d.learner.actor, d.learner.gradient = w, sharpness*0.25 // waited at probability 1/4
+	d.learner.decisionWorker, d.learner.gradient = w, sharpness*0.25 // waited at probability 1/4
 	d.learner.queueWeight = 10
 	d.now += 100 * ms
 	d.closeStep()
--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -10,17 +10,17 @@
 
 // attempt is one try of a request at one worker, from its send until its outcome.
 type attempt struct {
-	request       *request
-	worker        *worker
-	number        int // within the request, from 0
-	index         int // in dispatcher.attempts
-	sentAt        time.Duration
-	startedAt     time.Duration // 0: no notification of its start
-	heardAt       time.Duration // latest notification, or the send
-	startLate     bool
-	overdue       bool // it runs well past its expected time
-	overcommitted bool // sent without known capacity, and not settled yet
-	lost          bool // presumed lost; it holds no capacity
+	request        *request
+	worker         *worker
+	number         int // within the request, from 0
+	index          int // in dispatcher.attempts
+	sentAt         time.Duration
+	startedAt      time.Duration // 0: no notification of its start
+	lastNotifiedAt time.Duration // latest notification, or the send
+	startLate      bool
+	overdue        bool // it runs well past its expected time
+	overcommitted  bool // sent without known capacity, and not settled yet
+	lost           bool // presumed lost; it holds no capacity
 }
 
 // startedOrSentAt is when a began, as far as that is known.
@@ -85,7 +85,7 @@
 	}
 	a := &attempt{
 		request: r, worker: w, number: r.attemptCount, index: len(d.attempts),
-		sentAt: d.now, heardAt: d.now,
+		sentAt: d.now, lastNotifiedAt: d.now,
 	}
 	d.attempts = append(d.attempts, a)
 	r.outstanding = append(r.outstanding, a)
@@ -126,7 +126,7 @@
 	if a == nil {
 		return
 	}
-	a.heardAt = now
+	a.lastNotifiedAt = now
 	switch {
 	case n.Kind == NotificationStarted && a.startedAt == 0:
 		d.attemptStarted(a)
@@ -196,7 +196,7 @@
 	}
 	d.rerank(w)
 	if neverRan {
-		r.unmarkRun(a)
+		r.markNeverRan(a)
 	}
 	switch {
 	case o.Answered || r.ended:
@@ -246,8 +246,8 @@
 	r.holdUntil = d.now + (until-d.now)/time.Duration(1+max(d.Attempts.Max-r.attemptCount, 0))
 }
 
-// unmarkRun notes that a did not run: where it was the first that might have, the next one outstanding is.
-func (r *request) unmarkRun(a *attempt) {
+// markNeverRan notes that a did not run: where it was the first that might have, the next one outstanding is.
+func (r *request) markNeverRan(a *attempt) {
 	if r.mayHaveRun != (priorRun{a.worker, a.sentAt}) {
 		return
 	}
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -92,7 +92,7 @@
 func (d *dispatcher) Timer(now time.Duration, _ uint64, out Actions) {
 	d.timerSet = false
 	d.beginEvent(now, out)
-	if d.list.askAt != 0 && now >= d.list.askAt {
+	if d.list.retryAt != 0 && now >= d.list.retryAt {
 		d.subscribe(out)
 	}
 	for _, a := range d.attempts {
--- a/scheduling/dispatch/fleet.go
+++ b/scheduling/dispatch/fleet.go
@@ -77,8 +77,8 @@
 // kindSlots is the most that workers of w's kind were seen to run at once.
 func (f *fleetState) kindSlots(w *worker) float64 { return f.kindOf(w).slots.seen }
 
-// workerOf finds a worker, or makes one that is not listed yet.
-func (f *fleetState) workerOf(id WorkerID, dispatcherIndex int) *worker {
+// findOrAddWorker finds a worker, or makes one that is not listed yet.
+func (f *fleetState) findOrAddWorker(id WorkerID, dispatcherIndex int) *worker {
 	w := f.workers[id]
 	if w == nil {
 		w = &worker{}
@@ -132,13 +132,13 @@
 	listBackoffSeconds = 0.2
 	// listBackoffDoublings is the number of failures from which the pause grows no more, at a mean of 6.4 s.
 	listBackoffDoublings = 5
-	// listFailuresLogged is how many failures in a row operators are told of.
-	listFailuresLogged = 8
+	// listFailuresBeforeLog is how many failures in a row operators are told of.
+	listFailuresBeforeLog = 8
 )
 
 // listSubscription is the state of following the list service.
 type listSubscription struct {
-	askAt    time.Duration // when to ask next; 0: an answer or a subscription stands
+	retryAt  time.Duration // when to ask next; 0: an answer or a subscription stands
 	failures int           // in a row
 	version  uint64        // counts lists
 }
@@ -146,10 +146,10 @@
 func (d *dispatcher) UpdateWorkers(now time.Duration, form ListForm, list []Worker, out Actions) {
 	d.beginEvent(now, out)
 	if form == ListFailed {
-		d.backOffList(out)
+		d.scheduleListRetry(out)
 		return
 	}
-	if d.takeList(form, list) { // shares and ranks are dear on a large fleet
+	if d.applyList(form, list) { // shares and ranks are dear on a large fleet
 		d.fleet.ranked = slices.DeleteFunc(d.fleet.ranked, d.dropUnlisted)
 		d.assignHomeShares()
 		d.refreshEstimates()
@@ -157,32 +157,32 @@
 	switch {
 	case form == ListOverride: // whatever is due from the list service stays due
 	case form != ListCached:
-		d.list.askAt, d.list.failures = 0, 0
+		d.list.retryAt, d.list.failures = 0, 0
 	case d.List.MustSubscribe:
 		d.subscribe(out)
 	}
 	d.decide(out)
 }
 
-// backOffList sets when to ask the list service again after a failure.
-func (d *dispatcher) backOffList(out Actions) {
+// scheduleListRetry sets when to ask the list service again after a failure.
+func (d *dispatcher) scheduleListRetry(out Actions) {
 	l := &d.list
 	l.failures++
 	doublings := float64(min(l.failures, listBackoffDoublings))
 	pause := listBackoffSeconds * math.Exp2(doublings) * (0.5 + d.random.Float64())
-	l.askAt = d.now + min(seconds(pause), max(d.List.RefreshInterval/2, tickInterval))
-	if l.failures == listFailuresLogged {
+	l.retryAt = d.now + min(seconds(pause), max(d.List.RefreshInterval/2, tickInterval))
+	if l.failures == listFailuresBeforeLog {
 		d.log(out, "list", "list service fails; going on with the last list")
 	}
 }
 
 func (d *dispatcher) subscribe(out Actions) {
-	d.list.askAt = 0 // exactly one list answers, a failed one at the worst
+	d.list.retryAt = 0 // exactly one list answers, a failed one at the worst
 	out.Subscribe()
 }
 
-// takeList takes in the entries of a list and tells whether the fleet has changed.
-func (d *dispatcher) takeList(form ListForm, list []Worker) (changed bool) {
+// applyList takes in the entries of a list and tells whether the fleet has changed.
+func (d *dispatcher) applyList(form ListForm, list []Worker) (changed bool) {
 	d.list.version++
 	for _, entry := range list {
 		changed = d.updateWorker(entry) || changed
@@ -200,7 +200,7 @@
 
 // updateWorker takes in one entry and tells whether it changes the fleet.
 func (d *dispatcher) updateWorker(entry Worker) bool {
-	w := d.fleet.workerOf(entry.ID, d.Fleet.Index)
+	w := d.fleet.findOrAddWorker(entry.ID, d.Fleet.Index)
 	restarted := w.Launched != entry.Launched
 	if restarted { // what its former incarnation was blamed for, and what waited there
 		w.speed, w.errorShare, w.limit, w.report.at = workerSpeed{}, 0, slotLimit{}, 0
--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -19,10 +19,10 @@
 	errorShareGrowth = 1.5
 	// successDecay is what is left of the share after a success: a third after three.
 	successDecay = 0.7
-	// distrustErrorShare is the share above which AtMostOnce requests stay away and the slot limit shrinks:
+	// suspectErrorShare is the share above which AtMostOnce requests stay away and the slot limit shrinks:
 	// one failure is over it, one connection lost is not. Lower, and a single lost connection takes a
 	// worker's slots away.
-	distrustErrorShare = 0.1
+	suspectErrorShare = 0.1
 	// loggedErrorShare is the share above which operators are told of the worker.
 	loggedErrorShare = 0.75
 )
@@ -52,7 +52,7 @@
 // When all workers fail, all lose alike.
 func (d *dispatcher) recordFailure(w *worker, weight float64, out Actions) {
 	w.errorShare = min(errorShareGrowth*w.errorShare+weight, 1)
-	if w.errorShare > distrustErrorShare {
+	if w.errorShare > suspectErrorShare {
 		d.shrinkLimit(w, failureBackoffs)
 	}
 	if w.errorShare > loggedErrorShare {
@@ -103,7 +103,7 @@
 	}
 	return a.worker.succeededSentAt > a.sentAt &&
 		(d.now-a.startedAt).Seconds() > lostRuns*overdueRuns*d.expectedRun(a.request, a.worker) &&
-		(d.Workers.ProgressInterval == 0 || d.now-a.heardAt > 2*d.Workers.ProgressInterval)
+		(d.Workers.ProgressInterval == 0 || d.now-a.lastNotifiedAt > 2*d.Workers.ProgressInterval)
 }
 
 // markLost frees what a holds at its worker, and reclaims it where it may be retried.
@@ -147,7 +147,7 @@
 		w.limit.slots = min(w.limit.slots, max(w.usage.busy(), 1))
 	}
 	interval := d.Workers.ProgressInterval
-	if a.startedAt != 0 && interval > 0 && d.now-a.heardAt < interval*3/2 {
+	if a.startedAt != 0 && interval > 0 && d.now-a.lastNotifiedAt < interval*3/2 {
 		return // a long job that still notifies of its progress
 	}
 	if lateness := math.Log(age / due); lateness > w.speed.logLateness+latenessStep {
--- a/scheduling/dispatch/health_test.go
+++ b/scheduling/dispatch/health_test.go
@@ -57,7 +57,7 @@
 			d.AttemptEnded(now, Outcome{ID: id, Worker: 1, Code: c.code}, out)
 		}
 		until := now
-		for ; w.errorShare > distrustErrorShare && until < time.Minute; until += refreshInterval {
+		for ; w.errorShare > suspectErrorShare && until < time.Minute; until += refreshInterval {
 			d.Timer(until, 0, out)
 		}
 		if got := until - now; got > c.away || c.away > 0 && got == 0 {
--- a/scheduling/dispatch/lottery.go
+++ b/scheduling/dispatch/lottery.go
@@ -14,12 +14,12 @@
 	// lotteryOwnJobsWait is the wait that own jobs in all slots of a worker stand for: own jobs spread over
 	// workers. With less, several of them stand in one queue that this dispatcher knows to be short.
 	lotteryOwnJobsWait = 3.0
-	// lotteryAwayWait is the penalty of a worker that is no home: for as long a wait a job stays with
+	// lotteryNonHomeWait is the penalty of a worker that is no home: for as long a wait a job stays with
 	// the few workers whose queues this dispatcher knows.
-	lotteryAwayWait = 0.8
-	// lotteryForeignPoolWait is the penalty of a worker of another class's pool. With 1 s less value was
+	lotteryNonHomeWait = 0.8
+	// lotteryOtherPoolWait is the penalty of a worker of another class's pool. With 1 s less value was
 	// served on time while workers joined (0.79 to 0.83 against 0.847).
-	lotteryForeignPoolWait = 0.4
+	lotteryOtherPoolWait = 0.4
 )
 
 // sparse tells whether this dispatcher's share of the fleet is less than one worker. Too few of its jobs
@@ -57,7 +57,7 @@
 	expected := max(w.wait.Expected(d.now, &d.fleetWait), lotteryTieWait)
 	wait := expected + lotteryOwnJobsWait*w.usage.slots/slots + tie
 	if w.home.pool != r.stats.pool {
-		wait += lotteryForeignPoolWait
+		wait += lotteryOtherPoolWait
 	}
-	return wait + lotteryAwayWait*(1-w.home.share)
+	return wait + lotteryNonHomeWait*(1-w.home.share)
 }
--- a/scheduling/dispatch/queue.go
+++ b/scheduling/dispatch/queue.go
@@ -47,7 +47,7 @@
 // sweepQueue answers what nobody can serve any more, demotes what can no longer be on time, and
 // sends what has been held as long as holding can pay.
 func (d *dispatcher) sweepQueue(out Actions) {
-	misfits := 0
+	unplaced := 0
 	for i := 0; i < len(d.queue); {
 		r := d.queue[i]
 		switch {
@@ -55,9 +55,9 @@
 			d.answerUnserved(r, out) // and out of the queue: the next stands at i now
 		case !r.demoted && d.now >= r.latestStart:
 			d.demote(r) // another may stand at i now
-		case misfits < queueLookAhead && d.mayOvercommit(r):
+		case unplaced < queueLookAhead && d.mayOvercommit(r):
 			if !d.sendOvercommitted(r, out) {
-				misfits++
+				unplaced++
 				i++
 			}
 		default:
--- a/scheduling/dispatch/ranking.go
+++ b/scheduling/dispatch/ranking.go
@@ -2,36 +2,38 @@
 
 import "math"
 
-// Penalties on the expected time by which workers are ranked.
+// Penalties on the expected run time by which workers are ranked.
 const (
-	// nearEqual is how far apart (ln of time) two workers count as equally fast: a queued request does not
-	// wait for a worker that is faster by less, and dispatchers rank workers that near in orders of their
-	// own, so that not all release to the same one at the same moment. A larger value gives up speed for
-	// spread.
-	nearEqual = 0.25
-	// awayPenalty (ln of time) is what a worker wholly outside the own share loses: 1.6 times. With more, a
-	// dispatcher keeps to slow workers of its own while faster ones stand idle; with less, all meet at these.
-	awayPenalty = 0.5
-	// errorSlowness (ln of time) is what a worker whose every attempt fails loses: 20 times, behind any slow
-	// one. With more, a worker that is well again is ranked last for longer.
+	// equalTimeMargin is the difference (ln of time) below which two workers count as equally fast. A queued
+	// request does not wait for a worker that is faster by less than this margin. Each dispatcher orders such
+	// workers differently, so that not all dispatchers send to the same worker at the same moment. A larger
+	// value spreads the jobs more but uses slower workers.
+	equalTimeMargin = 0.25
+	// nonHomePenalty (ln of time) is the penalty of a worker that is entirely outside this dispatcher's home
+	// share: a factor of 1.6. With a larger penalty, a dispatcher uses its slow home workers while faster
+	// workers are idle; with a smaller one, all dispatchers send to the same fast workers.
+	nonHomePenalty = 0.5
+	// errorSlowness (ln of time) is the penalty of a worker whose attempts all fail: a factor of 20, which
+	// ranks it behind any slow worker. With a larger penalty, a recovered worker is ranked last for longer.
 	errorSlowness = 3
-	// crossZoneWeight turns ValueSettings.CrossZoneCost into time: so many mean latency targets for a cost of
-	// one value. With less, jobs cross zones for gains that the crossing costs again.
+	// crossZoneWeight converts ValueSettings.CrossZoneCost to time: the number of mean latency targets that
+	// a cost of one value stands for. With less, jobs cross zones although the crossing costs more than it
+	// gains.
 	crossZoneWeight = 4.0
 )
 
-// updateRankTime works out the time a job is taken to need at w with all penalties, the measure of rank.
+// updateRankTime sets w.rankTime, the expected run time of a job at w with all penalties.
 func (d *dispatcher) updateRankTime(w *worker) {
 	slowness := d.fleet.kindOf(w).logSlowness
 	w.rankTime = math.Exp(d.speeds.logMeanRun + slowness + w.speed.logSlowness + w.speed.logLateness)
 	if w.crossZone {
 		w.rankTime += d.speeds.crossZoneSeconds
 	}
-	penalty := nearEqual*w.tieBreak + awayPenalty*(1-w.home.share) + errorSlowness*w.errorShare
+	penalty := equalTimeMargin*w.tieBreak + nonHomePenalty*(1-w.home.share) + errorSlowness*w.errorShare
 	w.rankTime *= math.Exp(penalty) / d.warmUpShare(w)
 }
 
-// rerank puts w to the rank it has by what is known now.
+// rerank recomputes the rank time of w and moves w to its new rank.
 func (d *dispatcher) rerank(w *worker) {
 	if !w.listed {
 		return
@@ -40,14 +42,16 @@
 	d.fleet.rerank(w)
 }
 
-// Decay of what counts against a worker, per refresh. A slower one keeps workers that are well again out of
-// use; a faster one sends jobs to workers that fail until each has failed anew.
+// Decay factors of a worker's error share and lateness, applied at each refresh. A slower decay keeps
+// recovered workers out of use for longer; a faster one sends jobs to workers that still fail, until each of
+// them has failed again.
 const (
-	errorShareDecay = 0.9 // to 1/e in 10 s: a share of one failure is below distrustErrorShare after 4 s
-	latenessDecay   = 0.8 // to 1/e in 4.5 s; a job still overdue raises it again
+	errorShareDecay = 0.9 // to 1/e in 10 s: the share of one failure is below suspectErrorShare after 4 s
+	latenessDecay   = 0.8 // to 1/e in 4.5 s; a job that is still overdue raises the lateness again
 )
 
-// refreshEstimates ages what is known, ranks all workers anew and sets thresholds that have not learned yet.
+// refreshEstimates decays the estimates, ranks all workers again and sets the soft thresholds that have not
+// been learned yet.
 func (d *dispatcher) refreshEstimates() {
 	d.refreshAt = d.now + refreshInterval
 	d.partitionWorkers()
@@ -64,7 +68,7 @@
 	d.summariseFleet()
 }
 
-// totalLatencyTarget adds up the classes' targets for a job of the mean run, in seconds.
+// totalLatencyTarget is the sum of all classes' latency targets for a job of the mean run time, in seconds.
 func (d *dispatcher) totalLatencyTarget() float64 {
 	sum := 0.0
 	for i := range d.Classes {
@@ -73,9 +77,9 @@
 	return sum
 }
 
-// summariseFleet adds up the ranked workers, and sets the thresholds that have not learned yet: the
-// paper's RSRT (the service rates of all faster workers over the worker's own), less the slots that serve
-// them, for this dispatcher's share.
+// summariseFleet computes the fleet's total slots, mean slowness and warming share. It also sets the soft
+// thresholds that have not been learned yet to this dispatcher's share of the paper's RSRT (the service rates
+// of all faster workers over the worker's own rate) minus the slots of the faster workers.
 func (d *dispatcher) summariseFleet() {
 	rates, slots, slowness, missing := 0.0, 0.0, 0.0, 0.0
 	for _, w := range d.fleet.ranked {
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -8,23 +8,23 @@
 func (d *dispatcher) serveQueue(out Actions) {
 	d.closeStep()
 	d.serveLargeJobs(out)
-	misfits := 0
-	for i := 0; i < len(d.queue) && misfits < queueLookAhead; {
+	unplaced := 0
+	for i := 0; i < len(d.queue) && unplaced < queueLookAhead; {
 		r := d.queue[i]
 		w, fastest := d.pickWorker(r)
 		if w == nil {
-			if misfits++; unrestricted(r) {
+			if unplaced++; unrestricted(r) {
 				break // what fits nowhere for it fits nowhere for those behind
 			}
 			i++
 			continue
 		}
-		slower := w.rankTime > fastest.rankTime*(1+nearEqual)
-		if slower && d.now < r.holdUntil && !d.drawRelease(w) {
+		slower := w.rankTime > fastest.rankTime*(1+equalTimeMargin)
+		if slower && d.now < r.holdUntil && !d.drawSend(w) {
 			break
 		}
 		if !d.send(r, w, out) {
-			misfits++
+			unplaced++
 			i++
 			continue
 		}
@@ -78,7 +78,7 @@
 		!d.attemptAllowed(r, w), limit != 0 && w.usage.jobs >= limit,
 		r.BestEffort && w.usage.busy()+r.Slots > d.homeSlots(w): // capacity that is surely its own
 		return false
-	case r.class.Semantics == AtMostOnce && w.errorShare > distrustErrorShare && d.now < r.latestStart:
+	case r.class.Semantics == AtMostOnce && w.errorShare > suspectErrorShare && d.now < r.latestStart:
 		return false // it has one attempt: not where errors were seen
 	case w.Health == Ejected,
 		w.Health == OnProbation && (r.class.Semantics == AtMostOnce || w.usage.jobs > 0):
--- a/scheduling/dispatch/shares.go
+++ b/scheduling/dispatch/shares.go
@@ -76,7 +76,7 @@
 }
 
 // partitionWorkers divides the workers among the classes in a sparse fleet, in proportion to the work
-// that each brings; a class may use another's workers at a price (lotteryForeignPoolWait).
+// that each brings; a class may use another's workers at a price (lotteryOtherPoolWait).
 func (d *dispatcher) partitionWorkers() {
 	shares := []float64{1}
 	if d.sparse() {
--- a/scheduling/dispatch/snapshot.go
+++ b/scheduling/dispatch/snapshot.go
@@ -125,7 +125,7 @@
 	l.meanStep, l.averageCost, l.queueWeight = s.MeanStep, s.AverageCost, s.QueueWeight
 	l.squaredLength = l.queueWeight * l.queueWeight
 	for _, id := range slices.Sorted(maps.Keys(s.Workers)) { // in one order, so that the sum has the same last bits
-		w := d.fleet.workerOf(id, d.Fleet.Index)
+		w := d.fleet.findOrAddWorker(id, d.Fleet.Index)
 		w.restore(s.Workers[id])
 		l.squaredLength += w.threshold.omega * w.threshold.omega
 	}
