--- a/scheduling/dispatch/shares.go
+++ b/scheduling/dispatch/shares.go
@@ -78,7 +78,7 @@
 }
 
 // partitionWorkers divides the workers of a sparse fleet into one pool per class, in proportion to the recent
-// work of the classes. A class may use workers of other pools at a price (lotteryForeignPoolWait).
+// work of the classes. A class may use workers of other pools at a price (lotteryOtherPoolWait).
 func (d *dispatcher) partitionWorkers() {
 	shares := []float64{1}
 	if d.sparse() {
