--- a/scheduling/achq/achq.go
+++ b/scheduling/achq/achq.go
@@ -1,38 +1,43 @@
-// Package achq is the learner of ACHQ dispatch: it tunes soft thresholds on the queue length, beyond which a task goes to
-// a slower worker, by an average-cost actor-critic (the paper's Algorithm 1, lines 5 to 10). The cost of a step is the
-// number of tasks in the system times its length, so the average cost is what Little's law ties to the time in system.
+// Package achq implements the learner of ACHQ (actor-critic for heterogeneous queues) by Jali, Qu, Wang and Joshi
+// (Efficient Reinforcement Learning for Routing Jobs in Heterogeneous Queueing Systems). It learns soft thresholds on the
+// queue length, beyond which a task goes to a slower worker, by an average-cost actor-critic (the paper's Algorithm 1,
+// lines 5 to 10). The cost of a step is the number of tasks in the system times the step's length, so by Little's law the
+// average cost is proportional to the mean time in the system.
 //
 // The paper's symbols: theta is Parameters.Threshold, omega Parameters.ValueWeight, phi the features of a state, sigma
 // ThresholdSharpness, alpha ActorStepSize, beta CriticStepSize, zeta AverageStepSize, eta the average cost, l_M
 // MaxQueueLength.
 //
-// The package has no I/O, clock or randomness: its caller draws the decisions and measures the steps. A Learner is not safe
+// The package has no I/O, clock or randomness: the caller draws the decisions and measures the steps. A Learner is not safe
 // for concurrent use.
 package achq
 
 import "math"
 
-// Constants of the learner. The actor's step size is independent of the scale of costs, the critic's of the number of
-// workers.
+// Constants of the learner. The actor's step size does not depend on the scale of costs, and the critic's does not depend
+// on the number of workers.
 const (
 	ThresholdSharpness = 2.0  // sigma: how steeply the probability rises around the threshold, per queued task
-	ActorStepSize      = 0.02 // alpha, per unit of average cost
-	CriticStepSize     = 0.05 // beta, per squared norm of the features
+	ActorStepSize      = 0.02 // alpha, divided by 1 + the average cost
+	CriticStepSize     = 0.05 // beta, divided by the squared norm of the features
 	AverageStepSize    = 0.01 // zeta, weight of one step in the average cost and the mean length of steps
-	// MaxQueueLength (l_M) is the longest queue that the features tell from longer ones, and the highest threshold.
+	// MaxQueueLength (l_M) is the queue length above which the features do not distinguish lengths, and the highest
+	// threshold.
 	MaxQueueLength = 64
-	// maxTDError bounds a temporal-difference error, in average costs: a gap or a burst must not throw the learner.
+	// maxTDError bounds a temporal-difference error, in units of 1 + the average cost, so that a single pause or burst does
+	// not change the learned values much.
 	maxTDError = 5.0
 )
 
-// Parameters is what is learned of one worker. Its owner is the caller; the zero value is untrained.
+// Parameters holds the learned parameters of one worker. The caller owns it; the zero value is untrained.
 type Parameters struct {
-	Threshold   float64 // the actor's: length of the queue from which the worker is rather taken than waited for
-	ValueWeight float64 // the critic's: weight of the worker's feature in the value of a state
-	Updates     int     // steps in which the threshold was adapted
+	Threshold   float64 // of the actor: queue length beyond which a task goes to this worker instead of waiting
+	ValueWeight float64 // of the critic: weight of the worker's feature in the value of a state
+	Updates     int     // number of steps that updated the threshold
 }
 
-// Feature is a non-zero component of a state. Parameters names the worker that it belongs to; nil is the queue.
+// Feature is a non-zero component of a state's feature vector. Parameters identifies the worker that it belongs to; nil
+// means the queue.
 type Feature struct {
 	Parameters *Parameters
 	Value      float64
@@ -41,20 +46,21 @@
 // Features appends the features of the present state to a slice.
 type Features func(into []Feature) []Feature
 
-// Learner learns the thresholds of one dispatcher. Its time is cut into steps, from one decision to the next: BeginStep,
-// RecordDecision where a threshold decided, EndStep. The zero value is ready for use.
+// Learner learns the thresholds of one dispatcher. A step lasts from one decision to the next. For each step the caller
+// calls BeginStep, then RecordDecision if the decision was drawn by a threshold, then EndStep. The zero value is ready for
+// use.
 type Learner struct {
 	meanStepSeconds float64
-	averageCost     float64 // of a step
-	queueWeight     float64 // the critic's weight of the queue's feature
+	averageCost     float64 // of one step
+	queueWeight     float64 // the critic's weight for the queue's feature
 	normSquared     float64 // squared norm of all of the critic's weights
 
 	stepOpen      bool
-	stepFeatures  []Feature // of the state in which the step began
-	stepTasks     float64   // tasks queued and running when it began
-	decidedBy     *Parameters
-	logGradient   float64   // derivative of the decision's log probability by the threshold
-	endedFeatures []Feature // of the state in which the step ended; kept for its memory
+	stepFeatures  []Feature   // of the state in which the step began
+	stepTasks     float64     // tasks queued and running when it began
+	decidedBy     *Parameters // of the worker whose threshold decided; nil: none
+	logGradient   float64     // derivative of the decision's log probability with respect to the threshold
+	endedFeatures []Feature   // of the state in which the step ended; kept to reuse its memory
 }
 
 // AcceptanceProbability returns the probability with which the head of a queue of the given length goes to a slower
@@ -71,15 +77,15 @@
 	}
 }
 
-// BeginStep opens a step in the present state, with so many tasks queued and running.
+// BeginStep opens a step in the present state, with the given number of tasks queued and running.
 func (l *Learner) BeginStep(tasks float64, features Features) {
 	l.stepFeatures = features(l.stepFeatures[:0])
 	l.stepTasks, l.stepOpen = tasks, true
 }
 
-// EndStep closes the open step after elapsed seconds, with the state reached now, and learns from it. Workers is the number
-// of workers that have parameters. Where the critic's weights have grown beyond their bound, project is called once with
-// the factor by which every worker's weight is to shrink. Without an open step it does nothing.
+// EndStep closes the open step after elapsed seconds, in the state reached now, and learns from it. Workers is the number of
+// workers that have parameters. If the critic's weights have grown beyond their bound, project is called once with the
+// factor by which the caller must scale every worker's weight. Without an open step, EndStep does nothing.
 func (l *Learner) EndStep(elapsed float64, workers int, features Features, project func(scale float64)) {
 	if !l.stepOpen {
 		return
@@ -95,7 +101,7 @@
 	l.updateActor(tdError)
 }
 
-// stepCost returns the cost of a step: its tasks times its length, in mean lengths of a step.
+// stepCost returns the cost of a step: its number of tasks times its length, in units of the mean step length.
 func (l *Learner) stepCost(elapsed float64) float64 {
 	if elapsed > 0 {
 		if l.meanStepSeconds == 0 {
@@ -112,11 +118,11 @@
 // updateCritic moves the weights along the features of the state in which the step began. Components is the number of
 // features that a state can have.
 func (l *Learner) updateCritic(tdError, components float64, project func(scale float64)) {
-	length := 0.0
+	featuresNormSquared := 0.0
 	for _, f := range l.stepFeatures {
-		length += f.Value * f.Value
+		featuresNormSquared += f.Value * f.Value
 	}
-	stepSize := CriticStepSize / (length + 1/(components*components))
+	stepSize := CriticStepSize / (featuresNormSquared + 1/(components*components))
 	for _, f := range l.stepFeatures {
 		weight := l.weight(f.Parameters)
 		l.normSquared -= *weight * *weight
@@ -131,7 +137,7 @@
 	}
 }
 
-// updateActor moves the threshold that decided in this step, if one did, against the gradient of the cost.
+// updateActor moves the threshold that decided in this step, if any, against the gradient of the cost.
 func (l *Learner) updateActor(tdError float64) {
 	if l.decidedBy == nil {
 		return
@@ -142,6 +148,7 @@
 	l.decidedBy = nil
 }
 
+// weight returns the critic's weight for a worker's feature, or for the queue's feature if parameters is nil.
 func (l *Learner) weight(parameters *Parameters) *float64 {
 	if parameters == nil {
 		return &l.queueWeight
@@ -151,9 +158,9 @@
 
 // value returns the critic's estimate of a state's value.
 func (l *Learner) value(features []Feature) float64 {
-	v := 0.0
+	sum := 0.0
 	for _, f := range features {
-		v += f.Value * *l.weight(f.Parameters)
+		sum += f.Value * *l.weight(f.Parameters)
 	}
-	return v
+	return sum
 }
--- a/scheduling/backfill/plan.go
+++ b/scheduling/backfill/plan.go
@@ -1,21 +1,21 @@
 // Package backfill plans each worker's slots over time, so that slots can be reserved for a large job
-// while small ones fill the gaps.
+// while small jobs fill the gaps.
 //
-// The terms are those of the scheduling literature. A reservation keeps a job's slots at one worker
-// from the time at which they are expected to come free, its shadow time. A backfill is a smaller job
-// that starts ahead of it in a gap: either it ends, by the stated quantile of its run time, before the
-// shadow time, or it fits into the extra slots that the reserved job leaves (EASY: Lifka, The ANL/IBM SP
-// Scheduling System, 1995). Under Easy one job at a time has a reservation, the most urgent; under
-// Conservative each that is due has one (Mu'alem and Feitelson, 2001).
+// The terms are those of the scheduling literature. A reservation keeps slots at one worker for a job, from
+// the time at which they are expected to come free, the shadow time. A backfill is a smaller job that starts
+// in a gap before the reserved job. It either ends, by the configured quantile of its run time, before the
+// shadow time, or fits into the extra slots that the reserved job does not need (EASY: Lifka, The ANL/IBM SP
+// Scheduling System, 1995). In mode Easy, only one job at a time has a reservation, the most urgent one; in
+// mode Conservative, every job that needs a reservation has one (Mu'alem and Feitelson, 2001).
 //
-// Invariants: what is reserved at a worker and what runs there never exceed its slots together, once the
-// reserved job starts; every reservation ends, by ReservationTTL at the latest; the time for which
-// reserved slots lie idle stays within IdleBudget, beyond which none is made; and a job that a
-// reservation has kept waiting for MaxJobDelay passes.
+// Invariants: once a reserved job starts, the reserved slots and the slots in use at its worker do not exceed
+// the worker's slots; every reservation ends within ReservationTTL; no reservation is made while the share of
+// slot time that reserved slots were idle exceeds IdleBudget; and a job that reservations have kept waiting
+// for MaxJobDelay may start.
 //
-// This package does no I/O and has no clock or randomness: time is what the caller passes in, on a clock
-// that does not run back. It never decides whether or where a job is sent; it says what a plan would bear.
-// The same calls give the same plan.
+// The package does no I/O and has no clock or randomness: the caller passes in times, on a clock that does
+// not run backwards. The package does not decide whether or where a job is sent; it only reports what the
+// plan allows. The same calls give the same plan.
 package backfill
 
 import (
@@ -25,55 +25,55 @@
 )
 
 const (
-	// budgetWindow is how far back the idle budget looks: what is older fades. A shorter one lets a
-	// single reservation use the budget up.
+	// budgetWindow is the time constant with which older slot time fades from the idle budget. With a shorter
+	// window, a single reservation uses up the budget.
 	budgetWindow = 60 * time.Second
-	// warmUpTime is for how long after the first tick slots and run times are guesses.
+	// warmUpTime is the time after the first tick during which slot counts and run times are unreliable.
 	warmUpTime = 5 * time.Second
 )
 
-// Plan is one dispatcher's plan of all its workers. It is not safe for concurrent use.
+// Plan is one dispatcher's plan of the slots of all its workers. It is not safe for concurrent use.
 type Plan struct {
 	Settings
-	share        float64 // part of the bounds that is this process's, over 0 to 1
+	share        float64 // this process's share of the bounds, above 0 and up to 1
 	workers      map[uint64]*workerPlan
 	reservations map[uint64]*Reservation  // by job
-	delayedSince map[uint64]time.Duration // when a reservation first kept a job waiting
-	usedSlots    float64                  // of all runs
+	delayedSince map[uint64]time.Duration // by job: when a reservation first kept it waiting
+	usedSlots    float64                  // by all runs
 	idle         idleMeter
 	ticked       bool
 	firstTick    time.Duration
 
-	// Counts since the start: reservations made, used by their job, and ended by age; jobs that
-	// started ahead of a reservation, and jobs that one has kept waiting.
+	// Counts since the plan was made: reservations made, used by their job, and ended by ReservationTTL; jobs
+	// allowed to start before a reserved job, and jobs that a reservation has kept waiting.
 	Created, Fulfilled, Expired int
 	Backfilled, Delayed         int
 }
 
-// workerPlan is one worker's side of the plan.
+// workerPlan is the plan of one worker.
 type workerPlan struct {
 	runs         []run
 	reservations []*Reservation
 	usedSlots    float64
-	slots        float64 // as last told
-	countedUntil time.Duration
+	slots        float64       // the worker's slots, as of the last call that stated them
+	countedUntil time.Duration // idle time is counted up to this time
 }
 
-// run is one job at work, or on its way to a worker.
+// run is a job that runs at a worker or was sent to it.
 type run struct {
 	job       uint64
 	slots     float64
-	startedAt time.Duration
+	startedAt time.Duration // or sent, until the start is known
 	RunTime
 }
 
-// idleMeter is the slot time of the last budgetWindow, fading.
+// idleMeter measures slot time, which fades exponentially with budgetWindow.
 type idleMeter struct {
-	idle, total float64 // slot-seconds left idle by reservations, and passed at all
+	idle, total float64 // slot-seconds left idle by reservations, and all slot-seconds
 	at          time.Duration
 }
 
-// advance lets time pass for a fleet of so many slots.
+// advance adds the slot time of the whole fleet since the last call and fades older slot time.
 func (m *idleMeter) advance(now time.Duration, slots float64) {
 	if dt := now - m.at; dt > 0 && m.at != 0 {
 		fade := math.Exp(-dt.Seconds() / budgetWindow.Seconds())
@@ -83,7 +83,7 @@
 	m.at = now
 }
 
-// New makes an empty plan. The settings must be valid.
+// New returns an empty plan. The settings must be valid.
 func New(s Settings) *Plan {
 	return &Plan{
 		Settings: s, share: 1, workers: map[uint64]*workerPlan{},
@@ -91,10 +91,11 @@
 	}
 }
 
-// SetShare bounds this process to its part, over 0 to 1, where several make reservations side by side.
-func (p *Plan) SetShare(part float64) { p.share = part }
+// SetShare limits this process to a share of the bounds, above 0 and up to 1, if several processes make
+// reservations.
+func (p *Plan) SetShare(share float64) { p.share = share }
 
-// Start notes that a job was sent, or that it has begun.
+// Start records that a job was sent to a worker, or that it has started there.
 func (p *Plan) Start(now time.Duration, worker, job uint64, slots float64, r RunTime) {
 	p.Release(now, job, true)
 	delete(p.delayedSince, job)
@@ -111,7 +112,7 @@
 	p.usedSlots += slots
 }
 
-// End notes that a job is no longer at a worker.
+// End records that a job is no longer at a worker.
 func (p *Plan) End(now time.Duration, worker, job uint64) {
 	w := p.workers[worker]
 	if w == nil {
@@ -126,14 +127,14 @@
 	p.dropIfEmpty(worker, w)
 }
 
-// Forget notes that a job has ended altogether: what is reserved for it is free.
+// Forget releases the reservation of a job that has ended, and discards what the plan knows of the job.
 func (p *Plan) Forget(now time.Duration, job uint64) {
 	p.Release(now, job, false)
 	delete(p.delayedSince, job)
 }
 
-// Tick ends reservations whose time is up and goes on with the idle budget, for a fleet of so many
-// slots. It returns the jobs that have lost theirs, in the order of their ids.
+// Tick ends expired reservations and updates the idle budget, for a fleet with the given number of slots. It
+// returns the jobs whose reservations have expired, ordered by id.
 func (p *Plan) Tick(now time.Duration, slots float64) (expired []uint64) {
 	p.idle.advance(now, slots)
 	if !p.ticked {
@@ -152,13 +153,13 @@
 	return expired
 }
 
-// UsedSlots is how many slots all runs take.
+// UsedSlots returns the number of slots that all runs take.
 func (p *Plan) UsedSlots() float64 { return p.usedSlots }
 
-// WarmedUp tells whether the plan has known of the fleet for long enough.
+// WarmedUp reports whether warmUpTime has passed since the first tick.
 func (p *Plan) WarmedUp(now time.Duration) bool { return p.ticked && now-p.firstTick >= warmUpTime }
 
-// IdleShare is the part of the slot time of the last minute or so that reservations have left idle.
+// IdleShare returns the share of slot time, over about the last minute, that reservations have left idle.
 func (p *Plan) IdleShare() float64 { return p.idle.idle / max(p.idle.total, 1) }
 
 func (p *Plan) worker(id uint64) *workerPlan {
@@ -176,7 +177,7 @@
 	}
 }
 
-// countIdle adds up what reservations leave idle at a worker, up to now.
+// countIdle adds the slot time that reservations at a worker have left idle since the last call.
 func (p *Plan) countIdle(now time.Duration, w *workerPlan) {
 	dt := (now - w.countedUntil).Seconds()
 	if dt <= 0 {
--- a/scheduling/backfill/plan_test.go
+++ b/scheduling/backfill/plan_test.go
@@ -13,12 +13,13 @@
 
 const ms = time.Millisecond
 
-// exactly is a run time that is known.
+// exactly returns a run time that is known exactly.
 func exactly(d time.Duration) RunTime { return RunTime{LogMean: math.Log(d.Seconds())} }
 
-func near(a, b, by time.Duration) bool { return (a - b).Abs() <= by }
+func near(a, b, tolerance time.Duration) bool { return (a - b).Abs() <= tolerance }
 
-func plan(mode Mode) *Plan {
+// newPlan returns a plan for 100 slots that has ticked for a second, with the largest idle budget.
+func newPlan(mode Mode) *Plan {
 	s := DefaultSettings()
 	s.Mode, s.IdleBudget = mode, 0.5
 	p := New(s)
@@ -27,76 +28,77 @@
 	return p
 }
 
-// Two of three slots run, until 1 s and 3 s: a job of two has its shadow time at
-// 1 s with nothing extra; one of three at 3 s.
+// Two of three slots are in use, until 1 s and 3 s. The shadow time of a job of one slot is now, of a job of
+// two slots 1 s, and of a job of three slots 3 s, each without extra slots. A job of four slots has no shadow
+// time.
 func TestShadowTime(t *testing.T) {
-	p := plan(Conservative)
+	p := newPlan(Conservative)
 	p.Start(0, 1, 11, 1, exactly(time.Second))
 	p.Start(0, 1, 12, 1, exactly(3*time.Second))
 	for slots, want := range map[float64]time.Duration{1: 500 * ms, 2: time.Second, 3: 3 * time.Second} {
 		if at, extra, ok := p.ShadowTime(500*ms, 1, 99, slots, 3, SlowStart{}); !ok || !near(at, want, ms) || extra != 0 {
-			t.Errorf("%v slots: %v, %v extra, %v; want %v", slots, at, extra, ok, want)
+			t.Errorf("%v slots: shadow time %v, %v extra slots, ok %v; want shadow time %v, no extra slots", slots, at, extra, ok, want)
 		}
 	}
 	if _, _, ok := p.ShadowTime(0, 1, 99, 4, 3, SlowStart{}); ok {
-		t.Error("more slots than there are come free")
+		t.Error("shadow time for more slots than the worker has")
 	}
 }
 
-// EASY's rule: a backfill ends before the shadow time, or fits beside the reserved job; any other waits,
-// for MaxJobDelay and no longer.
-func TestBackfill(t *testing.T) {
-	p := plan(Easy)
+// By the rule of EASY, a job may be backfilled if it ends before the shadow time or fits beside the reserved
+// job. Any other job waits, but for no longer than MaxJobDelay.
+func TestMayBackfill(t *testing.T) {
+	p := newPlan(Easy)
 	now := 1000 * ms
 	p.Start(now, 1, 11, 2, exactly(time.Second))
 	at, _, _ := p.ShadowTime(now, 1, 99, 3, 4, SlowStart{})
 	if !p.Reserve(now, 1, 99, 3, 4, at) {
-		t.Fatal("not reserved")
+		t.Fatal("Reserve returned false")
 	}
-	ask := func(job uint64, slots float64, run time.Duration, warmUp SlowStart) bool {
+	mayBackfill := func(job uint64, slots float64, run time.Duration, warmUp SlowStart) bool {
 		return p.MayBackfill(now, 1, job, slots, 4, exactly(run), warmUp)
 	}
-	if !ask(21, 1, 900*ms, SlowStart{}) || !ask(22, 2, 900*ms, SlowStart{}) {
-		t.Error("one that ends before the shadow time must wait")
+	if !mayBackfill(21, 1, 900*ms, SlowStart{}) || !mayBackfill(22, 2, 900*ms, SlowStart{}) {
+		t.Error("a job that ends before the shadow time may not start")
 	}
-	if !ask(23, 1, time.Minute, SlowStart{}) {
-		t.Error("one that fits into the extra slot must wait")
+	if !mayBackfill(23, 1, time.Minute, SlowStart{}) {
+		t.Error("a job that fits into the extra slot may not start")
 	}
-	if ask(24, 2, 1100*ms, SlowStart{}) {
-		t.Error("one that would delay the reservation may start")
+	if mayBackfill(24, 2, 1100*ms, SlowStart{}) {
+		t.Error("a job that delays the reservation may start")
 	}
-	// On a warming worker the same run takes longer; so does what the reservation waits for.
-	if warming := (SlowStart{Launched: now, Share: 0.3, Time: 8 * time.Second}); ask(25, 2, 1100*ms, warming) || !ask(26, 2, 900*ms, warming) {
-		t.Error("the warm-up counts for one side only")
+	// On a warming worker, the job takes longer, and so does the run that the reservation waits for.
+	if warming := (SlowStart{Launched: now, Share: 0.3, Time: 8 * time.Second}); mayBackfill(25, 2, 1100*ms, warming) || !mayBackfill(26, 2, 900*ms, warming) {
+		t.Error("the warm-up is not applied to both the job and the run that the reservation waits for")
 	}
-	if !ask(99, 4, time.Minute, SlowStart{}) {
-		t.Error("the job itself must wait for its own slots")
+	if !mayBackfill(99, 4, time.Minute, SlowStart{}) {
+		t.Error("the job with the reservation may not start")
 	}
-	if now += p.MaxJobDelay; !ask(24, 2, 1100*ms, SlowStart{}) {
-		t.Error("kept waiting beyond the bound")
+	if now += p.MaxJobDelay; !mayBackfill(24, 2, 1100*ms, SlowStart{}) {
+		t.Error("a job may not start after MaxJobDelay")
 	}
 	if p.Delayed != 2 || p.Backfilled != 4 {
-		t.Errorf("%d denied, %d backfilled", p.Delayed, p.Backfilled)
+		t.Errorf("%d jobs delayed, want 2; %d backfilled, want 4", p.Delayed, p.Backfilled)
 	}
 	p.Start(now, 1, 99, 2, exactly(time.Second))
-	if !ask(25, 2, time.Minute, SlowStart{}) || p.ReservationOf(99) != nil || p.Fulfilled != 1 {
-		t.Error("slots are reserved for a job that has begun")
+	if !mayBackfill(25, 2, time.Minute, SlowStart{}) || p.ReservationOf(99) != nil || p.Fulfilled != 1 {
+		t.Error("the reservation remains after its job has started")
 	}
 }
 
-// A run time's quantiles, and what is left of a run after a while; a warming worker takes longer, less so as
-// it warms up.
-func TestRunTimes(t *testing.T) {
+// Quantiles of a run time and of its remaining time are those of a log-normal distribution. A run takes
+// longer on a warming worker, and the less so the warmer the worker is.
+func TestRunTimeQuantilesAndWarmUp(t *testing.T) {
 	l := RunTime{LogMean: 0, LogStdDev: 0.5}
 	if got := l.Quantile(0.8); !near(got, 1523*ms, 2*ms) {
 		t.Error(got)
 	}
-	// P(X <= x | X > 1 s) = 0.8 at the 0.9 quantile, less the second that has run.
+	// P(X <= x | X > 1 s) = 0.8 where x is the 0.9 quantile of X; the elapsed second is subtracted from x.
 	if got := l.Remaining(time.Second, 0.8); !near(got, 898*ms, 2*ms) {
 		t.Error(got)
 	}
 	if got := l.Remaining(100*time.Second, 0.8); got < 10*time.Second {
-		t.Errorf("a run that is far past all that was seen has %v left", got)
+		t.Errorf("a run far beyond the distribution has %v left, want at least 10 s", got)
 	}
 	if got := exactly(time.Second).Remaining(400*ms, 0.8); !near(got, 600*ms, ms) {
 		t.Error(got)
@@ -105,21 +107,21 @@
 	// The warm-up does (0.3+1)/2*8 = 5.2 s of work.
 	for warm, want := range map[time.Duration]time.Duration{5200 * ms: 8 * time.Second, 6200 * ms: 9 * time.Second} {
 		if got := r.RunTimeFrom(0, warm); !near(got, want, ms) {
-			t.Errorf("%v takes %v, want %v", warm, got, want)
+			t.Errorf("a run of %v takes %v on a warming worker, want %v", warm, got, want)
 		}
 	}
 	if got := r.RunTimeFrom(0, 300*ms); got < 850*ms || got > time.Second {
-		t.Errorf("300ms take %v on a warming worker", got)
+		t.Errorf("a run of 300 ms takes %v on a warming worker, want 850 ms to 1 s", got)
 	}
 	if got := r.RunTimeFrom(9*time.Second, time.Second); got != time.Second {
 		t.Error(got)
 	}
 }
 
-// A worker that is removed gives its reservations up; a job that ends frees its slots at once; a reservation
-// expires; half the bounds hold for one of two processes.
-func TestReservationsEnd(t *testing.T) {
-	p := plan(Conservative)
+// A reservation ends when its worker is removed, when its job ends and when it expires. With a share of half,
+// half of MaxReservations may be made, and mode Easy allows one.
+func TestReservationsEndAndAreLimited(t *testing.T) {
+	p := newPlan(Conservative)
 	now := time.Second
 	for job := range uint64(3) {
 		p.Reserve(now, job%2, 90+job, 1, 4, now)
@@ -140,48 +142,48 @@
 		p.Reserve(now, 100+job, 200+job, 1, 4, now)
 	}
 	if n := len(p.Reservations()); n != p.MaxReservations/2 {
-		t.Errorf("%d reservations for half of %d", n, p.MaxReservations)
+		t.Errorf("%d reservations, want half of %d", n, p.MaxReservations)
 	}
-	e := plan(Easy)
+	e := newPlan(Easy)
 	if !e.Reserve(now, 1, 1, 1, 4, now) || e.Reserve(now, 2, 2, 1, 4, now) {
-		t.Error("EASY has one reservation")
+		t.Error("mode Easy does not allow exactly one reservation")
 	}
 }
 
-// Idle time is counted, and beyond the budget nothing more is reserved until it has faded.
-func TestIdleBudget(t *testing.T) {
+// Beyond the idle budget, no further reservation is made until enough idle time has faded.
+func TestIdleBudgetLimitsReservations(t *testing.T) {
 	s := DefaultSettings()
 	s.IdleBudget = 0.05
 	p := New(s)
 	p.Tick(time.Second, 10)
-	p.Tick(11*time.Second, 10) // 100 slot seconds: 5 may lie idle
+	p.Tick(11*time.Second, 10) // 100 slot-seconds, of which 5 may be idle
 	now := 11 * time.Second
 	p.Reserve(now, 1, 1, 2, 4, now)
 	now += 3 * time.Second
 	p.Release(now, 1, false)
 	p.Tick(now, 10)
 	if got := p.IdleShare(); math.Abs(got-6/130.0) > 0.004 {
-		t.Error("idle", got)
+		t.Error("idle share", got)
 	}
 	if p.AtLimit() {
-		t.Error("at the limit within the budget")
+		t.Error("AtLimit is true within the idle budget")
 	}
 	p.Reserve(now, 1, 2, 2, 4, now)
 	p.Release(now+time.Second, 2, false)
 	if p.Tick(now+time.Second, 10); !p.AtLimit() {
-		t.Errorf("idle %.3f of the slot time, and not at the limit", p.IdleShare())
+		t.Errorf("AtLimit is false with an idle share of %.3f", p.IdleShare())
 	}
 	for range 90 {
 		now += time.Second
 		p.Tick(now, 10)
 	}
 	if p.AtLimit() {
-		t.Error("the budget never comes back")
+		t.Error("AtLimit is still true 90 s after the last reservation")
 	}
 }
 
-func TestSettingsAreValidated(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+func TestValidateNamesTheInvalidSetting(t *testing.T) {
+	for want, invalidate := range map[string]func(*Settings){
 		"mode": func(s *Settings) { s.Mode = "hard" }, "quantile": func(s *Settings) { s.Quantile = 1 }, "most": func(s *Settings) { s.MaxReservations = 0 },
 		"longest": func(s *Settings) { s.ReservationTTL = 0 }, "budget": func(s *Settings) { s.IdleBudget = 0.6 },
 		"small_wait": func(s *Settings) { s.MaxJobDelay = -1 }, "large": func(s *Settings) { s.LargeRuns = 1 },
@@ -190,59 +192,60 @@
 		if err := s.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		spoil(&s)
+		invalidate(&s)
 		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("got %v, want %s", err, want)
+			t.Errorf("got error %v, want one that begins with %s", err, want)
 		}
 	}
 }
 
-// walk drives a plan, and a twin that must agree with it, through random jobs at one worker.
-type walk struct {
+// simulation drives a plan, and a second plan (twin) that must agree with it, through random jobs at one
+// worker.
+type simulation struct {
 	*rapid.T
 	plan, twin *Plan
 	now        time.Duration
-	estimate   float64 // factor by which run times are estimated wrong
-	runs       map[uint64]walkRun
+	estimate   float64 // ratio of estimated to actual run times
+	runs       map[uint64]simulatedRun
 	job        uint64
-	shadow     time.Duration // first shadow time of the one reservation; below 0: there is none, or more
+	shadow     time.Duration // first shadow time of the only reservation; negative if there is none or several
 }
 
-type walkRun struct {
+type simulatedRun struct {
 	slots float64
 	end   time.Duration
 }
 
-const walkSlots = 4
+const workerSlots = 4
 
-func (w *walk) tick() {
+func (w *simulation) tick() {
 	w.plan.Tick(w.now, 1e6)
 	w.twin.Tick(w.now, 1e6)
 }
 
-func (w *walk) used() (n float64) {
+func (w *simulation) used() (n float64) {
 	for _, r := range w.runs {
 		n += r.slots
 	}
 	return n
 }
 
-func (w *walk) start(job uint64, slots float64, run time.Duration, r RunTime) {
+func (w *simulation) start(job uint64, slots float64, run time.Duration, r RunTime) {
 	w.plan.Start(w.now, 1, job, slots, r)
 	w.twin.Start(w.now, 1, job, slots, r)
-	w.runs[job] = walkRun{slots, w.now + run}
+	w.runs[job] = simulatedRun{slots, w.now + run}
 }
 
-// advance lets time pass and ends the runs whose time is up.
-func (w *walk) advance(by time.Duration) {
-	w.now += by
+// advance moves the time forward and ends the runs that are over.
+func (w *simulation) advance(elapsed time.Duration) {
+	w.now += elapsed
 	for id, r := range w.runs {
 		if r.end <= w.now {
 			delete(w.runs, id)
 		}
 	}
 	for id := uint64(1); id <= w.job; id++ {
-		if _, at := w.runs[id]; !at {
+		if _, running := w.runs[id]; !running {
 			w.plan.End(w.now, 1, id)
 			w.twin.End(w.now, 1, id)
 		}
@@ -250,63 +253,63 @@
 	w.tick()
 }
 
-// reserve asks for a reservation for the next job.
-func (w *walk) reserve(slots float64) {
-	at, _, ok := w.plan.ShadowTime(w.now, 1, w.job, slots, walkSlots, SlowStart{})
-	at2, _, ok2 := w.twin.ShadowTime(w.now, 1, w.job, slots, walkSlots, SlowStart{})
-	if at != at2 || ok != ok2 {
-		w.Fatal("the same calls give another shadow time")
+// reserve requests a reservation for the current job.
+func (w *simulation) reserve(slots float64) {
+	at, _, ok := w.plan.ShadowTime(w.now, 1, w.job, slots, workerSlots, SlowStart{})
+	twinAt, _, twinOK := w.twin.ShadowTime(w.now, 1, w.job, slots, workerSlots, SlowStart{})
+	if at != twinAt || ok != twinOK {
+		w.Fatal("the same calls gave different shadow times")
 	}
-	if ok && w.plan.Reserve(w.now, 1, w.job, slots, walkSlots, at) != w.twin.Reserve(w.now, 1, w.job, slots, walkSlots, at) {
-		w.Fatal("the same calls give another reservation")
+	if ok && w.plan.Reserve(w.now, 1, w.job, slots, workerSlots, at) != w.twin.Reserve(w.now, 1, w.job, slots, workerSlots, at) {
+		w.Fatal("the same calls to Reserve gave different results")
 	}
 	if ok && len(w.plan.Reservations()) == 1 && w.plan.ReservationOf(w.job) != nil {
 		w.shadow = at
 	}
 }
 
-// backfill starts the next job where the plan bears it.
-func (w *walk) backfill(slots float64, run time.Duration, r RunTime) {
-	may := w.plan.MayBackfill(w.now, 1, w.job, slots, walkSlots, r, SlowStart{})
-	if may != w.twin.MayBackfill(w.now, 1, w.job, slots, walkSlots, r, SlowStart{}) {
-		w.Fatal("the same calls give another answer")
+// backfill starts the current job if the plan allows it.
+func (w *simulation) backfill(slots float64, run time.Duration, r RunTime) {
+	may := w.plan.MayBackfill(w.now, 1, w.job, slots, workerSlots, r, SlowStart{})
+	if may != w.twin.MayBackfill(w.now, 1, w.job, slots, workerSlots, r, SlowStart{}) {
+		w.Fatal("the same calls to MayBackfill gave different results")
 	}
 	if may {
 		w.start(w.job, slots, run, r)
 	}
 }
 
-// startReserved starts the jobs whose reserved slots are free, and checks what is reserved and what runs.
-func (w *walk) startReserved(run time.Duration, r RunTime) {
+// startReserved starts the jobs whose reserved slots are free, and checks the slots reserved and in use.
+func (w *simulation) startReserved(run time.Duration, r RunTime) {
 	reserved := 0.0
 	for _, o := range w.plan.Reservations() {
 		reserved += o.Slots
-		if w.used()+o.Slots > walkSlots {
+		if w.used()+o.Slots > workerSlots {
 			continue
 		}
 		if w.estimate == 1 && len(w.plan.Reservations()) == 1 && w.shadow >= 0 && w.now > w.shadow+401*ms {
-			w.Fatalf("starts at %v, and its shadow time was %v", w.now, w.shadow)
+			w.Fatalf("reserved job starts at %v, but its shadow time was %v", w.now, w.shadow)
 		}
 		w.start(o.Job, o.Slots, run, r)
 		w.shadow = -1
 	}
-	if reserved > walkSlots || w.used() > walkSlots {
-		w.Fatalf("%v slots are reserved and %v run, of %d", reserved, w.used(), walkSlots)
+	if reserved > workerSlots || w.used() > workerSlots {
+		w.Fatalf("%v slots are reserved and %v in use, of %d", reserved, w.used(), workerSlots)
 	}
 	if diff := cmp.Diff(w.plan.Reservations(), w.twin.Reservations()); diff != "" {
 		w.Fatal(diff)
 	}
 }
 
-// Random plans, of runs whose time is known, with estimates off by up to a factor of 4: what is reserved and
-// what runs never exceed a worker's slots, every reservation ends, the same calls give the same plan, and
-// where the estimates are right no backfill delays a reservation past its shadow time.
+// In random plans, with run times estimated wrong by a factor of up to 4, the slots reserved and the slots in
+// use each stay within the worker's slots, every reservation ends, and the same calls give the same plan.
+// With correct estimates, no backfill delays a reserved job past its shadow time.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := DefaultSettings()
 		s.Mode = rapid.SampledFrom([]Mode{Easy, Conservative}).Draw(t, "mode")
 		s.IdleBudget, s.MaxJobDelay, s.ReservationTTL = 0.5, time.Hour, time.Hour
-		w := &walk{T: t, plan: New(s), twin: New(s), runs: map[uint64]walkRun{}, shadow: -1,
+		w := &simulation{T: t, plan: New(s), twin: New(s), runs: map[uint64]simulatedRun{}, shadow: -1,
 			estimate: rapid.SampledFrom([]float64{0.25, 1, 1, 4}).Draw(t, "estimates off by")}
 		w.tick()
 		w.now = time.Second
@@ -314,28 +317,28 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "later")) * ms)
 			w.job++
-			slots := float64(rapid.IntRange(1, walkSlots).Draw(t, "slots"))
+			slots := float64(rapid.IntRange(1, workerSlots).Draw(t, "slots"))
 			run := time.Duration(rapid.IntRange(10, 2000).Draw(t, "long")) * ms
 			r := RunTime{LogMean: math.Log(run.Seconds() * w.estimate)}
 			if rapid.Bool().Draw(t, "large") {
 				w.reserve(slots)
-			} else if w.used()+slots <= walkSlots {
+			} else if w.used()+slots <= workerSlots {
 				w.backfill(slots, run, r)
 			}
 			w.startReserved(run, r)
 		}
 		w.plan.Tick(w.now+s.ReservationTTL+time.Second, 1e6)
 		if n := len(w.plan.Reservations()); n > 0 {
-			t.Fatalf("%d reservations never end", n)
+			t.Fatalf("%d reservations have not ended after ReservationTTL", n)
 		}
 	})
 }
 
-// What one decision asks of the plan, at a worker among many.
+// BenchmarkBackfill measures the plan's part of one decision, with many workers.
 func BenchmarkBackfill(b *testing.B) {
 	for _, n := range []uint64{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := plan(Conservative)
+			p := newPlan(Conservative)
 			now := time.Second
 			for w := range n {
 				for j := range uint64(4) {
--- a/scheduling/backfill/reservation.go
+++ b/scheduling/backfill/reservation.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Reservation is slots kept for one job at one worker.
+// Reservation keeps slots at one worker for one job.
 type Reservation struct {
 	Job, Worker          uint64
 	Slots                float64
-	CreatedAt, ExpiresAt time.Duration // it ends by itself at ExpiresAt
-	ShadowTime           time.Duration // when its slots were expected to be free, as of the last look
-	IdleSlotSeconds      float64       // that it has left idle
+	CreatedAt, ExpiresAt time.Duration // Tick ends it at ExpiresAt
+	ShadowTime           time.Duration // when its slots are expected to be free, as last computed
+	IdleSlotSeconds      float64       // slot time that it has left idle
 }
 
-// ReservationOf is a job's reservation; nil: it has none.
+// ReservationOf returns a job's reservation, or nil if it has none.
 func (p *Plan) ReservationOf(job uint64) *Reservation { return p.reservations[job] }
 
-// Reservations are all there are, by the time at which they were made.
+// Reservations returns all reservations, ordered by creation time.
 func (p *Plan) Reservations() []Reservation {
 	var all []Reservation
 	for _, r := range p.reservations {
@@ -31,19 +31,20 @@
 	return all
 }
 
-// AtLimit tells whether no further reservation may be made now.
+// AtLimit reports whether the bounds forbid a further reservation now.
 func (p *Plan) AtLimit() bool {
-	most := float64(p.MaxReservations)
+	maxCount := float64(p.MaxReservations)
 	if p.Mode == Easy {
-		most = 1
+		maxCount = 1
 	}
-	return float64(len(p.reservations)) >= math.Ceil(most*p.share) ||
+	return float64(len(p.reservations)) >= math.Ceil(maxCount*p.share) ||
 		p.idle.idle > p.IdleBudget*p.share*max(p.idle.total, 1)
 }
 
-// ShadowTime is when a worker of so many slots (capacity) is expected to have as many free as a job
-// needs, by the quantile of what its runs have left, and how many there are beyond them then. It is not ok
-// where the worker has not as many. What is reserved for the job itself does not stand in its way.
+// ShadowTime returns the time at which a worker is expected to have enough free slots for a job, and the
+// number of extra free slots then. The prediction uses the configured quantile of the remaining times of the
+// worker's runs. Capacity is the worker's number of slots; ok is false if it is too small. A reservation of
+// the job itself does not count as used.
 func (p *Plan) ShadowTime(
 	now time.Duration, worker, job uint64, slots, capacity float64, s SlowStart,
 ) (at time.Duration, extra float64, ok bool) {
@@ -62,19 +63,20 @@
 	return at, extra, ok
 }
 
-// reservedSlots adds up what is reserved at a worker, but for one reservation; nil: all.
-func (w *workerPlan) reservedSlots(but *Reservation) float64 {
+// reservedSlots returns the number of slots reserved at a worker, without those of one reservation (except;
+// nil: none).
+func (w *workerPlan) reservedSlots(except *Reservation) float64 {
 	reserved := 0.0
 	for _, r := range w.reservations {
-		if r != but {
+		if r != except {
 			reserved += r.Slots
 		}
 	}
 	return reserved
 }
 
-// freeAt is when so many slots of a worker's capacity are expected to be free, and how many are free
-// beyond them then.
+// freeAt returns the time at which a number of slots of a worker's capacity are expected to be free, and the
+// number of extra free slots then.
 func (p *Plan) freeAt(
 	now time.Duration, w *workerPlan, slots, capacity float64, s SlowStart,
 ) (at time.Duration, extra float64, ok bool) {
@@ -96,7 +98,7 @@
 		if free += e.slots; free < slots {
 			continue
 		}
-		for _, same := range ends[i+1:] { // what ends with it is free as well
+		for _, same := range ends[i+1:] { // runs that end at the same time free their slots too
 			if same.at <= e.at {
 				free += same.slots
 			}
@@ -106,9 +108,10 @@
 	return 0, 0, false
 }
 
-// Reserve keeps a job's slots at a worker, from the shadow time on. It is false where the bounds do not
-// allow it. A job that has a reservation keeps it, and its age with it; it moves where its slots come free
-// sooner by a tenth of a reservation's life, since each move leaves idle what was kept so far.
+// Reserve reserves slots for a job at a worker, from the shadow time on. It returns false if the bounds do
+// not allow a reservation. A job that has a reservation already keeps it. The reservation moves to another
+// worker only if the job's slots come free there sooner by a tenth of ReservationTTL, since each move wastes
+// the slots left idle so far; a moved reservation keeps its age.
 func (p *Plan) Reserve(
 	now time.Duration, worker, job uint64, slots, capacity float64, shadowTime time.Duration,
 ) bool {
@@ -126,11 +129,11 @@
 		return false
 	}
 	w := p.worker(worker)
-	promised := slots
+	totalReserved := slots
 	for _, r := range w.reservations {
-		promised += r.Slots
+		totalReserved += r.Slots
 	}
-	if promised > capacity {
+	if totalReserved > capacity {
 		p.dropIfEmpty(worker, w)
 		return false
 	}
@@ -147,7 +150,7 @@
 	return true
 }
 
-// Release ends a job's reservation: it was used, or is of no use any more.
+// Release ends a job's reservation. Used states that the job has started on the reserved slots.
 func (p *Plan) Release(now time.Duration, job uint64, used bool) {
 	r := p.reservations[job]
 	if r == nil {
@@ -163,8 +166,8 @@
 	p.dropIfEmpty(r.Worker, w)
 }
 
-// RemoveWorker ends all reservations at a worker that may get nothing new, and returns whose they were:
-// slots are to be reserved for them elsewhere.
+// RemoveWorker ends all reservations at a worker that must not be sent further jobs. It returns the jobs that
+// had these reservations, which need slots at other workers.
 func (p *Plan) RemoveWorker(now time.Duration, worker uint64) (jobs []uint64) {
 	if w := p.workers[worker]; w != nil {
 		for _, r := range slices.Clone(w.reservations) {
@@ -175,9 +178,9 @@
 	return jobs
 }
 
-// MayBackfill tells whether a job may start at a worker of so many slots (capacity) now without delaying
-// a reservation there, by the quantile of its run time. One that has a reservation there itself, or has
-// waited for MaxJobDelay because of them, may.
+// MayBackfill reports whether a job may start at a worker now. It may if it delays no reservation there, by
+// the configured quantile of its run time, if it has a reservation there itself, or if reservations have kept
+// it waiting for MaxJobDelay. Capacity is the worker's number of slots.
 func (p *Plan) MayBackfill(
 	now time.Duration, worker, job uint64, slots, capacity float64, r RunTime, s SlowStart,
 ) bool {
@@ -191,7 +194,7 @@
 	p.countIdle(now, w)
 	w.slots = capacity
 	reserved := w.reservedSlots(nil)
-	if capacity-w.usedSlots-reserved >= slots { // slots beyond what is reserved are anybody's
+	if capacity-w.usedSlots-reserved >= slots { // enough free slots besides the reserved ones
 		return true
 	}
 	at, extra, ok := p.freeAt(now, w, reserved, capacity, s)
@@ -205,7 +208,7 @@
 	return p.delayedLongEnough(now, job)
 }
 
-// delayedLongEnough notes that reservations keep a job waiting, and tells whether they have for
+// delayedLongEnough records that reservations keep a job waiting, and reports whether they have done so for
 // MaxJobDelay.
 func (p *Plan) delayedLongEnough(now time.Duration, job uint64) bool {
 	since, before := p.delayedSince[job]
--- a/scheduling/backfill/settings.go
+++ b/scheduling/backfill/settings.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Mode says how many jobs may have a reservation at once.
+// Mode determines how many jobs may have a reservation at once.
 type Mode string
 
-// The modes.
+// The values of Mode; see the package documentation.
 const (
 	Easy         Mode = "easy"
 	Conservative Mode = "conservative"
 )
 
-// Settings bound a plan.
+// Settings holds the bounds of a plan.
 type Settings struct {
 	Mode            Mode
-	Quantile        float64       // of run times that a backfill is judged by, 0.5 to 0.99
-	MaxReservations int           // at once, 1 or more; under Easy one, whatever this says
-	ReservationTTL  time.Duration // longest life of a reservation, over 0
-	IdleBudget      float64       // part of all slot time that reservations may leave idle, over 0 to 0.5
-	MaxJobDelay     time.Duration // how long reservations may keep one job waiting, 0 or more
-	LargeRuns       float64       // from so many typical runs on a job of one slot is large, over 1; 0: never
+	Quantile        float64       // quantile of run times used for predictions, 0.5 to 0.99
+	MaxReservations int           // largest number at once, at least 1; mode Easy always allows one
+	ReservationTTL  time.Duration // longest life of a reservation, above 0
+	IdleBudget      float64       // share of slot time that reservations may leave idle, above 0, up to 0.5
+	MaxJobDelay     time.Duration // longest time for which reservations may keep one job waiting, at least 0
+	LargeRuns       float64       // mean run times from which a one-slot job is large, above 1; 0: never
 }
 
-// DefaultSettings is what a plan is bounded by where nothing else is said.
+// DefaultSettings returns the settings that apply unless operators configure others.
 func DefaultSettings() Settings {
 	return Settings{
 		Mode: Conservative, Quantile: 0.8, MaxReservations: 8, ReservationTTL: 4 * time.Second,
@@ -34,8 +34,8 @@
 	}
 }
 
-// Validate reports settings that no plan can be made by. The error begins with the key of the
-// operators' file that is wrong.
+// Validate returns an error if a setting is out of range. The error begins with the setting's key in the
+// operators' file.
 func (s *Settings) Validate() error {
 	switch {
 	case s.Mode != Easy && s.Mode != Conservative:
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// IsLarge tells whether slots may be reserved for a job of so many slots and so many typical runs.
+// IsLarge reports whether slots may be reserved for a job, by its number of slots and its expected run time
+// in mean run times (runs).
 func (s *Settings) IsLarge(slots, runs float64) bool {
 	return slots > 1 || s.LargeRuns > 0 && runs >= s.LargeRuns
 }
--- a/scheduling/workerpool/pools_test.go
+++ b/scheduling/workerpool/pools_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Arcs of equal lengths that begin at even distances cover a ring of any sizes evenly.
+// Arcs of equal lengths that begin at equal distances cover a ring of places of any sizes evenly.
 func TestArcsCoverTheRingEvenly(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -28,22 +28,22 @@
 				sum += part * sizes[i]
 			}
 			if math.Abs(sum-length) > 1e-6 {
-				t.Fatalf("an arc of %v covers %v", length, sum)
+				t.Fatalf("an arc of length %v covers places of total size %v", length, sum)
 			}
 		}
 		for _, c := range cover {
 			if math.Abs(c-float64(times)) > 1e-6 {
-				t.Fatalf("%d arcs of %d shares: a place is covered %v times", n, times, c)
+				t.Fatalf("%d arcs, each of %d equal shares: a place is covered %v times", n, times, c)
 			}
 		}
 	}
 	if len(ArcCoverage(nil, 0, 1)) != 0 {
-		t.Error("an empty ring")
+		t.Error("coverage of an empty ring is not empty")
 	}
 }
 
-// Pools have the shares asked for, and a share that changes by so much moves no more positions.
-func TestPools(t *testing.T) {
+// Pools have the requested shares, and a change of the shares moves only a few positions to other pools.
+func TestPoolSharesAndChanges(t *testing.T) {
 	was, now := []float64{3, 1, 4}, []float64{3, 1.4, 4}
 	count, moved := [3]int{}, 0
 	const positions = 10000
@@ -57,40 +57,41 @@
 	}
 	for i, share := range was {
 		if math.Abs(float64(count[i])/positions-share/8) > 0.001 {
-			t.Errorf("pool %d has %d of %d positions, want %.3f", i, count[i], positions, share/8)
+			t.Errorf("pool %d has %d of %d positions, want a share of %.3f", i, count[i], positions, share/8)
 		}
 	}
 	if moved > positions*6/100 || moved == 0 {
-		t.Errorf("%d of %d positions moved", moved, positions)
+		t.Errorf("%d of %d positions moved to another pool, want more than 0 and at most 6 %%", moved, positions)
 	}
 	if PoolAt(1, was) != 2 || PoolAt(0, []float64{1}) != 0 {
-		t.Error("the last position, and a single pool")
+		t.Error("wrong pool for the last position of three pools or for the first of a single pool")
 	}
 	if SharesChanged(was, []float64{6, 2, 8}) || !SharesChanged(was, []float64{1}) || !SharesChanged([]float64{1, 1}, []float64{1, 1.3}) || SharesChanged([]float64{1, 1}, []float64{1, 1.1}) {
-		t.Error("which shares have changed")
+		t.Error("SharesChanged does not detect exactly the changes above 0.05")
 	}
 }
 
-// The work of a few long jobs does not turn the shares over; that of many does, and decays.
+// One long job changes the ratio of two classes' work little; many long jobs change it much, and the change
+// decays.
 func TestRecentWork(t *testing.T) {
 	var short, long RecentWork
 	if long.Estimate() != short.Estimate() {
-		t.Error("before any job the classes are not alike")
+		t.Error("the estimates of two classes without jobs differ")
 	}
 	long.Add(3)
 	if r := long.Estimate() / short.Estimate(); r < 1 || r > 1.5 {
-		t.Errorf("one long job: %.2f times the work", r)
+		t.Errorf("work ratio after one long job is %.2f, want 1 to 1.5", r)
 	}
 	for range 60 {
 		long.Add(1.2)
 	}
 	if r := long.Estimate() / short.Estimate(); r < 5 {
-		t.Errorf("72 s of work: %.2f times the work", r)
+		t.Errorf("work ratio after 72 s more of long jobs is %.2f, want at least 5", r)
 	}
 	for range 300 {
 		long.Decay()
 	}
 	if r := long.Estimate() / short.Estimate(); r > 1.05 {
-		t.Errorf("five minutes later: %.2f times the work", r)
+		t.Errorf("work ratio five minutes later is %.2f, want at most 1.05", r)
 	}
 }
