--- a/scheduling/dispatch/actorcritic.go
+++ b/scheduling/dispatch/actorcritic.go
@@ -5,63 +5,65 @@
 	"time"
 )
 
-// ACHQ's parameters (Algorithm 1 of the paper). Its simulations have sigma 1, alpha and beta 1e-3 and zeta
-// 1e-2 for one fixed system; here the steps are relative to costs and features, so that they hold at any load
-// and fleet size.
+// Parameters of ACHQ (Algorithm 1 of the paper). The paper's simulations use sigma 1, alpha and beta 1e-3
+// and zeta 1e-2 for one fixed system. Here the step sizes are relative to costs and features, so that the
+// same values work at any load and fleet size.
 const (
-	// sharpness is sigma of the soft threshold, per queued request: from 12% to 88% within one
-	// request on either side. A larger one is nearer to a hard threshold and gives the actor less gradient.
+	// sharpness is sigma of the soft threshold, per queued request: the probability rises from 12% to 88%
+	// between one request below the threshold and one above it. A larger value is closer to a hard threshold
+	// and gives the actor less gradient.
 	sharpness = 2.0
-	// actorStep is alpha, in queued requests per unit of mean cost: under criticStep, since the actor must
-	// move more slowly than the critic that judges it (the two time scales of section 4.1).
+	// actorStep is alpha, in queued requests per unit of mean cost. It is below criticStep, since the actor
+	// must change more slowly than the critic that evaluates it (the two time scales of section 4.1).
 	actorStep = 0.02
-	// criticStep is beta, per squared length of the features: the critic corrects a twentieth of its
-	// error a step. It would diverge from 2 on.
+	// criticStep is beta, relative to the squared length of the features: the critic corrects a twentieth of
+	// its error per step. It diverges from a value of 2 on.
 	criticStep = 0.05
-	// averageStep is zeta, the paper's: average cost and step length are taken over some 100 steps. With
-	// more, they follow single bursts.
+	// averageStep is zeta, with the paper's value: the means of cost and step length cover some 100 steps.
+	// With more, they follow single bursts.
 	averageStep = 0.01
-	// queueScale is l_M, in requests: queues beyond it look alike to the critic, and thresholds end there.
+	// queueScale is l_M, in requests: the critic does not distinguish queues beyond this length, and no
+	// threshold exceeds it.
 	queueScale = 64
-	// maxTDError bounds the temporal-difference error, in mean costs (one is added): a gap or a burst
-	// must not throw the learner.
+	// maxTDError bounds the temporal-difference error, as a multiple of the mean cost plus one, so that a
+	// pause or a burst of events does not distort the learned weights.
 	maxTDError = 5.0
-	// learnedThresholdUpdates is how many updates a threshold takes before it counts as learned. Up to there
-	// each refresh sets it by the ratio of service rates, the paper's baseline RSRT, which waits too often
-	// rather than too seldom.
+	// learnedThresholdUpdates is the number of updates after which a threshold counts as learned. Until
+	// then, each refresh sets it to the ratio of service rates (the paper's baseline RSRT), which makes
+	// requests wait too often rather than too seldom.
 	learnedThresholdUpdates = 5
 )
 
-// actorCritic learns the soft thresholds at which slower workers join: an average-cost
-// actor-critic whose cost is the number of queued and running jobs. The critic's value is linear in
-// few features: the queue's length, and each worker's part of slots that own jobs occupy.
+// actorCritic learns the soft thresholds, the queue lengths from which slower workers are used. It is an
+// average-cost actor-critic whose cost is the number of queued and running jobs. The critic's value
+// function is linear in the queue length and in the share of each worker's slots that own jobs occupy.
 type actorCritic struct {
-	features, nextFeatures []feature // phi of the open step, and of the state that it led to
-	open                   bool      // a step is
+	features, nextFeatures []feature // phi of the open step and of the state after it
+	open                   bool      // a step is open
 	openedAt               time.Duration
-	jobs                   float64 // queued and running during the open step
+	jobs                   float64 // number of jobs queued and running during the open step
 	meanStep               float64 // mean step length in seconds
 	averageCost            float64 // eta
 	queueWeight            float64 // omega of the queue's feature
-	squaredLength          float64 // of omega, over all features
-	decisionWorker         *worker // whose threshold the open step's decision went by; nil: none
-	gradient               float64 // of log pi, for that decision
+	squaredLength          float64 // squared length of omega over all features
+	decisionWorker         *worker // worker whose threshold made the open step's decision; nil: none
+	gradient               float64 // gradient of log pi for that decision
 }
 
 // softThreshold is the learner's state of one worker.
 type softThreshold struct {
-	theta   float64 // queue length at which the worker joins with probability 1/2
-	omega   float64 // the critic's weight of its feature
+	theta   float64 // queue length at which a job is sent to the worker with probability 1/2
+	omega   float64 // the critic's weight of the worker's feature
 	updates int
 }
 
-// feature is one non-zero entry of phi; a nil worker is the queue's.
+// feature is one non-zero entry of phi. The queue's feature has a nil worker.
 type feature struct {
 	worker *worker
 	value  float64
 }
 
-// openStep notes the state and the decision just taken in it.
+// openStep starts a step with the current state and the decision just taken.
 func (d *dispatcher) openStep() {
 	l := &d.learner
 	l.features = d.appendFeatures(l.features[:0])
@@ -69,7 +71,7 @@
 	l.openedAt, l.open = d.now, true
 }
 
-// closeStep closes the open step with the state reached now: Algorithm 1, lines 5 to 10.
+// closeStep ends the open step in the current state and updates the learner (Algorithm 1, lines 5 to 10).
 func (d *dispatcher) closeStep() {
 	l := &d.learner
 	if !l.open {
@@ -84,8 +86,8 @@
 	l.updateActor(delta)
 }
 
-// appendFeatures lists the non-zero entries of phi: the queue and the occupied slot shares, over 1+k
-// for k workers.
+// appendFeatures appends the non-zero entries of phi: the queue length and the workers' occupied slot shares,
+// each divided by 1+k for k workers.
 func (d *dispatcher) appendFeatures(to []feature) []feature {
 	k := float64(1 + len(d.fleet.ranked))
 	if n := len(d.queue); n > 0 {
@@ -99,7 +101,8 @@
 	return to
 }
 
-// drawSend draws whether a request goes to w, which is not the fastest, by its soft threshold, or waits.
+// drawSend draws, with the probability of w's soft threshold, whether a request is sent to w, which is not
+// the fastest worker. If not, the request waits.
 func (d *dispatcher) drawSend(w *worker) bool {
 	p := 1 / (1 + math.Exp(-sharpness*(float64(len(d.queue))-w.threshold.theta)))
 	if d.learner.decisionWorker = w; d.random.Float64() >= p {
@@ -110,8 +113,8 @@
 	return true
 }
 
-// cost is the job count times elapsed time over the mean step length: events, and so steps, are
-// unevenly spaced, where the paper's are sampled at events of equal weight.
+// cost is the number of jobs times the step's length over the mean step length. The factor is needed because
+// events, and so steps, are unevenly spaced, while the paper gives all steps equal weight.
 func (l *actorCritic) cost(now time.Duration) float64 {
 	dt := (now - l.openedAt).Seconds()
 	if dt > 0 {
@@ -126,14 +129,14 @@
 	return 0
 }
 
-// tdError is delta, the temporal-difference error: line 7, bounded.
+// tdError is delta, the temporal-difference error (line 7), bounded by maxTDError.
 func (l *actorCritic) tdError(cost float64) float64 {
 	delta := cost - l.averageCost + l.value(l.nextFeatures) - l.value(l.features)
 	bound := maxTDError * (1 + l.averageCost)
 	return min(max(delta, -bound), bound)
 }
 
-// value is the critic's value of a state.
+// value is the critic's value of a state with the features phi.
 func (l *actorCritic) value(phi []feature) float64 {
 	v := 0.0
 	for _, f := range phi {
@@ -149,7 +152,7 @@
 	return &w.threshold.omega
 }
 
-// updateCritic moves omega along phi: line 9. Workers are those listed.
+// updateCritic moves omega along phi (line 9); workers are the listed workers.
 func (l *actorCritic) updateCritic(delta float64, workers []*worker) {
 	length := 0.0
 	for _, f := range l.features {
@@ -168,7 +171,7 @@
 	}
 }
 
-// project brings omega back into its ball (the paper's projection onto the radius R_omega).
+// project scales omega back into the ball of radius R_omega (the paper's projection).
 func (l *actorCritic) project(scale float64, workers []*worker) {
 	l.queueWeight *= scale
 	l.squaredLength = l.queueWeight * l.queueWeight
@@ -178,7 +181,7 @@
 	}
 }
 
-// updateActor moves the threshold that the decision went by: line 10.
+// updateActor moves the threshold that made the decision (line 10).
 func (l *actorCritic) updateActor(delta float64) {
 	if l.decisionWorker == nil {
 		return
--- a/scheduling/dispatch/actorcritic_test.go
+++ b/scheduling/dispatch/actorcritic_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Two actor-critic steps worked out by hand.
+// One actor-critic step gives the values of eta, omega and theta that were calculated by hand.
 func TestActorCriticStep(t *testing.T) {
 	d := newDispatcher(testSettings(), 1)
 	out := &recorder{}
@@ -15,7 +15,7 @@
 	w.threshold.theta, w.threshold.updates = 3, 10
 	d.learner.meanStep, d.learner.averageCost = 0.1, 2
 	d.learner.features, d.learner.jobs, d.learner.openedAt, d.learner.open = []feature{{nil, 0.1}}, 4, d.now, true
-	d.learner.decisionWorker, d.learner.gradient = w, sharpness*0.25 // waited at probability 1/4
+	d.learner.decisionWorker, d.learner.gradient = w, sharpness*0.25 // the request waited; a send had probability 1/4
 	d.learner.queueWeight = 10
 	d.now += 100 * ms
 	d.closeStep()
--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// minProgressShare is the share done from which progress tells of the whole run; below it, rounding does.
+// minProgressShare is the completed share above which a progress notification is used to estimate the whole
+// run time. Below it, the estimate depends on the rounding of the share.
 const minProgressShare = 0.02
 
 // attempt is one try of a request at one worker, from its send until its outcome.
 type attempt struct {
 	request        *request
 	worker         *worker
-	number         int // within the request, from 0
-	index          int // in dispatcher.attempts
+	number         int // number within the request, from 0
+	index          int // index in dispatcher.attempts
 	sentAt         time.Duration
-	startedAt      time.Duration // 0: no notification of its start
-	lastNotifiedAt time.Duration // latest notification, or the send
+	startedAt      time.Duration // 0: no start notification so far
+	lastNotifiedAt time.Duration // time of the latest notification, or of the send if there was none
 	startLate      bool
-	overdue        bool // it runs well past its expected time
-	overcommitted  bool // sent without known capacity, and not settled yet
-	lost           bool // presumed lost; it holds no capacity
+	overdue        bool // running for much longer than expected
+	overcommitted  bool // sent without known capacity, and not yet settled with the overcommit pacer
+	lost           bool // presumed lost; its capacity has been released
 }
 
-// startedOrSentAt is when a began, as far as that is known.
+// startedOrSentAt is the time when a started if that is known, else the time of its send.
 func (a *attempt) startedOrSentAt() time.Duration {
 	if a.startedAt != 0 {
 		return a.startedAt
@@ -31,7 +32,7 @@
 	return a.sentAt
 }
 
-// reserve counts an attempt of r at the worker; release takes it away again.
+// reserve adds an attempt of r to the usage; release removes it.
 func (u *workerUsage) reserve(r *request) {
 	u.slots += r.Slots
 	u.memory += r.Memory
@@ -42,9 +43,9 @@
 	u.memory = max(u.memory-r.Memory, 0)
 }
 
-// attemptAllowed tells whether one more attempt may go to w, by what the request's semantics allow
-// after one that may have run: none for AtMostOnce, and for Deduplicated only where its repeats are
-// dropped, with a tenth of the window to spare for the way there.
+// attemptAllowed reports whether the semantics of r allow another attempt at w. After an attempt that may
+// have run, an AtMostOnce request gets no other attempt. A Deduplicated one may go only to workers that drop
+// its repeats, and only in the first nine tenths of the window; the last tenth covers the time to reach w.
 func (d *dispatcher) attemptAllowed(r *request, w *worker) bool {
 	if r.mayHaveRun.worker == nil {
 		return true
@@ -61,8 +62,8 @@
 		r.class.DedupScope == ScopeCell && first.Cell == w.Cell)
 }
 
-// retryUseful tells whether a request that may have run can be sent again, with half of a
-// deduplication window left for finding a worker.
+// retryUseful reports whether a request that may have run can be sent again. A Deduplicated request must
+// have half of its window left, for finding a worker.
 func (d *dispatcher) retryUseful(r *request) bool {
 	if r.class.Semantics == AtMostOnce {
 		return false
@@ -70,9 +71,9 @@
 	return r.class.Semantics == Retryable || d.now < r.mayHaveRun.sentAt+r.class.DedupWindow/2
 }
 
-// send is the one way to begin an attempt. Whatever led to it, it sends nothing after the final answer,
-// nothing that attemptAllowed forbids, only to workers that are listed as ready, and nothing
-// beyond the slow-start budget.
+// send starts an attempt of r at w and reports whether it did; every attempt starts here. It refuses a
+// request that has its final answer, has no attempt left or is past its deadline, an attempt that
+// attemptAllowed forbids, a worker that is not listed as ready, and a send beyond the slow-start budget.
 func (d *dispatcher) send(r *request, w *worker, out Actions) bool {
 	if r.ended || r.attemptCount >= d.Attempts.Max || !w.listed || d.now >= r.deadline ||
 		!d.attemptAllowed(r, w) || !d.slowStartAllows(w, r) {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// removeAttempt takes an attempt that has ended out of all books.
+// removeAttempt removes an ended attempt from its request, its worker's usage and the list of attempts.
 func (d *dispatcher) removeAttempt(a *attempt) {
 	r, w := a.request, a.worker
 	if !a.lost {
@@ -131,14 +132,14 @@
 	case n.Kind == NotificationStarted && a.startedAt == 0:
 		d.attemptStarted(a)
 	case n.Kind == NotificationProgress && n.FractionDone > minProgressShare && n.FractionDone <= 1:
-		// The share done shows the whole run long before the end.
+		// The completed share gives an estimate of the whole run time long before the run ends.
 		if run := (now - a.startedOrSentAt()).Seconds() / n.FractionDone; run > 0 {
 			d.learnRunTime(a.request, a.worker, run)
 		}
 	}
 }
 
-// outstandingAttempt finds an attempt that is outstanding; nil: it is not.
+// outstandingAttempt returns the attempt if it is outstanding, else nil.
 func (d *dispatcher) outstandingAttempt(id RequestID, number int) *attempt {
 	r := d.requests[id]
 	if r == nil {
@@ -158,7 +159,7 @@
 	w.startedSentAt = max(w.startedSentAt, a.sentAt)
 	d.settleOvercommit(a, false)
 	d.planAttempt(a)
-	if a.lost { // it was only late: it holds a slot after all
+	if a.lost { // the attempt was only late, so it uses capacity after all
 		a.lost = false
 		w.usage.reserve(r)
 	}
@@ -178,12 +179,12 @@
 	d.completeAttempt(a, o, out)
 	d.decide(out)
 	if r := a.request; r.queued && d.valueless(r) {
-		d.answerUnserved(r, out) // no capacity at once, and nothing to wait for
+		d.answerUnserved(r, out) // it was not sent again at once, and waiting has no value
 	}
 }
 
-// completeAttempt takes the end of an attempt: it frees the capacity, learns, and ends the request,
-// queues it again or answers it.
+// completeAttempt handles the end of an attempt: it frees the capacity, updates the estimates, and then ends
+// the request, queues it again or answers it.
 func (d *dispatcher) completeAttempt(a *attempt, o Outcome, out Actions) {
 	r, w := a.request, a.worker
 	atLimit := w.usage.busy() >= w.limit.slots
@@ -201,7 +202,7 @@
 	switch {
 	case o.Answered || r.ended:
 		d.endRequest(r)
-	case len(r.outstanding) > 0: // one of them may still succeed
+	case len(r.outstanding) > 0: // another attempt may still succeed
 	case r.attemptCount >= d.Attempts.Max || o.FinalAttempt || d.nearDeadline(r) ||
 		r.mayHaveRun.worker != nil && !d.retryUseful(r):
 		d.answerUnserved(r, out)
@@ -210,7 +211,7 @@
 	}
 }
 
-// learnOutcome takes in what the end of an attempt tells of its worker.
+// learnOutcome updates the worker's estimates and slot limit with the outcome of an attempt.
 func (d *dispatcher) learnOutcome(a *attempt, code Code, atLimit bool, out Actions) {
 	r, w := a.request, a.worker
 	switch code {
@@ -235,18 +236,19 @@
 	}
 }
 
-// spreadRetries spreads the attempts of r that are left over the time in which they are of use, after w
-// has rejected it.
+// spreadRetries sets r.holdUntil after w has rejected r, so that the remaining attempts are spread evenly
+// over the time until the latest start, or until the deadline if the latest start has passed.
 func (d *dispatcher) spreadRetries(r *request, w *worker) {
 	r.rejectedBy = append(r.rejectedBy, w)
-	until := r.latestStart
-	if d.now >= until {
-		until = r.deadline
+	end := r.latestStart
+	if d.now >= end {
+		end = r.deadline
 	}
-	r.holdUntil = d.now + (until-d.now)/time.Duration(1+max(d.Attempts.Max-r.attemptCount, 0))
+	r.holdUntil = d.now + (end-d.now)/time.Duration(1+max(d.Attempts.Max-r.attemptCount, 0))
 }
 
-// markNeverRan notes that a did not run: where it was the first that might have, the next one outstanding is.
+// markNeverRan records that a did not run. If a was the first attempt that might have run, the first
+// outstanding attempt takes its place.
 func (r *request) markNeverRan(a *attempt) {
 	if r.mayHaveRun != (priorRun{a.worker, a.sentAt}) {
 		return
--- a/scheduling/dispatch/attempts_test.go
+++ b/scheduling/dispatch/attempts_test.go
@@ -20,21 +20,21 @@
 	for range 100 {
 		if got := out.take(); len(got) > 0 {
 			if got[0].what != "send" || got[0].worker == first[0].worker {
-				t.Fatalf("after a rejection got %v", got)
+				t.Fatalf("after a rejection got %v, want a send to another worker", got)
 			}
 			return
 		}
 		now += 25 * ms
 		d.Timer(now, 0, out)
 	}
-	t.Fatal("never sent again")
+	t.Fatal("the rejected job was not sent again")
 }
 
-// A connect that fails proves that the job never ran, as where a worker has all the connections it takes:
-// an AtMostOnce request goes on to another worker, and is never failed for it.
+// A failed connect, for instance to a worker at its connection limit, proves that the job never ran. An
+// AtMostOnce request is then sent to another worker. After its last attempt it is rejected, not failed.
 func TestFailedConnectDoesNotFailAnAtMostOnceRequest(t *testing.T) {
 	s := testSettings()
-	s.Fleet.Count = 40 // as one of many
+	s.Fleet.Count = 40 // more dispatchers than workers
 	d, out := mustNew(t, s, 3), &recorder{}
 	var list []Worker
 	for id := WorkerID(1); id <= 8; id++ {
@@ -50,11 +50,11 @@
 			case "send":
 				sent = &a
 			case "fail":
-				t.Fatalf("failed after %d connects that failed", n)
+				t.Fatalf("the request was failed after %d failed connects, want another attempt", n)
 			}
 		}
 		if sent == nil || tried[sent.worker] {
-			t.Fatalf("after %d failed connects: sent %v, tried %v", n, sent, tried)
+			t.Fatalf("after %d failed connects: sent %v, want a worker not in %v", n, sent, tried)
 		}
 		tried[sent.worker] = true
 		now += 20 * ms
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -9,52 +9,51 @@
 )
 
 const (
-	// tickInterval is the time between two looks at the queue and at outstanding attempts. What only
-	// time brings about (a deadline, a late start) is seen up to so much later, so nearDeadline
-	// leaves two of them.
+	// tickInterval is the time between two checks of the queue and of outstanding attempts. A deadline or
+	// a late start is noticed up to one interval after it occurs, so nearDeadline leaves a margin of two
+	// intervals.
 	tickInterval = 25 * time.Millisecond
-	// refreshInterval is the time between two refreshes of estimates, shares and thresholds. Decays
-	// are stated per refresh, so another value changes how fast all of them forget.
+	// refreshInterval is the time between two refreshes of estimates, shares and thresholds. All decay
+	// factors apply once per refresh, so another interval changes every decay rate.
 	refreshInterval = time.Second
-	// logInterval is the least time between two log lines; lines within it are dropped. With less, a fault
-	// that all workers share fills the operators' log.
+	// logInterval is the minimum time between two log lines; the lines in between are dropped. With less,
+	// a fault that affects all workers fills the operators' log.
 	logInterval = 10 * time.Second
-	// randomStream keeps this module's draws apart from others of the same seed.
+	// randomStream separates this package's random draws from those of other users of the same seed.
 	randomStream = 0x6c696e6e65746c69
 )
 
-// dispatcher implements Dispatcher. Each field is one concern, with its type in
-// the file that is named for it.
+// dispatcher implements Dispatcher.
 type dispatcher struct {
 	Settings
 	random    *rand.Rand
-	now       time.Duration // of the event at work, on the host's clock
-	timerSet  bool          // one Wake is outstanding
+	now       time.Duration // time of the current event on the host's clock
+	timerSet  bool          // a Wake is outstanding
 	lastLogAt time.Duration
-	refreshAt time.Duration // when estimates are due for a refresh
+	refreshAt time.Duration // time of the next refresh of the estimates
 
-	requests map[RequestID]*request // until answered and without outstanding attempts
+	requests map[RequestID]*request // requests without final answer or with outstanding attempts
 	queue    requestQueue
-	attempts []*attempt // outstanding, of all requests
+	attempts []*attempt // outstanding attempts of all requests
 
 	fleet      fleetState
 	list       listSubscription
 	speeds     speedModel
-	fleetWait  waitestimate.FleetWait // the usual wait at workers
+	fleetWait  waitestimate.FleetWait // usual wait of a job at a worker
 	learner    actorCritic
-	poolShares []float64 // of the classes' worker pools, in any unit
+	poolShares []float64 // relative sizes of the classes' worker pools
 	overcommit overcommitPacer
 	reclaims   reclaimBudget
-	quotas     []tokenBucket // of the tenants, in the settings' order
+	quotas     []tokenBucket // one per tenant, in the order of the settings
 	granted    grantedLimits
 	peers      peerUsage
 	large      largeJobs
 }
 
-// grantedLimits are what the fleet has granted this dispatcher of limits that all share.
+// grantedLimits are this dispatcher's parts of the limits that all dispatchers of the fleet share.
 type grantedLimits struct {
-	jobsPerWorker int     // most jobs outstanding at one worker; 0: any number, under 0: none
-	slowStartPart float64 // of what a warming worker bears, 0 to 1; under 0: the fleet grants no parts
+	jobsPerWorker int     // maximum of jobs outstanding at one worker; 0: no maximum, below 0: no jobs
+	slowStartPart float64 // part of a warming worker's load limit, 0 to 1; below 0: no parts are granted
 }
 
 func newDispatcher(s Settings, seed uint64) *dispatcher {
@@ -74,7 +73,7 @@
 	return d
 }
 
-// beginEvent notes the time and keeps one timer running.
+// beginEvent sets the current time and makes sure that one Wake is outstanding.
 func (d *dispatcher) beginEvent(now time.Duration, out Actions) {
 	d.now = now
 	if !d.timerSet {
@@ -83,7 +82,7 @@
 	}
 }
 
-// decide takes what decisions can be taken, and broadcasts to the peers what came of it.
+// decide sends the queued requests that can be sent now and broadcasts the changed usage to the peers.
 func (d *dispatcher) decide(out Actions) {
 	d.serveQueue(out)
 	d.broadcastUsage(out)
@@ -113,13 +112,13 @@
 	d.assignHomeShares()
 	d.refreshEstimates()
 	for _, r := range slices.Clone(d.queue) {
-		if r.attemptCount >= d.Attempts.Max { // more than are allowed now
+		if r.attemptCount >= d.Attempts.Max { // the new settings allow no further attempt
 			d.answerUnserved(r, out)
 		}
 	}
 }
 
-// applySettings takes over new settings. What was counted of a tenant stays with it.
+// applySettings replaces the settings. A tenant whose settings have not changed keeps its token bucket.
 func (d *dispatcher) applySettings(s Settings) {
 	quotas := make([]tokenBucket, len(s.Tenants))
 	for i, t := range s.Tenants {
@@ -141,13 +140,13 @@
 	d.decide(out)
 }
 
-// log writes at most one line in logInterval.
-func (d *dispatcher) log(out Actions, what, text string) {
+// log writes a line to the operators' log, at most one per logInterval.
+func (d *dispatcher) log(out Actions, topic, text string) {
 	if d.lastLogAt != 0 && d.now-d.lastLogAt < logInterval {
 		return
 	}
 	d.lastLogAt = d.now
-	out.Log(what + ": " + text)
+	out.Log(topic + ": " + text)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/scheduling/dispatch/dispatcher_test.go
+++ b/scheduling/dispatch/dispatcher_test.go
@@ -11,9 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The deploy file names the files that hold the decisions, and each of their lines can be read without scrolling. The
-// operators have withdrawn the limit on the module's length that stood here.
-func TestPolicyKeyNamesDecisionFiles(t *testing.T) {
+// The policy key of the deploy file lists every file of this package that makes dispatch decisions, and no
+// line of the listed files is longer than 110 characters. The operators have withdrawn a former limit on the
+// package's length.
+func TestDeployFileListsPolicyFiles(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -23,18 +24,18 @@
 		t.Fatal(err)
 	}
 	if len(deploy.Policy) == 0 {
-		t.Fatal("the deploy file names no file of decisions")
+		t.Fatal("the policy key of deploy/balancer.toml lists no file")
 	}
-	// All of this package but the interface and the form in which learned figures are handed on.
-	withoutDecisions := []string{"dispatch.go", "events.go", "settings.go", "snapshot.go"}
+	// These files hold the interfaces, the values and the snapshot format, but no decisions.
+	nonPolicyFiles := []string{"dispatch.go", "events.go", "settings.go", "snapshot.go"}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range files {
-		decides := !strings.HasSuffix(file, "_test.go") && !slices.Contains(withoutDecisions, file)
-		if decides && !slices.Contains(deploy.Policy, "scheduling/dispatch/"+file) {
-			t.Errorf("the deploy file does not name %s", file)
+		isPolicy := !strings.HasSuffix(file, "_test.go") && !slices.Contains(nonPolicyFiles, file)
+		if isPolicy && !slices.Contains(deploy.Policy, "scheduling/dispatch/"+file) {
+			t.Errorf("the policy key of deploy/balancer.toml does not list %s", file)
 		}
 	}
 	for _, file := range deploy.Policy {
@@ -50,8 +51,8 @@
 	}
 }
 
-// New settings hold for open requests, but for their class: it goes on as it was though its name was
-// removed, and what was learned of a class stays with the name.
+// New settings apply to open requests too, except that a request keeps its class as it was at arrival, even
+// if the new settings no longer have that class. The estimates learned for a class are kept under its name.
 func TestReconfigure(t *testing.T) {
 	s := testSettings()
 	s.Attempts.Max = 3
@@ -69,16 +70,16 @@
 	next.Classes = []Class{{Name: "b", LatencyTarget: time.Minute, Deadline: time.Minute, Value: 1, WorkerKind: -1, Semantics: AtMostOnce}}
 	d.Reconfigure(2*time.Second, next, r)
 	if got := d.requests[0].class; got.Name != "a" || got.Semantics != Retryable {
-		t.Errorf("an open request is of class %+v now", got)
+		t.Errorf("after Reconfigure, an open request has class %+v, want class a, Retryable", got)
 	}
-	d.Arrive(2*time.Second, Request{ID: 9, Class: 0, ResolvedClass: &s.Classes[0], TimeLeft: time.Minute}, r) // read before the new settings, handed in after them
+	d.Arrive(2*time.Second, Request{ID: 9, Class: 0, ResolvedClass: &s.Classes[0], TimeLeft: time.Minute}, r) // class resolved before Reconfigure, request handed in after it
 	d.Arrive(2*time.Second, Request{ID: 10, Class: 0, TimeLeft: time.Minute}, r)
 	if a, b := d.requests[9].class.Name, d.requests[10]; a != "a" || b.class.Name != "b" || b.stats.evidence != 9 {
-		t.Errorf("classes %s and %+v, learned %+v", a, b.class, b.stats)
+		t.Errorf("classes %s and %+v, want a and b; statistics of b %+v, want evidence 9", a, b.class, b.stats)
 	}
 	w := d.requests[0].outstanding[0].worker.ID
 	d.AttemptEnded(3*time.Second, Outcome{ID: 0, Worker: w, Code: Rejected}, r)
 	if d.requests[0] != nil {
-		t.Error("a request whose attempts are used up is still known")
+		t.Error("a request without attempts left is still held after its final answer")
 	}
 }
--- a/scheduling/dispatch/events.go
+++ b/scheduling/dispatch/events.go
@@ -6,29 +6,29 @@
 	"yardflow/scheduling/backfill"
 )
 
-// RequestID names a request; the host never uses one twice.
+// RequestID identifies a request; the host never uses an id twice.
 type RequestID uint64
 
-// WorkerID names a worker. It carries no meaning beyond identity.
+// WorkerID identifies a worker; its value has no other meaning.
 type WorkerID uint64
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in the worker list.
 type WorkerState uint8
 
-// What a list says of a worker. Only a Ready one is sent anything new.
+// The states of a worker in the worker list. New jobs are sent only to Ready workers.
 const (
 	Ready WorkerState = iota
 	Draining
 	Removed
 )
 
-// Health is what the dispatchers of a fleet have found together of a worker.
+// Health is the fleet's verdict on a worker, which its dispatchers reach together.
 type Health uint8
 
 // The states of outlier ejection.
 const (
-	Healthy     Health = iota // nothing is known against it
-	OnProbation               // ejected, and one job that may be retried is to show whether it still fails
+	Healthy     Health = iota // not ejected
+	OnProbation               // ejected; one retryable job may be sent to test whether it still fails
 	Ejected                   // enough of the other dispatchers have seen it fail
 )
 
@@ -38,55 +38,55 @@
 	Zone, Kind, Cell int
 	State            WorkerState
 	Weight           float64       // size relative to other workers; 0 or less counts as 1
-	Launched         time.Duration // latest start on the host's clock; 0: long past
+	Launched         time.Duration // time of the latest start on the host's clock; 0: long ago
 	Health           Health
-	Pools            uint64 // that it is in, a bit each
+	Pools            uint64 // bit set of the pools that contain the worker
 }
 
-// ListForm says how a list is to be read.
+// ListForm is the form of a worker list.
 type ListForm uint8
 
-// How a list is to be read.
+// The forms of a worker list.
 const (
-	ListDelta    ListForm = iota // changed entries only
-	ListFailed                   // a call failed or the subscription broke; no entries
+	ListDelta    ListForm = iota // only the changed entries
+	ListFailed                   // no entries: the call failed or the subscription broke
 	ListFull                     // the complete list
-	ListCached                   // the list as this dispatcher last held it, at start
-	ListOverride                 // entries changed by the host's own knowledge; the list service said nothing
+	ListCached                   // the cached list of the previous process, passed at start
+	ListOverride                 // entries that the host itself changed; the list service sent nothing
 )
 
-// Request is a job handed in by a client.
+// Request is a job submitted by a client.
 type Request struct {
 	ID            RequestID
 	Class         int    // index into Settings.Classes
-	ResolvedClass *Class // the class, where settings may have changed since it was read; nil: Classes[Class]
+	ResolvedClass *Class // class, if resolved under earlier settings; nil: Classes[Class]
 	Tenant        int    // index into Settings.Tenants
 	TimeLeft      time.Duration
 	WorkHint      time.Duration // expected work on a standard core; 0: not stated
-	Slots         float64       // under 1 counts as 1
+	Slots         float64       // slots that the job needs; below 1 counts as 1
 	Memory        float64
 	ClientRetry   bool          // marked by the client as a retry of an earlier request
-	Pools         uint64        // of workers, a bit each, that it may be sent to; 0: to any
-	EarlierWorker *Worker       // where it may have run for an earlier request; nil: nowhere
-	EarlierRunAge time.Duration // since that attempt
-	BestEffort    bool          // takes only capacity that nobody else needs, up to its deadline
+	Pools         uint64        // bit set of the worker pools that may run it; 0: any worker
+	EarlierWorker *Worker       // worker that may have run it for an earlier request; nil: none
+	EarlierRunAge time.Duration // time since that earlier attempt
+	BestEffort    bool          // uses only capacity that no other request needs, until its deadline
 }
 
-// Code is how an attempt ended.
+// Code is the outcome of an attempt.
 type Code uint8
 
-// How an attempt ended.
+// The outcomes of an attempt.
 const (
 	OK              Code = iota
-	Failed               // the worker returned an error; it may have run
-	Rejected             // by the worker, unseen: it never ran
-	TimedOut             // may have run or still be running
-	ConnectFailed        // never reached the worker
-	ConnectionLost       // while it was used; may have run
-	Cancelled            // may have run
-	NotSent              // the host did not send it
-	Unknown              // anything else: taken as one that may have run
-	StaleConnection      // a kept connection was closed before use: may have run, says nothing of the worker
+	Failed               // the worker returned an error; the job may have run
+	Rejected             // the worker rejected the job without starting it; it never ran
+	TimedOut             // the job may have run or still be running
+	ConnectFailed        // the job never reached the worker
+	ConnectionLost       // the connection was lost while in use; the job may have run
+	Cancelled            // the job may have run
+	NotSent              // the host did not send the job
+	Unknown              // any other outcome; the job is assumed to have possibly run
+	StaleConnection      // idle connection closed before use: may have run, says nothing about the worker
 )
 
 // Outcome reports the end of an attempt.
@@ -97,34 +97,34 @@
 	Code         Code
 	Latency      time.Duration
 	Answered     bool      // the request has its final answer
-	FinalAttempt bool      // no further attempt of it may be made
-	Load         []float64 // load report, as in Settings.Workers.LoadFields; may be empty
+	FinalAttempt bool      // the request must get no further attempt
+	Load         []float64 // load report, in the order of Settings.Workers.LoadFields; may be empty
 }
 
 // NotificationKind is the kind of a Notification.
 type NotificationKind uint8
 
-// What a worker notifies of while an attempt is outstanding.
+// The kinds of notification that a worker sends during an attempt.
 const (
 	NotificationOther NotificationKind = iota
 	NotificationStarted
 	NotificationProgress
 )
 
-// Notification is a worker's word on an attempt that is still outstanding.
+// Notification is a worker's message about an outstanding attempt.
 type Notification struct {
 	ID           RequestID
 	Attempt      int
 	Worker       WorkerID
 	Kind         NotificationKind
-	FractionDone float64 // 0 to 1, for NotificationProgress
+	FractionDone float64 // completed part of the job, 0 to 1; only for NotificationProgress
 }
 
-// ReservationReport is what is reserved for large jobs now, and what came of it since the start.
+// ReservationReport lists the current reservations for large jobs and counts events since the start.
 type ReservationReport struct {
-	Reservations []backfill.Reservation // by the time at which they were made
-	IdleShare    float64                // part of the last minute's slot time left idle by them
+	Reservations []backfill.Reservation // ordered by creation time
+	IdleShare    float64                // share of the last minute's slot time that they left idle
 
-	Created, Fulfilled, Expired int // reservations made, used by their job, and ended by age
-	Backfilled, Delayed         int // small jobs started ahead of a reservation, and kept waiting by one
+	Created, Fulfilled, Expired int // reservations created, used by their job, and expired
+	Backfilled, Delayed         int // small jobs started ahead of a reservation, and delayed by one
 }
--- a/scheduling/dispatch/fleet_test.go
+++ b/scheduling/dispatch/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nothing new goes to a draining worker, and it is used again when ready.
+// A draining worker gets no new job; once it is ready again, jobs are sent to it.
 func TestDrainingWorkerIsSentNothingNew(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
@@ -16,7 +16,7 @@
 		d.Timer(now, 0, out)
 	}
 	if got := out.take(); len(got) != 0 {
-		t.Fatalf("acted on a drained fleet: %v", got)
+		t.Fatalf("got %v while the only worker drains, want no action", got)
 	}
 	d.UpdateWorkers(901*ms, ListDelta, []Worker{{ID: 1, Weight: 1}}, out)
 	for now := 925 * ms; now < 1100*ms; now += 25 * ms {
@@ -27,7 +27,7 @@
 	}
 }
 
-// A lost subscription is asked for again, with a backoff under ListRefreshInterval.
+// After a failed list call, the dispatcher subscribes again within ListSettings.RefreshInterval.
 func TestListServiceRecovery(t *testing.T) {
 	s := testSettings()
 	s.List.MustSubscribe = true
@@ -44,14 +44,14 @@
 			now += 25 * ms
 			d.Timer(now, 0, out)
 			if now-failed > s.List.RefreshInterval {
-				t.Fatal("did not ask within ListRefreshInterval")
+				t.Fatal("did not subscribe again within ListSettings.RefreshInterval")
 			}
 		}
 	}
 }
 
-// A new list must rank every worker, not every other one.
-func TestRankIsSortedAfterAList(t *testing.T) {
+// A new list ranks every listed worker. The test guards against a ranking that skips every other worker.
+func TestAllWorkersAreRankedAfterListUpdate(t *testing.T) {
 	d, out := newDispatcher(testSettings(), 5), &recorder{}
 	var list []Worker
 	for i := range 50 {
@@ -60,7 +60,7 @@
 	d.UpdateWorkers(0, ListCached, list, out)
 	for i, w := range d.fleet.ranked {
 		if w.rankTime <= 0 || w.rankIndex != i || i > 0 && d.fleet.ranked[i-1].rankTime > w.rankTime {
-			t.Fatalf("rank %d is a worker of time %v, rank %d", i, w.rankTime, w.rankIndex)
+			t.Fatalf("worker at index %d has rank time %v and rank index %d", i, w.rankTime, w.rankIndex)
 		}
 	}
 }
