--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -30,19 +30,19 @@
 	{"learned-thresholds", "thresholds follow their starting rule", []edit{
 		{thresholdFile, "if slower.parameters.Updates < minThresholdUpdates {", "{"}}},
 	{"thresholds", "any worker with room is taken at once", []edit{
-		{thresholdFile, "if now-unit.EnqueuedAt >= time.Duration(extraMs)*time.Millisecond || s.mustNotRest(unit) {", "if extraMs >= 0 {"}}},
+		{thresholdFile, "if now-unit.EnqueuedAt >= time.Duration(extraMs)*time.Millisecond || s.isStarving(unit) {", "if extraMs >= 0 {"}}},
 	{"near-equal", "the fastest worker alone, however little the others are slower", []edit{
 		{rankingFile, "similarSpeed = 0.15", "similarSpeed = 0.0001"}}},
 	{"own-order", "all dispatchers prefer the same ones among workers that are alike", []edit{
-		{rankingFile, "ownOrderWeight = 0.25", "ownOrderWeight = 0.0"}}},
+		{rankingFile, "randomPreferenceWeight = 0.25", "randomPreferenceWeight = 0.0"}}},
 	{"learned-speeds", "all workers count as equally fast", []edit{
 		{speedFile, "if worker == nil || took <= 0 || expected <= 0 {", "if worker == nil || took <= 0 || expected >= 0 {"}}},
 	{"other-workers", "one worker named in a command", []edit{
 		{rankingFile, "if unit.Step().Gang || len(s.candidates) < 2 {", "if unit.Step().Gang || len(s.candidates) >= 0 {"}}},
 	{"reserve", "no room is left free for urgent work", []edit{
-		{headroomFile, "if unit.Job.Priority == 0 || s.urgent.allWork == 0 || unit.Step().Gang || s.mustNotRest(unit) {", "if unit.Job.Priority >= 0 {"}}},
+		{headroomFile, "if unit.Job.Priority == 0 || s.urgent.allWork == 0 || unit.Step().Gang || s.isStarving(unit) {", "if unit.Job.Priority >= 0 {"}}},
 	{"blame", "runs that end badly are held against nobody", []edit{
-		{faultsFile, "f.rateThen += weight * (1 - f.rateThen)", "f.rateThen += 0 * weight"}}},
+		{faultsFile, "f.lastRate += weight * (1 - f.lastRate)", "f.lastRate += 0 * weight"}}},
 	{"longer-pauses", "each pause of a worker is as short as the first", []edit{
 		{faultsFile, "initialBackoff<<min(f.backoffs, maxBackoffDoublings)", "initialBackoff<<min(f.backoffs, 0)"}}},
 	{"late-behind", "late units keep their place in the queue", []edit{
--- a/scheduling/placement/antiaffinity_test.go
+++ b/scheduling/placement/antiaffinity_test.go
@@ -7,11 +7,12 @@
 	"yardflow/scheduling/job"
 )
 
-// wideJob returns a job of many tasks that are placed or done, and units of one more step that is kept apart.
-func wideJob(repetitions, steps, tasks, apart int) (*job.Job, []*Unit) {
+// wideJob returns a job whose earlier steps are done in all repetitions, and the units of its last step. All steps have an
+// anti-affinity limit.
+func wideJob(repetitions, steps, tasks, antiAffinity int) (*job.Job, []*Unit) {
 	request := job.Request{}
 	for range steps {
-		request.Steps = append(request.Steps, job.Step{Count: tasks, CPU: 1000, EstimateMs: 500, AntiAffinity: apart})
+		request.Steps = append(request.Steps, job.Step{Count: tasks, CPU: 1000, EstimateMs: 500, AntiAffinity: antiAffinity})
 	}
 	j := &job.Job{ID: "00000000000000aa", Priority: 1, Request: request}
 	for repetition := range repetitions {
@@ -28,14 +29,14 @@
 	return j, units
 }
 
-// TestWideJobIsPlacedWithinItsShareOfACore guards against LOST: with a bound on tasks of a step at one worker, each unit
-// walked all tasks of its job once for each worker. A dispatcher with 0.192 of a core stood still for seconds, and the
-// workers that it owns were given nothing meanwhile.
-func TestWideJobIsPlacedWithinItsShareOfACore(t *testing.T) {
+// TestWideJobIsPlacedWithinCPUBudget guards against a violation of the emulator's rule LOST: if a step had an
+// anti-affinity limit, each of its units iterated over all tasks of the job once per worker. A dispatcher with 0.192 of a
+// core was blocked for seconds, and the workers that it owns got no tasks meanwhile.
+func TestWideJobIsPlacedWithinCPUBudget(t *testing.T) {
 	const (
-		workers = 792
-		share   = 0.192           // of a core, which a dispatcher of the large deployments has
-		rest    = 3 * time.Second // for which no job may have nothing at work
+		workers  = 792
+		cpuShare = 0.192           // fraction of a core that a dispatcher has in the large deployments
+		maxIdle  = 3 * time.Second // for which a job may be without a running task
 	)
 	s := newTestScheduler(workers)
 	_, units := wideJob(6, 6, 66, 1)
@@ -46,17 +47,17 @@
 	decisions := s.Schedule(time.Second)
 	took := time.Since(began)
 	if len(decisions) != len(units) {
-		t.Errorf("%d of %d units are placed", len(decisions), len(units))
+		t.Errorf("placed %d of %d units", len(decisions), len(units))
 	}
-	t.Logf("%d units in %v", len(units), took)
-	if most := time.Duration(share * float64(rest)); took > most {
-		t.Errorf("placing %d units takes %v of a core, %v is what a dispatcher has in %v", len(units), took, most, rest)
+	t.Logf("scheduling %d units took %v", len(units), took)
+	if budget := time.Duration(cpuShare * float64(maxIdle)); took > budget {
+		t.Errorf("scheduling %d units took %v, want at most %v, the CPU budget in %v", len(units), took, budget, maxIdle)
 	}
 }
 
-// TestTasksKeptApartAreCountedByStepAndRepetition: other steps, other repetitions and tasks that are placed nowhere do not
-// count at a worker.
-func TestTasksKeptApartAreCountedByStepAndRepetition(t *testing.T) {
+// TestAntiAffinityCountsTasksOfSameStepAndRepetition checks that tasks of other steps, tasks of other repetitions and
+// unplaced tasks do not count towards a worker's anti-affinity limit.
+func TestAntiAffinityCountsTasksOfSameStepAndRepetition(t *testing.T) {
 	s := newTestScheduler(3)
 	j, units := wideJob(2, 2, 3, 2)
 	place := func(repetition, step, index int, worker string) {
@@ -74,7 +75,7 @@
 			t.Errorf("%s: feasible is %v, want %v", id, got, want)
 		}
 		if got := j.CountPlacedAt(units[0].StepKey, id); got != placed[id] {
-			t.Errorf("%s: %d tasks in the count for all workers, %d alone", id, placed[id], got)
+			t.Errorf("%s: PlacedPerWorker counts %d tasks, CountPlacedAt counts %d", id, placed[id], got)
 		}
 	}
 }
--- a/scheduling/placement/diagnosis.go
+++ b/scheduling/placement/diagnosis.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Diagnosis says why a unit waits: how many workers are ruled out for which reason.
-// Each worker counts once.
+// Diagnosis explains why a unit waits: the number of workers ruled out, by reason. Each worker counts once.
 type Diagnosis struct {
 	Job          string
 	Step         int
 	Waited       time.Duration
-	Infeasible   int // draining, too small, or without the label
-	BackedOff    int // after faults
-	AntiAffinity int // has as many tasks of the step as one worker may have
-	Exhausted    int // the demand does not fit beside what is in use and reserved
-	Reserved     int // it would fit, but for what is kept free for urgent tasks
-	Deferred     int // feasible, but slower than others that are worth waiting for
+	Infeasible   int // draining, too small, or without the required label
+	BackedOff    int // in backoff after faults
+	AntiAffinity int // the worker has as many tasks of the step as anti-affinity allows
+	Exhausted    int // the demand exceeds what is neither in use nor reserved
+	Reserved     int // the demand fits, but would use the headroom for urgent tasks
+	Deferred     int // feasible, but slower than workers for which the unit waits
 }
 
-// ExplainWaiting diagnoses units that have waited for longer than the given time, one for each step.
+// ExplainWaiting returns a diagnosis for each step with a unit that has waited for longer than the given time.
 func (s *Scheduler) ExplainWaiting(now, longerThan time.Duration) []Diagnosis {
 	var diagnoses []Diagnosis
 	seen := map[stepID]bool{}
@@ -33,7 +32,7 @@
 
 func (s *Scheduler) diagnose(now time.Duration, unit *Unit) Diagnosis {
 	step := unit.Step()
-	demand, headroom := step.Demand(), s.headroomFor(unit)
+	demand, headroom := step.Demand(), s.requiredHeadroom(unit)
 	placed := placedPerWorker(unit)
 	diagnosis := Diagnosis{Job: unit.Job.ID, Step: unit.StepKey.Step, Waited: now - unit.EnqueuedAt}
 	for _, worker := range s.workerList {
--- a/scheduling/placement/feasibility.go
+++ b/scheduling/placement/feasibility.go
@@ -6,14 +6,16 @@
 	"yardflow/scheduling/job"
 )
 
-// eligible reports whether the worker could ever run a task of the step, however much of it is in use.
+// eligible reports whether the worker could run a task of the step if it were idle.
 func eligible(worker *workerState, step *job.Step) bool {
 	return !worker.draining && worker.hasLabel(step.RequiredLabel) && worker.capacity.Covers(step.Demand())
 }
 
-// feasible reports whether an eligible worker can take a task of the unit now; headroom is the part of the service that the
-// unit has to leave free, and placed how many tasks of its step are at each worker where that is bounded.
-func (s *Scheduler) feasible(now time.Duration, unit *Unit, worker *workerState, headroom float64, placed map[string]int) bool {
+// feasible reports whether an eligible worker can take a task of the unit now. Headroom is the fraction of the service's CPU
+// that the unit must leave free; placed has the number of tasks of its step per worker, if the step has an anti-affinity
+// limit.
+func (s *Scheduler) feasible(now time.Duration, unit *Unit, worker *workerState, headroom float64,
+	placed map[string]int) bool {
 	step := unit.Step()
 	if now < worker.backoffUntil || worker.id == unit.avoid && now-unit.EnqueuedAt < initialBackoff ||
 		!s.fits(worker, step.Demand(), headroom) {
@@ -23,8 +25,8 @@
 	return most <= 0 || placed[worker.id] < most
 }
 
-// placedPerWorker returns how many tasks of the unit's step are at each worker where the step bounds that, or nil. It is
-// counted once for all workers: a job may have thousands of tasks.
+// placedPerWorker returns the number of tasks of the unit's step per worker, or nil if the step has no anti-affinity limit.
+// It counts once for all workers, because a job may have thousands of tasks.
 func placedPerWorker(unit *Unit) map[string]int {
 	if unit.Step().AntiAffinity <= 0 {
 		return nil
@@ -32,8 +34,8 @@
 	return unit.Job.PlacedPerWorker(unit.StepKey)
 }
 
-// fits reports whether the demand fits at the worker, and leaves the headroom free of the service as a whole. A large task
-// may fill one worker where others have enough free; an idle worker may always be filled.
+// fits reports whether the demand fits on the worker and leaves the headroom free in the service as a whole: a large task
+// may fill one worker if others have enough free. The headroom does not apply to an idle worker.
 func (s *Scheduler) fits(worker *workerState, demand job.Resources, headroom float64) bool {
 	if !worker.available().Covers(demand) {
 		return false
@@ -45,10 +47,10 @@
 	return s.freeCPU-taken >= headroom*s.totalCPU
 }
 
-// countFreeCPU adds up what is free of the service at the beginning of a cycle, in thousandths of cores: of each worker
-// such a part of its processors as is free of the resource of which it has least left. What is used is counted of workers
-// that get nothing for a while after a fault too.
-func (s *Scheduler) countFreeCPU(now time.Duration) {
+// updateCPUTotals sums the service's free, used and total CPU at the beginning of a cycle, in thousandths of cores. A
+// worker's free CPU is scaled by its scarcest resource (see workerState.freeCPU). Workers in backoff count only towards
+// usedCPU and serviceCPU.
+func (s *Scheduler) updateCPUTotals(now time.Duration) {
 	s.freeCPU, s.totalCPU, s.usedCPU, s.serviceCPU = 0, 0, 0, 0
 	for _, worker := range s.workerList {
 		if worker.draining {
@@ -64,11 +66,12 @@
 	}
 }
 
-// dominantShare returns the part of a worker that the amount takes, by the resource of which it takes most (as dominant
-// resource fairness defines it).
+// dominantShare returns the fraction of a worker's capacity that the amount takes, in the resource for which this fraction
+// is largest (as defined by dominant resource fairness).
 func dominantShare(amount, capacity job.Resources) float64 {
 	part := 0.0
-	for _, pair := range [3][2]int64{{amount.CPU, capacity.CPU}, {amount.MemoryMB, capacity.MemoryMB}, {amount.GPU, capacity.GPU}} {
+	for _, pair := range [3][2]int64{{amount.CPU, capacity.CPU}, {amount.MemoryMB, capacity.MemoryMB},
+		{amount.GPU, capacity.GPU}} {
 		if pair[1] > 0 {
 			part = max(part, float64(pair[0])/float64(pair[1]))
 		}
--- a/scheduling/placement/gang.go
+++ b/scheduling/placement/gang.go
@@ -8,9 +8,9 @@
 	"yardflow/scheduling/job"
 )
 
-// findGang returns workers for all members of a gang, or nil: a gang is placed as a whole or not at all. Where the step wants
-// one rack, or has its data in one, that rack comes first; a placement over several racks is slower, and slower says what
-// to decide by.
+// findGang returns workers for all members of a gang, or nil: a gang is placed as a whole or not at all. If the step asks
+// for a single rack, or its data is in one rack, placements within one rack come first. A placement over several racks is
+// slower; in that case slower describes the choice between taking it and waiting.
 func (s *Scheduler) findGang(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
 	step := unit.Step()
 	if !step.SameRack && step.Affinity == "" {
@@ -19,7 +19,7 @@
 	var best []string
 	for _, rack := range s.racksFor(step) {
 		packed := s.packGang(now, unit, rack)
-		if packed != nil && (best == nil || s.workers[packed[0]].ownOrder < s.workers[best[0]].ownOrder) {
+		if packed != nil && (best == nil || s.workers[packed[0]].randomPreference < s.workers[best[0]].randomPreference) {
 			best = packed
 		}
 	}
@@ -34,7 +34,7 @@
 	return nil, nil
 }
 
-// racksFor returns the racks in which the step is not slowed, and that have an eligible worker.
+// racksFor returns the racks that have an eligible worker and in which the step runs at full speed.
 func (s *Scheduler) racksFor(step *job.Step) []string {
 	racks := []string{}
 	for _, worker := range s.workerList {
@@ -46,8 +46,8 @@
 	return racks
 }
 
-// packGang fills the workers of a rack ("" for any) one after the other, the fastest and fullest first, until all members
-// have one. It returns nil where some have none.
+// packGang assigns the members of a gang to the workers of a rack ("" for any rack), filling one worker after the other,
+// the fastest and fullest first. It returns nil if not all members fit.
 func (s *Scheduler) packGang(now time.Duration, unit *Unit, rack string) []string {
 	step := unit.Step()
 	candidates := []*workerState{}
@@ -75,7 +75,8 @@
 	return workers
 }
 
-// gangScore ranks workers for a gang; the least is the best.
+// gangScore ranks workers for a gang; the lowest score is the best.
 func (s *Scheduler) gangScore(worker *workerState) float64 {
-	return s.slowness(worker)/similarSpeed + dominantShare(worker.available(), worker.capacity) + ownOrderWeight*worker.ownOrder
+	return s.slowness(worker)/similarSpeed + dominantShare(worker.available(), worker.capacity) +
+		randomPreferenceWeight*worker.randomPreference
 }
--- a/scheduling/placement/headroom.go
+++ b/scheduling/placement/headroom.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Bounds of what is kept free for urgent tasks, as parts of the service's processors.
+// Parameters of the headroom: the CPU capacity kept free for urgent tasks, as a fraction of the service's total.
 const (
-	// maxUrgentHeadroom is the largest headroom that the urgent part of the work asks for.
+	// maxUrgentHeadroom bounds the headroom derived from the urgent fraction of the queued work.
 	maxUrgentHeadroom = 0.15
-	// pressureHeadroom is the headroom where all units of higher priority had to wait lately.
-	pressureHeadroom = 0.8
-	// remoteHeadroom is what work away from its data leaves free: it takes longer there, and so more of everything.
-	remoteHeadroom = 0.25
-	// urgentWorkWindow is the time constant with which work that was queued is forgotten.
+	// contentionHeadroom is the headroom if every recently placed unit of higher priority had to wait.
+	contentionHeadroom = 0.8
+	// minRemoteHeadroom is the least headroom for a task placed outside the rack of its data: it runs longer there, and so
+	// occupies resources for longer.
+	minRemoteHeadroom = 0.25
+	// urgentWorkWindow is the time constant of the exponential decay of the amounts of queued work.
 	urgentWorkWindow = 20 * time.Second
-	// promptWithin is how long after its queueing a unit is placed that did not have to wait.
-	promptWithin = 100 * time.Millisecond
-	// pressureStepSize is the weight of one unit in the part that had to wait.
-	pressureStepSize = 0.04
-	// priorityClasses is how many priorities are told apart; lower ones count as the last.
+	// maxPromptDelay is the longest time in the queue for which a placed unit counts as not having waited.
+	maxPromptDelay = 100 * time.Millisecond
+	// contentionStepSize is the weight of one unit in the moving average of the fraction that had to wait.
+	contentionStepSize = 0.04
+	// priorityClasses is the number of distinct priority classes; all lower priorities fall into the last one.
 	priorityClasses = 3
 )
 
-// urgentHeadroom follows how much has to stay free, so that urgent tasks of any dispatcher find a worker at once.
+// urgentHeadroom tracks the demand from which the headroom is computed. The headroom lets urgent tasks of any dispatcher
+// find a worker at once.
 type urgentHeadroom struct {
-	urgentWork float64 // queued lately by units of priority 0, in thousandths of cores times ms
-	allWork    float64 // queued lately by all units
-	workAt     time.Duration
-	// pressure is, for each class, the part of the lately placed units of higher priority that had to wait.
-	pressure [priorityClasses]float64
+	urgentWork    float64 // decayed sum of the work queued by units of priority 0, in thousandths of cores times ms
+	allWork       float64 // decayed sum of the work queued by all units
+	workUpdatedAt time.Duration
+	// contention is, for each class, the fraction of recently placed units of higher priority that had to wait.
+	contention [priorityClasses]float64
 }
 
-// recordWork counts the work of a unit that is queued.
+// recordWork adds the estimated work of a newly queued unit.
 func (h *urgentHeadroom) recordWork(unit *Unit) {
-	if unit.EnqueuedAt > h.workAt {
-		decay := math.Exp(-float64(unit.EnqueuedAt-h.workAt) / float64(urgentWorkWindow))
+	if unit.EnqueuedAt > h.workUpdatedAt {
+		decay := math.Exp(-float64(unit.EnqueuedAt-h.workUpdatedAt) / float64(urgentWorkWindow))
 		h.urgentWork *= decay
 		h.allWork *= decay
-		h.workAt = unit.EnqueuedAt
+		h.workUpdatedAt = unit.EnqueuedAt
 	}
 	step := unit.Step()
 	work := float64(step.CPU) * float64(step.EstimateMs) * float64(len(unit.TaskIndices))
@@ -48,40 +50,42 @@
 	}
 }
 
-// recordWait counts whether a unit that is placed had to wait, as pressure on those of lower priority.
+// recordWait updates the contention of all classes below the placed unit's priority, by whether the unit had to wait.
 func (h *urgentHeadroom) recordWait(now time.Duration, unit *Unit) {
 	waited := 0.0
-	if now-unit.EnqueuedAt > promptWithin {
+	if now-unit.EnqueuedAt > maxPromptDelay {
 		waited = 1
 	}
 	for lower := priorityClass(unit) + 1; lower < priorityClasses; lower++ {
-		h.pressure[lower] += pressureStepSize * (waited - h.pressure[lower])
+		h.contention[lower] += contentionStepSize * (waited - h.contention[lower])
 	}
 }
 
-// priorityClass returns the unit's priority among those told apart; 0 is the most urgent.
+// priorityClass returns the unit's priority class; 0 is the most urgent.
 func priorityClass(unit *Unit) int { return min(max(unit.Job.Priority, 0), priorityClasses-1) }
 
-// headroomFor returns the part of the service that the unit has to leave free: none for urgent units and gangs, else the
-// urgent part of the work, and more where units of higher priority had to wait. A unit that has waited for half of its
-// time until the deadline makes way for the first part alone.
-// Pressure follows placements, not time, and stays where nothing urgent comes any more: a unit that must not rest leaves
-// nothing free.
-func (s *Scheduler) headroomFor(unit *Unit) float64 {
-	if unit.Job.Priority == 0 || s.urgent.allWork == 0 || unit.Step().Gang || s.mustNotRest(unit) {
+// requiredHeadroom returns the fraction of the service's CPU that the unit must leave free. It is 0 for urgent units and
+// gangs; for others it is the urgent fraction of the queued work, plus an amount that grows with contention. A unit that has
+// waited for half of the time until its deadline need not leave the second amount free.
+//
+// Contention changes with placements, not with time, so it stays high once no more urgent units arrive. A starving unit
+// therefore need not leave anything free.
+func (s *Scheduler) requiredHeadroom(unit *Unit) float64 {
+	if unit.Job.Priority == 0 || s.urgent.allWork == 0 || unit.Step().Gang || s.isStarving(unit) {
 		return 0
 	}
 	base := min(s.urgent.urgentWork/s.urgent.allWork, maxUrgentHeadroom)
 	if s.now-unit.EnqueuedAt > (unit.Deadline-unit.EnqueuedAt)/2 {
 		return base
 	}
-	return base + s.urgent.pressure[priorityClass(unit)]*(pressureHeadroom-base)
+	return base + s.urgent.contention[priorityClass(unit)]*(contentionHeadroom-base)
 }
 
-// remoteHeadroomFor returns the part of the service that the unit has to leave free where it is placed away from its data.
-func (s *Scheduler) remoteHeadroomFor(unit *Unit, headroom float64) float64 {
-	if s.mustNotRest(unit) {
+// requiredRemoteHeadroom returns the fraction of the service's CPU that the unit must leave free when it is placed outside
+// the rack of its data. Headroom is what it must leave free within that rack.
+func (s *Scheduler) requiredRemoteHeadroom(unit *Unit, headroom float64) float64 {
+	if s.isStarving(unit) {
 		return headroom
 	}
-	return max(headroom, remoteHeadroom)
+	return max(headroom, minRemoteHeadroom)
 }
--- a/scheduling/placement/queue.go
+++ b/scheduling/placement/queue.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// queue holds the units that wait, in the order in which they are tried: by priority, then those whose objective can still
-// be met, then by deadline, then by age.
+// queue holds the waiting units in scheduling order: by priority, then units that can still meet their objective before
+// late ones, then by deadline, then by age.
 type queue []*Unit
 
-// Enqueue adds a unit to the queue. Units that will be late whatever is done come behind those of their priority that can
-// still meet their objective: under overload each late one would make another one late, and a late one loses nothing more
-// by waiting.
+// Enqueue adds a unit to the queue. Units that can no longer meet their objective come behind units of the same priority
+// that can: under overload each late unit would make another one late, and a late unit loses nothing more by waiting.
 func (s *Scheduler) Enqueue(unit *Unit) {
 	s.urgent.recordWork(unit)
 	unit.late = unit.willBeLate(unit.EnqueuedAt)
 	s.queue.insert(unit)
 }
 
-// RemoveJob takes all units of a job out of the queue.
+// RemoveJob removes all units of a job from the queue.
 func (s *Scheduler) RemoveJob(id string) {
 	s.queue = slices.DeleteFunc(s.queue, func(u *Unit) bool { return u.Job.ID == id })
 }
 
-// QueueLength returns how many units wait.
+// QueueLength returns the number of waiting units.
 func (s *Scheduler) QueueLength() int { return len(s.queue) }
 
 func (q *queue) insert(unit *Unit) {
@@ -38,7 +37,7 @@
 
 func (q *queue) removeAt(i int) { *q = slices.Delete(*q, i, i+1) }
 
-// demoteLate moves the units behind the others that have become late.
+// demoteLate marks the units that have become late and moves them behind the others of their priority.
 func (q *queue) demoteLate(now time.Duration) {
 	var demoted []*Unit
 	*q = slices.DeleteFunc(*q, func(u *Unit) bool {
@@ -54,7 +53,7 @@
 	}
 }
 
-// before reports whether a is tried before b. Of units that are equal in all else, the one enqueued first is.
+// before reports whether a precedes b in the queue. Among units that are otherwise equal, the one enqueued first precedes.
 func before(a, b *Unit) bool {
 	if a.Job.Priority != b.Job.Priority {
 		return a.Job.Priority < b.Job.Priority
--- a/scheduling/placement/ranking.go
+++ b/scheduling/placement/ranking.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// similarSpeed is the difference of slowness (ln) up to which workers count as equally fast, so that the better
-	// filled one is taken: about 16%.
+	// similarSpeed is the difference in slowness (ln) up to which workers count as equally fast, about 16%. Among equally
+	// fast workers the fuller one is preferred.
 	similarSpeed = 0.15
-	// ownOrderWeight is the weight of a dispatcher's own random order in a score, so that dispatchers which decide at the
-	// same time prefer different workers among those that are alike.
-	ownOrderWeight = 0.25
-	// maxAlternatives is how many workers a decision names beside the chosen one.
+	// randomPreferenceWeight is the weight of randomPreference in a score. It makes dispatchers that decide at the same time
+	// prefer different workers among similar ones.
+	randomPreferenceWeight = 0.25
+	// maxAlternatives is the maximum number of alternative workers in a decision.
 	maxAlternatives = 3
 )
 
 // candidate is a feasible worker for a unit.
 type candidate struct {
 	worker   *workerState
-	slowness float64 // ln of how many times as long the work takes there as usual
-	score    float64 // by which workers of similar speed are ranked; the least is the best: it is filled most
-	remote   bool    // it is away from the unit's data
+	slowness float64 // ln of the ratio of the run time there to the usual run time
+	score    float64 // ranks workers of similar speed; the lowest score (the fullest worker) is the best
+	remote   bool    // the worker is outside the rack of the unit's data
 }
 
-// betterThan reports whether c ranks before another candidate: by speed, and where that is similar, by score.
+// betterThan reports whether c ranks before another candidate: by speed, and for similar speeds by score.
 func (c *candidate) betterThan(other *candidate) bool {
 	return c.slowness < other.slowness-similarSpeed || c.slowness < other.slowness+similarSpeed && c.score < other.score
 }
 
-// slownessFor returns how slow the worker is for a step (ln), and whether it is away from the step's data.
+// slownessFor returns the worker's slowness (ln) for a step, and whether it is outside the rack of the step's data.
 func (s *Scheduler) slownessFor(worker *workerState, step *job.Step, remotePenalty float64) (slowness float64, remote bool) {
 	slowness = s.slowness(worker)
 	if remote = step.Affinity != "" && worker.rack != step.Affinity; remote {
@@ -42,14 +42,14 @@
 	return slowness, remote
 }
 
-// findWorker returns the best feasible worker for a task. Where it is not about as fast as the fastest eligible one, slower
-// says what to decide by.
+// findWorker returns the best feasible worker for a task. If it is clearly slower than the fastest eligible worker, slower
+// describes the choice between taking it and waiting.
 func (s *Scheduler) findWorker(now time.Duration, unit *Unit) (workers []string, slower *slowerChoice) {
 	step := unit.Step()
 	s.candidates = s.candidates[:0]
 	remotePenalty := math.Log(s.remoteFactor)
-	nearHeadroom := s.headroomFor(unit)
-	farHeadroom := s.remoteHeadroomFor(unit, nearHeadroom)
+	localHeadroom := s.requiredHeadroom(unit)
+	remoteHeadroom := s.requiredRemoteHeadroom(unit, localHeadroom)
 	placed := placedPerWorker(unit)
 	best, fastest := -1, math.Inf(1)
 	for _, worker := range s.workerList {
@@ -58,14 +58,15 @@
 		}
 		slowness, remote := s.slownessFor(worker, step, remotePenalty)
 		fastest = min(fastest, slowness)
-		headroom := nearHeadroom
+		headroom := localHeadroom
 		if remote {
-			headroom = farHeadroom
+			headroom = remoteHeadroom
 		}
 		if !s.feasible(now, unit, worker, headroom, placed) {
 			continue
 		}
-		score := dominantShare(worker.available().Minus(step.Demand()), worker.capacity) + ownOrderWeight*worker.ownOrder
+		score := dominantShare(worker.available().Minus(step.Demand()), worker.capacity) +
+			randomPreferenceWeight*worker.randomPreference
 		s.candidates = append(s.candidates, candidate{worker, slowness, score, remote})
 		if last := len(s.candidates) - 1; best < 0 || s.candidates[last].betterThan(&s.candidates[best]) {
 			best = last
@@ -76,7 +77,8 @@
 	}
 	chosen := &s.candidates[best]
 	if chosen.slowness > fastest+2*similarSpeed {
-		slower = &slowerChoice{parameters: &chosen.worker.local, runtimeRatio: math.Exp(chosen.slowness - fastest), remote: chosen.remote}
+		slower = &slowerChoice{parameters: &chosen.worker.local, runtimeRatio: math.Exp(chosen.slowness - fastest),
+			remote: chosen.remote}
 		if chosen.remote {
 			slower.parameters = &chosen.worker.remote
 		}
@@ -85,8 +87,8 @@
 	return []string{chosen.worker.id}, slower
 }
 
-// alternatives returns workers that are about as fast as the chosen one and feasible too, the best first. Dispatchers
-// decide on a view that is some milliseconds old, so what is free at the chosen worker may be taken.
+// alternatives returns feasible workers about as fast as the chosen one, the best first. They are needed because dispatchers
+// decide on a view that is some milliseconds old, so another dispatcher may already have taken the chosen worker's capacity.
 func (s *Scheduler) alternatives(unit *Unit, chosen []string) []string {
 	if unit.Step().Gang || len(s.candidates) < 2 {
 		return nil
@@ -114,8 +116,8 @@
 	return ids
 }
 
-// slotsFasterThan returns how many tasks of the step fit on all eligible workers together, were these idle, that are
-// faster than a bound (ln).
+// slotsFasterThan returns how many tasks of the step would fit on all idle eligible workers whose slowness is below a bound
+// (ln).
 func (s *Scheduler) slotsFasterThan(step *job.Step, bound float64) float64 {
 	slots, remotePenalty := 0.0, math.Log(s.remoteFactor)
 	for _, worker := range s.workerList {
--- a/scheduling/placement/rest.go
+++ b/scheduling/placement/rest.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// maxRest is how long a unit that could be placed may wait for something better. No job may have nothing at work for 3 s
-	// while it has room and less than half of its service is in use.
-	maxRest = 2 * time.Second
-	// restUse is the part of the service in use from which on a job may rest.
-	restUse = 0.5
+	// starvationTimeout is how long a unit that fits on some worker may wait for a better placement. The requirement behind
+	// it: no job may be without a running task for 3 s while it fits and less than half of its service is in use.
+	starvationTimeout = 2 * time.Second
+	// starvationMaxUtilization is the CPU utilization of the service from which on a job may wait without a running task.
+	starvationMaxUtilization = 0.5
 )
 
-// mustNotRest reports whether the unit has waited long enough to take any worker that it fits on, whatever is kept free for
-// others and however much longer its work takes there: its tasks run until they are stopped, or nothing of its job is placed
-// while less than half of the service is in use.
-func (s *Scheduler) mustNotRest(unit *Unit) bool {
-	if s.now-unit.EnqueuedAt <= maxRest {
+// isStarving reports whether the unit has waited for longer than starvationTimeout, and either its tasks run until they
+// are stopped, or no task of its job is placed while less than half of the service is in use. A starving unit takes any
+// worker on which it fits, regardless of headroom and of how much longer it runs there.
+func (s *Scheduler) isStarving(unit *Unit) bool {
+	if s.now-unit.EnqueuedAt <= starvationTimeout {
 		return false
 	}
-	return unit.Step().LongRunning || s.usedCPU < restUse*s.serviceCPU && !unit.Job.HasPlacedTask()
+	return unit.Step().LongRunning || s.usedCPU < starvationMaxUtilization*s.serviceCPU && !unit.Job.HasPlacedTask()
 }
--- a/scheduling/placement/scheduler.go
+++ b/scheduling/placement/scheduler.go
@@ -1,12 +1,12 @@
-// Package placement decides which tasks of a dispatcher's queue go to which workers, and when. A scheduling cycle takes the
-// units of the queue in order; for each it filters the workers that are feasible, ranks them by speed and by how well they
-// are filled, and either takes the best one or, where faster ones are merely full, lets the ACHQ threshold of package achq
-// decide whether to take a slower worker or to wait.
+// Package placement decides which tasks of a dispatcher's queue go to which workers, and when. A scheduling cycle goes
+// through the units of the queue in order. For each unit it filters the feasible workers and ranks them by speed and
+// utilization. It takes the best worker, unless faster workers exist that are merely full: then the ACHQ threshold of
+// package achq decides whether to take the slower worker or to wait.
 //
-// What it decides is a proposal: other dispatchers place on the same workers, and the replicated state commits or refuses.
-// Until then the resources are reserved here. It never preempts.
+// A decision is a proposal: other dispatchers place tasks on the same workers, and the replicated state commits or rejects
+// each proposal. Until then the scheduler reserves the resources. It never preempts a running task.
 //
-// The package has no I/O and no clock; randomness comes from the seed alone, so the same calls give the same decisions. A
+// The package has no I/O and no clock. Randomness comes only from the seed, so the same calls give the same decisions. A
 // Scheduler is not safe for concurrent use.
 package placement
 
@@ -18,43 +18,44 @@
 	"yardflow/scheduling/job"
 )
 
-// maxUnplaceableSteps is how many steps may turn out to have no worker before a cycle ends: it bounds the time of a cycle
-// behind a long queue that waits for resources.
+// maxUnplaceableSteps is the number of steps without a suitable worker after which a cycle ends. It bounds the duration of a
+// cycle when a long queue waits for resources.
 const maxUnplaceableSteps = 100
 
-// Scheduler places the tasks of one service. Its dispatcher feeds it the workers and units, and carries its decisions out.
+// Scheduler places the tasks of one service. Its dispatcher supplies the workers and units, and carries out the decisions.
 type Scheduler struct {
-	remoteFactor float64 // how many times as long work takes away from its data
+	remoteFactor float64 // ratio of a task's run time outside the rack of its data to that within it
 	random       *rand.Rand
-	peers        int // dispatchers that place on the same workers, this one included
+	peers        int // number of dispatchers that place on the same workers, including this one
 	now          time.Duration
 
 	workers      map[string]*workerState
-	workerList   []*workerState     // by ID, so that the order of equals does not change
-	kindSlowness map[string]float64 // ln of a kind's run times against their estimates
+	workerList   []*workerState     // sorted by ID, so that ties are always broken the same way
+	kindSlowness map[string]float64 // by kind of worker: ln of the ratio of run times to their estimates
 
 	queue      queue
-	candidates []candidate // for the unit that was ranked last
+	candidates []candidate // of the unit that was ranked last
 
 	learner      achq.Learner
-	stepBegan    time.Duration // of the learner's open step
+	stepBegan    time.Duration // start of the learner's open step
 	runningTasks int
 
-	// Thousandths of cores of the service; see countFreeCPU.
-	freeCPU    float64 // of workers that may be given work
-	totalCPU   float64 // of the same workers
-	usedCPU    float64 // of all workers that do not drain
-	serviceCPU float64 // of the same workers
+	// CPU of the service, in thousandths of cores; see updateCPUTotals.
+	freeCPU    float64 // free CPU of all workers that are neither draining nor in backoff
+	totalCPU   float64 // capacity of the same workers
+	usedCPU    float64 // used CPU of all workers that are not draining
+	serviceCPU float64 // capacity of the same workers
 	urgent     urgentHeadroom
 }
 
-// New returns a scheduler without workers. RemoteFactor is how many times as long work takes away from its data.
+// New returns a scheduler without workers. RemoteFactor is the ratio of a task's run time outside the rack of its data to
+// that within it.
 func New(remoteFactor float64, seed uint64) *Scheduler {
 	return &Scheduler{remoteFactor: max(remoteFactor, 1), peers: 1, random: rand.New(rand.NewPCG(seed, 1)),
 		workers: map[string]*workerState{}, kindSlowness: map[string]float64{}}
 }
 
-// SetPeers records how many dispatchers place on the same workers, this one included.
+// SetPeers sets the number of dispatchers that place on the same workers, including this one.
 func (s *Scheduler) SetPeers(count int) { s.peers = max(count, 1) }
 
 // stepID identifies one repetition of a step of a job, whose tasks have the same demand.
@@ -63,18 +64,18 @@
 	key job.StepKey
 }
 
-// Schedule runs a scheduling cycle and returns its decisions. The units decided upon are no longer queued, and their
-// demand is reserved until ReleaseReservation.
+// Schedule runs a scheduling cycle and returns its decisions. It removes the placed units from the queue and reserves their
+// demand until ReleaseReservation.
 func (s *Scheduler) Schedule(now time.Duration) []Decision {
 	if len(s.queue) == 0 {
 		return nil
 	}
 	var decisions []Decision
 	s.now = now
-	s.countFreeCPU(now)
+	s.updateCPUTotals(now)
 	s.queue.demoteLate(now)
 	s.endStep(now)
-	unplaceable := map[stepID]bool{} // steps of which a task found no worker in this cycle
+	unplaceable := map[stepID]bool{} // steps with a task that found no worker in this cycle
 	for i := 0; i < len(s.queue) && len(unplaceable) < maxUnplaceableSteps; {
 		unit := s.queue[i]
 		step := stepID{unit.Job.ID, unit.StepKey}
@@ -97,8 +98,8 @@
 	return decisions
 }
 
-// selectWorkers returns where the unit goes now: a worker, or one for each member of a gang. It returns nil where the unit
-// has to wait.
+// selectWorkers returns the workers for the unit: one for a single task, or one for each member of a gang. It returns nil if
+// the unit has to wait.
 func (s *Scheduler) selectWorkers(now time.Duration, unit *Unit) []string {
 	var workers []string
 	var slower *slowerChoice
@@ -113,7 +114,7 @@
 	return workers
 }
 
-// reserve takes the unit's demand out of what is free at the workers, and returns the decision.
+// reserve reserves the unit's demand at the workers, and returns the decision.
 func (s *Scheduler) reserve(now time.Duration, unit *Unit, workers []string) Decision {
 	s.urgent.recordWait(now, unit)
 	demand := unit.Step().Demand()
@@ -126,7 +127,7 @@
 	return Decision{Unit: unit, Workers: workers, Alternatives: s.alternatives(unit, workers)}
 }
 
-// ReleaseReservation gives back what a decision had reserved at a worker, once its outcome is known.
+// ReleaseReservation releases the reservation of a decision at a worker, once the decision's outcome is known.
 func (s *Scheduler) ReleaseReservation(worker string, demand job.Resources) {
 	if known := s.workers[worker]; known != nil {
 		known.reserved = known.reserved.Minus(demand)
--- a/scheduling/placement/scheduler_test.go
+++ b/scheduling/placement/scheduler_test.go
@@ -36,7 +36,7 @@
 	return &Unit{Job: j, TaskIndices: indices}
 }
 
-func useUp(s *Scheduler, id string) {
+func fillWorker(s *Scheduler, id string) {
 	s.SetUsed(id, job.Resources{CPU: 8000, MemoryMB: 8000, GPU: 2})
 }
 
@@ -54,7 +54,8 @@
 
 func TestQueueOrderIsPriorityThenDeadline(t *testing.T) {
 	s := newTestScheduler(1)
-	late, early, urgent := newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(0, job.Step{Count: 1, CPU: 8000})
+	late, early, urgent := newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(1, job.Step{Count: 1, CPU: 8000}),
+		newUnit(0, job.Step{Count: 1, CPU: 8000})
 	late.Deadline, early.Deadline, urgent.Deadline = 9*time.Second, time.Second, 99*time.Second
 	for _, u := range []*Unit{late, early, urgent} {
 		s.Enqueue(u)
@@ -87,7 +88,7 @@
 		s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 3000}))
 	}
 	if decisions := s.Schedule(time.Second); len(decisions) != 2 {
-		t.Errorf("%d units on a worker with the capacity for two", len(decisions))
+		t.Errorf("%d units placed on a worker with capacity for two", len(decisions))
 	}
 }
 
@@ -103,27 +104,27 @@
 	u.Job.EnsureTask(job.TaskKey{}).Worker = "w0001"
 	s.Enqueue(&Unit{Job: u.Job, TaskIndices: []int{1}})
 	if decisions := s.Schedule(time.Second); len(decisions) != 0 {
-		t.Errorf("two tasks in spite of anti-affinity: %v", decisions)
+		t.Errorf("second task placed on the same worker despite anti-affinity: %v", decisions)
 	}
 }
 
-func TestWorkWaitsForItsRackButNotForever(t *testing.T) {
+func TestTaskWaitsForRackOfItsDataForLimitedTime(t *testing.T) {
 	s := newTestScheduler(6)
 	for i := range 3 {
-		useUp(s, fmt.Sprintf("w%04d", i))
+		fillWorker(s, fmt.Sprintf("w%04d", i))
 	}
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1000, Affinity: "r0"}))
 	if decisions := s.Schedule(100 * time.Millisecond); len(decisions) != 0 {
-		t.Errorf("left its rack at once: %v", decisions)
+		t.Errorf("placed outside the rack of its data without waiting: %v", decisions)
 	}
 	if decisions := s.Schedule(2100 * time.Millisecond); len(decisions) != 1 {
-		t.Error("waits for longer than the work takes elsewhere")
+		t.Error("still waiting after longer than the extra run time in another rack")
 	}
 }
 
 func TestGangIsPlacedInOneRack(t *testing.T) {
 	s := newTestScheduler(6)
-	useUp(s, "w0000")
+	fillWorker(s, "w0000")
 	s.Enqueue(newUnit(1, job.Step{Count: 6, CPU: 1000, GPU: 1, Gang: true, SameRack: true, EstimateMs: 1000}))
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || len(decisions[0].Workers) != 6 {
@@ -131,7 +132,7 @@
 	}
 	for _, id := range decisions[0].Workers {
 		if s.workers[id].rack != "r1" {
-			t.Errorf("a member at %s, in another rack", id)
+			t.Errorf("gang member placed at %s, outside rack r1", id)
 		}
 	}
 }
@@ -143,7 +144,7 @@
 		t.Errorf("decided %v", decisions)
 	}
 	if available := s.workers["w0000"].available(); available.CPU != 8000 {
-		t.Errorf("a gang that does not fit keeps a reservation: %v", available)
+		t.Errorf("gang that does not fit left a reservation: available %v", available)
 	}
 }
 
@@ -152,17 +153,17 @@
 	s.RecordFault(time.Second, "w0000", 0.6)
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000}))
 	if decisions := s.Schedule(1100 * time.Millisecond); len(decisions) != 0 {
-		t.Error("a worker gets work right after a fault")
+		t.Error("task placed on a worker right after its fault")
 	}
 	if decisions := s.Schedule(2 * time.Second); len(decisions) != 1 {
-		t.Error("a worker never gets work again")
+		t.Error("no task placed on the worker after its backoff")
 	}
 	if rate := s.workers["w0000"].faults.rate(30 * time.Second); rate > 0.01 {
-		t.Errorf("its rate of faults after 30 s: %v", rate)
+		t.Errorf("fault rate after 30 s: %v, want at most 0.01", rate)
 	}
 }
 
-func TestUrgentTasksFindTheHeadroomFree(t *testing.T) {
+func TestHeadroomIsKeptFreeForUrgentTasks(t *testing.T) {
 	s := newTestScheduler(1)
 	for i := range 40 { // half of the work is urgent, so headroom is kept for it
 		u := newUnit(i%2, job.Step{Count: 1, CPU: 100, EstimateMs: 100})
@@ -176,15 +177,15 @@
 	}
 	placed := len(s.Schedule(2 * time.Millisecond))
 	if placed == 0 || placed >= 8 {
-		t.Errorf("%d of 8 tasks of lower priority placed", placed)
+		t.Errorf("placed %d of 8 tasks of lower priority, want some but not all", placed)
 	}
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1}))
 	if decisions := s.Schedule(3 * time.Millisecond); len(decisions) != 1 || decisions[0].Unit.Job.Priority != 0 {
-		t.Error("the urgent one is not placed")
+		t.Error("urgent task not placed")
 	}
 }
 
-// TestHeadroomCountsOverTheServiceNotAWorker: a large task may fill one worker where others have enough free.
+// TestHeadroomCountsOverTheServiceNotAWorker checks that a large task may fill one worker if others have enough free.
 func TestHeadroomCountsOverTheServiceNotAWorker(t *testing.T) {
 	s := newTestScheduler(3)
 	s.urgent.urgentWork, s.urgent.allWork = 1e9, 2e9
@@ -200,7 +201,7 @@
 	s.SetUsed("w0002", job.Resources{CPU: 7000, MemoryMB: 7000})
 	s.Enqueue(newUnit(1, job.Step{Count: 1, CPU: 4000, EstimateMs: 1000}))
 	if decisions := s.Schedule(1100 * time.Millisecond); len(decisions) != 0 {
-		t.Errorf("took the headroom of urgent tasks: %v", decisions)
+		t.Errorf("placed in the headroom for urgent tasks: %v", decisions)
 	}
 }
 
@@ -209,7 +210,7 @@
 	for range 200 {
 		s.ObserveRuntime("w0000", 2*time.Second, time.Second) // slower than the others
 	}
-	useUp(s, "w0001")
+	fillWorker(s, "w0001")
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "a"}))
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || len(decisions[0].Alternatives) != maxAlternatives {
@@ -218,15 +219,15 @@
 	seen := map[string]bool{decisions[0].Workers[0]: true, "w0000": true, "w0001": true}
 	for _, other := range decisions[0].Alternatives {
 		if seen[other] || s.workers[other].kind != "a" {
-			t.Errorf("%s is named beside %s", other, decisions[0].Workers[0])
+			t.Errorf("unexpected alternative %s to %s", other, decisions[0].Workers[0])
 		}
 		seen[other] = true
 	}
 }
 
-// TestLateUnitsGoBehindThoseInTime: under overload a unit that will be late makes way for one that can still meet its
-// objective, whichever came first.
-func TestLateUnitsGoBehindThoseInTime(t *testing.T) {
+// TestLateUnitsAreQueuedBehindUnitsInTime checks that a unit that will be late is queued behind units that can still meet
+// their objective, regardless of the order of arrival.
+func TestLateUnitsAreQueuedBehindUnitsInTime(t *testing.T) {
 	s := newTestScheduler(1)
 	add := func(deadline, remaining time.Duration) *Unit {
 		u := newUnit(1, job.Step{Count: 1, CPU: 8000, EstimateMs: remaining.Milliseconds()})
@@ -234,18 +235,19 @@
 		s.Enqueue(u)
 		return u
 	}
-	useUp(s, "w0000")
-	becomesLate, inTime, late := add(4*time.Second, 2*time.Second), add(9*time.Second, 2*time.Second), add(time.Second, 4*time.Second)
+	fillWorker(s, "w0000")
+	becomesLate, inTime, late := add(4*time.Second, 2*time.Second), add(9*time.Second, 2*time.Second),
+		add(time.Second, 4*time.Second)
 	s.Schedule(time.Second)
 	for i, want := range []*Unit{becomesLate, inTime, late} {
 		if s.queue[i] != want {
-			t.Fatalf("position %d before anything became late: %v", i, s.queue[i].Deadline)
+			t.Fatalf("wrong unit at position %d before any further unit is late: deadline %v", i, s.queue[i].Deadline)
 		}
 	}
 	s.Schedule(3100 * time.Millisecond)
 	for i, want := range []*Unit{inTime, late, becomesLate} {
 		if s.queue[i] != want {
-			t.Errorf("position %d: deadline %v", i, s.queue[i].Deadline)
+			t.Errorf("wrong unit at position %d after one has become late: deadline %v", i, s.queue[i].Deadline)
 		}
 	}
 }
@@ -254,17 +256,17 @@
 	s := newTestScheduler(8)
 	for count, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 8: 4} {
 		if got := s.Waves(&job.Step{Count: count, CPU: 8000}); got != want {
-			t.Errorf("%d whole workers of 8: %d waves, want %d", count, got, want)
+			t.Errorf("step that needs %d of 8 workers: %d waves, want %d", count, got, want)
 		}
 	}
 	if got := s.Waves(&job.Step{Count: 3, RequiredLabel: "no such label"}); got != 1 {
-		t.Errorf("%d waves where no worker is eligible", got)
+		t.Errorf("%d waves without an eligible worker, want 1", got)
 	}
 }
 
 func TestDiagnosisCountsWorkersByReason(t *testing.T) {
 	s := newTestScheduler(3)
-	useUp(s, "w0000")
+	fillWorker(s, "w0000")
 	s.RecordFault(9*time.Second, "w0001", 0.9)
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "a"}))
 	s.Schedule(9 * time.Second)
@@ -274,7 +276,8 @@
 	}
 }
 
-// BenchmarkSchedule measures a cycle with one decision, by the number of workers, most of which are full.
+// BenchmarkSchedule measures a cycle with one decision for several numbers of workers, all but five of which are nearly
+// full.
 func BenchmarkSchedule(b *testing.B) {
 	for _, workers := range []int{50, 350, 2500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/scheduling/placement/speed.go
+++ b/scheduling/placement/speed.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// Constants of the estimates of speed, in natural logarithms of run time against the estimate.
+// Parameters of the speed estimates. Speeds are natural logarithms of the ratio of a run's time to its estimate.
 const (
-	workerSpeedStepSize = 0.1  // weight of one run in its worker's slowness
-	kindSpeedStepSize   = 0.03 // and in its kind's
-	// maxSurprise bounds what one run tells: e times as long, or an e-th of the time.
-	maxSurprise = 1.0
+	workerSpeedStepSize = 0.1  // weight of one run in the slowness of its worker
+	kindSpeedStepSize   = 0.03 // weight of one run in the slowness of its worker's kind
+	// maxLogDeviation bounds the effect of one run. A run counts as at least 1/e of the expected time, and as at most e
+	// times the time that its worker's present slowness predicts.
+	maxLogDeviation = 1.0
 )
 
-// slowness returns how many times as long (ln) work takes at the worker as its estimate says. Recent faults count as
-// slowness, so that sound workers come first.
+// slowness returns ln of the ratio of run times at the worker to their estimates. Recent faults count as additional
+// slowness, so that healthy workers are preferred.
 func (s *Scheduler) slowness(worker *workerState) float64 {
 	return s.kindSlowness[worker.kind] + worker.slowness + 2*worker.faults.rate(s.now)
 }
 
-// ObserveRuntime learns from a run that ended done how fast a worker is: by how long the run took, against what was
-// expected at a sound worker of usual speed. It also ends the growth of the worker's backoff.
+// ObserveRuntime updates a worker's speed from a run that ended done. Took is the run's time, expected the time that it
+// would take at a healthy worker of usual speed. ObserveRuntime also records the success, which resets the growth of the
+// worker's backoff.
 func (s *Scheduler) ObserveRuntime(id string, took, expected time.Duration) {
 	worker := s.workers[id]
 	if worker == nil || took <= 0 || expected <= 0 {
@@ -28,7 +30,7 @@
 	}
 	worker.faults.recordSuccess()
 	observed := math.Log(float64(took) / float64(expected))
-	observed = min(max(observed, -maxSurprise), maxSurprise+worker.slowness)
+	observed = min(max(observed, -maxLogDeviation), maxLogDeviation+worker.slowness)
 	kind := s.kindSlowness[worker.kind]
 	s.kindSlowness[worker.kind] = kind + kindSpeedStepSize*(observed-worker.slowness-kind)
 	worker.slowness += workerSpeedStepSize * (observed - kind - worker.slowness)
--- a/scheduling/placement/threshold.go
+++ b/scheduling/placement/threshold.go
@@ -6,37 +6,40 @@
 	"yardflow/scheduling/achq"
 )
 
-// minThresholdUpdates is how many steps a threshold must have learned from before it is used; until then it follows the
-// rule of its start.
+// minThresholdUpdates is the number of updates after which a learned threshold is used. Until then the threshold is set
+// to its initial value, as accepts describes.
 const minThresholdUpdates = 5
 
-// slowerChoice is the choice to take a slower worker or to wait, where all that are as fast as the fastest are full.
+// slowerChoice describes the choice between taking a slower worker and waiting for one of the faster workers, which are
+// full.
 type slowerChoice struct {
-	parameters   *achq.Parameters // the slower worker's
-	runtimeRatio float64          // how many times as long the work takes there
-	fasterSlots  float64          // how many such tasks fit on the faster workers
-	remote       bool             // it is slower for being away from the unit's data
+	parameters   *achq.Parameters // learned parameters of the slower worker
+	runtimeRatio float64          // run time there relative to the faster workers
+	fasterSlots  float64          // number of such tasks that fit on the faster workers
+	remote       bool             // the worker is slower because it is outside the rack of the unit's data
 }
 
-// accepts draws whether a unit goes to a slower worker. The worker's threshold starts at the number of queued tasks that
-// the faster workers get through meanwhile (the paper's RSRT rule), for this dispatcher's share of them. A unit that has
-// waited for as long as the slower worker takes longer, or must not rest, does not wait any more.
+// accepts decides at random whether a unit takes the slower worker. The initial threshold is the number of queued tasks
+// that the faster workers complete during the extra run time on the slower one (the RSRT rule of the ACHQ paper), scaled
+// to this dispatcher's share of the faster workers. A unit always accepts if it is starving or has already waited for
+// that extra time.
 func (s *Scheduler) accepts(now time.Duration, unit *Unit, slower *slowerChoice) bool {
 	extraMs := (slower.runtimeRatio - 1) * float64(unit.Step().EstimateMs)
-	if now-unit.EnqueuedAt >= time.Duration(extraMs)*time.Millisecond || s.mustNotRest(unit) {
+	if now-unit.EnqueuedAt >= time.Duration(extraMs)*time.Millisecond || s.isStarving(unit) {
 		return true
 	}
 	if slower.parameters.Updates < minThresholdUpdates {
 		slower.parameters.Threshold = min((slower.runtimeRatio-1)*slower.fasterSlots/float64(s.peers), achq.MaxQueueLength)
 	}
-	probability := achq.AcceptanceProbability(s.competing(unit, slower), slower.parameters)
+	probability := achq.AcceptanceProbability(s.competingQueueLength(unit, slower), slower.parameters)
 	accepted := s.random.Float64() < probability
 	s.learner.RecordDecision(slower.parameters, probability, accepted)
 	return accepted
 }
 
-// competing counts what is queued for the same faster workers: all units, or the tasks whose data is in the same rack.
-func (s *Scheduler) competing(unit *Unit, slower *slowerChoice) int {
+// competingQueueLength returns the length of the queue for the same faster workers: all units or, if the slower worker is
+// remote, the tasks whose data is in the same rack as the unit's.
+func (s *Scheduler) competingQueueLength(unit *Unit, slower *slowerChoice) int {
 	if !slower.remote {
 		return len(s.queue)
 	}
@@ -49,7 +52,7 @@
 	return count
 }
 
-// beginStep opens a step of the learner, which lasts until the next decision.
+// beginStep opens a step of the learner. A step lasts until the next decision.
 func (s *Scheduler) beginStep(now time.Duration) {
 	s.stepBegan = now
 	s.learner.BeginStep(float64(len(s.queue)+s.runningTasks), s.features)
@@ -65,8 +68,8 @@
 	})
 }
 
-// features appends the non-zero components of the state: the length of the queue and the share of each worker that own
-// tasks take, divided by their number.
+// features appends the non-zero components of the learner's state, each divided by the number of components: the length of
+// the queue, and each worker's share that tasks of this dispatcher's jobs take.
 func (s *Scheduler) features(into []achq.Feature) []achq.Feature {
 	components := float64(1 + len(s.workerList))
 	if n := len(s.queue); n > 0 {
--- a/scheduling/placement/workers.go
+++ b/scheduling/placement/workers.go
@@ -9,33 +9,32 @@
 	"yardflow/scheduling/job"
 )
 
-// workerState is a worker as its dispatcher knows it.
+// workerState is a dispatcher's view of a worker.
 type workerState struct {
-	id       string
-	rack     string // "" where it has no such label
-	kind     string // workers of a kind are expected to be about as fast
-	labels   []string
-	capacity job.Resources
-	used     job.Resources // by all dispatchers, as last committed
-	reserved job.Resources // by own decisions without an outcome
-	draining bool
-	ownOrder float64 // random, from 0 to 1: this dispatcher's preference among workers that are alike
-	ownShare float64 // dominant share that tasks of own jobs take
-
-	local  achq.Parameters // for work that is not away from its data
-	remote achq.Parameters // for work that is slower here for being away from its data
-
-	slowness float64 // ln of its run times against those of its kind
+	id               string
+	rack             string // "" if the worker has no rack label
+	kind             string // workers of the same kind are expected to be about equally fast
+	labels           []string
+	capacity         job.Resources
+	used             job.Resources // by tasks of all dispatchers, as last committed
+	reserved         job.Resources // by decisions of this dispatcher whose outcome is not known yet
+	draining         bool
+	randomPreference float64 // random, from 0 to 1: makes dispatchers rank similar workers differently; lower is preferred
+	ownShare         float64 // dominant share that tasks of this dispatcher's jobs take
+
+	local  achq.Parameters // for tasks whose data is not in another rack
+	remote achq.Parameters // for tasks that are slower here because their data is in another rack
+
+	slowness float64 // ln of the ratio of its run times to those of its kind
 	faults   faultRecord
-	// backoffUntil is when the worker gets tasks again after faults.
+	// backoffUntil is the time until which the worker gets no tasks because of faults.
 	backoffUntil time.Duration
 }
 
-// available returns what is neither in use nor reserved.
+// available returns the capacity that is neither in use nor reserved.
 func (w *workerState) available() job.Resources { return w.capacity.Minus(w.used).Minus(w.reserved) }
 
-// freeCPU returns such a part of the worker's processors, in thousandths of cores, as is free of the resource of which it
-// has least left.
+// freeCPU returns the worker's CPU capacity, in thousandths of cores, times the free fraction of its scarcest resource.
 func (w *workerState) freeCPU() float64 {
 	taken := dominantShare(w.used.Plus(w.reserved), w.capacity)
 	return max(1-taken, 0) * float64(w.capacity.CPU)
@@ -49,7 +48,7 @@
 func (s *Scheduler) SetWorker(id string, labels []string, capacity, used job.Resources, draining bool) {
 	worker := s.workers[id]
 	if worker == nil {
-		worker = &workerState{id: id, ownOrder: s.random.Float64()}
+		worker = &workerState{id: id, randomPreference: s.random.Float64()}
 		s.workers[id] = worker
 		at, _ := slices.BinarySearchFunc(s.workerList, id, func(w *workerState, id string) int {
 			if w.id < id {
@@ -68,14 +67,14 @@
 	}
 }
 
-// SetUsed updates how much of a worker is in use by all dispatchers. Unknown workers are ignored, here and below.
+// SetUsed updates the resources that tasks of all dispatchers use at a worker. It ignores unknown workers.
 func (s *Scheduler) SetUsed(id string, used job.Resources) {
 	if worker := s.workers[id]; worker != nil {
 		worker.used = used
 	}
 }
 
-// RemoveWorker forgets a worker with all that was learned of it.
+// RemoveWorker removes a worker and everything learned about it. It ignores unknown workers.
 func (s *Scheduler) RemoveWorker(id string) {
 	worker := s.workers[id]
 	if worker == nil {
@@ -85,25 +84,25 @@
 	s.workerList = slices.DeleteFunc(s.workerList, func(w *workerState) bool { return w == worker })
 }
 
-// TaskStarted records that a task of an own job is placed at a worker.
-func (s *Scheduler) TaskStarted(id string, demand job.Resources) { s.countOwn(id, demand, 1) }
+// TaskStarted records that a task of one of this dispatcher's jobs is placed at a worker.
+func (s *Scheduler) TaskStarted(id string, demand job.Resources) { s.countOwnTask(id, demand, 1) }
 
-// TaskEnded records that a task of an own job is no longer placed at a worker.
-func (s *Scheduler) TaskEnded(id string, demand job.Resources) { s.countOwn(id, demand, -1) }
+// TaskEnded records that a task of one of this dispatcher's jobs is no longer placed at a worker.
+func (s *Scheduler) TaskEnded(id string, demand job.Resources) { s.countOwnTask(id, demand, -1) }
 
-func (s *Scheduler) countOwn(id string, demand job.Resources, sign float64) {
+func (s *Scheduler) countOwnTask(id string, demand job.Resources, sign float64) {
 	s.runningTasks += int(sign)
 	if worker := s.workers[id]; worker != nil {
 		worker.ownShare = max(0, worker.ownShare+sign*dominantShare(demand, worker.capacity))
 	}
 }
 
-// waveShare is the part of a service, 1 in so many, that the tasks of a step may take at once before the step runs in
-// waves, by the protocol's definition of a job's objective.
-const waveShare = 4
+// waveDivisor sets the fraction of a service, 1/waveDivisor, that the tasks of a step may take at once before the step runs
+// in waves. The protocol's definition of a job's objective sets it.
+const waveDivisor = 4
 
-// Waves returns in how many waves a step runs: more than one where all its tasks together demand more than a quarter of
-// the workers that are eligible for it.
+// Waves returns the number of waves in which a step runs. It is more than one if the tasks of the step together demand more
+// than a quarter of its eligible workers.
 func (s *Scheduler) Waves(step *job.Step) int {
 	workers, shares := 0.0, 0.0
 	for _, worker := range s.workerList {
@@ -115,6 +114,6 @@
 	if workers == 0 {
 		return 1
 	}
-	wanted := float64(step.Count) * shares / workers // in whole workers
-	return max(int(math.Ceil(wanted*waveShare/workers)), 1)
+	demand := float64(step.Count) * shares / workers // in whole workers
+	return max(int(math.Ceil(demand*waveDivisor/workers)), 1)
 }
