--- a/scheduling/worker/contact.go
+++ b/scheduling/worker/contact.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Bounds of what answers of the worker show.
+// Parameters for judging whether the worker is alive and reachable.
 const (
-	// contactFreshness is how long an answer shows that a command will arrive. Starts and renewals are sent only within
-	// it, so that few of them are lost in a partition and need reconciliation.
+	// contactFreshness is how long after an answer the worker counts as reachable for commands. Starts and lease renewals
+	// are sent only within this time, so that few of them are lost in a partition and need reconciliation.
 	contactFreshness = 15 * time.Millisecond
-	// incarnationProof is how many answers in a row from another incarnation at the address prove that the owned one has
-	// ended. One alone proves nothing.
-	incarnationProof = 2
-	// unlistedSilence is how long a worker that the platform's list lacks must have been silent before that counts.
-	unlistedSilence = time.Second
+	// minOtherIncarnations is the number of consecutive answers from another incarnation at the worker's address that
+	// prove that the owned incarnation has ended. A single answer proves nothing.
+	minOtherIncarnations = 2
+	// minUnlistedSilence is how long a worker that is missing from the platform's list must have been silent before its runs
+	// may be declared lost.
+	minUnlistedSilence = time.Second
 )
 
-// contact is what is known of whether the worker is there.
+// contact tracks whether the worker is alive and reachable.
 type contact struct {
 	createdAt         time.Duration // when the owner was created
-	established       bool          // the worker has given a list under this owner's token
+	established       bool          // the worker has answered a poll under this owner's token
 	reachable         bool          // the newest short poll was answered
-	suspect           bool          // something speaks against it, since the newest answer: a short poll is due
-	answeredAt        time.Duration
-	otherIncarnations int           // answers in a row that came from another incarnation
-	unlistedAt        time.Duration // since when the platform's list lacks the worker; 0: it is listed
+	suspect           bool          // signs of trouble since the newest answer: a short poll must check the worker
+	answeredAt        time.Duration // time of the newest answer
+	otherIncarnations int           // consecutive answers from another incarnation
+	unlistedAt        time.Duration // since when the worker is missing from the platform's list; 0: it is listed
 }
 
-// IncarnationEnded reports whether it is proven that the owned incarnation of the worker has ended.
-func (o *Owner) IncarnationEnded() bool { return o.contact.otherIncarnations >= incarnationProof }
+// IncarnationEnded reports whether the owned incarnation of the worker is proven to have ended.
+func (o *Owner) IncarnationEnded() bool { return o.contact.otherIncarnations >= minOtherIncarnations }
 
-// SetListed records whether the platform's list has the worker.
+// SetListed records whether the platform's list contains the worker.
 func (o *Owner) SetListed(now time.Duration, listed bool) {
 	switch {
 	case listed:
@@ -36,15 +37,16 @@
 	case o.contact.unlistedAt == 0:
 		o.contact.unlistedAt, o.contact.suspect = max(now, 1), true
 	}
-	o.act(now)
+	o.collectActions(now)
 }
 
-// fresh reports whether the worker has answered so lately that a command will reach it.
-func (o *Owner) fresh(now time.Duration) bool {
+// hasFreshContact reports whether the worker has answered recently enough that a command is expected to reach it.
+func (o *Owner) hasFreshContact(now time.Duration) bool {
 	return o.lease.clockKnown && now-o.contact.answeredAt <= contactFreshness
 }
 
-// recordAnswer takes in what any answer shows: that the worker is there, and its clock.
+// recordAnswer updates the contact after a call: whether the worker answered, and its clock. An Unanswered or Unreachable
+// call changes nothing.
 func (o *Owner) recordAnswer(now time.Duration, outcome Outcome, clockMs int64) {
 	switch outcome {
 	case Unanswered, Unreachable:
@@ -56,14 +58,14 @@
 	o.contact.otherIncarnations = 0
 	o.contact.answeredAt, o.contact.reachable, o.contact.suspect, o.polls.brokenConnections = now, true, false, 0
 	if clockMs > 0 {
-		o.lease.readClock(now, clockMs)
+		o.lease.recordClock(now, clockMs)
 	}
 }
 
 func (o *Owner) recordOtherIncarnation() {
 	o.contact.otherIncarnations++
 	o.contact.suspect = true
-	if o.contact.otherIncarnations == incarnationProof {
+	if o.contact.otherIncarnations == minOtherIncarnations {
 		o.actions.IncarnationEnded = true
 	}
 }
--- a/scheduling/worker/contact_test.go
+++ b/scheduling/worker/contact_test.go
@@ -7,7 +7,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// answerAsOtherIncarnation lets another incarnation at the address answer the oldest poll.
+// answerAsOtherIncarnation answers the oldest poll as another incarnation at the worker's address.
 func (h *harness) answerAsOtherIncarnation() {
 	h.t.Helper()
 	poll := h.nextPoll()
@@ -16,12 +16,13 @@
 	h.takeActions()
 }
 
-// TestOtherIncarnationTwiceProvesTheEnd: commands never reach another incarnation. Its second answer in a row proves that
-// the owned one has ended, which is reported once.
+// TestOtherIncarnationTwiceProvesTheEnd checks that no start is sent to another incarnation, and that its second answer in a
+// row proves the end of the owned incarnation, which is reported once.
 func TestOtherIncarnationTwiceProvesTheEnd(t *testing.T) {
 	h := afterStartOutcome(t, OtherIncarnation)
 	if h.incarnationEnds != 0 || len(h.starts) != 0 {
-		t.Fatalf("after one answer of another incarnation: reported %d times, %d starts", h.incarnationEnds, len(h.starts))
+		t.Fatalf("after one answer from another incarnation: end reported %d times, %d starts", h.incarnationEnds,
+			len(h.starts))
 	}
 	for len(h.polls) > 1 {
 		h.losePoll()
@@ -29,25 +30,27 @@
 	h.answerAsOtherIncarnation()
 	h.tick(time.Second)
 	if h.incarnationEnds != 1 || !h.owner.IncarnationEnded() || len(h.starts)+len(h.polls) != 0 {
-		t.Errorf("reported %d times; %d starts and %d polls after that", h.incarnationEnds, len(h.starts), len(h.polls))
+		t.Errorf("end of the incarnation reported %d times, then %d starts and %d polls; want 1, 0 and 0",
+			h.incarnationEnds, len(h.starts), len(h.polls))
 	}
 	h.wantReports()
 	h.golden()
 }
 
-// TestOneAnswerOfAnotherIncarnationProvesNothing: the owned incarnation answers the next poll, and the start is sent
-// again.
+// TestOneAnswerOfAnotherIncarnationProvesNothing checks that the start is sent again once the owned incarnation answers the
+// next poll.
 func TestOneAnswerOfAnotherIncarnationProvesNothing(t *testing.T) {
 	h := afterStartOutcome(t, OtherIncarnation)
 	for len(h.starts) == 0 && len(h.polls) > 0 {
 		h.answerPoll(PollAnswer{})
 	}
 	if h.incarnationEnds != 0 || len(h.starts) != 1 {
-		t.Errorf("reported %d times, %d starts", h.incarnationEnds, len(h.starts))
+		t.Errorf("end of the incarnation reported %d times, %d starts; want 0 and 1", h.incarnationEnds, len(h.starts))
 	}
 }
 
-// TestUnlistedWorkerThatAnswersKeepsItsRuns: the platform's list lacks the worker, which is alive: its runs go on.
+// TestUnlistedWorkerThatAnswersKeepsItsRuns checks that no run is declared lost at a worker that is missing from the
+// platform's list but still answers.
 func TestUnlistedWorkerThatAnswersKeepsItsRuns(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
 	h.owner.SetListed(h.now, false)
@@ -61,7 +64,8 @@
 	h.wantReports()
 }
 
-// TestFullListOfEndsProvesNoLoss: a worker lists 500 ends at most, so a full list does not show what it lacks.
+// TestFullListOfEndsProvesNoLoss checks that no run is declared lost because of a list with the maximum of 500 ends,
+// which may be incomplete.
 func TestFullListOfEndsProvesNoLoss(t *testing.T) {
 	for _, listedEnds := range []int{maxEndsPerAnswer - 1, maxEndsPerAnswer} {
 		h := afterStartOutcome(t, Accepted)
@@ -82,13 +86,14 @@
 			}
 		}
 		if full := listedEnds == maxEndsPerAnswer; full != (lost == 0) {
-			t.Errorf("a list of %d ends: %d runs are declared lost", listedEnds, lost)
+			t.Errorf("list of %d ends: %d runs declared lost", listedEnds, lost)
 		}
 	}
 }
 
-// TestUnlistedWorkerStartsNothing: what was placed before and is not dispatched yet goes elsewhere.
-func TestUnlistedWorkerStartsNothing(t *testing.T) {
+// TestPendingRunIsNotStartedAtUnlistedWorker checks that a run that is not dispatched yet is reported as not started, so
+// that its task can be placed elsewhere.
+func TestPendingRunIsNotStartedAtUnlistedWorker(t *testing.T) {
 	h := newHarness(t)
 	h.establishContact()
 	h.tick(time.Second)
@@ -96,12 +101,12 @@
 	h.place(taskA, 1, true)
 	h.wantReports("aa not-started")
 	if len(h.starts) != 0 {
-		t.Error("started at a worker that is not listed any more")
+		t.Error("run started at a worker that is no longer listed")
 	}
 }
 
-// TestRunsAtUnlistedSilentWorkerAreDeclaredLost: neither the list nor the worker itself shows that it is alive. By that a
-// new owner, which does not know what a former one has sent, declares its runs lost.
+// TestRunsAtUnlistedSilentWorkerAreDeclaredLost checks that a new owner, which does not know what a previous owner has sent,
+// declares runs lost if the worker is both silent and missing from the platform's list.
 func TestRunsAtUnlistedSilentWorkerAreDeclaredLost(t *testing.T) {
 	for name, listed := range map[string]bool{"listed": true, "unlisted": false} {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +122,7 @@
 					}
 				}
 			}
-			silence(6 * time.Second) // the lease that a former owner may have granted
+			silence(6 * time.Second) // the longest lease that a previous owner may have granted
 			h.wantReports()
 			silence(600 * time.Millisecond)
 			if listed {
@@ -126,15 +131,15 @@
 			}
 			h.wantReports("aa lost")
 			if evidence := h.reports[0].Evidence; evidence != UnlistedAndSilent {
-				t.Errorf("evidence: %v", evidence)
+				t.Errorf("evidence %v, want UnlistedAndSilent", evidence)
 			}
 		})
 	}
 }
 
-// TestRunsAtUnlistedPartitionedWorkerLastUntilTheLeaseExpires: runs go on until the worker's lease expires, also
-// behind a partition. A command without an answer extends the wait only while the worker is listed.
-func TestRunsAtUnlistedPartitionedWorkerLastUntilTheLeaseExpires(t *testing.T) {
+// TestRunsAtUnlistedPartitionedWorkerAreKeptUntilLeaseExpiry checks that runs at a partitioned worker are not
+// declared lost before its lease expires. An unanswered command extends this wait only while the worker is listed.
+func TestRunsAtUnlistedPartitionedWorkerAreKeptUntilLeaseExpiry(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
 	h.place(taskB, 1, true)
 	h.answerStart(Unanswered)
@@ -152,6 +157,6 @@
 	}
 	h.wantReports("aa lost", "bb lost")
 	if least := 6000 * time.Millisecond * 100 / 98; lostAt < least {
-		t.Errorf("declared lost after %v, its first lease may last until %v", lostAt, least)
+		t.Errorf("runs declared lost after %v, but the first lease may last until %v", lostAt, least)
 	}
 }
--- a/scheduling/worker/dispatch.go
+++ b/scheduling/worker/dispatch.go
@@ -6,31 +6,32 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Bounds of dispatch commands.
+// Limits for dispatch commands.
 const (
-	// maxTimesFenced is how often one run's start may be overtaken by a token that is not this owner's own raise. Beyond
-	// it, commands pause for retryPause: another owner is at work, and the control machines will say so.
+	// maxTimesFenced is how many times the start of one run may be refused because of a higher token. Beyond it, unless that
+	// token is this owner's own, commands pause for retryPause: another owner is active, and the control machines will
+	// announce it.
 	maxTimesFenced = 3
-	// stopRetryInterval is after what time a stop is sent again to a run that is still listed.
+	// stopRetryInterval is the time after which a stop is sent again if the run is still listed as running.
 	stopRetryInterval = 600 * time.Millisecond
 )
 
-// Weights, from 0 to 1, of faults that count against the worker where tasks are placed (placement.Scheduler.RecordFault).
+// Weights, from 0 to 1, of faults that count against the worker in the placement of tasks (placement.Scheduler.RecordFault).
 const (
 	unansweredStartFault = 0.2
-	rejectedStartFault   = 0.4 // unhealthy, not reachable, or it refuses what is valid
+	rejectedStartFault   = 0.4 // the worker is unhealthy or unreachable, or refuses a valid command
 	silentWorkerFault    = 0.6
 	stuckRunFault        = 0.6
 )
 
-// recordFault counts a fault of the worker.
+// recordFault adds a fault of the worker to the actions.
 func (o *Owner) recordFault(weight float64) {
 	o.actions.FaultWeights = append(o.actions.FaultWeights, weight)
 }
 
-// act does whatever can be done now. Every event ends with it.
-func (o *Owner) act(now time.Duration) {
-	if o.IncarnationEnded() || now < o.fencedUntil {
+// collectActions adds all actions that the present state allows. Every event handler ends with it.
+func (o *Owner) collectActions(now time.Duration) {
+	if o.IncarnationEnded() || now < o.pausedUntil {
 		return
 	}
 	switch {
@@ -48,9 +49,9 @@
 	}
 }
 
-// advanceRun starts or stops a run where that is due, and adds the reasons for which it needs an answer first.
+// advanceRun starts or stops a run if necessary. If that first needs an answer of the worker, it adds the reason.
 func (o *Owner) advanceRun(now time.Duration, r *run, reasons *pollReasons) {
-	if r.phase == running && o.mustMove(now, r) {
+	if r.phase == running && o.mustRelocate(now, r) {
 		r.Stopping = true
 	}
 	switch {
@@ -58,7 +59,7 @@
 		reasons.reconciliation = true
 	case r.phase == pending && (r.Stopping || o.draining || !o.contact.reachable || o.contact.unlistedAt > 0):
 		o.conclude(r, taskrun.NotStarted, NeverDispatched)
-	case r.phase == pending && o.contact.established && o.fresh(now):
+	case r.phase == pending && o.contact.established && o.hasFreshContact(now):
 		o.start(now, r)
 	case r.phase == pending:
 		reasons.freshness = true
@@ -67,7 +68,7 @@
 	}
 }
 
-// start dispatches a run. The command grants the lease as well.
+// start dispatches a run. The start command also grants the lease.
 func (o *Owner) start(now time.Duration, r *run) {
 	r.phase, r.fencingToken = dispatched, o.fencingToken()
 	o.lease.renewedAt = now
@@ -80,17 +81,17 @@
 	o.actions.Stops = append(o.actions.Stops, StopCommand{r.Task, r.Run, o.fencingToken()})
 }
 
-// HandleStartOutcome takes in the outcome of a start command, and the worker's clock where it answered, in ms, or 0.
+// HandleStartOutcome handles the outcome of a start command. ClockMs is the worker's clock if the worker answered, or 0.
 func (o *Owner) HandleStartOutcome(now time.Duration, task string, number uint64, outcome Outcome, clockMs int64) {
 	o.recordAnswer(now, outcome, clockMs)
 	r := o.runs[task]
 	if r != nil && r.Run == number && r.phase == dispatched {
 		o.applyStartOutcome(now, r, outcome)
-	} else if outcome == Unanswered { // the run is not placed any more, but the command may still start it
-		o.lease.mayExtend(now, o.fencingToken())
+	} else if outcome == Unanswered { // the run is no longer placed, but the command may still start it
+		o.lease.recordUncertainGrant(now, o.fencingToken())
 		o.raiseToken()
 	}
-	o.act(now)
+	o.collectActions(now)
 }
 
 func (o *Owner) applyStartOutcome(now time.Duration, r *run, outcome Outcome) {
@@ -99,14 +100,14 @@
 		o.markRunning(now, r)
 	case Unanswered:
 		r.phase = uncertain
-		o.lease.mayExtend(now, r.fencingToken)
+		o.lease.recordUncertainGrant(now, r.fencingToken)
 		o.raiseToken()
 		o.recordFault(unansweredStartFault)
 	case Fenced:
 		o.handleFencedStart(now, r)
 	case OutdatedRun, ArrivedLate:
 		r.outdated = r.outdated || outcome == OutdatedRun
-		r.phase = uncertain // the lists show whether the run has ended there
+		r.phase = uncertain // the worker's lists show whether the run has ended there
 		o.raiseToken()
 	case NoCapacity:
 		o.conclude(r, taskrun.NotStarted, Rejected)
@@ -117,27 +118,28 @@
 		o.recordFault(rejectedStartFault)
 		o.conclude(r, taskrun.NotStarted, NeverSent)
 	case OtherIncarnation:
-		r.phase = uncertain // the owned incarnation has not taken the command; the next poll shows whether it has ended
+		r.phase = uncertain // the owned incarnation did not get the command; the next poll shows whether it has ended
 		o.raiseToken()
 	}
 }
 
-// handleFencedStart handles a start that a higher token overtook: either a raise of this owner's, or another owner's. In
-// the second case commands pause, until the control machines have said who owns the worker.
+// handleFencedStart handles a start that the worker refused because of a higher token. That token is either a later one of
+// this owner or one of another owner. In the second case, commands pause after maxTimesFenced refusals, until the control
+// machines have announced who owns the worker.
 func (o *Owner) handleFencedStart(now time.Duration, r *run) {
 	r.phase = uncertain
 	if r.timesFenced++; r.fencingToken != o.fencingToken() {
 		return
 	}
 	if r.timesFenced > maxTimesFenced {
-		o.fencedUntil = now + retryPause
+		o.pausedUntil = now + retryPause
 	}
 	o.raiseToken()
 }
 
-// HandleStopOutcome takes in the outcome of a stop command. Whether the run has stopped is shown by the worker's lists
-// alone.
+// HandleStopOutcome handles the outcome of a stop command. The outcome does not show whether the run has stopped; only the
+// worker's lists do.
 func (o *Owner) HandleStopOutcome(now time.Duration, outcome Outcome, clockMs int64) {
 	o.recordAnswer(now, outcome, clockMs)
-	o.act(now)
+	o.collectActions(now)
 }
--- a/scheduling/worker/drain_test.go
+++ b/scheduling/worker/drain_test.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// TestNoRunIsDispatchedOnceTheWorkerDrains guards against DRAIN: a run that was placed before the drain and waits for the
-// worker, for seconds where that is cut off or has left an order without an answer, was dispatched whenever it answered.
-func TestNoRunIsDispatchedOnceTheWorkerDrains(t *testing.T) {
+// TestNoRunIsDispatchedToADrainingWorker guards against a violation of the emulator's rule DRAIN: a run that was placed
+// before the drain was dispatched as soon as the worker answered. The answer could come seconds later, if the worker was
+// unreachable or had left a command unanswered.
+func TestNoRunIsDispatchedToADrainingWorker(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		placed    func(h *harness) // places task a and lets the drain come before it is at work
+		placeRun  func(h *harness) // places a run of task a that does not start before the drain
 		remaining time.Duration
 	}{
-		{"a run that waits for a fresh contact", func(h *harness) {
+		{"run waits for a fresh contact", func(h *harness) {
 			h.tick(time.Second)
 			h.place(taskA, 1, true)
 		}, 4 * time.Second},
-		{"a run that waits for a fresh contact, and nobody knows when the worker leaves", func(h *harness) {
+		{"run waits for a fresh contact, unknown departure time", func(h *harness) {
 			h.tick(time.Second)
 			h.place(taskA, 1, true)
 		}, 0},
-		{"a run whose order has no answer and was not carried out", func(h *harness) {
+		{"start command unanswered and not carried out", func(h *harness) {
 			h.place(taskA, 1, true)
 			h.answerStart(Unanswered)
 			h.tick(500 * time.Millisecond)
 		}, 4 * time.Second},
-		{"a run of a former owner that has not dispatched it", func(h *harness) {
+		{"run placed under a previous owner that did not dispatch it", func(h *harness) {
 			h.place(taskA, 1, false)
 		}, 4 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.establishContact()
-			c.placed(h)
+			c.placeRun(h)
 			h.owner.Drain(h.now, c.remaining)
 			h.takeActions()
 			for range 4 {
@@ -43,20 +44,20 @@
 				h.tick(300 * time.Millisecond)
 			}
 			if len(h.starts) != 0 {
-				t.Error("dispatched to a worker that drains")
+				t.Error("run dispatched to a draining worker")
 			}
 			h.wantReports("aa not-started")
 		})
 	}
 }
 
-// TestRunsAtWorkStayWhereNobodyKnowsWhenTheWorkerLeaves: a drain without a remaining time moves nothing.
-func TestRunsAtWorkStayWhereNobodyKnowsWhenTheWorkerLeaves(t *testing.T) {
+// TestDrainWithoutRemainingTimeStopsNoRun checks that running runs are not stopped if the time of departure is not known.
+func TestDrainWithoutRemainingTimeStopsNoRun(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
 	h.owner.Drain(h.now, 0)
 	h.tick(time.Second)
 	if len(h.stops) != 0 {
-		t.Error("a run was stopped")
+		t.Error("run stopped by a drain without a remaining time")
 	}
 	h.wantReports()
 }
--- a/scheduling/worker/ends.go
+++ b/scheduling/worker/ends.go
@@ -7,26 +7,27 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Bounds of ends and their acknowledgement.
+// Limits for ends of runs and their acknowledgement.
 const (
-	// maxEndsPerAnswer is how many ends a worker lists at most, by the protocol: a full list does not show what it lacks.
+	// maxEndsPerAnswer is the maximum number of ends that a worker lists, by the protocol. A list of this length may be
+	// incomplete.
 	maxEndsPerAnswer = 500
-	// idleAcknowledgeDelay is how long an idle worker waits for the acknowledgement of its last ends, so that one poll
-	// acknowledges several. A busy one is polled anyway.
+	// idleAcknowledgeDelay is how long the acknowledgement of an idle worker's last ends is delayed, so that one poll
+	// acknowledges several. A busy worker is polled anyway.
 	idleAcknowledgeDelay = 800 * time.Millisecond
 )
 
-// endLog follows the ends of runs, which a worker numbers from 1 and lists until they are acknowledged. An end is
-// acknowledged only once the control machines have committed it and all before it: the worker forgets it then.
+// endLog tracks the ends of runs. The worker numbers ends from 1 and lists each one until it is acknowledged. An end is
+// acknowledged only once the control machines have committed it and all earlier ends, because the worker then forgets it.
 type endLog struct {
-	reported     map[uint64]bool // ends above acknowledged by number; true: committed
-	highest      uint64          // the newest end that the worker has listed
-	acknowledged uint64          // the end up to which all are committed
+	reported     map[uint64]bool // by number, the listed ends above acknowledged; true: committed
+	highest      uint64          // number of the newest end that the worker has listed
+	acknowledged uint64          // number of the end up to which all are committed
 	delivered    uint64          // AcknowledgedEnd of the newest poll that was answered
-	committedAt  time.Duration   // when acknowledged last rose by a commit
+	committedAt  time.Duration   // when a commit last raised acknowledged
 }
 
-// record adds a listed end, and reports whether it is new.
+// record adds a listed end and reports whether it is new.
 func (l *endLog) record(number uint64) bool {
 	if number <= l.acknowledged {
 		return false
@@ -36,13 +37,13 @@
 		return false
 	}
 	if len(l.reported) == 0 && l.acknowledged == 0 {
-		l.acknowledged = number - 1 // a former owner had the worker acknowledge what came before
+		l.acknowledged = number - 1 // a previous owner has acknowledged the earlier ends
 	}
 	l.reported[number] = false
 	return true
 }
 
-// advance raises the acknowledged end over all that are committed without a gap, and returns it.
+// advance raises acknowledged over all consecutive committed ends, and returns it.
 func (l *endLog) advance() uint64 {
 	for l.reported[l.acknowledged+1] {
 		l.acknowledged++
@@ -67,16 +68,16 @@
 	if o.ends.acknowledged >= o.ends.highest {
 		o.polls.notBefore = 0
 	}
-	o.act(now)
+	o.collectActions(now)
 }
 
-// owesAcknowledgement reports whether an idle worker is due to learn which of its ends are committed.
-func (o *Owner) owesAcknowledgement(now time.Duration) bool {
+// needsAcknowledgement reports whether a poll must acknowledge committed ends to an idle worker.
+func (o *Owner) needsAcknowledgement(now time.Duration) bool {
 	return o.contact.reachable && o.contact.established && len(o.runs) == 0 && o.ends.acknowledged > o.ends.delivered &&
 		now-o.ends.committedAt >= idleAcknowledgeDelay
 }
 
-// collectEnds reports the ends that are new, and adds the tasks to listed whose placed run is among all of them.
+// collectEnds reports the new ends. For each end, new or not, whose run is the placed one, it adds the task to listed.
 func (o *Owner) collectEnds(ends []EndedRun, listed map[string]bool) {
 	for _, end := range ends {
 		r := o.runs[end.Task]
@@ -93,7 +94,8 @@
 	}
 }
 
-// reportEnd adds an end to the actions. One of a task whose name does not parse counts as committed: nobody has placed it.
+// reportEnd adds the report of an end to the actions. If the task's name does not parse, no dispatcher has placed the
+// task, so the end counts as committed instead.
 func (o *Owner) reportEnd(end EndedRun, evidence Evidence) {
 	id, key, ok := job.ParseTaskName(end.Task)
 	if !ok {
--- a/scheduling/worker/harness_test.go
+++ b/scheduling/worker/harness_test.go
@@ -11,7 +11,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// harness drives one owner against a simulated worker, and records a timeline with a column for each.
+// harness drives one owner against a simulated worker, and records a timeline with one column for the owner and one for the
+// worker.
 type harness struct {
 	t               *testing.T
 	owner           *Owner
@@ -20,7 +21,7 @@
 	starts          []StartCommand
 	stops           []StopCommand
 	polls           []Poll
-	incarnationEnds int // how often the end of the incarnation was reported
+	incarnationEnds int // how many times the end of the incarnation was reported
 	lines           []string
 }
 
@@ -30,7 +31,7 @@
 	return h
 }
 
-// afterStartCommand returns a harness in which the start of task a is in flight.
+// afterStartCommand returns a harness in which a start command for task a is in flight.
 func afterStartCommand(t *testing.T) *harness {
 	h := newHarness(t)
 	h.establishContact()
@@ -38,7 +39,7 @@
 	return h
 }
 
-// afterStartOutcome returns a harness in which the start of task a had that outcome.
+// afterStartOutcome returns a harness in which a start command for task a had the given outcome.
 func afterStartOutcome(t *testing.T, answer Outcome) *harness {
 	h := afterStartCommand(t)
 	h.answerStart(answer)
@@ -53,29 +54,30 @@
 	h.lines = append(h.lines, fmt.Sprintf("%6d ms  %s", h.now.Milliseconds(), text))
 }
 
-// takeActions collects the actions that the owner wants done.
+// takeActions takes the owner's actions and adds them to the timeline.
 func (h *harness) takeActions() {
-	calls := h.owner.TakeActions()
-	for _, poll := range calls.Polls {
-		h.record(0, "poll %d, token %d, renews %v, acknowledges %d", poll.Sequence, poll.FencingToken&0xff, poll.LeaseUntilMs > 0, poll.AcknowledgedEnd)
+	actions := h.owner.TakeActions()
+	for _, poll := range actions.Polls {
+		h.record(0, "poll %d, token %d, renews %v, acknowledges %d", poll.Sequence,
+			poll.FencingToken&0xff, poll.LeaseUntilMs > 0, poll.AcknowledgedEnd)
 	}
-	for _, start := range calls.Starts {
+	for _, start := range actions.Starts {
 		h.record(0, "start %s run %d, token %d", start.Task[14:16], start.Run, start.FencingToken&0xff)
 	}
-	for _, stop := range calls.Stops {
+	for _, stop := range actions.Stops {
 		h.record(0, "stop %s run %d", stop.Task[14:16], stop.Run)
 	}
-	for _, report := range calls.Reports {
+	for _, report := range actions.Reports {
 		h.record(0, "reports %s run %d %v", report.Ended.Job[14:16], report.Ended.Run, report.Ended.Reason)
 	}
-	if calls.IncarnationEnded {
+	if actions.IncarnationEnded {
 		h.incarnationEnds++
 		h.record(0, "its incarnation has ended")
 	}
-	h.polls = append(h.polls, calls.Polls...)
-	h.starts = append(h.starts, calls.Starts...)
-	h.stops = append(h.stops, calls.Stops...)
-	h.reports = append(h.reports, calls.Reports...)
+	h.polls = append(h.polls, actions.Polls...)
+	h.starts = append(h.starts, actions.Starts...)
+	h.stops = append(h.stops, actions.Stops...)
+	h.reports = append(h.reports, actions.Reports...)
 }
 
 func (h *harness) tick(after time.Duration) {
@@ -96,7 +98,7 @@
 	return poll
 }
 
-// answerPoll lets the worker answer the oldest poll with these lists.
+// answerPoll answers the oldest poll with the given lists.
 func (h *harness) answerPoll(lists PollAnswer) Poll {
 	h.t.Helper()
 	poll := h.nextPoll()
@@ -118,7 +120,7 @@
 func (h *harness) nextStart() StartCommand {
 	h.t.Helper()
 	if len(h.starts) == 0 {
-		h.t.Fatal("nothing was started")
+		h.t.Fatal("no start command is in flight")
 	}
 	start := h.starts[0]
 	h.starts = h.starts[1:]
@@ -135,11 +137,12 @@
 }
 
 func (h *harness) place(task string, run uint64, undispatched bool) {
-	h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: task, Run: run, Undispatched: undispatched, EstimateMs: 1000})
+	h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: task, Run: run, Undispatched: undispatched,
+		EstimateMs: 1000})
 	h.takeActions()
 }
 
-// establishContact lets the first poll under the token be answered.
+// establishContact answers the first poll under the owner's token.
 func (h *harness) establishContact() {
 	h.t.Helper()
 	h.answerPoll(PollAnswer{})
--- a/scheduling/worker/owner.go
+++ b/scheduling/worker/owner.go
@@ -1,12 +1,13 @@
-// Package worker is the state machine with which a dispatcher owns a worker: it dispatches the runs that are placed
-// there, renews the worker's lease, collects ends of runs, and reconciles commands that were not answered.
+// Package worker implements the state machine by which a dispatcher owns a worker. It dispatches the runs that are placed at
+// the worker, renews the worker's lease, collects ends of runs, and reconciles unanswered commands.
 //
-// Its invariant: at most one run of a task is at work. A start command without an answer may or may not have been carried
-// out, so the owner neither repeats nor gives up the run until a list that the worker gave under a higher fencing token
-// shows which: from then on the worker refuses whatever is still on its way under a lower one.
+// Invariant: at most one run of a task executes at any time. An unanswered start command may or may not have been carried
+// out, so the owner neither repeats the command nor gives up the run until the worker has listed its runs in answer to a
+// poll with a higher fencing token. That list shows which is the case, and from then on the worker refuses all commands
+// with lower tokens that are still in flight.
 //
-// An Owner has no I/O, clock or randomness. It is handed events with the time, on a steady clock, and collects the actions
-// that its caller takes and carries out. It is not safe for concurrent use.
+// An Owner has no I/O, clock or randomness. Its caller passes it events with the time, on a monotonic clock, and carries out
+// the actions that it collects. An Owner is not safe for concurrent use.
 package worker
 
 import (
@@ -16,33 +17,33 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// tokenRaiseBits is how many low bits of a fencing token count the owner's own raises; the upper ones are the token that
-// the control machines gave with the ownership. Beyond 2^20 raises the token no longer rises: a start command without an
-// answer then stays uncertain until the worker's lease has expired.
+// tokenRaiseBits is the number of low bits of a fencing token that count the owner's own raises. The upper bits are the
+// token that the control machines assigned with the ownership. After 2^20 raises the token no longer rises; an unanswered
+// start command then stays uncertain until the worker's lease has expired.
 const tokenRaiseBits = 20
 
-// Owner owns one worker under one token. A dispatcher creates it when the control machines assign it the worker, and drops
-// it with the ownership.
+// Owner owns one worker under one token. A dispatcher creates an Owner when the control machines assign the worker to the
+// dispatcher, and discards it when the ownership ends.
 type Owner struct {
 	id          string
 	token       uint64
 	tokenRaises uint64
 	runs        map[string]*run // by the task's name
-	checkpoints uint64          // reported under this token
+	checkpoints uint64          // number of checkpoints reported under this token
 
 	lease   lease
 	contact contact
 	polls   polls
 	ends    endLog
 
-	fencedUntil time.Duration // no commands before then: a higher token than this owner's overtook them again and again
+	pausedUntil time.Duration // no commands before this time, because a higher token has fenced them repeatedly
 	draining    bool
-	departureAt time.Duration // the worker drains and leaves then; 0: it does not drain, or nobody knows when
+	departureAt time.Duration // when the draining worker leaves; 0: it does not drain, or the time is not known
 	actions     Actions
 }
 
-// NewOwner returns the owner of a worker under the token that the control machines gave. HoldMaxMs is the longest lease
-// that any owner may grant; a former one may have granted as much.
+// NewOwner returns the owner of a worker under the token that the control machines assigned. HoldMaxMs is the longest lease
+// that any owner may grant; a previous owner may have granted one of this length.
 func NewOwner(now time.Duration, id string, token uint64, holdMaxMs int64) *Owner {
 	return &Owner{
 		id:      id,
@@ -54,24 +55,25 @@
 	}
 }
 
-// Token returns the token under which the worker is owned, as the control machines gave it.
+// Token returns the token that the control machines assigned with the ownership.
 func (o *Owner) Token() uint64 { return o.token }
 
-// fencingToken returns the token that commands carry now.
+// fencingToken returns the current fencing token for commands.
 func (o *Owner) fencingToken() uint64 {
 	return o.token<<tokenRaiseBits | min(o.tokenRaises, 1<<tokenRaiseBits-1)
 }
 
-// raiseToken makes all that is sent from now on overtake what is still on its way.
+// raiseToken raises the fencing token, so that the worker refuses earlier commands still in flight once it has received a
+// later one.
 func (o *Owner) raiseToken() { o.tokenRaises++ }
 
-// SetPlacement adds a run that is to be at work at the worker, or records that it is to stop. A placement that is not
-// marked Undispatched may have been dispatched by a former owner: the first list under this token shows whether it was.
+// SetPlacement adds a run that the worker must execute, or records that the run must stop. If the placement is not marked
+// Undispatched, a previous owner may have dispatched it: the first list under this token shows whether it did.
 func (o *Owner) SetPlacement(now time.Duration, placement taskrun.Placement) {
 	known := o.runs[placement.Task]
 	if known != nil && known.Run == placement.Run {
 		known.Stopping = known.Stopping || placement.Stopping
-		o.act(now)
+		o.collectActions(now)
 		return
 	}
 	if known != nil && known.Run > placement.Run {
@@ -82,18 +84,19 @@
 		added.phase = pending
 	}
 	o.runs[placement.Task] = added
-	o.act(now)
+	o.collectActions(now)
 }
 
-// RemovePlacement records that the control machines know of a run's end.
+// RemovePlacement removes a run whose end the control machines have recorded.
 func (o *Owner) RemovePlacement(now time.Duration, task string, number uint64) {
 	if known := o.runs[task]; known != nil && known.Run == number {
 		delete(o.runs, task)
 	}
-	o.act(now)
+	o.collectActions(now)
 }
 
-// RetainPlacements drops all runs but those named, by task and number of the run: a new snapshot does not have the others.
+// RetainPlacements removes all runs that are not in a new snapshot. Named maps each task in the snapshot to the number of
+// its run.
 func (o *Owner) RetainPlacements(named map[string]uint64) {
 	for task, known := range o.runs {
 		if named[task] != known.Run {
@@ -102,22 +105,22 @@
 	}
 }
 
-// Tick lets time-outs take effect. Its caller calls it every 100 ms or so, and says whether leases may be renewed: a
-// dispatcher that has had no contact with the control machines for long stops renewing, since another owner may count on
-// that.
+// Tick applies timeouts; the caller calls it about every 100 ms. MayRenew says whether leases may be renewed: a
+// dispatcher that has had no contact with the control machines for a long time stops renewing leases, because the next
+// owner may rely on that.
 func (o *Owner) Tick(now time.Duration, mayRenew bool) {
 	o.lease.mayRenew = mayRenew
-	o.act(now)
+	o.collectActions(now)
 }
 
-// TakeActions returns the actions to carry out that have gathered since the last call.
+// TakeActions returns the actions collected since the last call.
 func (o *Owner) TakeActions() Actions {
 	actions := o.actions
 	o.actions = Actions{}
 	return actions
 }
 
-// sortedTasks returns the names of all tasks in order, so that the same events give the same actions.
+// sortedTasks returns the names of all tasks in sorted order, so that the same events always give the same actions.
 func (o *Owner) sortedTasks() []string {
 	tasks := make([]string, 0, len(o.runs))
 	for task := range o.runs {
--- a/scheduling/worker/owner_test.go
+++ b/scheduling/worker/owner_test.go
@@ -19,17 +19,18 @@
 	h.tick(time.Second)
 	h.place(taskA, 1, true)
 	if len(h.starts) != 0 {
-		t.Fatal("started though the worker has not answered for a second")
+		t.Fatal("start sent although the worker has not answered for 1 s")
 	}
 	h.answerPoll(PollAnswer{})
 	if start := h.answerStart(Accepted); start.LeaseUntilMs != h.clockMs()+leaseMs {
-		t.Errorf("lease until %d", start.LeaseUntilMs)
+		t.Errorf("start grants a lease until %d, want leaseMs from now", start.LeaseUntilMs)
 	}
 	h.wantReports()
 	h.golden()
 }
 
-// TestUnansweredStartIsReconciled: the list under a higher token shows that the command never arrived.
+// TestUnansweredStartIsReconciled checks that an unanswered start is repeated under a higher token, once a list under a
+// higher token shows that the command never arrived.
 func TestUnansweredStartIsReconciled(t *testing.T) {
 	h := afterStartCommand(t)
 	first := h.answerStart(Unanswered)
@@ -41,39 +42,39 @@
 	}
 	second := h.nextStart()
 	if second.FencingToken <= first.FencingToken || second.Run != first.Run {
-		t.Errorf("sent again as run %d under %d after %d", second.Run, second.FencingToken, first.FencingToken)
+		t.Errorf("start repeated as run %d with token %d after %d", second.Run, second.FencingToken, first.FencingToken)
 	}
 	h.wantReports()
 	h.golden()
 }
 
-// TestUnansweredStartThatArrived: the same, but the list shows the run.
-func TestUnansweredStartThatArrived(t *testing.T) {
+// TestUnansweredStartThatArrivedIsNotRepeated checks that an unanswered start is not repeated if the worker lists the run.
+func TestUnansweredStartThatArrivedIsNotRepeated(t *testing.T) {
 	h := afterStartOutcome(t, Unanswered)
 	for range 4 {
 		h.answerPoll(PollAnswer{Running: []RunStatus{{Task: taskA, Run: 1}}})
 	}
 	if len(h.starts) != 0 {
-		t.Error("started again")
+		t.Error("start sent again although the run is listed")
 	}
 	h.wantReports()
 }
 
-// TestPollInFlightProvesNothing is a regression test: a poll that was sent before the run was known, and answered behind
-// one that listed it, made the run count as lost.
-func TestPollInFlightProvesNothing(t *testing.T) {
-	h := afterStartCommand(t) // started, and not answered yet
+// TestPollSentBeforeTheStartProvesNoLoss is a regression test: a poll that was sent before the run was known to be running,
+// and whose answer arrived after an answer that listed the run, made the run count as lost.
+func TestPollSentBeforeTheStartProvesNoLoss(t *testing.T) {
+	h := afterStartCommand(t) // the start command is not answered yet
 	h.tick(time.Second)
 	if len(h.polls) < 1 {
 		t.Fatal("no poll is in flight")
 	}
 	h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: taskB, Run: 1, Undispatched: true})
-	h.takeActions() // wants a short poll beside the long one
+	h.takeActions() // requests a short poll in addition to the long one
 	if len(h.polls) < 2 {
-		t.Fatalf("%d polls are in flight", len(h.polls))
+		t.Fatalf("%d polls in flight, want 2", len(h.polls))
 	}
 	h.answerPoll(PollAnswer{Running: []RunStatus{{Task: taskA, Run: 1}}})
-	h.answerPoll(PollAnswer{}) // written by the worker before the start came
+	h.answerPoll(PollAnswer{}) // written by the worker before it received the start command
 	h.wantReports()
 }
 
@@ -84,7 +85,7 @@
 		h.tick(600 * time.Millisecond)
 		for _, poll := range h.polls {
 			if poll.AcknowledgedEnd >= 4 {
-				t.Fatal("acknowledged before the control machines have committed it")
+				t.Fatal("end acknowledged before the control machines have committed it")
 			}
 		}
 	}
@@ -98,26 +99,27 @@
 		acknowledged = max(acknowledged, h.nextPoll().AcknowledgedEnd)
 	}
 	if acknowledged != 4 {
-		t.Errorf("acknowledged up to %d", acknowledged)
+		t.Errorf("ends acknowledged up to %d, want 4", acknowledged)
 	}
 }
 
-// TestTakeoverReconcilesBeforeItStarts: what a former owner may have dispatched is looked for first.
+// TestTakeoverReconcilesBeforeItStarts checks that a new owner waits for the worker's list before it starts runs that a
+// previous owner may have dispatched.
 func TestTakeoverReconcilesBeforeItStarts(t *testing.T) {
 	h := newHarness(t)
 	h.place(taskA, 3, false)
 	h.place(taskB, 1, false)
 	if len(h.starts) != 0 {
-		t.Fatal("started before the first list")
+		t.Fatal("start sent before the first list")
 	}
 	h.answerPoll(PollAnswer{Running: []RunStatus{{Task: taskA, Run: 3}}})
 	if start := h.nextStart(); start.Task != taskB || len(h.starts) != 0 {
-		t.Errorf("started %v", start)
+		t.Errorf("first start %v, want a single start, of task b", start)
 	}
 	h.golden()
 }
 
-// silence leaves all calls unanswered for the span.
+// silence leaves all polls unanswered for the given time.
 func (h *harness) silence(span time.Duration) {
 	h.t.Helper()
 	for end := h.now + span; h.now < end; {
@@ -130,13 +132,14 @@
 
 func TestRunsAtSilentWorkerAreLostOnceTheLeaseHasExpired(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
-	h.silence(5900 * time.Millisecond) // a former owner may have granted 6 s
+	h.silence(5900 * time.Millisecond) // a previous owner may have granted 6 s
 	h.wantReports()
 	h.silence(700 * time.Millisecond)
 	h.wantReports("aa lost")
 }
 
-// TestUnansweredStartExtendsTheLease: an unanswered start may be carried out 12 s later, and its lease counts from then.
+// TestUnansweredStartExtendsTheLease checks that an unanswered start delays the loss of runs: it may be carried out 12 s
+// later, and its lease counts from then on.
 func TestUnansweredStartExtendsTheLease(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
 	h.place(taskB, 1, true)
@@ -156,11 +159,11 @@
 	h.takeActions()
 	h.wantReports("aa not-started")
 	if len(h.starts) != 0 {
-		t.Error("started in spite of that")
+		t.Error("start sent for a run that must stop")
 	}
 }
 
-// TestRefusedConnectionsAreNotRetriedAtOnce: a call that fails at once is not made again at once.
+// TestRefusedConnectionsAreNotRetriedAtOnce checks that a call that fails immediately is retried only after a delay.
 func TestRefusedConnectionsAreNotRetriedAtOnce(t *testing.T) {
 	h := afterStartOutcome(t, Accepted)
 	calls := 0
@@ -172,7 +175,7 @@
 		}
 	}
 	if calls > 20 {
-		t.Errorf("%d calls in a second", calls)
+		t.Errorf("%d calls in 1 s, want at most 20", calls)
 	}
 }
 
@@ -180,18 +183,19 @@
 	h := newHarness(t)
 	h.answerPoll(PollAnswer{Running: []RunStatus{{Task: taskA, Run: 2}}})
 	if len(h.stops) != 1 || h.stops[0].Run != 2 {
-		t.Errorf("stops %v", h.stops)
+		t.Errorf("stops %v, want one, of run 2", h.stops)
 	}
 }
 
-func TestRejectedStartIsNotStarted(t *testing.T) {
-	for answer, want := range map[Outcome]string{NoCapacity: "aa not-started", Unhealthy: "aa not-started", Unreachable: "aa not-started"} {
+func TestRejectedStartIsReportedAsNotStarted(t *testing.T) {
+	for answer, want := range map[Outcome]string{NoCapacity: "aa not-started", Unhealthy: "aa not-started",
+		Unreachable: "aa not-started"} {
 		h := afterStartOutcome(t, answer)
 		h.wantReports(want)
 	}
 }
 
-func TestOutdatedRunIsNotStarted(t *testing.T) {
+func TestOutdatedRunIsReportedAsNotStarted(t *testing.T) {
 	h := afterStartOutcome(t, OutdatedRun)
 	h.tick(time.Second)
 	for range 3 {
@@ -201,7 +205,7 @@
 	}
 	h.wantReports("aa not-started")
 	if len(h.starts) != 0 {
-		t.Error("sent again, though it is outdated there")
+		t.Error("start of an outdated run sent again")
 	}
 }
 
@@ -214,12 +218,12 @@
 		}
 	}
 	if len(h.stops) == 0 {
-		t.Error("a run whose progress stands still goes on")
+		t.Error("run without progress is not stopped")
 	}
 }
 
-// TestFencedCommandsPauseAndResume: an owner whose commands a higher token overtakes again and again pauses, and resumes
-// where it still is the owner.
+// TestFencedCommandsPauseAndResume checks that an owner whose commands are fenced repeatedly pauses, and resumes after the
+// pause if it still is the owner.
 func TestFencedCommandsPauseAndResume(t *testing.T) {
 	h := afterStartCommand(t)
 	answerUntilStart := func() {
@@ -238,7 +242,7 @@
 	}
 	h.tick(retryPause / 2)
 	if len(h.polls)+len(h.starts) != 0 {
-		t.Error("commands during the pause")
+		t.Error("commands sent during the pause")
 	}
 	h.tick(retryPause)
 	answerUntilStart()
@@ -246,14 +250,15 @@
 	h.wantReports()
 }
 
-// TestDrainingWorkerIsEmptied: a run that can't end in time is moved at once, one with checkpoints just before the worker
-// leaves, and one that ends in time is left alone.
-func TestDrainingWorkerIsEmptied(t *testing.T) {
+// TestDrainStopsRunsThatCannotEndInTime checks that a run that cannot end in time is stopped at once, that a run with
+// checkpoints is stopped just before the worker leaves, and that a run that ends in time is not stopped.
+func TestDrainStopsRunsThatCannotEndInTime(t *testing.T) {
 	h := newHarness(t)
 	h.establishContact()
 	const short, long, checkpointed = "00000000000000aa.0.0.0", "00000000000000bb.0.0.0", "00000000000000cc.0.0.0"
 	place := func(task string, estimateMs int64, checkpoints bool) {
-		h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: task, Run: 1, Undispatched: true, EstimateMs: estimateMs, RecordCheckpoints: checkpoints})
+		h.owner.SetPlacement(h.now, taskrun.Placement{Worker: "w1", Task: task, Run: 1, Undispatched: true,
+			EstimateMs: estimateMs, RecordCheckpoints: checkpoints})
 		h.takeActions()
 		for range 3 {
 			if len(h.starts) == 0 {
@@ -275,16 +280,16 @@
 	h.owner.Drain(h.now, 4*time.Second)
 	h.takeActions()
 	if got := stopped(); got != "bb" {
-		t.Fatalf("stopped at once: %q", got)
+		t.Fatalf("stopped at once: %q, want \"bb\"", got)
 	}
 	h.stops = nil
 	h.tick(2 * time.Second)
 	if got := stopped(); strings.Contains(got, "aa") || strings.Contains(got, "cc") {
-		t.Errorf("stopped with time left: %q", got)
+		t.Errorf("stopped with 2 s left: %q, want neither \"aa\" nor \"cc\"", got)
 	}
 	h.stops = nil
 	h.tick(600 * time.Millisecond)
 	if got := stopped(); !strings.Contains(got, "cc") || strings.Contains(got, "aa") {
-		t.Errorf("stopped just before the end: %q", got)
+		t.Errorf("stopped just before departure: %q, want \"cc\" but not \"aa\"", got)
 	}
 }
--- a/scheduling/worker/polls.go
+++ b/scheduling/worker/polls.go
@@ -6,33 +6,34 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Bounds of polls.
+// Parameters of polls.
 const (
 	// longPollMs is how long the worker may delay its answer to a long poll until a run ends.
 	longPollMs = 600
-	// retryPause is the time before the next poll of a worker that is silent, or that has seen a higher token.
+	// retryPause is the delay before the next poll if the worker is silent or has seen a higher token.
 	retryPause = 250 * time.Millisecond
-	// A short poll that fails within brokenConnectionWithin broke with its connection and is repeated at once, on a new
-	// one, up to maxBrokenConnections times in a row. Then the worker counts as unreachable.
-	brokenConnectionWithin = 60 * time.Millisecond
+	// A short poll that fails within brokenConnectionWindow is taken to have failed because its connection broke. It is
+	// repeated immediately on a new connection, up to maxBrokenConnections times in a row; then the worker counts as
+	// unreachable.
+	brokenConnectionWindow = 60 * time.Millisecond
 	maxBrokenConnections   = 2
-	// endCommitWait is how long the next poll waits for the control machines to commit the ends that were listed.
+	// endCommitWait is how long the next poll is delayed so that the control machines can commit the listed ends.
 	endCommitWait = 500 * time.Millisecond
 )
 
-// polls are the polls in flight: a long one that waits for the next end, and beside it a short one where an answer is
-// needed at once.
+// polls tracks the polls in flight: a long poll, which the worker answers at the next end of a run, and in addition a short
+// poll if an answer is needed immediately.
 type polls struct {
-	sequence          uint64 // of the newest poll
-	long              uint64 // sequence of the long poll in flight, or 0
-	short             uint64 // sequence of the short poll in flight, or 0
-	shortAt           time.Duration
-	brokenConnections int           // short polls in a row whose connections broke at once
-	notBefore         time.Duration // no poll is sent before then
+	sequence          uint64        // sequence of the newest poll
+	long              uint64        // sequence of the long poll in flight, or 0
+	short             uint64        // sequence of the short poll in flight, or 0
+	shortAt           time.Duration // when the newest short poll was sent
+	brokenConnections int           // consecutive short polls whose connections broke immediately
+	notBefore         time.Duration // no poll is sent before this time
 }
 
-// answered removes a poll from those in flight.
-func (p *polls) answered(sequence uint64) {
+// removeInFlight removes a poll from the polls in flight.
+func (p *polls) removeInFlight(sequence uint64) {
 	if p.long == sequence {
 		p.long = 0
 	}
@@ -41,18 +42,19 @@
 	}
 }
 
-// pollReasons is why an answer is needed at once.
+// pollReasons are the reasons for which an answer is needed immediately.
 type pollReasons struct {
-	reconciliation bool // a command has no answer, or no list was given under this token yet
-	freshness      bool // a start command waits for a fresh contact
+	reconciliation bool // a command is unanswered, or the worker has not answered a poll under this token yet
+	freshness      bool // a start command waits for hasFreshContact
 }
 
-// poll sends the polls that are due. Leases are renewed only right behind an answer, as start commands are sent.
+// poll sends the necessary polls. Like start commands, lease renewals are sent only shortly after an answer.
 func (o *Owner) poll(now time.Duration, reasons pollReasons) {
 	idle := len(o.runs) == 0
-	renew := !idle && o.lease.mayRenew && o.contact.established && o.fresh(now) && now-o.lease.renewedAt >= leaseRenewInterval
+	renew := !idle && o.lease.mayRenew && o.contact.established && o.hasFreshContact(now) &&
+		now-o.lease.renewedAt >= leaseRenewInterval
 	if o.polls.short == 0 && (reasons.reconciliation || reasons.freshness || renew || o.contact.suspect ||
-		o.owesAcknowledgement(now) || !o.contact.reachable && !idle) {
+		o.needsAcknowledgement(now) || !o.contact.reachable && !idle) {
 		o.polls.short, o.polls.shortAt = o.sendPoll(now, 0, renew), now
 	}
 	if o.polls.long == 0 && o.contact.reachable && !o.contact.suspect && !reasons.reconciliation && !idle {
@@ -69,15 +71,15 @@
 		poll.LeaseUntilMs, o.lease.renewedAt = o.lease.grant(now), now
 	}
 	if o.ends.highest > acknowledged {
-		poll.WaitMs = 0 // the worker would list again at once the ends that are not committed yet
+		poll.WaitMs = 0 // the worker would immediately list the uncommitted ends again
 	}
 	o.actions.Polls = append(o.actions.Polls, poll)
 	return o.polls.sequence
 }
 
-// HandlePollOutcome takes in the outcome of a poll and, where it was accepted, the worker's lists.
+// HandlePollOutcome handles the outcome of a poll and, if it was accepted, the worker's lists.
 func (o *Owner) HandlePollOutcome(now time.Duration, poll Poll, outcome Outcome, answer PollAnswer) {
-	o.polls.answered(poll.Sequence)
+	o.polls.removeInFlight(poll.Sequence)
 	o.recordAnswer(now, outcome, answer.ClockMs)
 	switch outcome {
 	case Accepted:
@@ -96,36 +98,37 @@
 	default:
 		o.handlePollFailure(now, poll, outcome)
 	}
-	o.act(now)
+	o.collectActions(now)
 }
 
 func (o *Owner) handlePollFailure(now time.Duration, poll Poll, outcome Outcome) {
 	if outcome == Unanswered && poll.LeaseUntilMs > 0 {
-		o.lease.mayExtend(now, poll.FencingToken)
+		o.lease.recordUncertainGrant(now, poll.FencingToken)
 		o.raiseToken()
 	}
 	switch {
 	case poll.WaitMs > 0:
 		o.contact.suspect = true
-	case outcome == Unanswered && now-o.polls.shortAt < brokenConnectionWithin && o.polls.brokenConnections < maxBrokenConnections:
+	case outcome == Unanswered && now-o.polls.shortAt < brokenConnectionWindow &&
+		o.polls.brokenConnections < maxBrokenConnections:
 		o.polls.brokenConnections++
 	case now-o.contact.answeredAt > contactFreshness:
 		o.contact.reachable = false
 		o.polls.notBefore = now + retryPause
 		o.recordFault(silentWorkerFault)
-	default: // another answer has just come
+	default: // the worker has just answered another call
 		o.polls.notBefore = now + contactFreshness
 	}
 }
 
-// reconcile compares what is placed with what the worker lists. The list proves something of a run only where the worker
-// cannot have changed its mind since: it is under a higher token than the run's start command, or the run was at work
-// before the poll was sent.
+// reconcile compares the placed runs with the worker's lists. A list shows that a run does not execute only if the worker
+// cannot have started the run after it wrote the list: either the poll had a higher token than the run's start command, or
+// the run was known to be running before the poll was sent.
 func (o *Owner) reconcile(now time.Duration, poll Poll, answer *PollAnswer) {
 	if !o.contact.established {
 		o.contact.established = true
-		// A former owner may have granted a lease of the greatest length until now.
-		o.lease.longestUntilMs = max(o.lease.longestUntilMs, answer.ClockMs+o.lease.maxMs)
+		// A previous owner may have granted a lease of the maximum duration just before this answer.
+		o.lease.latestEndMs = max(o.lease.latestEndMs, answer.ClockMs+o.lease.maxMs)
 	}
 	o.lease.fenceLateCommands(poll.FencingToken)
 	listed := map[string]bool{}
@@ -134,8 +137,9 @@
 	o.resolveUnlisted(poll, listed, len(answer.Ended) < maxEndsPerAnswer)
 }
 
-// matchRunning takes in the worker's list of running tasks, and adds the tasks to listed whose placed run is on it. Runs
-// that are not placed any more are stopped; one that is newer than the placement is left to the placement that follows.
+// matchRunning processes the worker's list of running tasks, and adds each task whose placed run is on the list to
+// listed. It stops runs that are no longer placed. It leaves a run that is newer than the placement alone, because the
+// placement of that run will follow.
 func (o *Owner) matchRunning(now time.Duration, statuses []RunStatus, listed map[string]bool) {
 	for _, status := range statuses {
 		r := o.runs[status.Task]
@@ -150,8 +154,8 @@
 	}
 }
 
-// resolveUnlisted decides what became of the runs that the worker has not listed, where the list proves it. A list that
-// has all ends proves that a run which was at work has been lost.
+// resolveUnlisted decides the state of the runs that are missing from the worker's lists, as far as the lists prove it. If a
+// run that was running is missing and the list of ends is complete, the run is lost.
 func (o *Owner) resolveUnlisted(poll Poll, listed map[string]bool, hasAllEnds bool) {
 	for _, task := range o.sortedTasks() {
 		r := o.runs[task]
@@ -163,7 +167,7 @@
 		case overtaken && r.outdated:
 			o.conclude(r, taskrun.NotStarted, NeverDispatched)
 		case overtaken:
-			r.phase = pending // the command will never be carried out: it is safe to dispatch the run again
+			r.phase = pending // the command will never be carried out, so it is safe to dispatch the run again
 		case r.phase == running && poll.Sequence >= r.visibleFrom && hasAllEnds:
 			o.conclude(r, taskrun.Lost, MissingFromAnswer)
 		}
