--- a/internal/dispatcher/clients.go
+++ b/internal/dispatcher/clients.go
@@ -17,19 +17,19 @@
 
 // Bounds of clients' calls.
 const (
-	// deadlineHeader carries for how many ms the client still waits.
+	// deadlineHeader has the remaining time in ms for which the client waits for the answer.
 	deadlineHeader = "Yardflow-Deadline-Remaining"
-	// defaultTimeout is how long a client waits where neither the route nor the call says so.
+	// defaultTimeout is how long a client is assumed to wait if neither the route nor the call specifies it.
 	defaultTimeout = 3 * time.Second
-	// answerMargin is how long before the client's deadline the answer goes out.
+	// answerMargin is how long before the client's deadline the answer is sent.
 	answerMargin = 150 * time.Millisecond
-	// retryAfterS goes with each 503, in seconds.
+	// retryAfterS is the Retry-After header of each 503, in seconds.
 	retryAfterS = "1"
-	// defaultMaxBodyBytes is the bound on a job's body where the configuration has none.
+	// defaultMaxBodyBytes is the limit on the size of a job's body if the configuration has none.
 	defaultMaxBodyBytes = 1 << 20
 )
 
-// Texts of answers, which are the protocol's bodies.
+// Bodies of error answers, which are part of the client protocol.
 const (
 	controlUnreachableText = "the control machines are out of reach"
 	noOutcomeText          = "no outcome yet; send the same again"
@@ -37,7 +37,8 @@
 	noSuchJobText          = "no such job"
 )
 
-// ServeHTTP serves clients: a route of the configuration is a queue, below which each job has a path by its ID.
+// ServeHTTP serves clients. Each route of the configuration is a queue; the path of a job is the route's prefix and the
+// job's ID.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	config := d.config.parsed.Load()
 	if config == nil {
@@ -70,25 +71,25 @@
 	}
 }
 
-// serviceUnavailable answers that nothing was kept and nothing will be, and when to come back.
-func serviceUnavailable(w http.ResponseWriter, why string) {
+// serviceUnavailable answers that the call had no effect and will have none, and when to retry.
+func serviceUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfterS)
-	http.Error(w, why, http.StatusServiceUnavailable)
+	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// answerTimeout returns how long the answer to a call may take.
+// answerTimeout returns how long a call may wait for its outcome before it has to be answered.
 func answerTimeout(r *http.Request, route *configuration.Route) time.Duration {
 	timeout := defaultTimeout
 	if route.TimeoutMs > 0 {
 		timeout = time.Duration(route.TimeoutMs) * time.Millisecond
 	}
-	if left, err := strconv.ParseInt(r.Header.Get(deadlineHeader), 10, 64); err == nil && left > 0 {
-		timeout = min(timeout, time.Duration(left)*time.Millisecond)
+	if remainingMs, err := strconv.ParseInt(r.Header.Get(deadlineHeader), 10, 64); err == nil && remainingMs > 0 {
+		timeout = min(timeout, time.Duration(remainingMs)*time.Millisecond)
 	}
 	return max(timeout-answerMargin, answerMargin)
 }
 
-// serveSubmit accepts a job. The answer is 200 only once the job is committed.
+// serveSubmit accepts a job. It answers 200 only after the job is committed.
 func (d *Dispatcher) serveSubmit(w http.ResponseWriter, r *http.Request, config *configuration.Configuration,
 	route *configuration.Route, id string) {
 	request, ok := readJob(w, r, config)
@@ -98,18 +99,18 @@
 	receivedAt := d.now()
 	submitted := job.Job{ID: id, Route: route.Key(), Service: route.Service, Priority: route.Priority,
 		MaxAttempts: route.MaxAttempts, Stretch: route.Stretch, TargetLatencyMs: route.TargetLatencyMs, Request: request}
-	result, outcome := d.executeThen(r, answerTimeout(r, route), func() *statemachine.Command {
+	result, outcome := d.executeWithCallback(r, answerTimeout(r, route), func() *statemachine.Command {
 		submitted.Owner = d.uplink.session
 		d.addProvisionalJob(d.now(), submitted)
 		return &statemachine.Command{SubmitJob: &statemachine.SubmitJob{Job: submitted}}
 	}, func() { d.dropProvisionalJob(id) })
-	d.logger.Debug().Str("job", id).Int("priority", route.Priority).Int64("work", request.EstimatedWork()).Int("times", request.Repeat).
-		Bool("lasting", request.Steps[0].LongRunning).Float64("stretch", route.Stretch).Int64("target", route.TargetLatencyMs).
-		Stringer("outcome", outcome).Dur("took", d.now()-receivedAt).Msg("submit")
+	d.logger.Debug().Str("job", id).Int("priority", route.Priority).Int64("work", request.EstimatedWork()).
+		Int("times", request.Repeat).Bool("lasting", request.Steps[0].LongRunning).Float64("stretch", route.Stretch).
+		Int64("target", route.TargetLatencyMs).Stringer("outcome", outcome).Dur("took", d.now()-receivedAt).Msg("submit")
 	switch {
-	case outcome == notSent:
+	case outcome == outcomeNotSent:
 		serviceUnavailable(w, controlUnreachableText)
-	case outcome == unknown:
+	case outcome == outcomeUnknown:
 		http.Error(w, noOutcomeText, http.StatusGatewayTimeout)
 	case result.Code != statemachine.OK:
 		http.Error(w, invalidJobText, http.StatusBadRequest)
@@ -118,7 +119,7 @@
 	}
 }
 
-// readJob reads the job from a call's body. Where there is no valid one, it answers the call and reports false.
+// readJob reads a job from the body of a call. If the body is not a valid job, it answers the call and reports false.
 func readJob(w http.ResponseWriter, r *http.Request, config *configuration.Configuration) (request job.Request, ok bool) {
 	limit := int64(defaultMaxBodyBytes)
 	if config.Limits.MaxBodyBytes > 0 {
@@ -141,7 +142,8 @@
 	return request, true
 }
 
-// serveState answers from what this dispatcher owns and knows to be current, else by a read from the control machines.
+// serveState answers with the state of a job: from this dispatcher's memory if that is known to be current, otherwise by a
+// read from the control machines.
 func (d *Dispatcher) serveState(w http.ResponseWriter, r *http.Request, route *configuration.Route, id string) {
 	if state, known := d.localState(id); known {
 		writeState(w, state)
@@ -151,7 +153,7 @@
 		return &statemachine.Command{ReadJob: &statemachine.ReadJob{Job: id}}
 	})
 	switch {
-	case outcome != answered:
+	case outcome != outcomeAnswered:
 		serviceUnavailable(w, controlUnreachableText)
 	case result.Code == statemachine.NotFound:
 		http.Error(w, noSuchJobText, http.StatusGone)
@@ -161,7 +163,8 @@
 	}
 }
 
-// localState returns a job's state where no control machine has to be asked.
+// localState returns a job's state if no read from the control machines is needed: this dispatcher owns the committed job
+// and has an open session, or it remembers the job's terminal state.
 func (d *Dispatcher) localState(id string) (state job.State, known bool) {
 	answer := make(chan job.State, 1)
 	d.post(func() {
@@ -175,7 +178,7 @@
 	})
 	select {
 	case state, known = <-answer:
-	case <-d.loopEnded: // the function may wait in the loop's buffer for ever
+	case <-d.loopEnded: // the posted function may never run
 	}
 	return state, known
 }
@@ -190,9 +193,9 @@
 		return &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: id}}
 	})
 	switch {
-	case outcome == notSent:
+	case outcome == outcomeNotSent:
 		serviceUnavailable(w, controlUnreachableText)
-	case outcome == unknown:
+	case outcome == outcomeUnknown:
 		http.Error(w, noOutcomeText, http.StatusGatewayTimeout)
 	case result.Code == statemachine.NotFound:
 		http.Error(w, noSuchJobText, http.StatusGone)
@@ -201,12 +204,12 @@
 	}
 }
 
-// serveQueue answers how many jobs of a queue are pending.
+// serveQueue answers with the number of pending jobs of a queue.
 func (d *Dispatcher) serveQueue(w http.ResponseWriter, r *http.Request, route *configuration.Route) {
 	result, outcome := d.execute(r, answerTimeout(r, route), func() *statemachine.Command {
 		return &statemachine.Command{ReadQueue: &statemachine.ReadQueue{Route: route.Key()}}
 	})
-	if outcome != answered {
+	if outcome != outcomeAnswered {
 		serviceUnavailable(w, controlUnreachableText)
 		return
 	}
@@ -214,14 +217,14 @@
 	io.WriteString(w, `{"Pending":`+strconv.Itoa(result.Count)+`}`)
 }
 
-// maxTerminalStates bounds the memory of terminal states; where it is full, it is emptied.
+// maxTerminalStates is the maximum number of remembered terminal states. When it is reached, all of them are dropped.
 const maxTerminalStates = 4096
 
-// terminalStates remembers the states, by the jobs' IDs, of jobs that had ended when they were read. They never change, so
-// that clients that ask often cost little.
+// terminalStates caches the states of ended jobs, by job ID. A terminal state never changes, so repeated requests of clients
+// are answered without a read from the control machines.
 type terminalStates map[string]job.State
 
-// remember keeps a job's state if it is terminal.
+// remember stores a job's state if it is terminal.
 func (t terminalStates) remember(id string, state job.State) {
 	if !state.Terminal() {
 		return
--- a/internal/dispatcher/clients_test.go
+++ b/internal/dispatcher/clients_test.go
@@ -9,11 +9,12 @@
 	"yardflow/internal/control/statemachine"
 )
 
-func serve(d *Dispatcher, method, path, body string) *httptest.ResponseRecorder {
+// serveRequest makes a client's request to the dispatcher and returns the answer.
+func serveRequest(d *Dispatcher, method, path, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader(body))
-	answer := httptest.NewRecorder()
-	d.ServeHTTP(answer, request)
-	return answer
+	recorder := httptest.NewRecorder()
+	d.ServeHTTP(recorder, request)
+	return recorder
 }
 
 const validJob = `{"Spec":"x","Steps":[{"Count":1,"Cpu":1}]}`
@@ -26,22 +27,24 @@
 		status                   int
 		retryAfter               bool
 	}{
-		{"a job that was never sent", "POST", id, validJob, http.StatusServiceUnavailable, true},
-		{"a state", "GET", id, "", http.StatusServiceUnavailable, true},
-		{"a cancel that was never sent", "DELETE", id, "", http.StatusServiceUnavailable, true},
-		{"a count", "GET", "/q/", "", http.StatusServiceUnavailable, true},
-		{"no such queue", "POST", "/other/0123456789abcdef", validJob, http.StatusNotFound, false},
-		{"no ID", "POST", "/q/xyz", validJob, http.StatusNotFound, false},
-		{"no job", "POST", id, `{"Steps":[]}`, http.StatusBadRequest, false},
-		{"a step that depends on a later one", "POST", id, `{"Steps":[{"Count":1,"DependsOn":[1]},{"Count":1}]}`, http.StatusBadRequest, false},
-		{"a body that is too large", "POST", id, `{"Spec":"` + strings.Repeat("x", 3000) + `"}`, http.StatusRequestEntityTooLarge, false},
-		{"another method", "PATCH", id, "", http.StatusMethodNotAllowed, false},
+		{"submit without a connection", "POST", id, validJob, http.StatusServiceUnavailable, true},
+		{"state of a job that is not known here", "GET", id, "", http.StatusServiceUnavailable, true},
+		{"cancel without a connection", "DELETE", id, "", http.StatusServiceUnavailable, true},
+		{"pending count of a queue", "GET", "/q/", "", http.StatusServiceUnavailable, true},
+		{"path of no queue", "POST", "/other/0123456789abcdef", validJob, http.StatusNotFound, false},
+		{"invalid job ID", "POST", "/q/xyz", validJob, http.StatusNotFound, false},
+		{"job without steps", "POST", id, `{"Steps":[]}`, http.StatusBadRequest, false},
+		{"step that depends on a later step", "POST", id, `{"Steps":[{"Count":1,"DependsOn":[1]},{"Count":1}]}`,
+			http.StatusBadRequest, false},
+		{"body that is too large", "POST", id, `{"Spec":"` + strings.Repeat("x", 3000) + `"}`,
+			http.StatusRequestEntityTooLarge, false},
+		{"unsupported method", "PATCH", id, "", http.StatusMethodNotAllowed, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			answer := serve(d, c.method, c.path, c.body)
-			if answer.Code != c.status || (answer.Header().Get("Retry-After") != "") != c.retryAfter {
-				t.Errorf("answered %d, Retry-After %q", answer.Code, answer.Header().Get("Retry-After"))
+			recorder := serveRequest(d, c.method, c.path, c.body)
+			if recorder.Code != c.status || (recorder.Header().Get("Retry-After") != "") != c.retryAfter {
+				t.Errorf("got status %d, Retry-After %q", recorder.Code, recorder.Header().Get("Retry-After"))
 			}
 		})
 	}
@@ -49,34 +52,34 @@
 
 func TestNotReadyWithoutConfiguration(t *testing.T) {
 	d := runDisconnected(t, false)
-	if answer := serve(d, "POST", "/q/0123456789abcdef", validJob); answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d", answer.Code)
+	if recorder := serveRequest(d, "POST", "/q/0123456789abcdef", validJob); recorder.Code != http.StatusServiceUnavailable {
+		t.Errorf("got status %d for a submit without a configuration", recorder.Code)
 	}
-	ready := httptest.NewRecorder()
-	d.ServeReadiness(ready, nil)
-	if ready.Code != http.StatusServiceUnavailable {
-		t.Error("ready without a configuration")
+	readinessRecorder := httptest.NewRecorder()
+	d.ServeReadiness(readinessRecorder, nil)
+	if readinessRecorder.Code != http.StatusServiceUnavailable {
+		t.Error("the dispatcher reports that it is ready without a configuration")
 	}
 }
 
-// A request for a state that meets the end of the event loop is answered: its function may wait in the loop's buffer when
-// the loop ends.
-func TestStateRequestEndsWithTheLoop(t *testing.T) {
-	d := newStopped()
+// TestStateRequestIsAnsweredWhenTheLoopEnds: the function that a request for a job's state has posted may still be in the
+// buffer of the event loop when the loop ends, and then never runs. The request has to be answered nevertheless.
+func TestStateRequestIsAnsweredWhenTheLoopEnds(t *testing.T) {
+	d := newDispatcherWithoutLoop()
 	d.receiveConfig(&statemachine.ConfigUpdate{Version: 3, Body: []byte(testConfiguration)})
 	d.applyConfig()
 	go func() {
-		time.Sleep(20 * time.Millisecond) // the request's function waits in the buffer by then
+		time.Sleep(20 * time.Millisecond) // by then the request's function is in the buffer
 		close(d.loopEnded)
 	}()
-	answered := make(chan int, 1)
-	go func() { answered <- serve(d, "GET", "/q/0123456789abcdef", "").Code }()
+	statuses := make(chan int, 1)
+	go func() { statuses <- serveRequest(d, "GET", "/q/0123456789abcdef", "").Code }()
 	select {
-	case code := <-answered:
-		if code != http.StatusServiceUnavailable {
-			t.Errorf("answered %d", code)
+	case status := <-statuses:
+		if status != http.StatusServiceUnavailable {
+			t.Errorf("got status %d", status)
 		}
-	case <-time.After(2 * time.Second): // the client would wait for 3 s
-		t.Error("not answered though the loop has ended")
+	case <-time.After(2 * time.Second): // the request would time out after 3 s
+		t.Error("the request is not answered after the loop has ended")
 	}
 }
--- a/internal/dispatcher/commands.go
+++ b/internal/dispatcher/commands.go
@@ -5,22 +5,23 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// pendingCommand is a command without an outcome. It is sent again on each new connection.
+// pendingCommand is a command without an outcome. It is resent on each new connection.
 type pendingCommand struct {
 	command *statemachine.Command
 	done    func(statemachine.Result)
 }
 
-// commandQueue holds the commands that have no outcome, by the tags under which they are sent. Tags rise from 1; they are
-// the commands' sequence numbers in their session too, by which the replicated state tells a late copy from a new one.
+// commandQueue holds the commands without an outcome, by the tags under which they are sent. Tags increase from 1. A tag is
+// also the command's sequence number in its session, by which the replicated state distinguishes late copies from new
+// commands.
 type commandQueue struct {
 	lastTag  uint64
 	pending  map[uint64]*pendingCommand
-	order    []uint64 // tags of pending, rising; some may have left pending
-	outgoing []uint64 // tags of those to be sent with the next flush
+	order    []uint64 // tags in increasing order; some may no longer be in pending
+	outgoing []uint64 // tags of the commands to be sent with the next flush
 }
 
-// add appends a command and returns its tag.
+// add appends a command to the pending and the outgoing commands and returns its tag.
 func (q *commandQueue) add(command *statemachine.Command, done func(statemachine.Result)) uint64 {
 	q.lastTag++
 	q.pending[q.lastTag] = &pendingCommand{command, done}
@@ -29,7 +30,7 @@
 	return q.lastTag
 }
 
-// resendAll makes all pending commands outgoing, in their order.
+// resendAll makes all pending commands outgoing again, in the order of their tags.
 func (q *commandQueue) resendAll() {
 	q.outgoing = nil
 	order := q.order[:0]
@@ -42,7 +43,7 @@
 	q.order = order
 }
 
-// acknowledgedThrough returns the tag up to which no command waits for its outcome.
+// acknowledgedThrough returns the highest tag up to which no command is pending.
 func (q *commandQueue) acknowledgedThrough() uint64 {
 	for len(q.order) > 0 && q.pending[q.order[0]] == nil {
 		q.order = q.order[1:]
@@ -53,16 +54,17 @@
 	return q.order[0] - 1
 }
 
-// takeOutgoing encodes the outgoing commands under a session. A read carries no fence: it changes nothing.
+// takeOutgoing encodes the outgoing commands for a session and clears the list. The session, the sequence number and
+// AcknowledgedThrough fence a command against late copies; reads change nothing and carry none of them.
 func (q *commandQueue) takeOutgoing(session statemachine.SessionID) []protocol.TaggedCommand {
 	var encoded []protocol.TaggedCommand
 	through := q.acknowledgedThrough()
 	for _, tag := range q.outgoing {
-		waiting := q.pending[tag]
-		if waiting == nil {
+		pending := q.pending[tag]
+		if pending == nil {
 			continue
 		}
-		command := waiting.command
+		command := pending.command
 		if !command.IsRead() {
 			command.Session, command.Sequence, command.AcknowledgedThrough = session, tag, through
 		}
--- a/internal/dispatcher/configuration.go
+++ b/internal/dispatcher/configuration.go
@@ -7,16 +7,16 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// configInForce is the configuration that clients' calls go by. Its version never goes back.
+// configInForce is the configuration that applies to clients' calls. Its version never decreases.
 type configInForce struct {
 	parsed atomic.Pointer[configuration.Configuration]
 
-	// The newest one received, of which parsed is a former version until the next flush. They belong to the event loop.
+	// The newest configuration received, which the next flush parses. These fields belong to the event loop.
 	body        []byte
-	bodyVersion int64 // 0: none, or the one received could not be used
+	bodyVersion int64 // 0 if there is none, or if the received configuration could not be used
 }
 
-// version returns the version in force, 0 before there is one.
+// version returns the version in force, or 0 if no configuration is in force yet.
 func (c *configInForce) version() int64 {
 	if current := c.parsed.Load(); current != nil {
 		return current.Version
@@ -24,21 +24,22 @@
 	return 0
 }
 
-// forgetBody makes the next session request ask for the whole configuration.
+// forgetBody drops the received configuration, so that the next session request asks for the whole configuration.
 func (c *configInForce) forgetBody() { c.body, c.bodyVersion = nil, 0 }
 
-// receiveConfig takes in a new configuration, whole or as a patch of the one before. The next flush parses it, so that of
-// several that come at once only the newest is parsed.
+// receiveConfig stores a new configuration, which is sent whole or as a patch to the previous version. Parsing is left to
+// the next flush, so that only the newest of several queued configurations is parsed.
 func (d *Dispatcher) receiveConfig(update *statemachine.ConfigUpdate) {
 	if update.Version <= d.config.bodyVersion {
 		return
 	}
 	body := update.Body
 	if update.Patch != nil {
-		patched, fits := update.Patch.Apply(d.config.body)
-		if update.BaseVersion != d.config.bodyVersion || !fits {
-			d.logger.Warn().Int64("version", update.Version).Int64("base", update.BaseVersion).Int64("here", d.config.bodyVersion).
-				Msg("configuration patch has another base; requesting the whole configuration")
+		patched, applies := update.Patch.Apply(d.config.body)
+		if update.BaseVersion != d.config.bodyVersion || !applies {
+			d.logger.Warn().Int64("version", update.Version).Int64("base", update.BaseVersion).
+				Int64("here", d.config.bodyVersion).
+				Msg("configuration patch does not apply to the version here; requesting the whole configuration")
 			d.config.forgetBody()
 			d.uplink.reconnect()
 			return
@@ -48,14 +49,15 @@
 	d.config.body, d.config.bodyVersion = body, update.Version
 }
 
-// applyConfig puts the newest configuration received in force.
+// applyConfig parses the newest received configuration and puts it in force.
 func (d *Dispatcher) applyConfig() {
 	if d.config.bodyVersion <= d.config.version() {
 		return
 	}
-	parsed, fault := configuration.Parse(d.config.body)
-	if fault != nil {
-		d.logger.Error().Str("fault", fault.Error()).Msg("a configuration in force cannot be parsed")
+	parsed, invalid := configuration.Parse(d.config.body)
+	if invalid != nil {
+		d.logger.Error().Str("fault", invalid.Error()).
+			Msg("received configuration cannot be parsed and is ignored")
 		d.config.forgetBody()
 		return
 	}
--- a/internal/dispatcher/configuration_test.go
+++ b/internal/dispatcher/configuration_test.go
@@ -9,21 +9,23 @@
 	"yardflow/internal/control/statemachine"
 )
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	d := runDisconnected(t, true)
 	done := make(chan struct{})
 	d.post(func() {
-		d.receiveConfig(&statemachine.ConfigUpdate{Version: 2, Body: []byte(strings.Replace(testConfiguration, `"Version":3`, `"Version":2`, 1))})
+		d.receiveConfig(&statemachine.ConfigUpdate{Version: 2,
+			Body: []byte(strings.Replace(testConfiguration, `"Version":3`, `"Version":2`, 1))})
 		d.applyConfig()
 		close(done)
 	})
 	<-done
 	if version := d.config.parsed.Load().Version; version != 3 {
-		t.Errorf("went back to version %d", version)
+		t.Errorf("version %d is in force, want 3", version)
 	}
 }
 
-func configurationOf(version int64, routes int) []byte {
+// configurationWithRoutes returns the body of a configuration of the given version with that many routes.
+func configurationWithRoutes(version int64, routes int) []byte {
 	text := fmt.Appendf(nil, `{"Version":%d,"Services":[{"Name":"s"}],"Routes":[`, version)
 	for i := range routes {
 		if i > 0 {
@@ -34,47 +36,51 @@
 	return append(text, "]}"...)
 }
 
-// changeOf returns the update that patches one configuration to another.
-func changeOf(from, to int64, routesBefore, routes int) *statemachine.ConfigUpdate {
-	patched := patch.Diff(configurationOf(from, routesBefore), configurationOf(to, routes))
+// configurationPatch returns the update that patches one version of the configuration to another version. RoutesBefore and
+// routes are their numbers of routes.
+func configurationPatch(from, to int64, routesBefore, routes int) *statemachine.ConfigUpdate {
+	patched := patch.Diff(configurationWithRoutes(from, routesBefore), configurationWithRoutes(to, routes))
 	return &statemachine.ConfigUpdate{Version: to, BaseVersion: from, Patch: &patched}
 }
 
-// TestOnlyTheNewestOfManyConfigurationsIsParsed keeps that a dispatcher that is behind parses the newest alone.
+// TestOnlyTheNewestOfManyConfigurationsIsParsed checks that a dispatcher that has many new versions to apply parses only the
+// newest one.
 func TestOnlyTheNewestOfManyConfigurationsIsParsed(t *testing.T) {
-	d := newStopped()
-	d.receiveConfig(&statemachine.ConfigUpdate{Version: 1, Body: configurationOf(1, 3)})
+	d := newDispatcherWithoutLoop()
+	d.receiveConfig(&statemachine.ConfigUpdate{Version: 1, Body: configurationWithRoutes(1, 3)})
 	for version := int64(1); version < 50; version++ {
-		d.receiveConfig(changeOf(version, version+1, int(version)+2, int(version)+3))
+		d.receiveConfig(configurationPatch(version, version+1, int(version)+2, int(version)+3))
 	}
 	if d.config.version() != 0 {
-		t.Error("a configuration is parsed before the flush")
+		t.Error("a configuration is in force before the flush")
 	}
 	d.applyConfig()
 	if d.config.version() != 50 || len(d.config.parsed.Load().Routes) != 52 {
-		t.Errorf("version %d with %d routes", d.config.version(), len(d.config.parsed.Load().Routes))
+		t.Errorf("version %d with %d routes is in force", d.config.version(), len(d.config.parsed.Load().Routes))
 	}
-	d.receiveConfig(changeOf(49, 50, 51, 52)) // a late copy
+	d.receiveConfig(configurationPatch(49, 50, 51, 52)) // a delayed duplicate
 	d.applyConfig()
 	if d.config.version() != 50 {
-		t.Errorf("went back to %d", d.config.version())
+		t.Errorf("version %d is in force after a delayed duplicate", d.config.version())
 	}
 }
 
-// TestPatchOfAnotherBaseRequestsTheWholeConfiguration keeps that a patch of another base is not put in force, and that
-// the dispatcher then says that it has no configuration, so that it is sent the whole.
+// TestPatchOfAnotherBaseRequestsTheWholeConfiguration checks that a patch to a version that the dispatcher doesn't have is
+// not put in force, and that the dispatcher then reports version 0, so that the control machines send the whole
+// configuration.
 func TestPatchOfAnotherBaseRequestsTheWholeConfiguration(t *testing.T) {
-	d := newStopped()
-	d.receiveConfig(&statemachine.ConfigUpdate{Version: 5, Body: configurationOf(5, 3)})
+	d := newDispatcherWithoutLoop()
+	d.receiveConfig(&statemachine.ConfigUpdate{Version: 5, Body: configurationWithRoutes(5, 3)})
 	d.applyConfig()
-	d.receiveConfig(changeOf(6, 7, 9, 10))
+	d.receiveConfig(configurationPatch(6, 7, 9, 10))
 	d.applyConfig()
 	if d.config.version() != 5 || d.config.bodyVersion != 0 {
-		t.Errorf("in force %d, received %d", d.config.version(), d.config.bodyVersion)
+		t.Errorf("version %d is in force and the received body has version %d, want 5 and 0",
+			d.config.version(), d.config.bodyVersion)
 	}
-	d.receiveConfig(&statemachine.ConfigUpdate{Version: 7, Body: configurationOf(7, 10)})
+	d.receiveConfig(&statemachine.ConfigUpdate{Version: 7, Body: configurationWithRoutes(7, 10)})
 	d.applyConfig()
 	if d.config.version() != 7 {
-		t.Errorf("in force %d", d.config.version())
+		t.Errorf("version %d is in force, want 7", d.config.version())
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,13 +1,13 @@
-// Package dispatcher is the data plane process of the system. A dispatcher takes jobs in from clients, schedules the tasks
-// of the jobs that it owns, and owns a share of the workers, to which it sends the runs that are placed there. One of all
-// dispatchers has the duty to read the platform's list of instances; its control machine does so on its behalf.
+// Package dispatcher implements the data plane process of the system. A dispatcher accepts jobs from clients, schedules the
+// tasks of the jobs that it owns, and owns a share of the workers, to which it sends the runs that are placed there. One of
+// the dispatchers is responsible for reading the platform's list of instances; its control machine can do so on its behalf.
 //
-// It keeps nothing of its own: whatever it learns goes to the control machines as commands over one connection, the uplink,
-// and what it knows comes back as updates. It never assumes that a command has been carried out before its outcome has
-// come, and it answers a client that something was not kept only where nothing was sent.
+// A dispatcher has no durable state. It sends every change to the control machines as a command over one connection, the
+// uplink, and receives the committed state as updates. It never assumes that a command has been carried out before it has
+// received the outcome, and it tells a client that a call had no effect only if the command was never sent.
 //
-// All state belongs to one goroutine, the event loop of Run. Others (clients' calls, calls to workers, the uplink's reader)
-// hand it functions and end once the loop has ended.
+// All state belongs to one goroutine, the event loop of Run. Other goroutines (clients' calls, calls to workers, the reader
+// of the uplink) post functions to the event loop, and end once the loop has ended.
 package dispatcher
 
 import (
@@ -24,40 +24,40 @@
 )
 
 const (
-	// tickInterval is the pace at which time-outs are looked at.
+	// tickInterval is the interval at which timeouts are checked.
 	tickInterval = 100 * time.Millisecond
-	// eventsBuffer is how many events may wait for the loop before those who post them wait.
-	eventsBuffer = 4096
-	// renewWithoutControl is how long workers' leases are renewed without a connection to the control machines. The next
-	// owner of a worker that it can't reach counts on this bound.
-	renewWithoutControl = 20 * time.Second
+	// eventBufferSize is how many posted functions the event loop buffers before post blocks.
+	eventBufferSize = 4096
+	// maxDetachedRenewal is how long the dispatcher renews workers' leases without a connection to the control machines. The
+	// next owner of a worker relies on this bound if it can't reach that worker.
+	maxDetachedRenewal = 20 * time.Second
 )
 
-// Dispatcher is one dispatcher. New makes it; Run or Serve runs it once.
+// Dispatcher is a dispatcher process. New creates it; either Run or Serve runs it, once.
 type Dispatcher struct {
 	settings  *settings.Settings
 	logger    zerolog.Logger
 	network   frame.Network
 	startedAt time.Time
 
-	// These are safe for concurrent use.
+	// These fields are safe for concurrent use.
 	events    chan func()
 	loopEnded chan struct{} // closed once the event loop has ended
-	answerNow chan struct{} // closed when clients' calls have to be answered, whatever the outcome
+	answerNow chan struct{} // closed when clients' calls have to be answered even without an outcome
 	config    configInForce // written by the event loop alone
 	readiness readiness
 
-	// The rest belongs to the event loop.
+	// The fields below belong to the event loop.
 	clock         wallclock.Clock // the time of day
 	uplink        *uplink
 	instances     *instanceReader
-	sessions      []statemachine.SessionID // open ones of all dispatchers, the oldest first
+	sessions      []statemachine.SessionID // open sessions of all dispatchers, the oldest first
 	workers       map[string]*statemachine.Worker
 	ownedWorkers  map[string]*ownedWorker
 	schedulers    map[string]*placement.Scheduler // by service
 	diagnosedAt   time.Duration
 	jobs          map[string]*ownedJob
-	jobsToEnqueue map[string]bool // jobs that may have tasks that are ready
+	jobsToEnqueue map[string]bool // jobs that may have ready tasks
 	terminal      terminalStates
 	startedJobs   startedJobs
 }
@@ -69,7 +69,7 @@
 		logger:        logger,
 		network:       network,
 		startedAt:     time.Now(),
-		events:        make(chan func(), eventsBuffer),
+		events:        make(chan func(), eventBufferSize),
 		loopEnded:     make(chan struct{}),
 		answerNow:     make(chan struct{}),
 		workers:       map[string]*statemachine.Worker{},
@@ -86,16 +86,16 @@
 	return d
 }
 
-// newIncarnation returns a random number, never 0, that tells this process from others of the same node.
+// newIncarnation returns a random number, never 0, that distinguishes this process from other processes of the same node.
 func newIncarnation() uint64 { return rand.Uint64()>>1 | 1 }
 
-// now returns the time on the dispatcher's steady clock.
+// now returns the time on the dispatcher's monotonic clock: the time since it was created.
 func (d *Dispatcher) now() time.Duration { return time.Since(d.startedAt) }
 
-// wallMs returns the filtered time of day, in ms since 1970.
+// wallMs returns the wall clock time as filtered by wallclock.Clock, in ms since 1970.
 func (d *Dispatcher) wallMs(now time.Duration) int64 { return d.clock.Now(now, time.Now()).UnixMilli() }
 
-// post hands a function to the event loop. Once the loop has ended, it drops the function.
+// post queues a function for the event loop. Once the loop has ended, post drops the function.
 func (d *Dispatcher) post(f func()) {
 	select {
 	case d.events <- f:
@@ -112,7 +112,7 @@
 	}
 }
 
-// Run is the event loop. It returns once stop is closed; the uplink and calls to workers end soon after by themselves.
+// Run runs the event loop until stop is closed. The goroutines of the uplink and of calls to workers end soon afterwards.
 func (d *Dispatcher) Run(stop <-chan struct{}) {
 	defer d.close()
 	go d.uplink.run()
@@ -122,7 +122,7 @@
 		select {
 		case f := <-d.events:
 			f()
-			d.runPosted()
+			d.runPostedEvents()
 		case <-ticker.C:
 			d.tick()
 		case <-stop:
@@ -132,8 +132,8 @@
 	}
 }
 
-// runPosted runs the events that have gathered, so that one flush serves them all.
-func (d *Dispatcher) runPosted() {
+// runPostedEvents runs the functions that are in the buffer already, so that one flush covers all of them.
+func (d *Dispatcher) runPostedEvents() {
 	for range cap(d.events) {
 		select {
 		case f := <-d.events:
@@ -144,7 +144,7 @@
 	}
 }
 
-// close tells all other goroutines to end, and closes what the dispatcher has opened.
+// close signals all other goroutines to end, and closes the connections to workers and to the platform.
 func (d *Dispatcher) close() {
 	close(d.loopEnded)
 	for _, worker := range d.ownedWorkers {
@@ -153,11 +153,12 @@
 	d.instances.client.Close()
 }
 
-// tick lets time-outs take effect.
+// tick runs the periodic work: readings of the instance list, timeouts and lease renewals of the owned workers, due
+// repetitions, and reports.
 func (d *Dispatcher) tick() {
 	now := d.now()
 	d.instances.tick(now)
-	mayRenew := d.uplink.attached || now-d.uplink.detachedAt < renewWithoutControl
+	mayRenew := d.uplink.attached || now-d.uplink.detachedAt < maxDetachedRenewal
 	for _, worker := range d.ownedWorkers {
 		worker.owner.Tick(now, mayRenew)
 	}
@@ -166,8 +167,8 @@
 	d.logDiagnoses(now)
 }
 
-// flush does what the events before it made possible: it schedules, carries out the workers' actions, and sends the
-// commands that have gathered. Each of them may add to what the next one does.
+// flush runs after each batch of events: it applies a new configuration, schedules ready tasks, carries out the actions of
+// the owned workers, and sends the queued commands. The order matters, as each step may add work for the next ones.
 func (d *Dispatcher) flush() {
 	now := d.now()
 	d.applyConfig()
--- a/internal/dispatcher/execute.go
+++ b/internal/dispatcher/execute.go
@@ -7,29 +7,30 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// commandOutcome is what is known of a command that a client's call has caused.
+// commandOutcome says how far a command for a client's call got.
 type commandOutcome uint8
 
 const (
-	answered commandOutcome = iota
-	notSent                 // it never left this process
-	unknown                 // it may be carried out
+	outcomeAnswered commandOutcome = iota
+	outcomeNotSent                 // the command was never sent
+	outcomeUnknown                 // the command may be carried out, now or later
 )
 
 var commandOutcomeNames = [...]string{"answered", "unsent", "unknown"}
 
-// String returns the outcome's name in logs.
+// String returns the name of the outcome as it appears in logs.
 func (o commandOutcome) String() string { return commandOutcomeNames[o] }
 
-// execute sends a command to the control machines for a client's call, and waits for its outcome at most for the time-out.
-// The event loop calls command, and only where a session is open.
-func (d *Dispatcher) execute(r *http.Request, timeout time.Duration, command func() *statemachine.Command) (statemachine.Result, commandOutcome) {
-	return d.executeThen(r, timeout, command, func() {})
+// execute sends a command to the control machines for a client's call, and waits for its outcome until the timeout. The
+// event loop calls makeCommand, and only if a session is open.
+func (d *Dispatcher) execute(r *http.Request, timeout time.Duration,
+	makeCommand func() *statemachine.Command) (statemachine.Result, commandOutcome) {
+	return d.executeWithCallback(r, timeout, makeCommand, func() {})
 }
 
-// executeThen is execute; besides, the event loop calls done before the outcome is returned, or once nobody waits for it
-// any more.
-func (d *Dispatcher) executeThen(r *http.Request, timeout time.Duration, command func() *statemachine.Command,
+// executeWithCallback does the same as execute. In addition, the event loop calls done before the outcome is returned, or
+// after the call has stopped waiting for it.
+func (d *Dispatcher) executeWithCallback(r *http.Request, timeout time.Duration, makeCommand func() *statemachine.Command,
 	done func()) (statemachine.Result, commandOutcome) {
 	type reply struct {
 		result statemachine.Result
@@ -42,7 +43,7 @@
 			replies <- reply{}
 			return
 		}
-		tag = d.uplink.submit(command(), func(result statemachine.Result) {
+		tag = d.uplink.submit(makeCommand(), func(result statemachine.Result) {
 			done()
 			replies <- reply{result, true}
 		})
@@ -52,19 +53,19 @@
 	select {
 	case got := <-replies:
 		if !got.sent {
-			return got.result, notSent
+			return got.result, outcomeNotSent
 		}
-		return got.result, answered
+		return got.result, outcomeAnswered
 	case <-timer.C:
 	case <-d.answerNow:
 	case <-d.loopEnded:
 	case <-r.Context().Done():
 	}
-	// The client gets no answer, or that the outcome is unknown, and sends the same again. The command must not be sent
-	// again much later: it could find the job forgotten, and start it anew.
+	// The client gets no answer, or the answer that the outcome is unknown, and retries. The command must not be resent much
+	// later: the job might have been forgotten by then, and the command would start it a second time.
 	d.post(func() {
 		d.uplink.abandon(tag)
 		done()
 	})
-	return statemachine.Result{}, unknown
+	return statemachine.Result{}, outcomeUnknown
 }
--- a/internal/dispatcher/harness_test.go
+++ b/internal/dispatcher/harness_test.go
@@ -21,13 +21,14 @@
 }
 
 func (unreachableNetwork) Listen(string) (net.Listener, error) {
-	return nil, errors.New("nothing listens here")
+	return nil, errors.New("the network has no listeners")
 }
 
 const testConfiguration = `{"Version":3,"Routes":[{"Host":"h.example","PathPrefix":"/q/","Service":"s","TimeoutMs":3000}],
 "Services":[{"Name":"s"}],"Limits":{"MaxBodyBytes":2000}}`
 
-// runDisconnected returns a dispatcher that runs without any control machine.
+// runDisconnected returns a running dispatcher that can't connect to any control machine, with testConfiguration in force if
+// configured is true.
 func runDisconnected(t *testing.T, configured bool) *Dispatcher {
 	t.Helper()
 	d := New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, unreachableNetwork{}, zerolog.Nop())
@@ -52,7 +53,8 @@
 	return d
 }
 
-// newStopped returns a dispatcher whose event loop does not run, so that a test can call what belongs to it.
-func newStopped() *Dispatcher {
+// newDispatcherWithoutLoop returns a dispatcher whose event loop does not run, so that a test can call functions that belong
+// to the event loop.
+func newDispatcherWithoutLoop() *Dispatcher {
 	return New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, unreachableNetwork{}, zerolog.Nop())
 }
--- a/internal/dispatcher/instances.go
+++ b/internal/dispatcher/instances.go
@@ -9,43 +9,43 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// instanceReader reads the platform's list of workers while that is this dispatcher's duty: it has the oldest open session,
-// and the control machine that it is connected to does not read on its behalf. It belongs to the event loop; a reading has a
-// goroutine of its own, at most one at a time.
+// instanceReader reads the platform's list of workers while this dispatcher is responsible for it: the dispatcher has the
+// oldest open session, and its control machine does not read the list on its behalf. The instanceReader belongs to the event
+// loop. Each reading runs in its own goroutine, at most one at a time.
 type instanceReader struct {
-	dispatcher *Dispatcher
-	client     *instancelist.Client
-	tracker    instances.Tracker
-	reading    bool
-	dueAt      time.Duration
-	delegated  bool // the control machine reads on behalf of whichever of its dispatchers has the duty
+	dispatcher    *Dispatcher
+	client        *instancelist.Client
+	tracker       instances.Tracker
+	reading       bool
+	nextReadingAt time.Duration
+	delegated     bool // the control machine reads the list on behalf of its dispatchers
 }
 
 func newInstanceReader(d *Dispatcher) *instanceReader {
 	return &instanceReader{dispatcher: d, client: instancelist.NewClient(d.network, d.settings.Cloud.Address)}
 }
 
-// isReader reports whether it is for this dispatcher to read the list.
+// isReader reports whether this dispatcher has to read the list.
 func (r *instanceReader) isReader() bool {
 	d := r.dispatcher
 	return d.uplink.attached && !r.delegated && len(d.sessions) > 0 && d.sessions[0] == d.uplink.session &&
 		!d.readiness.shuttingDown.Load()
 }
 
-// receiveDuty takes in who reads the list, where the control machine says so.
+// receiveDuty records whether the control machine reads the list. DutyUnchanged leaves that as it was.
 func (r *instanceReader) receiveDuty(duty protocol.InstanceListDuty) {
 	if duty != protocol.DutyUnchanged {
 		r.delegated = duty == protocol.ControlReads
 	}
 }
 
-// tick begins a reading where one is due.
+// tick starts a reading if this dispatcher has to read the list and the interval since the last reading has passed.
 func (r *instanceReader) tick(now time.Duration) {
 	if !r.isReader() {
 		r.tracker.Reset()
 		return
 	}
-	if r.reading || now < r.dueAt {
+	if r.reading || now < r.nextReadingAt {
 		return
 	}
 	r.reading = true
@@ -55,19 +55,20 @@
 	}()
 }
 
-// finishReading takes in a reading that began at the given time.
+// finishReading handles the result of a reading that started at the given time.
 func (r *instanceReader) finishReading(startedAt time.Duration, reading instances.Reading) {
 	d := r.dispatcher
 	r.reading = false
-	r.dueAt = startedAt + instancelist.Interval(reading.Pages, d.settings.Cloud.RatePerS)
+	r.nextReadingAt = startedAt + instancelist.Interval(reading.Pages, d.settings.Cloud.RatePerS)
 	instancelist.LogReading(d.logger, &reading, d.now()-startedAt)
 	if reading.Err == nil && r.isReader() {
 		r.report(&reading)
 	}
 }
 
-// report sends what has changed to the control machines. Reports are numbered by the milliseconds of this process: a
-// control machine that reads on behalf of this session counts them up by one, so this number is higher than any of its own.
+// report sends the changes of the list to the control machines. The report's number is the age of this process in
+// milliseconds. A control machine that reads on behalf of this session increments the number by one for each report, so this
+// number is higher than all numbers of the control machine.
 func (r *instanceReader) report(reading *instances.Reading) {
 	d := r.dispatcher
 	report := r.tracker.Observe(reading, d.workers)
--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -13,34 +13,34 @@
 // ownedJob is a job that this dispatcher schedules.
 type ownedJob struct {
 	*job.Job
-	ownedSince time.Duration
-	enqueued   map[job.TaskKey]bool // in a scheduler's queue, or in a proposal without an outcome
-	runs       map[job.TaskKey]placedRun
-	nextDueMs  int64 // when the next repetition is due, ms since 1970; 0: none is to come
-	// provisional says that the job's Submit has no outcome yet: the control machines may not know the job.
+	ownedSince       time.Duration
+	enqueued         map[job.TaskKey]bool // in a scheduler's queue, or in a proposal without an outcome
+	runs             map[job.TaskKey]placedRun
+	nextRepetitionMs int64 // when the next repetition is due, in ms since 1970; 0 if there is none
+	// provisional means that the job's SubmitJob command has no outcome yet: the control machines may not know the job.
 	provisional bool
 }
 
-// placedRun is a run that counts at its worker.
+// placedRun is a run that the scheduler counts as running at its worker.
 type placedRun struct {
 	worker   string
 	placedAt time.Duration
 }
 
-// Weights, from 0 to 1, of runs that did not end well, as faults of their workers.
+// Weights, from 0 to 1, with which runs that failed, did not start or were lost count as faults of their workers.
 const (
-	failedRunFault     = 0.2
-	notStartedRunFault = 0.5
-	lostRunFault       = 0.2
+	failedRunFaultWeight     = 0.2
+	notStartedRunFaultWeight = 0.5
+	lostRunFaultWeight       = 0.2
 )
 
 func newOwnedJob(now time.Duration, committed *job.Job) *ownedJob {
 	return &ownedJob{Job: committed, ownedSince: now, enqueued: map[job.TaskKey]bool{}, runs: map[job.TaskKey]placedRun{}}
 }
 
-// addProvisionalJob takes up a job whose Submit is about to be sent, so that the placements of its first tasks follow in
-// the same message: one commit carries both. A placement that the state rejects, because the Submit has not come through
-// or the job is another dispatcher's, changes nothing.
+// addProvisionalJob adds a job whose SubmitJob command is about to be sent, so that the placements of its first tasks go out
+// in the same message, and one commit has both. If the replicated state rejects a placement, because the submit was not
+// applied or another dispatcher owns the job, the placement has no effect.
 func (d *Dispatcher) addProvisionalJob(now time.Duration, submitted job.Job) {
 	if d.jobs[submitted.ID] != nil {
 		return
@@ -51,16 +51,16 @@
 	d.jobsToEnqueue[submitted.ID] = true
 }
 
-// dropProvisionalJob forgets a job that no update has confirmed: its Submit was rejected, or it is another dispatcher's,
-// or nobody waits for it any more.
+// dropProvisionalJob removes a job if no update has confirmed it: its submit was rejected, another dispatcher owns it, or
+// the client's call has stopped waiting for the outcome.
 func (d *Dispatcher) dropProvisionalJob(id string) {
 	if owned := d.jobs[id]; owned != nil && owned.provisional {
 		d.removeJob(id)
 	}
 }
 
-// confirmProvisionalJob takes in that a provisional job is committed. It reports whether that is all there is to take in: a
-// job that other dispatchers have worked on before replaces what is known here.
+// confirmProvisionalJob applies the committed state of a provisional job. It returns false if the job was not provisional,
+// or if other dispatchers have run its tasks before: the committed state then has to replace the job here.
 func (d *Dispatcher) confirmProvisionalJob(now time.Duration, owned *ownedJob, committed *job.Job) bool {
 	if !owned.provisional {
 		return false
@@ -80,7 +80,7 @@
 	return true
 }
 
-// setJob takes in the whole state of a job that this dispatcher owns.
+// setJob applies the complete state of a job that this dispatcher owns.
 func (d *Dispatcher) setJob(now time.Duration, committed *job.Job) {
 	owned := d.jobs[committed.ID]
 	if owned != nil && d.confirmProvisionalJob(now, owned, committed) {
@@ -112,7 +112,7 @@
 	delete(d.jobs, id)
 }
 
-// dropRuns takes a job's runs out of what counts at their workers.
+// dropRuns stops counting a job's runs as running at their workers.
 func (d *Dispatcher) dropRuns(owned *ownedJob) {
 	for key, run := range owned.runs {
 		d.scheduler(owned.Service).TaskEnded(run.worker, owned.Request.Steps[key.Step].Demand())
@@ -120,7 +120,7 @@
 	clear(owned.runs)
 }
 
-// setJobState takes in a job's state. A snapshot has nothing else of a job that has ended.
+// setJobState applies an update of a job's state. In a snapshot, a job that has ended is represented by this update alone.
 func (d *Dispatcher) setJobState(update *statemachine.JobStateUpdate, inSnapshot bool) {
 	owned := d.jobs[update.Job]
 	if owned == nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// setTask takes in the state of one task.
+// setTask applies the state of one task.
 func (d *Dispatcher) setTask(now time.Duration, update *statemachine.TaskUpdate) {
 	owned := d.jobs[update.Job]
 	if owned == nil || !owned.HasTask(update.Key) {
@@ -154,9 +154,10 @@
 	d.jobsToEnqueue[update.Job] = true
 }
 
-// trackRun keeps the scheduler's view of own runs in step with a task's state, and lets it learn from their ends. Reason
-// is how the former run has ended, where the state shows that it has.
-func (d *Dispatcher) trackRun(now time.Duration, owned *ownedJob, key job.TaskKey, task *job.Task, reason taskrun.EndReason) {
+// trackRun updates the scheduler's view of the running tasks from the state of one task, and records how its former run has
+// ended. Reason is the end reason of the former run, if the state shows that it has ended.
+func (d *Dispatcher) trackRun(now time.Duration, owned *ownedJob, key job.TaskKey, task *job.Task,
+	reason taskrun.EndReason) {
 	scheduler := d.scheduler(owned.Service)
 	step := &owned.Request.Steps[key.Step]
 	run, tracked := owned.runs[key]
@@ -165,7 +166,7 @@
 			Stringer("how", reason).Dur("took", now-run.placedAt).Int64("estimate", step.EstimateMs).Msg("run over")
 		scheduler.TaskEnded(run.worker, step.Demand())
 		delete(owned.runs, key)
-		d.learnFromEnd(now, owned, key, run, reason)
+		d.recordRunOutcome(now, owned, key, run, reason)
 		tracked = false
 	}
 	if task.Worker != "" && !tracked {
@@ -176,9 +177,11 @@
 	}
 }
 
-// learnFromEnd lets the scheduler learn of a worker's speed and faults. Only runs whose estimate can be compared count for
-// its speed: members of a gang wait for each other, and work away from its data is slower.
-func (d *Dispatcher) learnFromEnd(now time.Duration, owned *ownedJob, key job.TaskKey, run placedRun, reason taskrun.EndReason) {
+// recordRunOutcome updates the scheduler's figures of a worker's speed and faults after a run has ended. Only runs whose
+// time is comparable with their estimate count for the speed: members of a gang wait for each other, and a task that runs
+// away from its data is slower.
+func (d *Dispatcher) recordRunOutcome(now time.Duration, owned *ownedJob, key job.TaskKey, run placedRun,
+	reason taskrun.EndReason) {
 	scheduler := d.scheduler(owned.Service)
 	step := &owned.Request.Steps[key.Step]
 	switch reason {
@@ -190,19 +193,20 @@
 		}
 	case taskrun.Failed:
 		if !step.LongRunning {
-			scheduler.RecordFault(now, run.worker, failedRunFault)
+			scheduler.RecordFault(now, run.worker, failedRunFaultWeight)
 		}
 	case taskrun.NotStarted:
-		scheduler.RecordFault(now, run.worker, notStartedRunFault)
+		scheduler.RecordFault(now, run.worker, notStartedRunFaultWeight)
 	case taskrun.Lost, taskrun.LeaseExpired, taskrun.GangIncomplete:
-		scheduler.RecordFault(now, run.worker, lostRunFault)
+		scheduler.RecordFault(now, run.worker, lostRunFaultWeight)
 	}
 }
 
-// startedJobsInterval is how often started jobs are reported: the counts of a queue may be 2 s old.
+// startedJobsInterval is the interval at which started jobs are reported. The counts of a queue may be up to 2 s old.
 const startedJobsInterval = 500 * time.Millisecond
 
-// startedJobs are jobs of which a first task started at an owned worker, to be reported to the control machines.
+// startedJobs holds the jobs whose first task has started at an owned worker, until they are reported to the control
+// machines.
 type startedJobs struct {
 	ids        map[string]bool
 	reportedAt time.Duration
--- a/internal/dispatcher/ownedworker.go
+++ b/internal/dispatcher/ownedworker.go
@@ -11,8 +11,9 @@
 	"yardflow/scheduling/worker"
 )
 
-// ownedWorker is a worker that this dispatcher owns: its owner's state machine, and the connections to it. It belongs to
-// the event loop; each call to the worker has a goroutine of its own, which ends with the call's time-out at the latest.
+// ownedWorker is a worker that this dispatcher owns: the state machine of the ownership, and the connections to the worker.
+// It belongs to the event loop. Each call to the worker runs in its own goroutine, which ends at the call's timeout at the
+// latest.
 type ownedWorker struct {
 	dispatcher *Dispatcher
 	id         string
@@ -21,10 +22,10 @@
 	owner      *worker.Owner
 	client     *http.Client
 	transport  *http.Transport
-	closed     bool // no longer owned under this token: outcomes that still come are dropped
+	closed     bool // no longer owned under this token: later outcomes are dropped
 }
 
-func newOwnedWorker(d *Dispatcher, known *statemachine.Worker) *ownedWorker {
+func newOwnedWorker(d *Dispatcher, state *statemachine.Worker) *ownedWorker {
 	transport := &http.Transport{
 		DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
 			return d.network.Dial(address, connectTimeout)
@@ -33,18 +34,18 @@
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &ownedWorker{dispatcher: d, id: known.ID, service: known.Service, url: "http://" + known.Address,
-		owner:  worker.NewOwner(d.now(), known.ID, known.Token, d.settings.Bounds.HoldMaxMs),
+	return &ownedWorker{dispatcher: d, id: state.ID, service: state.Service, url: "http://" + state.Address,
+		owner:  worker.NewOwner(d.now(), state.ID, state.Token, d.settings.Bounds.HoldMaxMs),
 		client: &http.Client{Transport: transport}, transport: transport}
 }
 
-// close ends the ownership. Calls in flight go on, and their outcomes are dropped.
+// close ends the ownership. Calls in flight continue, and their outcomes are dropped.
 func (w *ownedWorker) close() {
 	w.closed = true
 	w.transport.CloseIdleConnections()
 }
 
-// flush carries the owner's actions out.
+// flush carries out the actions that the owner has collected.
 func (w *ownedWorker) flush(now time.Duration) {
 	d := w.dispatcher
 	actions := w.owner.TakeActions()
@@ -81,7 +82,8 @@
 	w.dispatcher.uplink.submit(&statemachine.Command{WorkerEnded: ended}, func(statemachine.Result) {})
 }
 
-// reportEnd reports the end of a run. The worker learns that it may forget the end only once the report is committed.
+// reportEnd reports the end of a run to the control machines. The end is acknowledged to the worker, which then forgets it,
+// only after the report is committed.
 func (w *ownedWorker) reportEnd(report worker.EndReport) {
 	d, ended := w.dispatcher, report.Ended
 	if ended.Reason == taskrun.Lost {
@@ -100,38 +102,41 @@
 	})
 }
 
-// poll, start and stop make a call and hand its outcome to the owner.
-
+// poll sends a poll to the worker and posts its outcome to the owner.
 func (w *ownedWorker) poll(poll worker.Poll) {
 	timeout := time.Duration(poll.WaitMs)*time.Millisecond + pollMargin
-	outcome, body := w.call(pollPath, pollBody{poll.LeaseUntilMs, poll.FencingToken, poll.AcknowledgedEnd, poll.WaitMs}, timeout)
+	outcome, body := w.call(pollPath, pollBody{poll.LeaseUntilMs, poll.FencingToken, poll.AcknowledgedEnd,
+		poll.WaitMs}, timeout)
 	answer := worker.PollAnswer{ClockMs: body.ClockMs}
 	if outcome == worker.Accepted {
 		answer.Running = decodeRunning(body.Running)
 		answer.Ended = decodeEnded(body.Ended)
 	}
-	w.handle(func(now time.Duration) { w.owner.HandlePollOutcome(now, poll, outcome, answer) })
+	w.postOutcome(func(now time.Duration) { w.owner.HandlePollOutcome(now, poll, outcome, answer) })
 }
 
+// start sends a start command to the worker and posts its outcome to the owner.
 func (w *ownedWorker) start(start worker.StartCommand) {
 	sentAt := w.dispatcher.now()
 	outcome, body := w.call(startPath, startBody{start.Task, start.Run, start.Spec, start.LeaseUntilMs,
 		start.FencingToken, start.Checkpoint}, commandTimeout)
 	w.dispatcher.logger.Debug().Str("task", start.Task).Uint64("run", start.Run).Str("worker", w.id).
 		Stringer("answer", outcome).Dur("took", w.dispatcher.now()-sentAt).Msg("order")
-	w.handle(func(now time.Duration) { w.owner.HandleStartOutcome(now, start.Task, start.Run, outcome, body.ClockMs) })
+	w.postOutcome(func(now time.Duration) { w.owner.HandleStartOutcome(now, start.Task, start.Run, outcome, body.ClockMs) })
 }
 
+// stop sends a stop command to the worker and posts its outcome to the owner.
 func (w *ownedWorker) stop(stop worker.StopCommand) {
 	outcome, body := w.call(stopPath, stopBody{stop.Task, stop.Run, stop.FencingToken}, commandTimeout)
-	w.handle(func(now time.Duration) { w.owner.HandleStopOutcome(now, outcome, body.ClockMs) })
+	w.postOutcome(func(now time.Duration) { w.owner.HandleStopOutcome(now, outcome, body.ClockMs) })
 }
 
-// handle lets the event loop take in an outcome, unless the worker is no longer owned.
-func (w *ownedWorker) handle(outcome func(now time.Duration)) {
+// postOutcome posts the function that handles an outcome to the event loop, where it is dropped if the worker is no longer
+// owned.
+func (w *ownedWorker) postOutcome(handleOutcome func(now time.Duration)) {
 	w.dispatcher.post(func() {
 		if !w.closed {
-			outcome(w.dispatcher.now())
+			handleOutcome(w.dispatcher.now())
 		}
 	})
 }
--- a/internal/dispatcher/ownedworker_test.go
+++ b/internal/dispatcher/ownedworker_test.go
@@ -10,10 +10,11 @@
 	"yardflow/scheduling/worker"
 )
 
-// TestEndsAreAcknowledgedOnceCommitted keeps that a worker forgets an end only once the control machines have committed it.
-func TestEndsAreAcknowledgedOnceCommitted(t *testing.T) {
+// TestRunEndsAreAcknowledgedOnceCommitted checks that the end of a run is acknowledged to the worker, which then forgets it,
+// only after the control machines have committed it.
+func TestRunEndsAreAcknowledgedOnceCommitted(t *testing.T) {
 	for _, code := range []statemachine.Code{statemachine.OK, statemachine.Conflict, statemachine.Invalid} {
-		d := newStopped()
+		d := newDispatcherWithoutLoop()
 		w := newOwnedWorker(d, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Address: "w1:1"}, Token: 5})
 		ended := taskrun.Ended{Worker: "w1", Job: "00000000000000aa", Run: 1, Reason: taskrun.Failed}
 		w.owner.HandlePollOutcome(0, worker.Poll{}, worker.Accepted, worker.PollAnswer{Ended: []worker.EndedRun{{Number: 1,
@@ -27,7 +28,7 @@
 			t.Fatal("the worker is not polled")
 		}
 		if acknowledged := polls[0].AcknowledgedEnd == 1; acknowledged != (code == statemachine.OK) {
-			t.Errorf("outcome %d: %d ends are acknowledged to the worker", code, polls[0].AcknowledgedEnd)
+			t.Errorf("outcome %d: the worker gets the acknowledged end %d", code, polls[0].AcknowledgedEnd)
 		}
 	}
 }
--- a/internal/dispatcher/proposals.go
+++ b/internal/dispatcher/proposals.go
@@ -10,8 +10,8 @@
 	"yardflow/scheduling/placement"
 )
 
-// schedule runs a cycle of every scheduler and proposes the decisions to the control machines. Without a session nothing
-// could be committed, so nothing is decided.
+// schedule runs a scheduling cycle of every service and proposes the decisions to the control machines. Without a session it
+// does nothing, because no decision could be committed.
 func (d *Dispatcher) schedule(now time.Duration) {
 	if !d.uplink.attached {
 		return
@@ -23,8 +23,8 @@
 	}
 }
 
-// propose sends a decision as a PlaceTasks command. Until its outcome is known, its tasks count as placed and their demand as
-// reserved.
+// propose submits a decision as a PlaceTasks command. Until the outcome is known, the tasks count as placed and their demand
+// as reserved.
 func (d *Dispatcher) propose(scheduler *placement.Scheduler, decision placement.Decision) {
 	unit := decision.Unit
 	owned := d.jobs[unit.Job.ID]
@@ -34,7 +34,7 @@
 		command.Targets = append(command.Targets, statemachine.Target{Task: key, Worker: decision.Workers[i],
 			Alternatives: decision.Alternatives})
 		if owned != nil {
-			owned.EnsureTask(key).Worker = decision.Workers[i] // so that anti-affinity of the next decisions sees it
+			owned.EnsureTask(key).Worker = decision.Workers[i] // so that the next decisions respect anti-affinity
 		}
 	}
 	d.logger.Debug().Str("job", unit.Job.ID).Int("repeat", unit.StepKey.Repetition).Int("step", unit.StepKey.Step).
@@ -48,8 +48,8 @@
 	})
 }
 
-// handleProposalOutcome makes the tasks of a proposal ready again that were not placed by it. Those that were are tracked
-// by now: the updates of a commit come before its outcome.
+// handleProposalOutcome makes those tasks of a proposal ready again that were not placed. Placed tasks are tracked already,
+// because the updates of a commit arrive before its outcome.
 func (d *Dispatcher) handleProposalOutcome(command *statemachine.PlaceTasks) {
 	owned := d.jobs[command.Job]
 	if owned == nil {
@@ -66,10 +66,10 @@
 	d.jobsToEnqueue[command.Job] = true
 }
 
-// diagnoseAfter is how long a task waits until a debug log says why, and the least time between two such logs.
+// diagnoseAfter is how long a task waits before a debug log explains why, and the minimum time between two such logs.
 const diagnoseAfter = 2 * time.Second
 
-// logDiagnoses logs at debug level which tasks have waited for long, and why.
+// logDiagnoses logs at debug level which tasks have waited for longer than diagnoseAfter, and why.
 func (d *Dispatcher) logDiagnoses(now time.Duration) {
 	if d.logger.GetLevel() > zerolog.DebugLevel || now-d.diagnosedAt < diagnoseAfter {
 		return
--- a/internal/dispatcher/provisional_test.go
+++ b/internal/dispatcher/provisional_test.go
@@ -16,11 +16,13 @@
 
 const provisionalID = "0123456789abcdef"
 
-// attachedDispatcher returns a dispatcher with an open session and one worker. The test takes the part of its event loop.
+// attachedDispatcher returns a dispatcher with an open session and one worker. Its event loop does not run; the test calls
+// the functions that belong to the event loop.
 func attachedDispatcher() *Dispatcher {
 	d := New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, unreachableNetwork{}, zerolog.Nop())
 	d.uplink.attached, d.uplink.session = true, 7
-	d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Capacity: job.Resources{CPU: 4000}}})
+	d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s",
+		Capacity: job.Resources{CPU: 4000}}})
 	return d
 }
 
@@ -29,97 +31,102 @@
 		Request: job.Request{Steps: []job.Step{{Count: 2, CPU: 1000, EstimateMs: 500}}}}
 }
 
-// submitProvisional does what a client's Submit does, and then schedules.
-func submitProvisional(d *Dispatcher) (submitted uint64) {
-	submitted = d.uplink.submit(&statemachine.Command{SubmitJob: &statemachine.SubmitJob{Job: provisionalJob()}}, func(statemachine.Result) {
-		d.dropProvisionalJob(provisionalID)
-	})
+// submitProvisional submits the provisional job as a client's call does, and then runs a scheduling cycle. It returns the
+// tag of the SubmitJob command.
+func submitProvisional(d *Dispatcher) (submitTag uint64) {
+	submitTag = d.uplink.submit(&statemachine.Command{SubmitJob: &statemachine.SubmitJob{Job: provisionalJob()}},
+		func(statemachine.Result) {
+			d.dropProvisionalJob(provisionalID)
+		})
 	d.addProvisionalJob(0, provisionalJob())
 	d.enqueueReady(0)
 	d.schedule(0)
-	return submitted
+	return submitTag
 }
 
-// pendingCommands lists the commands without an outcome, in the order in which they are sent.
+// pendingCommands lists the kinds of the commands without an outcome, in the order in which they are sent.
 func pendingCommands(d *Dispatcher) string {
 	var list []string
 	for _, tag := range d.uplink.commands.order {
-		switch waiting := d.uplink.commands.pending[tag]; {
-		case waiting == nil:
-		case waiting.command.SubmitJob != nil:
+		switch pending := d.uplink.commands.pending[tag]; {
+		case pending == nil:
+		case pending.command.SubmitJob != nil:
 			list = append(list, "submit")
-		case waiting.command.PlaceTasks != nil:
+		case pending.command.PlaceTasks != nil:
 			list = append(list, "place")
 		}
 	}
 	return strings.Join(list, " ")
 }
 
+// completeCommand delivers the outcome of a pending command.
 func completeCommand(d *Dispatcher, tag uint64, code statemachine.Code) {
-	waiting := d.uplink.commands.pending[tag]
+	pending := d.uplink.commands.pending[tag]
 	delete(d.uplink.commands.pending, tag)
-	waiting.done(statemachine.Result{Code: code})
+	pending.done(statemachine.Result{Code: code})
 }
 
-func TestFirstPlacementsFollowTheSubmitAtOnce(t *testing.T) {
+func TestFirstPlacementsAreSentWithTheSubmit(t *testing.T) {
 	d := attachedDispatcher()
-	submitted := submitProvisional(d)
+	submitTag := submitProvisional(d)
 	if got := pendingCommands(d); got != "submit place place" {
-		t.Fatalf("sent: %s", got)
+		t.Fatalf("commands %q are pending, want the submit and both placements", got)
 	}
-	// One message brings both: the job as it is after its placements, and then the outcomes.
+	// One message delivers the job in its state after the placements, and then the outcomes.
 	committed := provisionalJob()
 	committed.State, committed.Sequence = job.Running, 3
 	committed.Tasks = map[job.TaskKey]*job.Task{{Index: 0}: {Worker: "w1", Run: 1}, {Index: 1}: {Worker: "w1", Run: 1}}
 	d.setJob(time.Millisecond, &committed)
-	completeCommand(d, submitted, statemachine.OK)
-	completeCommand(d, submitted+1, statemachine.OK)
-	completeCommand(d, submitted+2, statemachine.OK)
+	completeCommand(d, submitTag, statemachine.OK)
+	completeCommand(d, submitTag+1, statemachine.OK)
+	completeCommand(d, submitTag+2, statemachine.OK)
 	d.enqueueReady(time.Millisecond)
 	d.schedule(time.Millisecond)
 	owned := d.jobs[provisionalID]
 	if owned == nil || owned.provisional || owned.State != job.Running || len(owned.runs) != 2 {
-		t.Errorf("the job: %+v", owned)
+		t.Errorf("the job is %+v, want it confirmed and running with 2 runs", owned)
 	}
 	if got := pendingCommands(d); got != "" {
-		t.Errorf("sent again: %s", got)
+		t.Errorf("commands %q are pending after all outcomes", got)
 	}
 }
 
-// TestRejectedFirstPlacementIsScheduledAgain: a placement that found no capacity is scheduled again, once the job is owned.
+// TestRejectedFirstPlacementIsScheduledAgain: a placement that is rejected for lack of capacity is scheduled again after the
+// job has been confirmed.
 func TestRejectedFirstPlacementIsScheduledAgain(t *testing.T) {
 	d := attachedDispatcher()
-	submitted := submitProvisional(d)
+	submitTag := submitProvisional(d)
 	committed := provisionalJob()
 	committed.Tasks = map[job.TaskKey]*job.Task{{Index: 0}: {Worker: "w1", Run: 1}}
 	d.setJob(time.Millisecond, &committed)
-	completeCommand(d, submitted, statemachine.OK)
-	completeCommand(d, submitted+1, statemachine.OK)
-	completeCommand(d, submitted+2, statemachine.NoCapacity)
+	completeCommand(d, submitTag, statemachine.OK)
+	completeCommand(d, submitTag+1, statemachine.OK)
+	completeCommand(d, submitTag+2, statemachine.NoCapacity)
 	d.enqueueReady(time.Millisecond)
 	d.schedule(time.Millisecond)
 	if got := pendingCommands(d); got != "place" {
-		t.Errorf("sent: %s", got)
+		t.Errorf("commands %q are pending, want a new placement", got)
 	}
 }
 
-// TestProvisionalJobThatIsNotConfirmedIsDropped: nothing is left of a job that was rejected, that is another dispatcher's,
-// or for which nobody waits any more.
+// TestProvisionalJobThatIsNotConfirmedIsDropped: a provisional job is removed, and its tasks are not placed again, if its
+// submit was rejected, if another dispatcher owns it, or if a new snapshot does not have it.
 func TestProvisionalJobThatIsNotConfirmedIsDropped(t *testing.T) {
-	for name, end := range map[string]func(d *Dispatcher, submitted uint64){
-		"rejected":              func(d *Dispatcher, submitted uint64) { completeCommand(d, submitted, statemachine.Invalid) },
-		"another dispatcher's":  func(d *Dispatcher, submitted uint64) { completeCommand(d, submitted, statemachine.OK) },
-		"not in a new snapshot": func(d *Dispatcher, _ uint64) { d.endSnapshot(d.beginSnapshot()) },
+	for name, end := range map[string]func(d *Dispatcher, submitTag uint64){
+		"rejected":                    func(d *Dispatcher, tag uint64) { completeCommand(d, tag, statemachine.Invalid) },
+		"owned by another dispatcher": func(d *Dispatcher, tag uint64) { completeCommand(d, tag, statemachine.OK) },
+		"not in a new snapshot":       func(d *Dispatcher, _ uint64) { d.endSnapshot(d.beginSnapshot()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := attachedDispatcher()
-			submitted := submitProvisional(d)
-			end(d, submitted)
+			submitTag := submitProvisional(d)
+			end(d, submitTag)
 			if d.jobs[provisionalID] != nil {
-				t.Fatal("the job is still there")
+				t.Fatal("the job was not dropped")
 			}
-			d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Capacity: job.Resources{CPU: 4000}}})
-			for tag := submitted + 1; tag <= submitted+2; tag++ {
+			d.setWorker(0, &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s",
+				Capacity: job.Resources{CPU: 4000}}})
+			for tag := submitTag + 1; tag <= submitTag+2; tag++ {
 				if d.uplink.commands.pending[tag] != nil {
 					completeCommand(d, tag, statemachine.Conflict)
 				}
@@ -127,15 +134,15 @@
 			d.enqueueReady(0)
 			d.schedule(0)
 			if got := strings.ReplaceAll(pendingCommands(d), "submit", ""); strings.TrimSpace(got) != "" {
-				t.Errorf("sent: %s", got)
+				t.Errorf("commands %q are pending", got)
 			}
 		})
 	}
 }
 
-// TestProvisionalJobWithEarlierRunsIsTakenOver: a job that others have worked on replaces what is known here, though its
-// Submit came in here as well.
-func TestProvisionalJobWithEarlierRunsIsTakenOver(t *testing.T) {
+// TestCommittedJobWithEarlierRunsReplacesProvisionalJob: if other dispatchers have run tasks of a job before, its committed
+// state replaces the provisional job that a submit to this dispatcher has created.
+func TestCommittedJobWithEarlierRunsReplacesProvisionalJob(t *testing.T) {
 	d := attachedDispatcher()
 	submitProvisional(d)
 	committed := provisionalJob()
@@ -144,11 +151,12 @@
 	d.setJob(0, &committed)
 	owned := d.jobs[provisionalID]
 	if owned.provisional || owned.DoneTasks[job.StepKey{}] != 1 || len(owned.runs) != 1 {
-		t.Errorf("the job: %+v", owned)
+		t.Errorf("the job is %+v, want it confirmed with 1 task done and 1 run", owned)
 	}
 }
 
-// TestStateOfAProvisionalJobIsNotServed: the control machines may not know the job.
+// TestStateOfAProvisionalJobIsNotServed: the dispatcher must not answer with the state of a provisional job, because the
+// control machines may not know the job.
 func TestStateOfAProvisionalJobIsNotServed(t *testing.T) {
 	d := runDisconnected(t, true)
 	done := make(chan struct{})
@@ -158,11 +166,11 @@
 		close(done)
 	})
 	<-done
-	answer := httptest.NewRecorder()
+	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, "http://h.example/q/"+provisionalID, nil)
 	request.Header.Set(deadlineHeader, "200")
-	d.ServeHTTP(answer, request)
-	if answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d %s", answer.Code, answer.Body)
+	d.ServeHTTP(recorder, request)
+	if recorder.Code != http.StatusServiceUnavailable {
+		t.Errorf("got status %d with body %s", recorder.Code, recorder.Body)
 	}
 }
--- a/internal/dispatcher/queueing.go
+++ b/internal/dispatcher/queueing.go
@@ -7,7 +7,7 @@
 	"yardflow/scheduling/placement"
 )
 
-// enqueueReady puts tasks that are ready into their schedulers' queues, of all jobs that may have some.
+// enqueueReady puts the ready tasks of all jobs in jobsToEnqueue into the queues of their schedulers.
 func (d *Dispatcher) enqueueReady(now time.Duration) {
 	for id := range d.jobsToEnqueue {
 		delete(d.jobsToEnqueue, id)
@@ -17,22 +17,22 @@
 	}
 }
 
-// enqueueDueJobs looks for jobs whose next repetition is due.
+// enqueueDueJobs adds the jobs whose next repetition is due to jobsToEnqueue.
 func (d *Dispatcher) enqueueDueJobs(now time.Duration) {
-	wall := d.wallMs(now)
+	wallMs := d.wallMs(now)
 	for id, owned := range d.jobs {
-		if owned.nextDueMs > 0 && owned.nextDueMs <= wall {
+		if owned.nextRepetitionMs > 0 && owned.nextRepetitionMs <= wallMs {
 			d.jobsToEnqueue[id] = true
 		}
 	}
 }
 
 func (d *Dispatcher) enqueueJob(now time.Duration, owned *ownedJob) {
-	wall := d.wallMs(now)
-	owned.nextDueMs = 0
+	wallMs := d.wallMs(now)
+	owned.nextRepetitionMs = 0
 	for repetition := range owned.Request.Repetitions() {
-		if due := owned.Request.DueMs(repetition); due > wall {
-			owned.nextDueMs = due
+		if due := owned.Request.DueMs(repetition); due > wallMs {
+			owned.nextRepetitionMs = due
 			return
 		}
 		for step := range owned.Request.Steps {
@@ -44,8 +44,8 @@
 	}
 }
 
-// enqueueStep enqueues the tasks of a step that are neither done, nor placed, nor enqueued: each as a unit, and those of a
-// gang as one unit, once all of them are ready.
+// enqueueStep enqueues the tasks of a step that are not done, placed or enqueued yet. Each task is a unit of its own, except
+// that the tasks of a gang are one unit, which is enqueued once all of them are ready.
 func (d *Dispatcher) enqueueStep(now time.Duration, owned *ownedJob, key job.StepKey) {
 	step := &owned.Request.Steps[key.Step]
 	ready := []int{}
@@ -82,13 +82,15 @@
 	}
 	d.scheduler(owned.Service).Enqueue(unit)
 	step := unit.Step()
-	d.logger.Debug().Str("job", owned.ID).Int("repeat", key.Repetition).Int("step", key.Step).Ints("tasks", indices).Int("priority", owned.Priority).
-		Int64("cpu", step.CPU).Int64("mem", step.MemoryMB).Int64("estimate", step.EstimateMs).Str("near", step.Affinity).
+	d.logger.Debug().Str("job", owned.ID).Int("repeat", key.Repetition).Int("step", key.Step).Ints("tasks", indices).
+		Int("priority", owned.Priority).Int64("cpu", step.CPU).Int64("mem", step.MemoryMB).
+		Int64("estimate", step.EstimateMs).Str("near", step.Affinity).
 		Str("requires", step.RequiredLabel).Bool("gang", step.Gang).Dur("left", unit.Deadline-now).Msg("queued")
 }
 
-// criticalPaths returns for each step how long the longest chain of steps takes that begins with it, by the client's
-// estimates. Waves returns how many times over a step runs that is wider than its share of the workers.
+// criticalPaths returns for each step how long the longest chain of dependent steps that starts with it takes, by the
+// client's estimates. Waves returns in how many waves the tasks of a step run: more than one if the step exceeds its share
+// of the workers.
 func criticalPaths(request *job.Request, waves func(*job.Step) int) []time.Duration {
 	longest := make([]time.Duration, len(request.Steps))
 	for i := len(request.Steps) - 1; i >= 0; i-- {
@@ -101,8 +103,8 @@
 	return longest
 }
 
-// repetitionStart returns when a repetition of the job started or will start, on the dispatcher's clock: when it is due,
-// or for a job that starts at once, when this dispatcher took it up.
+// repetitionStart returns when a repetition of the job started or will start, on the dispatcher's clock: its due time, or,
+// if it has none, the time at which this dispatcher started to own the job.
 func (j *ownedJob) repetitionStart(now time.Duration, wallMs int64, repetition int) time.Duration {
 	if due := j.Request.DueMs(repetition); due > 0 {
 		return now + time.Duration(due-wallMs)*time.Millisecond
@@ -110,8 +112,8 @@
 	return j.ownedSince
 }
 
-// deadline returns when the objective of a repetition is missed that started at the given time: after the job's stretch
-// times the critical path, and its target latency.
+// deadline returns when a repetition that started at the given time misses its objective: start plus the critical path times
+// the job's stretch plus the job's target latency.
 func (j *ownedJob) deadline(start time.Duration, paths []time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for _, path := range paths {
--- a/internal/dispatcher/readiness.go
+++ b/internal/dispatcher/readiness.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// readyGrace is how long a dispatcher that has lost its connection to the control machines still calls itself ready.
+// readyGrace is how long a dispatcher still reports that it is ready after it has lost its connection to the control
+// machines.
 const readyGrace = time.Second
 
-// readiness is what the answer to readiness checks depends on. It is safe for concurrent use.
+// readiness is the state from which readiness checks are answered. It is safe for concurrent use.
 type readiness struct {
 	shuttingDown atomic.Bool
 	attached     atomic.Bool  // a session is open over the uplink
-	detachedAt   atomic.Int64 // when it was lost, a time.Duration
+	detachedAt   atomic.Int64 // when the last session was lost: a time.Duration on the dispatcher's clock
 }
 
 func (r *readiness) setConnection(attached bool, detachedAt time.Duration) {
@@ -21,7 +22,8 @@
 	r.detachedAt.Store(int64(detachedAt))
 }
 
-// ServeReadiness answers the platform's check whether new connections should come here: 200 or 503.
+// ServeReadiness answers the platform's readiness check: 200 if new connections should be routed to this dispatcher, else
+// 503.
 func (d *Dispatcher) ServeReadiness(w http.ResponseWriter, _ *http.Request) {
 	connected := d.readiness.attached.Load() || d.now()-time.Duration(d.readiness.detachedAt.Load()) < readyGrace
 	if d.readiness.shuttingDown.Load() || d.config.parsed.Load() == nil || !connected {
--- a/internal/dispatcher/serve.go
+++ b/internal/dispatcher/serve.go
@@ -13,50 +13,50 @@
 
 // Bounds of a graceful shutdown, which has to end before the platform sends SIGKILL.
 const (
-	// deregisterDelay is how long clients' new connections are still served: the platform notices by two readiness checks,
-	// a second apart.
+	// deregisterDelay is how long new connections of clients are still accepted. The platform needs two readiness checks,
+	// a second apart, to notice that the dispatcher is not ready.
 	deregisterDelay = 2200 * time.Millisecond
-	// defaultGrace is the time from SIGTERM to SIGKILL where the settings don't give it.
+	// defaultGrace is the time from SIGTERM to SIGKILL if the settings don't specify it.
 	defaultGrace = 6 * time.Second
-	// killMargin is how long before SIGKILL the process has ended.
+	// killMargin is how long before SIGKILL the process exits.
 	killMargin      = 800 * time.Millisecond
 	minDrainTimeout = 500 * time.Millisecond
-	// lastAnswers is how long before the end of the drain calls without an outcome are answered.
-	lastAnswers = 300 * time.Millisecond
-	// goodbyeDelay is for the last message to leave.
-	goodbyeDelay = 100 * time.Millisecond
+	// finalAnswerMargin is how long before the end of the drain the calls that still have no outcome are answered.
+	finalAnswerMargin = 300 * time.Millisecond
+	// lastMessageDelay is the time that the last message to the control machine gets to be sent.
+	lastMessageDelay = 100 * time.Millisecond
 )
 
-// Bounds of clients' connections.
+// Timeouts of clients' connections.
 const (
 	idleTimeout   = 60 * time.Second
 	headerTimeout = 10 * time.Second
 )
 
-// Serve serves clients and readiness checks until stop is closed, and then shuts down gracefully. Its error is that of an
-// address that can't be listened on.
+// Serve serves clients and readiness checks until stop is closed, and then shuts down gracefully. It returns an error if it
+// can't listen on one of the configured addresses.
 func (d *Dispatcher) Serve(stop <-chan struct{}) error {
-	front, err := d.network.Listen(d.settings.Listen.Front)
+	clientListener, err := d.network.Listen(d.settings.Listen.Front)
 	if err != nil {
 		return errors.Annotate(err, "Listen.Front")
 	}
-	clients := &http.Server{Handler: d, IdleTimeout: idleTimeout, ReadHeaderTimeout: headerTimeout}
-	go d.serveUntilClosed(clients, front)
+	clientServer := &http.Server{Handler: d, IdleTimeout: idleTimeout, ReadHeaderTimeout: headerTimeout}
+	go d.serveUntilClosed(clientServer, clientListener)
 	if d.settings.Listen.Ready != "" {
-		listener, err := d.network.Listen(d.settings.Listen.Ready)
+		readinessListener, err := d.network.Listen(d.settings.Listen.Ready)
 		if err != nil {
 			return errors.Annotate(err, "Listen.Ready")
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /-/readiness", d.ServeReadiness)
-		checks := &http.Server{Handler: mux, IdleTimeout: idleTimeout}
-		defer func() { _ = checks.Close() }() // it closes connections without calls: there is nothing to report
-		go d.serveUntilClosed(checks, listener)
+		readinessServer := &http.Server{Handler: mux, IdleTimeout: idleTimeout}
+		defer func() { _ = readinessServer.Close() }() // it only cuts off readiness checks; nothing to report
+		go d.serveUntilClosed(readinessServer, readinessListener)
 	}
 	loopStop := make(chan struct{})
 	go d.Run(loopStop)
 	<-stop
-	d.shutDown(clients)
+	d.shutDown(clientServer)
 	close(loopStop)
 	return nil
 }
@@ -68,30 +68,30 @@
 	}
 }
 
-// shutDown stops taking new calls, waits for those in flight, and ends the session.
-func (d *Dispatcher) shutDown(clients *http.Server) {
+// shutDown stops accepting new calls, waits for the calls in flight, and ends the session.
+func (d *Dispatcher) shutDown(clientServer *http.Server) {
 	d.logger.Info().Msg("graceful shutdown")
 	d.readiness.shuttingDown.Store(true)
-	clients.SetKeepAlivesEnabled(false)
+	clientServer.SetKeepAlivesEnabled(false)
 	time.Sleep(deregisterDelay)
-	d.drainClients(clients)
+	d.drainClients(clientServer)
 	d.endSession()
 }
 
-// drainClients waits for the calls in flight. Those that still have no outcome shortly before the end are answered that
-// there is none yet: no call that was read is cut off.
-func (d *Dispatcher) drainClients(clients *http.Server) {
-	within := d.drainTimeout()
-	hurry := time.AfterFunc(within-lastAnswers, func() { close(d.answerNow) })
-	defer hurry.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// drainClients waits for the calls in flight. Shortly before the timeout, calls without an outcome are answered that there
+// is no outcome yet, so that no call that was read is cut off.
+func (d *Dispatcher) drainClients(clientServer *http.Server) {
+	timeout := d.drainTimeout()
+	answerTimer := time.AfterFunc(timeout-finalAnswerMargin, func() { close(d.answerNow) })
+	defer answerTimer.Stop()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if err := clients.Shutdown(ctx); err != nil {
+	if err := clientServer.Shutdown(ctx); err != nil {
 		d.logger.Warn().Err(err).Msg("calls cut off: not answered within the grace period")
 	}
 }
 
-// drainTimeout returns how long calls may still take after deregisterDelay.
+// drainTimeout returns how long the calls in flight may take after deregisterDelay.
 func (d *Dispatcher) drainTimeout() time.Duration {
 	grace := defaultGrace
 	if d.settings.Bounds.GraceS > 0 {
@@ -100,7 +100,8 @@
 	return max(grace-deregisterDelay-killMargin, minDrainTimeout)
 }
 
-// endSession tells the control machines that this process ends, so that others take over its jobs and workers at once.
+// endSession notifies the control machines that this process is ending, so that other dispatchers take over its jobs and
+// workers at once.
 func (d *Dispatcher) endSession() {
 	done := make(chan struct{})
 	d.post(func() {
@@ -110,5 +111,5 @@
 		close(done)
 	})
 	<-done
-	time.Sleep(goodbyeDelay)
+	time.Sleep(lastMessageDelay)
 }
--- a/internal/dispatcher/serve_test.go
+++ b/internal/dispatcher/serve_test.go
@@ -11,15 +11,15 @@
 	"yardflow/internal/platform/settings"
 )
 
-// TestCallsInFlightAreAnsweredAtShutdown: a call that waits for its outcome is answered that there is none yet, before the
-// process ends.
+// TestCallsInFlightAreAnsweredAtShutdown: before the process exits, a call that still waits for its outcome is answered that
+// the outcome is unknown.
 func TestCallsInFlightAreAnsweredAtShutdown(t *testing.T) {
-	d := newStopped()
+	d := newDispatcherWithoutLoop()
 	close(d.answerNow)
 	call := httptest.NewRequest("DELETE", "/queue/00000000000000aa", nil)
-	_, how := d.execute(call, time.Hour, func() *statemachine.Command { return cancelCommand("00000000000000aa") })
-	if how != unknown {
-		t.Errorf("outcome %v of a call under way", how)
+	_, outcome := d.execute(call, time.Hour, func() *statemachine.Command { return cancelCommand("00000000000000aa") })
+	if outcome != outcomeUnknown {
+		t.Errorf("the call in flight has outcome %v, want outcomeUnknown", outcome)
 	}
 }
 
@@ -28,14 +28,14 @@
 		graceS float64
 		want   time.Duration
 	}{
-		{0, 3 * time.Second}, // by default 6 s
+		{0, 3 * time.Second}, // the default grace is 6 s
 		{6, 3 * time.Second},
 		{10, 7 * time.Second},
 		{2, minDrainTimeout},
 	} {
 		d := New(&settings.Settings{Bounds: settings.Bounds{GraceS: c.graceS}}, unreachableNetwork{}, zerolog.Nop())
-		if within := d.drainTimeout(); within != c.want {
-			t.Errorf("GraceS %v: %v, want %v", c.graceS, within, c.want)
+		if timeout := d.drainTimeout(); timeout != c.want {
+			t.Errorf("GraceS %v: drain timeout %v, want %v", c.graceS, timeout, c.want)
 		}
 	}
 }
--- a/internal/dispatcher/snapshot.go
+++ b/internal/dispatcher/snapshot.go
@@ -4,57 +4,58 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// snapshotDiff is what is known here and has not been named by a snapshot yet: what remains at its end is gone. A nil one
-// stands for updates outside of a snapshot, and keeps nothing.
+// snapshotDiff compares the dispatcher's state with a snapshot that is being received. Whatever the snapshot has not named
+// by its end no longer exists. A nil snapshotDiff stands for updates outside of a snapshot and records nothing.
 type snapshotDiff struct {
-	workers map[string]bool
-	jobs    map[string]bool
-	// placements are, the other way round, those that the snapshot has named: the number of the run, by worker and task.
-	placements map[string]map[string]uint64
+	unseenWorkers map[string]bool // known workers that the snapshot has not named yet
+	unseenJobs    map[string]bool // known jobs that the snapshot has not named yet
+	// seenPlacements has the placements that the snapshot has named: the number of the run, by worker and task.
+	seenPlacements map[string]map[string]uint64
 }
 
 func (d *Dispatcher) beginSnapshot() *snapshotDiff {
-	s := &snapshotDiff{workers: map[string]bool{}, jobs: map[string]bool{}, placements: map[string]map[string]uint64{}}
+	s := &snapshotDiff{unseenWorkers: map[string]bool{}, unseenJobs: map[string]bool{},
+		seenPlacements: map[string]map[string]uint64{}}
 	for id := range d.workers {
-		s.workers[id] = true
+		s.unseenWorkers[id] = true
 	}
 	for id := range d.jobs {
-		s.jobs[id] = true
+		s.unseenJobs[id] = true
 	}
 	return s
 }
 
-func (s *snapshotDiff) keepWorker(id string) {
+func (s *snapshotDiff) markWorkerSeen(id string) {
 	if s != nil {
-		delete(s.workers, id)
+		delete(s.unseenWorkers, id)
 	}
 }
 
-func (s *snapshotDiff) keepJob(id string) {
+func (s *snapshotDiff) markJobSeen(id string) {
 	if s != nil {
-		delete(s.jobs, id)
+		delete(s.unseenJobs, id)
 	}
 }
 
-func (s *snapshotDiff) keepPlacement(placed *taskrun.Placement) {
+func (s *snapshotDiff) markPlacementSeen(placed *taskrun.Placement) {
 	if s == nil {
 		return
 	}
-	if s.placements[placed.Worker] == nil {
-		s.placements[placed.Worker] = map[string]uint64{}
+	if s.seenPlacements[placed.Worker] == nil {
+		s.seenPlacements[placed.Worker] = map[string]uint64{}
 	}
-	s.placements[placed.Worker][placed.Task] = placed.Run
+	s.seenPlacements[placed.Worker][placed.Task] = placed.Run
 }
 
-// endSnapshot removes what the snapshot has not named.
+// endSnapshot removes the workers, jobs and placements that the snapshot has not named.
 func (d *Dispatcher) endSnapshot(s *snapshotDiff) {
-	for id := range s.workers {
+	for id := range s.unseenWorkers {
 		d.removeWorker(id)
 	}
-	for id := range s.jobs {
+	for id := range s.unseenJobs {
 		d.removeJob(id)
 	}
 	for id, worker := range d.ownedWorkers {
-		worker.owner.RetainPlacements(s.placements[id])
+		worker.owner.RetainPlacements(s.seenPlacements[id])
 	}
 }
--- a/internal/dispatcher/updates.go
+++ b/internal/dispatcher/updates.go
@@ -7,8 +7,8 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// receiveUpdates takes in the updates of a message. A message that opens a session brings a whole snapshot: what it does
-// not name is gone.
+// receiveUpdates applies the updates of a message. A message that opens a session carries a complete snapshot: workers, jobs
+// and placements that are not in it no longer exist.
 func (d *Dispatcher) receiveUpdates(message *protocol.ControlMessage) {
 	now := d.now()
 	var snapshot *snapshotDiff
@@ -26,7 +26,7 @@
 	}
 }
 
-// receiveUpdate takes in one update. Snapshot is nil outside of one.
+// receiveUpdate applies one update. Snapshot is nil for updates that are not part of a snapshot.
 func (d *Dispatcher) receiveUpdate(now time.Duration, update *statemachine.Update, snapshot *snapshotDiff) {
 	switch {
 	case update.Sessions != nil:
@@ -34,7 +34,7 @@
 	case update.Config != nil:
 		d.receiveConfig(update.Config)
 	case update.Worker != nil:
-		snapshot.keepWorker(update.Worker.ID)
+		snapshot.markWorkerSeen(update.Worker.ID)
 		d.setWorker(now, update.Worker)
 	case update.WorkerDraining != "":
 		d.drainWorker(now, update.WorkerDraining)
@@ -43,17 +43,17 @@
 	case update.Usage != nil:
 		d.setUsage(update.Usage)
 	case update.Job != nil:
-		snapshot.keepJob(update.Job.ID)
+		snapshot.markJobSeen(update.Job.ID)
 		d.setJob(now, update.Job)
 	case update.JobRemoved != "":
 		d.removeJob(update.JobRemoved)
 	case update.Task != nil:
 		d.setTask(now, update.Task)
 	case update.JobState != nil:
-		snapshot.keepJob(update.JobState.Job)
+		snapshot.markJobSeen(update.JobState.Job)
 		d.setJobState(update.JobState, snapshot != nil)
 	case update.Placement != nil:
-		snapshot.keepPlacement(update.Placement)
+		snapshot.markPlacementSeen(update.Placement)
 		if worker := d.ownedWorkers[update.Placement.Worker]; worker != nil {
 			worker.owner.SetPlacement(now, *update.Placement)
 		}
@@ -64,7 +64,8 @@
 	}
 }
 
-// setSessions takes in which sessions are open. Where this dispatcher's own is not among them, it opens a new one.
+// setSessions records which sessions are open. If this dispatcher's session is not among them, it reconnects to open a new
+// one.
 func (d *Dispatcher) setSessions(sessions []statemachine.SessionID) {
 	d.sessions = sessions
 	for _, scheduler := range d.schedulers {
--- a/internal/dispatcher/uplink.go
+++ b/internal/dispatcher/uplink.go
@@ -15,40 +15,42 @@
 // Bounds of the connection to a control machine.
 const (
 	dialTimeout = 250 * time.Millisecond
-	// attachTimeout is how long the first message of a connection may take: the snapshot that opens the session.
+	// attachTimeout is how long the dispatcher waits for the first message of a connection, the snapshot that opens the
+	// session.
 	attachTimeout = 900 * time.Millisecond
-	// receiveTimeout ends a connection on which nothing comes. Heartbeats come every 200 ms.
+	// receiveTimeout is how long a connection may be silent before the dispatcher closes it. Control machines send
+	// heartbeats every 200 ms.
 	receiveTimeout    = 600 * time.Millisecond
 	heartbeatInterval = 250 * time.Millisecond
-	// The pause between attempts to connect grows from minRedialPause by half each time, up to maxRedialPause.
+	// The pause between connection attempts grows by half each time, from minRedialPause up to maxRedialPause.
 	minRedialPause = 60 * time.Millisecond
 	maxRedialPause = 150 * time.Millisecond
-	// seedsEvery is how often, in attempts, the seeds of the settings file are tried instead of the known addresses: these
-	// may all be out of date.
-	seedsEvery = 5
-	// acknowledgeBytes is after how many received bytes the control machine is told so beside heartbeats: it stops sending
-	// what is not urgent while 96 kB are unacknowledged.
-	acknowledgeBytes = 24 << 10
+	// seedAttemptInterval is the interval, in connection attempts, at which a seed of the settings file is tried instead of
+	// a known address: the known addresses may all be out of date.
+	seedAttemptInterval = 5
+	// acknowledgeThreshold is the number of received bytes that are acknowledged at once, without waiting for a heartbeat.
+	// The control machine stops sending updates that are not urgent while 96 kB are unacknowledged.
+	acknowledgeThreshold = 24 << 10
 )
 
-// uplink keeps one connection to a control machine, and a session over it. Its state belongs to the event loop; the
-// goroutines of run only read and write connections, and end once the loop has ended.
+// uplink maintains one connection to a control machine, and a session over it. Its state belongs to the event loop. The
+// goroutines that run starts only read and write connections, and end once the loop has ended.
 type uplink struct {
 	dispatcher     *Dispatcher
 	settings       *settings.Settings
 	logger         zerolog.Logger
 	sessionRequest protocol.SessionRequest
 
-	conn             *frame.Conn // nil: none with an open session
-	attached         bool        // the session is open over conn
+	conn             *frame.Conn // nil if no session is open
+	attached         bool        // a session is open over conn
 	session          statemachine.SessionID
 	detachedAt       time.Duration
 	sentAt           time.Duration
 	controlAddresses []string
 	commands         commandQueue
 
-	receivedBytes     uint64 // of messages taken in on conn
-	acknowledgedBytes uint64 // of these, those that the control machine was told of
+	receivedBytes     uint64 // bytes of the messages handled on conn
+	acknowledgedBytes uint64 // the part of receivedBytes that has been acknowledged to the control machine
 }
 
 func newUplink(d *Dispatcher, incarnation uint64) *uplink {
@@ -58,24 +60,24 @@
 			AcknowledgesBytes: true, DelegatesInstanceList: true}}
 }
 
-// submit sends a command and returns its tag; the event loop calls done with its outcome. The command may be carried out
-// twice, so it has to be idempotent.
+// submit queues a command for sending and returns its tag. The event loop calls done with the command's outcome. The command
+// may be carried out twice, so it has to be idempotent.
 func (u *uplink) submit(command *statemachine.Command, done func(statemachine.Result)) uint64 {
 	return u.commands.add(command, done)
 }
 
-// abandon no longer waits for a command's outcome. The command is not sent again, and a copy that is still on its way is
-// rejected by the replicated state once it has seen a later AcknowledgedThrough.
+// abandon stops waiting for a command's outcome. The command is not sent again, and the replicated state rejects a copy in
+// flight once it has received a later AcknowledgedThrough.
 func (u *uplink) abandon(tag uint64) { delete(u.commands.pending, tag) }
 
-// flush sends what has gathered: commands, acknowledgements, or a heartbeat where one is due.
+// flush sends a message if there are queued commands or bytes to acknowledge, or if the heartbeat interval has passed.
 func (u *uplink) flush(now time.Duration) {
 	if !u.attached || u.conn == nil {
-		u.commands.outgoing = nil // all pending ones are sent with the next connection
+		u.commands.outgoing = nil // attach makes all pending commands outgoing again
 		return
 	}
-	owesAcknowledgement := u.receivedBytes-u.acknowledgedBytes >= acknowledgeBytes
-	if len(u.commands.outgoing) == 0 && !owesAcknowledgement && now-u.sentAt < heartbeatInterval {
+	acknowledgementDue := u.receivedBytes-u.acknowledgedBytes >= acknowledgeThreshold
+	if len(u.commands.outgoing) == 0 && !acknowledgementDue && now-u.sentAt < heartbeatInterval {
 		return
 	}
 	u.sentAt, u.acknowledgedBytes = now, u.receivedBytes
@@ -83,18 +85,18 @@
 		ReceivedBytes: u.receivedBytes, Commands: u.commands.takeOutgoing(u.session)}))
 }
 
-// dialTarget is a control machine to connect to, and the request to open the session there.
+// dialTarget is the address of a control machine to connect to, and the request that opens a session there.
 type dialTarget struct {
-	address string // "": none is known
+	address string // empty if no address is known
 	request protocol.SessionRequest
 }
 
-// run connects to control machines, one after the other, until the event loop has ended.
+// run connects to one control machine after the other until the event loop has ended.
 func (u *uplink) run() {
 	pause := minRedialPause
 	for attempt := 0; !u.dispatcher.hasEnded(); attempt++ {
 		target := u.nextTarget(attempt)
-		if target.address != "" && u.serve(target) {
+		if target.address != "" && u.runConnection(target) {
 			pause = minRedialPause
 			continue
 		}
@@ -106,43 +108,43 @@
 	}
 }
 
-// nextTarget returns the control machine to dial next. Those of the own zone can't be told from others by address, so the
-// order is a fixed one that differs between dispatchers.
+// nextTarget returns the control machine to dial next. An address does not show whether a control machine is in the
+// dispatcher's own zone, so the order is fixed, with a start that depends on the dispatcher's incarnation.
 func (u *uplink) nextTarget(attempt int) dialTarget {
 	d := u.dispatcher
-	answer := make(chan dialTarget, 1)
+	targets := make(chan dialTarget, 1)
 	d.post(func() {
 		request := u.sessionRequest
 		request.ConfigVersion = d.config.bodyVersion
 		addresses := append([]string{}, u.controlAddresses...)
-		if attempt%seedsEvery == seedsEvery-1 || len(addresses) == 0 {
+		if attempt%seedAttemptInterval == seedAttemptInterval-1 || len(addresses) == 0 {
 			addresses = d.reloadSeeds()
 		}
 		if len(addresses) == 0 {
-			answer <- dialTarget{}
+			targets <- dialTarget{}
 			return
 		}
-		answer <- dialTarget{addresses[(int(request.Incarnation%1024)+attempt)%len(addresses)], request}
+		targets <- dialTarget{addresses[(int(request.Incarnation%1024)+attempt)%len(addresses)], request}
 	})
 	select {
-	case target := <-answer:
+	case target := <-targets:
 		return target
 	case <-d.loopEnded:
 		return dialTarget{}
 	}
 }
 
-// reloadSeeds reads the seeds from the settings file, which may have changed without a signal. Where the file can't be
-// read, those read before stay.
+// reloadSeeds reads the seeds from the settings file, which may have changed without a signal, and returns them. If the file
+// can't be read, the previous seeds are kept.
 func (d *Dispatcher) reloadSeeds() []string {
-	if fresh, err := settings.Load(os.Getenv(settings.PathVariable)); err == nil {
-		d.settings.Seeds = fresh.Seeds
+	if reloaded, err := settings.Load(os.Getenv(settings.PathVariable)); err == nil {
+		d.settings.Seeds = reloaded.Seeds
 	}
 	return d.settings.Seeds
 }
 
-// serve carries one connection to its end, and reports whether a session was open over it.
-func (u *uplink) serve(target dialTarget) bool {
+// runConnection connects to the target and handles the connection until it ends. It reports whether a session was opened.
+func (u *uplink) runConnection(target dialTarget) bool {
 	conn, err := frame.Dial(u.dispatcher.network, target.address, protocol.DispatcherPath, dialTimeout)
 	if err != nil {
 		return false
@@ -152,15 +154,15 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go u.keepAlive(conn, ended)
-	opened := u.receiveAll(conn)
+	opened := u.receiveMessages(conn)
 	u.dispatcher.post(func() { u.detach(conn) })
 	return opened
 }
 
-// receiveAll hands the messages of a connection to the event loop until the connection ends, and reports whether a session
-// was open over it.
-func (u *uplink) receiveAll(conn *frame.Conn) (opened bool) {
-	timeout, received := attachTimeout, uint64(0)
+// receiveMessages posts the messages of a connection to the event loop until the connection ends. It reports whether a
+// session was opened.
+func (u *uplink) receiveMessages(conn *frame.Conn) (opened bool) {
+	timeout, receivedBytes := attachTimeout, uint64(0)
 	for {
 		data, err := conn.Receive(timeout)
 		if err != nil {
@@ -177,14 +179,14 @@
 		if message.Session != 0 {
 			opened, timeout = true, receiveTimeout
 		}
-		received += uint64(len(data))
-		soFar := received // the event loop reads it while this goroutine counts on
-		u.dispatcher.post(func() { u.receive(conn, message, soFar) })
+		receivedBytes += uint64(len(data))
+		bytesSoFar := receivedBytes // copied because the event loop reads it concurrently
+		u.dispatcher.post(func() { u.receive(conn, message, bytesSoFar) })
 	}
 }
 
-// keepAlive sends heartbeats, also before the session is open, until the connection has ended. It closes the connection
-// where the event loop has ended.
+// keepAlive sends heartbeats until the connection has ended, also while no session is open yet. When the event loop ends, it
+// closes the connection.
 func (u *uplink) keepAlive(conn *frame.Conn, ended <-chan struct{}) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -202,8 +204,9 @@
 	}
 }
 
-// receive takes in a message, after which so many bytes have come on its connection. Messages of a former connection are
-// dropped: the session's snapshot on the new one has what they say, and pending commands were sent again.
+// receive handles a message. ReceivedBytes counts all bytes received on its connection so far, the message included.
+// Messages of a former connection are dropped: the snapshot on the new connection has their updates, and pending commands
+// were sent again there.
 func (u *uplink) receive(conn *frame.Conn, message *protocol.ControlMessage, receivedBytes uint64) {
 	u.learnControlAddresses(message.ControlAddresses)
 	if message.Session != 0 {
@@ -220,17 +223,17 @@
 	}
 }
 
-// receiveOutcome takes in a command's outcome. A command that the session's end has overtaken stays pending and is sent
-// again under the next session.
+// receiveOutcome handles the outcome of a command. If the session ended before the command was applied (Stale), the command
+// stays pending and is sent again under the next session.
 func (u *uplink) receiveOutcome(outcome protocol.Outcome) {
-	waiting := u.commands.pending[outcome.Tag]
+	pending := u.commands.pending[outcome.Tag]
 	switch {
-	case waiting == nil:
+	case pending == nil:
 	case outcome.Result.Code == statemachine.Stale:
 		u.reconnect()
 	default:
 		delete(u.commands.pending, outcome.Tag)
-		waiting.done(outcome.Result)
+		pending.done(outcome.Result)
 	}
 }
 
@@ -240,7 +243,7 @@
 	}
 	u.conn, u.attached, u.session = conn, true, session
 	u.receivedBytes, u.acknowledgedBytes = 0, 0
-	u.dispatcher.instances.delegated = false // until this control machine says that it reads
+	u.dispatcher.instances.delegated = false // until this control machine announces that it reads the list
 	u.commands.resendAll()
 }
 
@@ -256,7 +259,7 @@
 	}
 }
 
-// reconnect ends the present connection, so that the next one opens the session anew.
+// reconnect closes the current connection. The next connection then requests a session again.
 func (u *uplink) reconnect() {
 	if u.conn != nil {
 		u.conn.Close()
--- a/internal/dispatcher/uplink_test.go
+++ b/internal/dispatcher/uplink_test.go
@@ -13,7 +13,7 @@
 	return &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: id}}
 }
 
-// sentCommands returns the commands that the next flush would send, by tag.
+// sentCommands returns the commands that the next flush would send, by tag, and clears the outgoing queue as the flush does.
 func (u *uplink) sentCommands(t *testing.T) map[uint64]*statemachine.Command {
 	t.Helper()
 	commands := map[uint64]*statemachine.Command{}
@@ -28,13 +28,13 @@
 }
 
 func TestCommandsCarrySessionAndSequence(t *testing.T) {
-	u := newStopped().uplink
+	u := newDispatcherWithoutLoop().uplink
 	u.attach(&frame.Conn{}, 7)
 	first := u.submit(cancelCommand("a"), func(statemachine.Result) {})
 	second := u.submit(cancelCommand("b"), func(statemachine.Result) {})
 	sent := u.sentCommands(t)
 	if sent[first].Session != 7 || sent[second].Sequence != second || sent[first].AcknowledgedThrough != first-1 {
-		t.Errorf("sent %+v and %+v", sent[first], sent[second])
+		t.Errorf("the sent commands are %+v and %+v", sent[first], sent[second])
 	}
 	u.receiveOutcome(protocol.Outcome{Tag: second})
 	if through := u.commands.acknowledgedThrough(); through != first-1 {
@@ -46,29 +46,30 @@
 	}
 }
 
-// TestOutcomeOfAFormerConnectionIsIgnored keeps that an outcome which another connection brings, also one of another
-// incarnation of the control machine, is not taken for one of this connection.
+// TestOutcomeOfAFormerConnectionIsIgnored checks that an outcome received on a former connection, which may be to another
+// incarnation of the control machine, does not count as an outcome of the present connection.
 func TestOutcomeOfAFormerConnectionIsIgnored(t *testing.T) {
-	u := newStopped().uplink
+	u := newDispatcherWithoutLoop().uplink
 	former, present := &frame.Conn{}, &frame.Conn{}
 	u.attach(former, 7)
 	answered := false
 	tag := u.submit(cancelCommand("a"), func(statemachine.Result) { answered = true })
 	u.attach(present, 7)
-	u.receive(former, &protocol.ControlMessage{Outcomes: []protocol.Outcome{{Tag: tag, Result: statemachine.Result{Code: statemachine.NotFound}}}}, 0)
+	u.receive(former, &protocol.ControlMessage{
+		Outcomes: []protocol.Outcome{{Tag: tag, Result: statemachine.Result{Code: statemachine.NotFound}}}}, 0)
 	if answered || u.commands.pending[tag] == nil {
-		t.Error("an outcome of a former connection is accepted")
+		t.Error("the outcome received on the former connection is accepted")
 	}
 	u.receive(present, &protocol.ControlMessage{Outcomes: []protocol.Outcome{{Tag: tag}, {Tag: tag + 1}, {Tag: tag}}}, 0)
 	if !answered {
-		t.Error("the outcome is not accepted")
+		t.Error("the outcome received on the present connection is not accepted")
 	}
 }
 
-// TestCommandOfAnEndedSessionIsSentAgain keeps that a command which the session's end has overtaken is sent under the
-// next session, with that one's fences.
+// TestCommandOfAnEndedSessionIsSentAgain checks that a command that was rejected as Stale, because its session had ended, is
+// sent again with the next session's ID.
 func TestCommandOfAnEndedSessionIsSentAgain(t *testing.T) {
-	u := newStopped().uplink
+	u := newDispatcherWithoutLoop().uplink
 	u.attach(&frame.Conn{}, 7)
 	answered := false
 	tag := u.submit(cancelCommand("a"), func(statemachine.Result) { answered = true })
@@ -76,18 +77,18 @@
 	u.conn = nil // as after reconnect
 	u.receiveOutcome(protocol.Outcome{Tag: tag, Result: statemachine.Result{Code: statemachine.Stale}})
 	if answered {
-		t.Fatal("the outcome Stale reaches whoever waits")
+		t.Fatal("the outcome Stale is passed to the caller")
 	}
 	u.attach(&frame.Conn{}, 9)
 	if sent := u.sentCommands(t); sent[tag] == nil || sent[tag].Session != 9 {
-		t.Errorf("sent again: %+v", sent[tag])
+		t.Errorf("sent again: %+v, want it under session 9", sent[tag])
 	}
 }
 
-// TestAbandonedCommandIsNotSentAgain keeps that a job whose client has left long ago is not submitted over a later
-// connection: it may have ended and been forgotten by then.
+// TestAbandonedCommandIsNotSentAgain checks that an abandoned command is not sent over a later connection. Otherwise a job
+// could be submitted a second time, long after its client has gone and after the job has ended and been forgotten.
 func TestAbandonedCommandIsNotSentAgain(t *testing.T) {
-	u := newStopped().uplink
+	u := newDispatcherWithoutLoop().uplink
 	u.attach(&frame.Conn{}, 7)
 	abandoned := u.submit(cancelCommand("a"), func(statemachine.Result) {})
 	retained := u.submit(cancelCommand("b"), func(statemachine.Result) {})
@@ -96,37 +97,39 @@
 	u.attach(&frame.Conn{}, 7)
 	sent := u.sentCommands(t)
 	if sent[abandoned] != nil || sent[retained] == nil || sent[retained].AcknowledgedThrough < abandoned {
-		t.Errorf("sent again: %+v", sent)
+		t.Errorf("sent again: %+v, want the retained command only", sent)
 	}
 }
 
-// TestReceivedBytesAreAcknowledged keeps that many received bytes are acknowledged at once, since the control machine
-// waits for that, and that a new connection counts from 0.
+// TestReceivedBytesAreAcknowledged checks that received bytes are acknowledged at once when they reach acknowledgeThreshold,
+// because the control machine waits for the acknowledgement, that a smaller number is acknowledged with the next heartbeat,
+// and that a new connection starts counting at 0.
 func TestReceivedBytesAreAcknowledged(t *testing.T) {
-	u := newStopped().uplink
+	u := newDispatcherWithoutLoop().uplink
 	first, second := &frame.Conn{}, &frame.Conn{}
 	now := time.Duration(0)
-	due := func() bool {
+	flushAcknowledges := func() bool {
 		before := u.acknowledgedBytes
 		u.flush(now)
 		return u.acknowledgedBytes > before
 	}
 	u.receive(first, &protocol.ControlMessage{Session: 7}, 1000)
 	u.flush(now)
-	u.receive(first, &protocol.ControlMessage{}, acknowledgeBytes/2)
-	if due() {
-		t.Error("little is acknowledged by a message of its own")
+	u.receive(first, &protocol.ControlMessage{}, acknowledgeThreshold/2)
+	if flushAcknowledges() {
+		t.Error("bytes below the threshold are acknowledged before a heartbeat")
 	}
-	u.receive(first, &protocol.ControlMessage{}, acknowledgeBytes+1000)
-	if !due() || u.acknowledgedBytes != acknowledgeBytes+1000 {
-		t.Errorf("%d bytes are acknowledged", u.acknowledgedBytes)
+	u.receive(first, &protocol.ControlMessage{}, acknowledgeThreshold+1000)
+	if !flushAcknowledges() || u.acknowledgedBytes != acknowledgeThreshold+1000 {
+		t.Errorf("%d bytes are acknowledged after the threshold was reached", u.acknowledgedBytes)
 	}
-	u.receive(first, &protocol.ControlMessage{}, acknowledgeBytes+2000)
-	if now += heartbeatInterval; !due() {
-		t.Error("a heartbeat does not acknowledge what has come")
+	u.receive(first, &protocol.ControlMessage{}, acknowledgeThreshold+2000)
+	if now += heartbeatInterval; !flushAcknowledges() {
+		t.Error("the heartbeat does not acknowledge the received bytes")
 	}
 	u.receive(second, &protocol.ControlMessage{Session: 7}, 500)
 	if u.receivedBytes != 500 || u.acknowledgedBytes != 0 {
-		t.Errorf("on a new connection %d bytes have come, %d are acknowledged", u.receivedBytes, u.acknowledgedBytes)
+		t.Errorf("on a new connection %d bytes are received and %d acknowledged, want 500 and 0",
+			u.receivedBytes, u.acknowledgedBytes)
 	}
 }
--- a/internal/dispatcher/workercalls.go
+++ b/internal/dispatcher/workercalls.go
@@ -14,24 +14,24 @@
 	"yardflow/scheduling/worker"
 )
 
-// Bounds of calls to workers.
+// Timeouts and limits of calls to workers.
 const (
 	connectTimeout = 300 * time.Millisecond
 	commandTimeout = 500 * time.Millisecond
-	// pollMargin is the time-out of a poll beyond the time for which the worker may delay its answer.
+	// pollMargin is added to the time for which the worker may delay its answer to get the timeout of a poll.
 	pollMargin     = 350 * time.Millisecond
-	maxAnswerBytes = 4 << 20 // a longer one does not parse, and counts as none
+	maxAnswerBytes = 4 << 20 // a longer answer is cut, fails to parse, and counts as no answer
 
 	maxIdleConns    = 4
 	idleConnTimeout = 30 * time.Second
 )
 
-// The protocol's calls to a worker.
+// Paths and header of the worker protocol.
 const (
 	pollPath  = "/-/hold"
 	startPath = "/-/run-start"
 	stopPath  = "/-/run-stop"
-	// incarnationHeader names the worker that a call is meant for; another one at the address refuses it.
+	// incarnationHeader has the ID of the worker that the call is meant for. Another worker at the same address rejects it.
 	incarnationHeader = "Yardflow-Expect-Instance"
 )
 
@@ -57,7 +57,7 @@
 	FencingToken uint64 `json:"FenceToken"`
 }
 
-// answerBody is the answer to any of them. The lists' entries are arrays.
+// answerBody is the body of the answer to each of these calls. The entries of its lists are JSON arrays.
 type answerBody struct {
 	ClockMs int64               `json:"ClockMs"`
 	Reason  string              `json:"Reason"`
@@ -65,7 +65,7 @@
 	Ended   [][]json.RawMessage `json:"Ended"`
 }
 
-// call makes one call to the worker. Whatever leaves open whether the call was carried out counts as Unanswered.
+// call makes one call to the worker. If it is not known whether the worker carried out the call, the outcome is Unanswered.
 func (w *ownedWorker) call(path string, message any, timeout time.Duration) (worker.Outcome, answerBody) {
 	body := answerBody{}
 	data, err := json.Marshal(message)
@@ -78,35 +78,35 @@
 	if err != nil {
 		return worker.Invalid, body
 	}
-	request.GetBody = nil // so that the transport itself never sends it twice
+	request.GetBody = nil // so that the transport never retries the request
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(incarnationHeader, w.id)
 	response, err := w.client.Do(request)
 	if err != nil {
-		w.transport.CloseIdleConnections() // what broke this connection may have broken others
+		w.transport.CloseIdleConnections() // the same failure may have broken other connections
 		if isDialError(err) {
 			return worker.Unreachable, body
 		}
 		return worker.Unanswered, body
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return worker.Unanswered, body
 	}
-	if len(text) > 0 && json.Unmarshal(text, &body) != nil && response.StatusCode == http.StatusOK {
+	if len(responseBody) > 0 && json.Unmarshal(responseBody, &body) != nil && response.StatusCode == http.StatusOK {
 		return worker.Unanswered, answerBody{}
 	}
 	return outcomeOfResponse(response.StatusCode, body.Reason), body
 }
 
-// isDialError reports whether there was no connection, so that nothing was sent.
+// isDialError reports whether the connection could not be established, so that nothing was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// outcomeOfResponse interprets a worker's status and reason, as the protocol defines them.
+// outcomeOfResponse maps the status and the reason of a worker's answer to an outcome, as the protocol defines them.
 func outcomeOfResponse(status int, reason string) worker.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -133,7 +133,7 @@
 	return worker.Unanswered
 }
 
-// decodeRunning decodes the list of running tasks. An entry that can't be decoded is skipped, here and below.
+// decodeRunning decodes the list of running tasks. It skips entries that can't be decoded.
 func decodeRunning(rows [][]json.RawMessage) []worker.RunStatus {
 	statuses := make([]worker.RunStatus, 0, len(rows))
 	for _, row := range rows {
@@ -145,7 +145,7 @@
 	return statuses
 }
 
-// decodeEnded decodes the list of ended runs.
+// decodeEnded decodes the list of ended runs. It skips entries that can't be decoded.
 func decodeEnded(rows [][]json.RawMessage) []worker.EndedRun {
 	ends := make([]worker.EndedRun, 0, len(rows))
 	for _, row := range rows {
@@ -158,7 +158,8 @@
 	return ends
 }
 
-// decodeRow decodes the first elements of an array. Elements beyond the targets are left to later versions.
+// decodeRow decodes the first elements of an array into the targets. It ignores further elements, which later versions of
+// the protocol may add.
 func decodeRow(row []json.RawMessage, targets ...any) bool {
 	if len(row) < len(targets) {
 		return false
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -7,22 +7,23 @@
 	"yardflow/scheduling/placement"
 )
 
-// setWorker takes in a worker's state: it becomes known to its service's scheduler, and is owned or no longer owned here.
-// An owner exists for one token; a new token, also after another dispatcher's ownership, means a new one.
+// setWorker applies the state of a worker: it updates the scheduler of the worker's service, and creates or closes the
+// ownedWorker if the ownership has changed. An ownedWorker is valid for one token; a new token means a new ownedWorker, even
+// if another dispatcher owned the worker in between.
 func (d *Dispatcher) setWorker(now time.Duration, worker *statemachine.Worker) {
 	former := d.workers[worker.ID]
 	d.logDrain(former, worker)
-	worker.Draining = worker.Draining || former != nil && former.Draining // a drain overtakes older updates
+	worker.Draining = worker.Draining || former != nil && former.Draining // a drain arrives before older updates
 	d.workers[worker.ID] = worker
 	d.scheduler(worker.Service).SetWorker(worker.ID, worker.Labels, worker.Capacity, worker.Used, worker.Unschedulable())
 	owned := d.ownedWorkers[worker.ID]
-	owns := worker.Owner == d.uplink.session && d.uplink.session != 0 && !worker.Ended
-	if owned != nil && (!owns || worker.Token != owned.owner.Token()) {
+	shouldOwn := worker.Owner == d.uplink.session && d.uplink.session != 0 && !worker.Ended
+	if owned != nil && (!shouldOwn || worker.Token != owned.owner.Token()) {
 		owned.close()
 		delete(d.ownedWorkers, worker.ID)
 		owned = nil
 	}
-	if owned == nil && owns {
+	if owned == nil && shouldOwn {
 		owned = newOwnedWorker(d, worker)
 		d.ownedWorkers[worker.ID] = owned
 	}
@@ -35,7 +36,7 @@
 	}
 }
 
-// drainWorker takes in that a worker has begun to drain. How much time it has left follows with its state.
+// drainWorker marks a worker as draining. The update of the worker's state, which follows, has its remaining time.
 func (d *Dispatcher) drainWorker(now time.Duration, id string) {
 	known := d.workers[id]
 	if known == nil || known.Draining {
@@ -46,17 +47,17 @@
 	d.setWorker(now, &draining)
 }
 
-// logDrain logs at debug level that a worker that is owned here has begun to drain, and what is still to be dispatched there.
+// logDrain logs at debug level that an owned worker has begun to drain, and how many of its runs are not dispatched yet.
 func (d *Dispatcher) logDrain(former, worker *statemachine.Worker) {
 	owned := d.ownedWorkers[worker.ID]
 	if owned == nil || !worker.Draining || former != nil && former.Draining {
 		return
 	}
 	d.logger.Debug().Str("worker", worker.ID).Int64("remaining_ms", worker.RemainingMs).
-		Int("undispatched", owned.owner.Undispatched()).Msg("worker drains")
+		Int("undispatched", owned.owner.Undispatched()).Msg("worker started draining")
 }
 
-// setUsage takes in how much of a worker is in use.
+// setUsage applies an update of the resources that are in use at a worker.
 func (d *Dispatcher) setUsage(usage *statemachine.UsageUpdate) {
 	if worker := d.workers[usage.Worker]; worker != nil {
 		worker.Used = usage.Used
@@ -77,7 +78,7 @@
 	}
 }
 
-// scheduler returns the scheduler of a service, which it creates where there is none yet.
+// scheduler returns the scheduler of a service and creates it if necessary.
 func (d *Dispatcher) scheduler(service string) *placement.Scheduler {
 	scheduler := d.schedulers[service]
 	if scheduler == nil {
