--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -1,15 +1,16 @@
 package chain
 
-// CatchUpRequest is asked by a replica outside the chain, of a member: what follows its log? A replica joins the
-// chain once it has nearly all of the log, since a chain commits nothing while a member of it lacks entries.
+// CatchUpRequest is sent by a replica outside the chain to a member, to get the entries that follow the replica's log. A
+// replica joins the chain once it has nearly all of the log, since a chain commits nothing while a writer lacks entries.
 type CatchUpRequest struct {
-	LastIndex   uint64 `cbor:"1,keyasint"` // last entry that it has
-	LastEpoch   uint64 `cbor:"2,keyasint"` // and that entry's epoch
-	CommitIndex uint64 `cbor:"3,keyasint"` // up to where its log is known to be every replica's
+	LastIndex   uint64 `cbor:"1,keyasint"` // index of the last entry of the requesting replica
+	LastEpoch   uint64 `cbor:"2,keyasint"` // epoch of that entry
+	CommitIndex uint64 `cbor:"3,keyasint"` // the requester's commit index; its log is known to equal the others' up to here
 }
 
-// CatchUpResponse answers a CatchUpRequest with committed entries, or with a snapshot where the logs differ or the
-// member's begins later. It ends before the member's newest entries where they are more than maxBatch bytes.
+// CatchUpResponse answers a CatchUpRequest with committed entries, preceded by a snapshot if the logs differ or the
+// member's log begins after the end of the requester's. It ends before the member's newest entries if they have more than
+// maxBatchBytes bytes.
 type CatchUpResponse struct {
 	PrevIndex   uint64    `cbor:"1,keyasint"` // of the entry before Entries
 	PrevEpoch   uint64    `cbor:"2,keyasint"`
@@ -18,8 +19,8 @@
 	CommitIndex uint64    `cbor:"5,keyasint"`
 }
 
-// NextCatchUpRequest returns what a replica outside the chain asks for, and false for a member and for one that has
-// diverged.
+// NextCatchUpRequest returns the next request of a replica outside the chain. It returns false for a member of the chain
+// and for a replica that has diverged.
 func (r *Replica) NextCatchUpRequest() (CatchUpRequest, bool) {
 	if r.IsMember() || r.divergence != nil {
 		return CatchUpRequest{}, false
@@ -28,7 +29,8 @@
 	return CatchUpRequest{last, r.log.epochAt(last), r.log.commitIndex}, true
 }
 
-// AnswerCatchUp answers a CatchUpRequest. It is nil while there is nothing to send or this replica does not serve.
+// AnswerCatchUp returns the response to a CatchUpRequest. It returns nil if there is nothing to send or this replica is not
+// serving.
 func (r *Replica) AnswerCatchUp(request CatchUpRequest) *CatchUpResponse {
 	if !r.IsServing() {
 		return nil
@@ -42,7 +44,7 @@
 		response.Snapshot = r.log.snapshot(r.view.Epoch)
 	}
 	size := 0
-	for index := from + 1; index <= r.log.commitIndex && size < maxBatch; index++ {
+	for index := from + 1; index <= r.log.commitIndex && size < maxBatchBytes; index++ {
 		entry := r.log.entry(index)
 		response.Entries = append(response.Entries, *entry)
 		size += len(entry.Data)
@@ -50,8 +52,8 @@
 	return response
 }
 
-// catchUpFrom returns the index after which a replica lacks entries: the end of its log where that is committed and
-// the same here, else the last index at which both logs must be the same.
+// catchUpFrom returns the index after which the response to a replica begins: the last index of its log if the entry there
+// is committed and equal in both logs, otherwise the last index up to which both logs must be equal.
 func (r *Replica) catchUpFrom(request CatchUpRequest) uint64 {
 	last := request.LastIndex
 	if last > r.log.commitIndex || last < r.log.snapshotIndex || r.log.epochAt(last) != request.LastEpoch {
@@ -60,7 +62,7 @@
 	return last
 }
 
-// ApplyCatchUp takes in a CatchUpResponse, outside the chain.
+// ApplyCatchUp applies a CatchUpResponse at a replica outside the chain.
 func (r *Replica) ApplyCatchUp(response *CatchUpResponse) {
 	if r.IsMember() || r.divergence != nil {
 		return
@@ -72,13 +74,13 @@
 	if r.anyContradicts(response.PrevIndex, response.PrevEpoch, response.Entries) {
 		return
 	}
-	// A log that reaches beyond the snapshot may do so with entries that were never committed.
+	// The entries of a log that extends beyond the snapshot may never have been committed.
 	if snapshot != nil && r.log.epochAt(snapshot.Index) != snapshot.IndexEpoch {
 		r.restore(snapshot)
 	}
 	if !r.log.has(response.PrevIndex, response.PrevEpoch) {
 		return
 	}
-	r.takeEntries(response.Entries)
+	r.mergeEntries(response.Entries)
 	r.commit(min(response.CommitIndex, response.PrevIndex+uint64(len(response.Entries)), r.log.lastIndex()))
 }
--- a/coordination/chain/catchup_test.go
+++ b/coordination/chain/catchup_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestNonMemberCatchesUp: a replica outside the chain catches up, in the place of its own old suffix, before it joins.
+// TestNonMemberCatchesUp checks that a replica outside the chain catches up before it joins, and that the committed entries
+// replace its own uncommitted ones.
 func TestNonMemberCatchesUp(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 3, 1, 2)
@@ -18,7 +19,7 @@
 	c.propose(1, "b", "c")
 	c.runUntilQuiet()
 	if nonMember.replica.LastIndex() != 2 {
-		t.Fatalf("the former head has %d entries", nonMember.replica.LastIndex())
+		t.Fatalf("the former head has %d entries, want 2", nonMember.replica.LastIndex())
 	}
 	for range 3 {
 		if request, outside := nonMember.replica.NextCatchUpRequest(); outside {
@@ -30,16 +31,17 @@
 		}
 	}
 	if got := texts(nonMember.applied); got != "a b c" {
-		t.Errorf("the non-member has %q", got)
+		t.Errorf("the non-member has applied %q", got)
 	}
 	if request, _ := nonMember.replica.NextCatchUpRequest(); c.hosts[2].replica.AnswerCatchUp(request) != nil {
-		t.Error("there is more to learn")
+		t.Error("the member still has entries for a non-member that has caught up")
 	}
 	c.reportViolations(t)
 }
 
-// TestNonMemberWithAnUncommittedSuffixCatchesUp keeps a fault that a planted one has shown: a replica whose log reached
-// beyond its member's snapshot with entries that were never committed took nothing in, and asked again without end.
+// TestNonMemberWithAnUncommittedSuffixCatchesUp guards against a fault that a planted fault revealed: a replica whose log
+// extended beyond the member's snapshot with entries that were never committed applied no response and sent the same
+// request endlessly.
 func TestNonMemberWithAnUncommittedSuffixCatchesUp(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 1, 2, 3)
@@ -69,7 +71,8 @@
 			c.handleReady(c.hosts[1])
 		}
 	}
-	if nonMember.CommitIndex() != member.CommitIndex() || string(c.hosts[1].base.Data) != "state of 3" || texts(c.hosts[1].applied) != "d" {
+	if nonMember.CommitIndex() != member.CommitIndex() || string(c.hosts[1].base.Data) != "state of 3" ||
+		texts(c.hosts[1].applied) != "d" {
 		t.Errorf("committed %d of %d, snapshot %q, applied %q", nonMember.CommitIndex(), member.CommitIndex(),
 			c.hosts[1].base.Data, texts(c.hosts[1].applied))
 	}
--- a/coordination/chain/cluster_test.go
+++ b/coordination/chain/cluster_test.go
@@ -9,11 +9,11 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// host is one replica with a disk that syncs on demand, and connections that keep order.
+// host is a replica with a simulated disk, whose writes become durable only when a test calls cluster.sync.
 type host struct {
 	id      MemberID
 	replica *Replica
-	disk    []Entry // durable
+	disk    []Entry // the durable entries after base
 	base    Snapshot
 	writes  []Write
 	applied []Entry
@@ -24,43 +24,43 @@
 // link is the connection from one member to another.
 type link struct{ from, to MemberID }
 
-// cluster is a set of hosts under one test's control.
+// cluster is a set of hosts with connections between them; a test decides which message, sync or failure comes next.
 type cluster struct {
-	violations []string // promises that did not hold
-	minimum    int
-	writers    int // of each view; 0: all members
+	violations []string // violated invariants
+	minMembers int
+	writers    int // View.WriterCount of each view; 0: all members
 	hosts      map[MemberID]*host
 	ids        []MemberID
 	queues     map[link][]Message
 	cut        map[link]bool
 	view       View
-	timeline   []string // what each host does, a line an event
-	history    []Entry  // everything ever committed, in order
-	intercept  func(h *host, ready *Ready)
+	timeline   []string                    // the events at each host, one line per event
+	history    []Entry                     // all entries committed so far, in order
+	intercept  func(h *host, ready *Ready) // if set, called before a Ready is carried out, and may change it
 }
 
-func newCluster(count, minimum int) *cluster {
-	c := &cluster{minimum: minimum, hosts: map[MemberID]*host{}, queues: map[link][]Message{}, cut: map[link]bool{}}
+func newCluster(count, minMembers int) *cluster {
+	c := &cluster{minMembers: minMembers, hosts: map[MemberID]*host{}, queues: map[link][]Message{}, cut: map[link]bool{}}
 	for id := MemberID(1); id <= MemberID(count); id++ {
-		c.hosts[id] = &host{id: id, up: true, replica: New(id, minimum, Snapshot{}, nil, 0)}
+		c.hosts[id] = &host{id: id, up: true, replica: New(id, minMembers, Snapshot{}, nil, 0)}
 		c.ids = append(c.ids, id)
 	}
 	return c
 }
 
-func (c *cluster) violated(format string, args ...any) {
+func (c *cluster) recordViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// reportViolations fails the test for each promise that did not hold.
+// reportViolations fails the test for each violated invariant.
 func (c *cluster) reportViolations(t *testing.T) {
 	t.Helper()
-	for _, broken := range c.violations {
-		t.Error(broken)
+	for _, violation := range c.violations {
+		t.Error(violation)
 	}
 }
 
-func (c *cluster) note(id MemberID, format string, args ...any) {
+func (c *cluster) recordEvent(id MemberID, format string, args ...any) {
 	const width = 26
 	columns := make([]string, len(c.ids))
 	for i, other := range c.ids {
@@ -85,7 +85,7 @@
 func (c *cluster) handleReady(h *host) {
 	ready := h.replica.Ready()
 	if d := h.replica.Divergence(); d != nil {
-		c.violated("member %d finds its log contradicted at %d, which sound disks can't bring about", h.id, d.Index)
+		c.recordViolation("member %d has diverged at index %d although no disk has lost synced data", h.id, d.Index)
 	}
 	if c.intercept != nil {
 		c.intercept(h, &ready)
@@ -96,7 +96,7 @@
 	}
 	h.writes = append(h.writes, ready.Writes...)
 	for _, write := range ready.Writes {
-		c.note(h.id, "writes %d..%d", write.Entries[0].Index, write.Entries[len(write.Entries)-1].Index)
+		c.recordEvent(h.id, "writes %d..%d", write.Entries[0].Index, write.Entries[len(write.Entries)-1].Index)
 	}
 	for _, envelope := range ready.Messages {
 		pair := link{h.id, envelope.To}
@@ -112,12 +112,12 @@
 		c.checkCommitted(h, entry)
 	}
 	for _, read := range ready.ConfirmedReads {
-		c.note(h.id, "answers read at %d", read.Index)
+		c.recordEvent(h.id, "answers read at %d", read.Index)
 		h.reads = append(h.reads, read)
 	}
 }
 
-// isWriter reports whether what is committed in the newest view must be durable at the member.
+// isWriter reports whether the member is a writer of the newest view.
 func (c *cluster) isWriter(id MemberID) bool {
 	return slices.Contains(c.view.Members[:c.writerCount()], id)
 }
@@ -129,31 +129,34 @@
 	return min(c.writers, len(c.view.Members))
 }
 
-// checkCommitted checks the promises: one history, and every writer of the view has it durable.
+// checkCommitted checks that all members commit the same history, and that an entry committed in the newest view is
+// durable at every writer.
 func (c *cluster) checkCommitted(h *host, entry Entry) {
-	c.note(h.id, "commits %d", entry.Index)
+	c.recordEvent(h.id, "commits %d", entry.Index)
 	h.applied = append(h.applied, entry)
 	if entry.Index <= uint64(len(c.history)) {
 		if known := c.history[entry.Index-1]; string(known.Data) != string(entry.Data) {
-			c.violated("member %d commits %q at %d, where %q was committed", h.id, entry.Data, entry.Index, known.Data)
+			c.recordViolation("member %d commits %q at index %d, where %q was committed",
+				h.id, entry.Data, entry.Index, known.Data)
 		}
 		return
 	}
 	if entry.Index != uint64(len(c.history))+1 {
-		c.violated("member %d commits %d after %d", h.id, entry.Index, len(c.history))
+		c.recordViolation("member %d commits index %d right after index %d", h.id, entry.Index, len(c.history))
 		return
 	}
 	c.history = append(c.history, entry)
-	have := 0
+	durableCopies := 0
 	for _, id := range c.view.Members[:c.writerCount()] {
 		other := c.hosts[id]
 		if entry.Index <= other.base.Index || entry.Index <= other.base.Index+uint64(len(other.disk)) &&
 			string(other.disk[entry.Index-other.base.Index-1].Data) == string(entry.Data) {
-			have++
+			durableCopies++
 		}
 	}
-	if h.replica.Epoch() == c.view.Epoch && (have < c.writerCount() || have < c.minimum) {
-		c.violated("%d is committed with %d durable copies among the first %d of %v", entry.Index, have, c.writerCount(), c.view.Members)
+	if h.replica.Epoch() == c.view.Epoch && (durableCopies < c.writerCount() || durableCopies < c.minMembers) {
+		c.recordViolation("index %d is committed with %d durable copies among the first %d of %v",
+			entry.Index, durableCopies, c.writerCount(), c.view.Members)
 	}
 }
 
@@ -165,7 +168,7 @@
 	c.handleReady(h)
 }
 
-// sync makes the oldest write durable.
+// sync makes a host's oldest pending write durable; it returns false if there is none.
 func (c *cluster) sync(id MemberID) bool {
 	h := c.hosts[id]
 	if len(h.writes) == 0 {
@@ -180,13 +183,13 @@
 		h.disk = append(h.disk, entry)
 	}
 	last := write.Entries[len(write.Entries)-1].Index
-	c.note(id, "synced to %d", last)
+	c.recordEvent(id, "synced to %d", last)
 	h.replica.EntriesPersisted(last, write.Generation)
 	c.handleReady(h)
 	return true
 }
 
-// deliver hands over the oldest message from one member to another.
+// deliver delivers the oldest message from one member to another; it returns false if there is none.
 func (c *cluster) deliver(from, to MemberID) bool {
 	pair := link{from, to}
 	if len(c.queues[pair]) == 0 {
@@ -202,18 +205,18 @@
 }
 
 func (c *cluster) runUntilQuiet() {
-	for moved := true; moved; {
-		moved = false
+	for progressed := true; progressed; {
+		progressed = false
 		for _, from := range c.ids {
-			moved = c.hosts[from].up && c.sync(from) || moved
+			progressed = c.hosts[from].up && c.sync(from) || progressed
 			for _, to := range c.ids {
-				moved = c.deliver(from, to) || moved
+				progressed = c.deliver(from, to) || progressed
 			}
 		}
 	}
 }
 
-// powerLoss takes a member down; what was not synced is gone.
+// powerLoss stops a member; its unsynced writes and all messages to and from it are lost.
 func (c *cluster) powerLoss(id MemberID) {
 	h := c.hosts[id]
 	h.up, h.writes = false, nil
@@ -228,30 +231,31 @@
 			c.handleReady(c.hosts[other])
 		}
 	}
-	c.note(id, "loses power")
+	c.recordEvent(id, "loses power")
 }
 
-// powerOn starts a member again with what its disk holds.
+// powerOn restarts a member with the contents of its disk.
 func (c *cluster) powerOn(id MemberID) {
 	h := c.hosts[id]
 	h.up, h.applied = true, nil
-	h.replica = New(id, c.minimum, h.base, append([]Entry(nil), h.disk...), 0)
-	c.note(id, "starts with %d", h.replica.LastIndex())
+	h.replica = New(id, c.minMembers, h.base, append([]Entry(nil), h.disk...), 0)
+	c.recordEvent(id, "starts with %d", h.replica.LastIndex())
 }
 
-func golden(t *testing.T, c *cluster) {
+// assertTimeline fails the test for violated invariants, and if the timeline differs from the golden file.
+func assertTimeline(t *testing.T, c *cluster) {
 	t.Helper()
 	c.reportViolations(t)
 	goldie.New(t).Assert(t, t.Name(), []byte(strings.Join(c.timeline, "\n")+"\n"))
 }
 
-// deliverAll delivers everything without any sync.
+// deliverAll delivers messages until none is left, without syncing any disk.
 func (c *cluster) deliverAll() {
-	for moved := true; moved; {
-		moved = false
+	for progressed := true; progressed; {
+		progressed = false
 		for _, from := range c.ids {
 			for _, to := range c.ids {
-				moved = c.deliver(from, to) || moved
+				progressed = c.deliver(from, to) || progressed
 			}
 		}
 	}
--- a/coordination/chain/commit.go
+++ b/coordination/chain/commit.go
@@ -1,20 +1,21 @@
 package chain
 
-// viewLog is what a member knows of the log of the view in force. A new view resets it.
+// viewLog is a member's knowledge of the log of the current view. A new view resets it.
 type viewLog struct {
-	received uint64 // this member's log is known to be the predecessor's up to here
-	// durableBefore is up to where all members before this one have the log durable.
+	received uint64 // this member's log is known to be equal to the predecessor's up to here
+	// durableBefore is the index up to which the log is durable at all members before this one.
 	durableBefore uint64
 	start         uint64 // the head's last index when the view began
-	startKnown    bool   // an Append of the view has come, or this member is the head
-	// completing: all entries up to start are durable here, and the host was asked to persist that.
-	completing bool
-	// complete: that is persisted. Only then does this member confirm anything, since a member that loses power must
-	// still know whether it may head the next view.
+	startKnown    bool   // an Append of the view was received, or this member is the head
+	// persistRequested is set once all entries up to start are durable at this member and the host was asked to persist
+	// that fact.
+	persistRequested bool
+	// complete is set once that fact is persisted. Before that, this member confirms nothing, since a member that loses
+	// power must still know whether it may head the next view.
 	complete bool
 }
 
-// durableInChain returns the index up to which this member and all before it have the log durable.
+// durableInChain returns the index up to which the log is durable at this member and all members before it.
 func (r *Replica) durableInChain() uint64 {
 	if !r.viewLog.complete {
 		return 0
@@ -26,7 +27,7 @@
 	return min(own, r.viewLog.durableBefore)
 }
 
-// advance does what the present indexes allow. It is called after each change of one of them.
+// advance completes, commits and releases reads as the current indexes allow. It is called after each change of an index.
 func (r *Replica) advance() {
 	if !r.IsMember() || r.divergence != nil {
 		return
@@ -34,7 +35,7 @@
 	r.maybeComplete()
 	if r.isTail() {
 		r.maybeCommit()
-		r.reads.confirmPassing()
+		r.reads.confirmPending()
 	}
 	r.releaseReads()
 	isBeforeTail := r.position < r.writerCount()-1
@@ -43,23 +44,25 @@
 	}
 }
 
-// maybeComplete asks the host to persist that the complete log with which the view began is durable here.
+// maybeComplete asks the host to persist that the complete log with which the view began is durable at this member, once
+// that is so.
 func (r *Replica) maybeComplete() {
-	if r.viewLog.startKnown && !r.viewLog.completing && min(r.log.durableIndex, r.viewLog.received) >= r.viewLog.start {
-		r.viewLog.completing, r.ready.PersistCompleteness = true, true
+	if r.viewLog.startKnown && !r.viewLog.persistRequested &&
+		min(r.log.durableIndex, r.viewLog.received) >= r.viewLog.start {
+		r.viewLog.persistRequested, r.ready.PersistCompleteness = true, true
 	}
 }
 
-// maybeCommit commits, at the tail, what all writers have durable. A chain below the minimum commits nothing: an
-// entry has to outlive the loss of minimum-1 disks.
+// maybeCommit commits, at the tail, the entries that are durable at all writers. A chain with fewer than minMembers members
+// commits nothing, because an entry has to survive the loss of minMembers-1 disks.
 func (r *Replica) maybeCommit() {
-	if len(r.view.Members) < r.minimum {
+	if len(r.view.Members) < r.minMembers {
 		return
 	}
 	r.commit(r.durableInChain())
 }
 
-// commit hands the entries up to an index to the host, unless they are committed already.
+// commit advances the commit index and passes the newly committed entries to the host.
 func (r *Replica) commit(index uint64) {
 	if index <= r.log.commitIndex {
 		return
@@ -67,9 +70,9 @@
 	r.ready.CommittedEntries = append(r.ready.CommittedEntries, r.log.between(r.log.commitIndex, index)...)
 	r.log.commitIndex = index
 	if r.isTail() || r.isFollower() {
-		r.sendDue = true // the commit index goes down the chain from the tail on
+		r.sendDue = true // from the tail on, the commit index is sent down the chain
 	}
 	if !r.isFollower() {
-		r.ackDue = true // and up the chain to the head
+		r.ackDue = true // and from the tail up the chain to the head
 	}
 }
--- a/coordination/chain/divergence.go
+++ b/coordination/chain/divergence.go
@@ -1,19 +1,20 @@
 package chain
 
-// Divergence says that another member's log has another entry where this replica's log is known to be committed. As
-// long as disks keep what they report as synced this can't happen: every view is headed by a log that has all that was
-// committed.
+// Divergence reports that the log of another member has a different entry at an index that this replica knows to be
+// committed. This can't happen as long as disks keep the data that they have reported as synced, since the head of every
+// view has all committed entries.
 type Divergence struct {
 	Index      uint64 // of the entry
-	OwnEpoch   uint64 // of the entry here
-	OtherEpoch uint64 // of the entry at the other member
+	OwnEpoch   uint64 // of the entry in this replica's log
+	OtherEpoch uint64 // of the entry in the other member's log
 }
 
-// Divergence returns what this replica's log was contradicted by, or nil. Such a replica takes no part any more: which
-// of both logs is right can't be known here, and an exchange of them would have no end.
+// Divergence returns the contradiction that this replica has found, or nil. A replica that has found one no longer takes
+// part in the chain: it can't know which of the two logs is right, and the members would exchange their logs endlessly.
 func (r *Replica) Divergence() *Divergence { return r.divergence }
 
-// contradicts reports whether an entry of another member contradicts what is committed here, and records that.
+// contradicts reports whether an entry of another member contradicts a committed entry of this replica. If so, it sets
+// divergence.
 func (r *Replica) contradicts(index, epoch uint64) bool {
 	if index < r.log.snapshotIndex || index > r.log.commitIndex || r.log.epochAt(index) == epoch {
 		return false
@@ -22,7 +23,7 @@
 	return true
 }
 
-// anyContradicts does so for the entry before a message's entries, and for these.
+// anyContradicts calls contradicts for the entries of a message and the entry that precedes them.
 func (r *Replica) anyContradicts(prevIndex, prevEpoch uint64, entries []Entry) bool {
 	if r.contradicts(prevIndex, prevEpoch) {
 		return true
@@ -35,7 +36,7 @@
 	return false
 }
 
-// refuseView tells the predecessor that this replica takes no part in its view.
-func (r *Replica) refuseView() {
+// reportDivergence notifies the predecessor that this replica has diverged and does not take part in the view.
+func (r *Replica) reportDivergence() {
 	r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, Diverged: true}})
 }
--- a/coordination/chain/divergence_test.go
+++ b/coordination/chain/divergence_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// logOf makes a log of one epoch's entries.
-func logOf(epoch uint64, count int, size int) []Entry {
+// makeLog returns a log of count entries of one epoch, each with size bytes of data.
+func makeLog(epoch uint64, count int, size int) []Entry {
 	entries := make([]Entry, count)
 	for i := range entries {
 		entries[i] = Entry{Index: uint64(i + 1), Epoch: epoch, Data: make([]byte, size)}
@@ -11,11 +11,11 @@
 	return entries
 }
 
-// exchange carries messages between two members of one view until both are quiet, and returns how many there were;
-// at most that many.
-func exchange(most int, replicas ...*Replica) int {
+// exchange delivers messages between replicas of one view until none is left, or it has delivered maxMessages. It returns
+// the number of messages.
+func exchange(maxMessages int, replicas ...*Replica) int {
 	sent := 0
-	for busy := true; busy && sent < most; {
+	for busy := true; busy && sent < maxMessages; {
 		busy = false
 		for _, from := range replicas {
 			ready := from.Ready()
@@ -39,54 +39,55 @@
 	return sent
 }
 
-// Where a disk has lost what it had called synced, a member may be headed by one whose log contradicts what it knows to
-// be committed. It says so once and takes no part; before, both exchanged their logs without end.
+// TestDivergenceEndsTheExchange guards against an endless exchange of logs. If a disk has lost data that it reported as
+// synced, the head's log may contradict entries that a member knows to be committed. The member then reports this once
+// and does not take part in the view.
 func TestDivergenceEndsTheExchange(t *testing.T) {
-	const most = 200
+	const maxMessages = 200
 	for name, c := range map[string]struct {
 		head     []Entry
-		proposed bool // the contradiction lies in what the head orders next
+		proposed bool // the contradiction is in an entry that the head proposes next
 	}{
-		"other entries":            {logOf(2, 40, 20<<10), false},
-		"fewer, then other ones":   {logOf(1, 10, 10), true},
-		"other entries, and fewer": {logOf(2, 10, 10), true},
+		"different entries":                   {makeLog(2, 40, 20<<10), false},
+		"fewer entries, then a different one": {makeLog(1, 10, 10), true},
+		"fewer and different entries":         {makeLog(2, 10, 10), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			head := New(1, 2, Snapshot{}, c.head, 0)
-			member := New(2, 2, Snapshot{}, logOf(1, 30, 10), 30)
+			member := New(2, 2, Snapshot{}, makeLog(1, 30, 10), 30)
 			view := View{Epoch: 3, Members: []MemberID{1, 2}}
 			head.SetView(view)
 			member.SetView(view)
 			if c.proposed {
-				exchange(most, head, member)
+				exchange(maxMessages, head, member)
 				head.Propose([]Proposal{{Origin: 1, Tag: 1, Data: []byte("new")}})
 			}
-			if sent := exchange(most, head, member); sent >= most {
-				t.Errorf("still exchanging after %d messages", sent)
+			if sent := exchange(maxMessages, head, member); sent >= maxMessages {
+				t.Errorf("the exchange has not ended after %d messages", sent)
 			}
 			if member.Divergence() == nil {
-				t.Error("the contradiction is not noticed")
+				t.Error("the member does not report a divergence")
 			}
 			if head.Divergence() != nil {
-				t.Error("the head counts as the one that diverged")
+				t.Error("the head reports a divergence")
 			}
 			for range 20 {
 				head.Tick(1)
-				if sent := exchange(most, head, member); sent > 1 {
-					t.Errorf("%d messages in one tick after the contradiction", sent)
+				if sent := exchange(maxMessages, head, member); sent > 1 {
+					t.Errorf("%d messages in one tick after the divergence", sent)
 				}
 			}
 			if member.IsServing() {
-				t.Error("a member that contradicts its chain serves")
+				t.Error("a diverged member is serving")
 			}
 		})
 	}
 }
 
-// A member that contradicts the chain orders nothing and sends nothing, also as head.
+// TestDivergedMemberOrdersNothing checks that a diverged member neither orders entries nor sends messages, even as head.
 func TestDivergedMemberOrdersNothing(t *testing.T) {
-	head := New(1, 2, Snapshot{}, logOf(2, 30, 10), 0)
-	member := New(2, 2, Snapshot{}, logOf(1, 30, 10), 30)
+	head := New(1, 2, Snapshot{}, makeLog(2, 30, 10), 0)
+	member := New(2, 2, Snapshot{}, makeLog(1, 30, 10), 30)
 	for _, replica := range []*Replica{head, member} {
 		replica.SetView(View{Epoch: 3, Members: []MemberID{1, 2}})
 	}
@@ -95,21 +96,22 @@
 		replica.SetView(View{Epoch: 4, Members: []MemberID{2, 1}})
 	}
 	if member.Propose([]Proposal{{Origin: 2, Tag: 1, Data: []byte("new")}}) {
-		t.Error("it orders an entry")
+		t.Error("a diverged head orders an entry")
 	}
 	if sent := exchange(100, member); sent > 0 {
-		t.Errorf("it sends %d messages", sent)
+		t.Errorf("a diverged head sends %d messages", sent)
 	}
 }
 
-// A replica outside the chain that contradicts what it is taught asks no more.
+// TestDivergedNonMemberStopsAsking checks that a replica outside the chain sends no more catch-up requests once a response
+// contradicts its committed entries.
 func TestDivergedNonMemberStopsAsking(t *testing.T) {
 	for name, member := range map[string]*Replica{
-		"entries":    New(1, 1, Snapshot{}, logOf(2, 30, 10), 30),
+		"entries":    New(1, 1, Snapshot{}, makeLog(2, 30, 10), 30),
 		"a snapshot": New(1, 1, Snapshot{Index: 20, IndexEpoch: 2}, nil, 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			nonMember := New(2, 1, Snapshot{}, logOf(1, 30, 10), 30)
+			nonMember := New(2, 1, Snapshot{}, makeLog(1, 30, 10), 30)
 			view := View{Epoch: 3, Members: []MemberID{1}}
 			member.SetView(view)
 			nonMember.SetView(view)
@@ -124,10 +126,10 @@
 				}
 			}
 			if _, outside := nonMember.NextCatchUpRequest(); outside {
-				t.Error("it still asks")
+				t.Error("the diverged replica still sends requests")
 			}
 			if nonMember.Divergence() == nil {
-				t.Error("the contradiction is not noticed")
+				t.Error("the replica does not report a divergence")
 			}
 		})
 	}
--- a/coordination/chain/followers_test.go
+++ b/coordination/chain/followers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newClusterWithFollowers returns five members of which the first three write, with their first view in force.
+// newClusterWithFollowers returns a cluster of five members in their first view, of which the first three are writers.
 func newClusterWithFollowers() *cluster {
 	c := newCluster(5, 3)
 	c.writers = 3
@@ -11,7 +11,8 @@
 	return c
 }
 
-// Followers learn of entries and commits, and no commit waits for their disks or connections.
+// TestNothingWaitsForFollowers checks that followers receive entries and commit indexes, and that no commit waits for their
+// disks or connections.
 func TestNothingWaitsForFollowers(t *testing.T) {
 	c := newClusterWithFollowers()
 	c.cut[link{4, 5}] = true
@@ -19,7 +20,7 @@
 	for _, pair := range []link{{1, 2}, {2, 3}, {3, 4}, {4, 5}} {
 		c.deliver(pair.from, pair.to)
 	}
-	for _, id := range []MemberID{1, 2, 3} { // the followers' disks hang
+	for _, id := range []MemberID{1, 2, 3} { // the disks of the followers do not respond
 		c.sync(id)
 	}
 	c.deliverAll()
@@ -34,12 +35,12 @@
 	c.handleReady(c.hosts[4])
 	c.runUntilQuiet()
 	if got := texts(c.hosts[5].applied); got != "a" {
-		t.Errorf("the second follower has applied %q once it is reached again", got)
+		t.Errorf("the second follower has applied %q after its connection was restored", got)
 	}
-	golden(t, c)
+	assertTimeline(t, c)
 }
 
-// A writer's sync is waited for all the same.
+// TestCommitNeedsEveryWritersSync checks that a commit waits for the sync of every writer.
 func TestCommitNeedsEveryWritersSync(t *testing.T) {
 	for slow := MemberID(1); slow <= 3; slow++ {
 		c := newClusterWithFollowers()
@@ -57,13 +58,14 @@
 		}
 		c.runUntilQuiet()
 		if len(c.history) != 1 {
-			t.Errorf("not committed once writer %d has it", slow)
+			t.Errorf("not committed after the sync of writer %d", slow)
 		}
 	}
 }
 
-// A read that came in at a follower passes all writers, and is answered once the follower has what was committed.
-func TestReadsOfFollowers(t *testing.T) {
+// TestReadOfFollowerPassesAllWriters checks that a read submitted at a follower passes all writers, and is
+// answered once the follower has the entries that were committed.
+func TestReadOfFollowerPassesAllWriters(t *testing.T) {
 	c := newClusterWithFollowers()
 	head := c.hosts[1]
 	c.cut[link{2, 3}] = true
@@ -87,7 +89,8 @@
 	}
 }
 
-// The entries that a snapshot covers stay until the successor has them: a follower may lack some that are committed.
+// TestCompactionWaitsForTheFollower checks that the entries covered by a snapshot are kept until the successor has them: a
+// follower may lack some committed entries.
 func TestCompactionWaitsForTheFollower(t *testing.T) {
 	c := newClusterWithFollowers()
 	c.cut[link{3, 4}] = true
@@ -96,18 +99,20 @@
 	tail := c.hosts[3].replica
 	tail.Compact(2, []byte("state of 2"))
 	if tail.log.snapshotIndex != 0 {
-		t.Fatal("entries were dropped that the follower lacks")
+		t.Fatal("the tail dropped entries that the follower lacks")
 	}
 	c.cut[link{3, 4}] = false
 	tail.Reconnected(4)
 	c.handleReady(c.hosts[3])
 	c.runUntilQuiet()
 	if tail.log.snapshotIndex != 2 || texts(c.hosts[4].applied) != "a b" {
-		t.Errorf("snapshot of %d in force, and the follower has %q", tail.log.snapshotIndex, texts(c.hosts[4].applied))
+		t.Errorf("the tail's snapshot has index %d, and the follower has applied %q",
+			tail.log.snapshotIndex, texts(c.hosts[4].applied))
 	}
 }
 
-// An Append that comes twice means the same the second time, also where a snapshot covers part of it.
+// TestDuplicateAppendIsHarmless checks that an Append which is delivered twice causes no divergence, even if a snapshot
+// covers part of it.
 func TestDuplicateAppendIsHarmless(t *testing.T) {
 	c := newCluster(2, 2)
 	c.setView(1, 1, 2)
@@ -119,6 +124,6 @@
 		c.hosts[2].replica.Receive(1, &message)
 	}
 	if d := c.hosts[2].replica.Divergence(); d != nil {
-		t.Errorf("the second copy contradicts the log at %d", d.Index)
+		t.Errorf("the Append is reported as a divergence at index %d", d.Index)
 	}
 }
--- a/coordination/chain/incarnations_test.go
+++ b/coordination/chain/incarnations_test.go
@@ -8,49 +8,52 @@
 	"testing"
 )
 
-// plantedFault is a fault that is let into a simulation, to see that it is found.
+// plantedFault is a fault that a simulation deliberately contains, to check that the simulation finds it.
 type plantedFault int
 
 const (
-	noFault         plantedFault = iota
-	takesAnyEpoch                // members take messages of other views for ones of their own
-	shortSnapshot                // a snapshot lacks its last entry
-	answersTooEarly              // a member answers reads itself, before they have passed the chain
+	noFault                 plantedFault = iota
+	acceptsAnyEpoch                      // members accept messages of other views as if they were of their own view
+	incompleteSnapshot                   // a snapshot lacks its last entry
+	answersUnconfirmedReads              // a member answers reads that have not passed all writers
 )
 
-// incarnationSimulation is a network in which a new view reaches its members one by one, messages stay in flight over
-// views and incarnations of their senders, come twice and out of order, and members are frozen with what they know.
+// incarnationSimulation simulates a network in which a new view reaches its members one by one. Messages stay in flight
+// across views and restarts of their senders, and may be delivered twice and out of order. Members may freeze: they keep
+// their state, but neither process nor receive anything for some time.
 type incarnationSimulation struct {
 	*cluster
-	random             *rand.Rand
-	fault              plantedFault
-	frozen             map[MemberID]bool
-	knownEpoch         map[MemberID]uint64 // epoch of the newest view that the member knows
-	completeEpoch      map[MemberID]uint64 // as the disk keeps it: the last view in which the member was complete
-	eligible           map[MemberID]bool   // members of the newest view that have its complete log
-	committedWhenAsked map[uint64]int      // by the tag of a read: entries that were committed when it was asked
-	answeredReads      int
+	random            *rand.Rand
+	fault             plantedFault
+	frozen            map[MemberID]bool
+	knownEpoch        map[MemberID]uint64 // epoch of the newest view that the member has received
+	completeEpoch     map[MemberID]uint64 // epoch of the last view in which the member was complete, as stored on its disk
+	eligible          map[MemberID]bool   // members of the newest view that have its complete log
+	committedAtSubmit map[uint64]int      // number of entries that were committed when a read was submitted, by its tag
+	answeredReads     int
 }
 
 func newIncarnationSimulation(seed uint64, planted plantedFault) *incarnationSimulation {
 	count := []int{3, 5, 9}[seed%3]
-	s := &incarnationSimulation{cluster: newCluster(count, 2+count/5), random: rand.New(rand.NewPCG(seed, 8)), fault: planted,
-		frozen: map[MemberID]bool{}, knownEpoch: map[MemberID]uint64{}, completeEpoch: map[MemberID]uint64{}, eligible: map[MemberID]bool{},
-		committedWhenAsked: map[uint64]int{}}
+	s := &incarnationSimulation{cluster: newCluster(count, 2+count/5), random: rand.New(rand.NewPCG(seed, 8)),
+		fault:  planted,
+		frozen: map[MemberID]bool{}, knownEpoch: map[MemberID]uint64{}, completeEpoch: map[MemberID]uint64{},
+		eligible:          map[MemberID]bool{},
+		committedAtSubmit: map[uint64]int{}}
 	s.intercept = s.inspect
 	if seed/3%2 == 1 {
-		s.writers = s.minimum
+		s.writers = s.minMembers
 	}
-	s.view = View{1, s.ids[:s.minimum+1], s.writers}
+	s.view = View{1, s.ids[:s.minMembers+1], s.writers}
 	for _, id := range s.view.Members {
 		s.eligible[id] = s.isWriter(id)
 	}
 	return s
 }
 
-// inspect checks what a member is about to do, and plants the fault.
+// inspect checks the Ready of a member before it is carried out, and applies the planted fault.
 func (s *incarnationSimulation) inspect(h *host, ready *Ready) {
-	if s.fault == answersTooEarly {
+	if s.fault == answersUnconfirmedReads {
 		for i := range ready.Messages {
 			if m := ready.Messages[i].Message.Append; m != nil {
 				ready.ConfirmedReads = append(ready.ConfirmedReads, m.PendingReads...)
@@ -63,33 +66,36 @@
 	for _, read := range ready.ConfirmedReads {
 		s.answeredReads++
 		if read.Origin == h.id {
-			s.readsAreFresh(h, read)
+			s.checkReadIsFresh(h, read)
 		}
 	}
 	if ready.Snapshot != nil {
-		s.snapshotsAreComplete(h, ready.Snapshot)
+		s.checkSnapshotIsComplete(h, ready.Snapshot)
 	}
 }
 
-// readsAreFresh is an invariant: a read shows all that was committed anywhere when it was asked.
-func (s *incarnationSimulation) readsAreFresh(h *host, read Read) {
-	if want := s.committedWhenAsked[read.Tag]; h.replica.CommitIndex() < uint64(want) {
-		s.violated("member %d answers a read at %d, where %d was committed when it was asked", h.id, h.replica.CommitIndex(), want)
+// checkReadIsFresh checks an invariant: the state from which a read is answered contains all entries that were committed
+// anywhere when the read was submitted.
+func (s *incarnationSimulation) checkReadIsFresh(h *host, read Read) {
+	if want := s.committedAtSubmit[read.Tag]; h.replica.CommitIndex() < uint64(want) {
+		s.recordViolation("member %d answers a read at index %d, but %d entries were committed when it was submitted",
+			h.id, h.replica.CommitIndex(), want)
 	}
 }
 
-// snapshotsAreComplete is an invariant: a snapshot has every committed entry up to its index.
-func (s *incarnationSimulation) snapshotsAreComplete(h *host, snapshot *Snapshot) {
+// checkSnapshotIsComplete checks an invariant: a snapshot contains every committed entry up to its index.
+func (s *incarnationSimulation) checkSnapshotIsComplete(h *host, snapshot *Snapshot) {
 	if snapshot.Index > uint64(len(s.history)) {
-		s.violated("member %d is given a snapshot of %d, where %d are committed", h.id, snapshot.Index, len(s.history))
+		s.recordViolation("member %d receives a snapshot with index %d, but only %d entries are committed",
+			h.id, snapshot.Index, len(s.history))
 		return
 	}
 	if want := texts(s.history[:snapshot.Index]); string(snapshot.Data) != want {
-		s.violated("member %d is given a snapshot of %d that lacks entries", h.id, snapshot.Index)
+		s.recordViolation("member %d receives a snapshot with index %d that lacks entries", h.id, snapshot.Index)
 	}
 }
 
-// deliverView brings the newest view to a member.
+// deliverView delivers the newest view to a member.
 func (s *incarnationSimulation) deliverView(id MemberID) {
 	h := s.hosts[id]
 	if !h.up || s.frozen[id] || s.knownEpoch[id] >= s.view.Epoch {
@@ -100,11 +106,11 @@
 	s.handleReady(h)
 }
 
-// nextView makes another view as package view does: headed by a member of the present one that knows it and has its
-// complete log, with whoever is up behind it.
+// nextView creates the next view as package view does: its head is a member of the current view that has received that view
+// and has its complete log; some of the other running members follow.
 func (s *incarnationSimulation) nextView() {
 	for _, id := range s.view.Members {
-		if s.completeEpoch[id] == s.view.Epoch { // also one that has lost power since: its disk says so
+		if s.completeEpoch[id] == s.view.Epoch { // also if the member has lost power since: its disk has stored the fact
 			s.eligible[id] = s.isWriter(id)
 		}
 	}
@@ -132,7 +138,8 @@
 	}
 }
 
-// deliverAny hands a message over: the oldest, or now and then any, or one that stays in flight as well.
+// deliverAny delivers a message: usually the oldest, sometimes a random one. Sometimes the message also stays in flight, so
+// that it may be delivered again.
 func (s *incarnationSimulation) deliverAny(from, to MemberID) bool {
 	pair := link{from, to}
 	queue := s.queues[pair]
@@ -148,7 +155,7 @@
 	if s.random.IntN(50) > 0 {
 		s.queues[pair] = append(append([]Message{}, queue[:at]...), queue[at+1:]...)
 	}
-	if s.fault == takesAnyEpoch {
+	if s.fault == acceptsAnyEpoch {
 		message = withEpoch(message, h.replica.Epoch())
 	}
 	h.replica.Receive(from, &message)
@@ -156,7 +163,7 @@
 	return true
 }
 
-// withEpoch returns a message as if it came from another view.
+// withEpoch returns a copy of a message with another epoch.
 func withEpoch(message Message, epoch uint64) Message {
 	if message.Append != nil {
 		copied := *message.Append
@@ -173,15 +180,15 @@
 	return message
 }
 
-// ask sends a member's read to the member that it takes for the head.
-func (s *incarnationSimulation) ask(id MemberID) {
+// submitRead submits a read of a member to the head of the view that the member knows.
+func (s *incarnationSimulation) submitRead(id MemberID) {
 	h := s.hosts[id]
 	head := s.hosts[h.replica.Head()]
 	if !h.up || s.frozen[id] || head == nil || !head.up || s.frozen[head.id] {
 		return
 	}
-	tag := uint64(len(s.committedWhenAsked) + 1)
-	s.committedWhenAsked[tag] = len(s.history)
+	tag := uint64(len(s.committedAtSubmit) + 1)
+	s.committedAtSubmit[tag] = len(s.history)
 	head.replica.Propose([]Proposal{{Origin: id, Tag: tag, Read: true}})
 	s.handleReady(head)
 }
@@ -193,7 +200,7 @@
 		return
 	}
 	covered := index
-	if s.fault == shortSnapshot {
+	if s.fault == incompleteSnapshot {
 		covered--
 	}
 	data := []byte(texts(s.history[:covered]))
@@ -207,8 +214,8 @@
 	h.replica.Compact(index, data)
 }
 
-// losePower takes a member down, or starts it again. What it has sent may still arrive.
-func (s *incarnationSimulation) losePower(id MemberID) {
+// stopOrRestart stops a running member or restarts a stopped one. Messages sent before the stop may still arrive.
+func (s *incarnationSimulation) stopOrRestart(id MemberID) {
 	if !s.hosts[id].up {
 		s.powerOn(id)
 		return
@@ -226,20 +233,20 @@
 		}
 	}
 	s.frozen[id] = false
-	s.knownEpoch[id] = s.view.Epoch // its next incarnation takes part in a later view only
+	s.knownEpoch[id] = s.view.Epoch // after its restart, the member only takes part in later views
 }
 
 func (s *incarnationSimulation) step(count int) {
 	id := s.ids[s.random.IntN(len(s.ids))]
 	h := s.hosts[id]
-	awake := h.up && !s.frozen[id]
+	running := h.up && !s.frozen[id]
 	switch dice := s.random.IntN(1000); {
 	case dice < 40:
-		if head := s.hosts[h.replica.Head()]; awake && head != nil && head.up && !s.frozen[head.id] {
+		if head := s.hosts[h.replica.Head()]; running && head != nil && head.up && !s.frozen[head.id] {
 			s.propose(head.id, fmt.Sprint(count))
 		}
 	case dice < 140:
-		s.ask(id)
+		s.submitRead(id)
 	case dice < 690:
 		for range 2 * len(s.ids) { // most pairs have nothing to deliver
 			if s.deliverAny(id, s.ids[s.random.IntN(len(s.ids))]) {
@@ -247,11 +254,11 @@
 			}
 		}
 	case dice < 860:
-		if awake {
+		if running {
 			s.sync(id)
 		}
 	case dice < 920:
-		if awake {
+		if running {
 			h.replica.Tick(1)
 			s.handleReady(h)
 		}
@@ -262,11 +269,11 @@
 	case dice < 985:
 		s.frozen[id] = !s.frozen[id] && h.up && s.random.IntN(3) == 0
 	case dice < 988:
-		s.losePower(id)
+		s.stopOrRestart(id)
 	case dice < 990:
 		s.nextView()
 	default:
-		if awake {
+		if running {
 			h.replica.Reconnected(s.ids[s.random.IntN(len(s.ids))])
 			s.handleReady(h)
 		}
@@ -275,10 +282,10 @@
 
 func simulateIncarnations(seed uint64, planted plantedFault) (s *incarnationSimulation) {
 	s = newIncarnationSimulation(seed, planted)
-	if planted != noFault { // a fault may also show as a broken invariant, which stops the process
+	if planted != noFault { // a fault may also cause a panic, which would stop the process
 		defer func() {
-			if stopped := recover(); stopped != nil {
-				s.violated("a member stops: %v", stopped)
+			if reason := recover(); reason != nil {
+				s.recordViolation("a member panics: %v", reason)
 			}
 		}()
 	}
@@ -292,9 +299,9 @@
 	return s
 }
 
-// TestIncarnationsAndViews plays 3, 5 and 9 members over many views, with late messages of earlier views and
-// incarnations.
-func TestIncarnationsAndViews(t *testing.T) {
+// TestRestartsAndViewChangesKeepInvariants simulates 3, 5 and 9 members over many views, with late messages of
+// earlier views and from before restarts.
+func TestRestartsAndViewChangesKeepInvariants(t *testing.T) {
 	const seeds = 150
 	committed, answered, views := 0, 0, uint64(0)
 	for seed := range uint64(seeds) {
@@ -306,33 +313,33 @@
 	}
 	t.Logf("%d entries committed, %d reads answered, %d views", committed, answered, views)
 	if committed < 20*seeds || answered < 5*seeds || views < 5*seeds {
-		t.Error("the simulations show little")
+		t.Error("too few commits, reads or views to exercise the protocol")
 	}
 }
 
-// TestPlantedFaultsInIncarnationsAndViews shows that the simulations find each planted fault, by the promise that it
-// breaks.
-func TestPlantedFaultsInIncarnationsAndViews(t *testing.T) {
-	const most = 600
+// TestSimulationsFindPlantedFaults checks that the simulations find each planted fault, and that they report a
+// violation of an invariant which the fault breaks.
+func TestSimulationsFindPlantedFaults(t *testing.T) {
+	const maxSeeds = 600
 	for name, c := range map[string]struct {
 		planted plantedFault
-		breaks  []string // the promises by which it may be found
+		breaks  []string // texts of which the reported violation must contain one
 	}{
-		"messages of other views are taken":            {takesAnyEpoch, []string{"commit", "a member stops"}},
-		"a snapshot lacks an entry":                    {shortSnapshot, []string{"snapshot"}},
-		"a member answers before its view confirms it": {answersTooEarly, []string{"answers a read"}},
+		"messages of other views are accepted": {acceptsAnyEpoch, []string{"commit", "a member panics"}},
+		"a snapshot lacks an entry":            {incompleteSnapshot, []string{"snapshot"}},
+		"a member answers unconfirmed reads":   {answersUnconfirmedReads, []string{"answers a read"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(most) {
+			for seed := range uint64(maxSeeds) {
 				if s := simulateIncarnations(seed, c.planted); len(s.violations) > 0 {
 					if !slices.ContainsFunc(c.breaks, func(text string) bool { return strings.Contains(s.violations[0], text) }) {
-						t.Errorf("found as: %s", s.violations[0])
+						t.Errorf("the violation is not of an expected kind: %s", s.violations[0])
 					}
 					t.Logf("seed %d: %s", seed, s.violations[0])
 					return
 				}
 			}
-			t.Errorf("not found in %d simulations", most)
+			t.Errorf("the fault was not found in %d simulations", maxSeeds)
 		})
 	}
 }
--- a/coordination/chain/reads.go
+++ b/coordination/chain/reads.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// readQueues are the reads at one member, by what they wait for. A read passes all writers, as Append.PendingReads,
-// which shows that none of them has taken part in a newer view before the read was confirmed; then it goes to its
-// origin, up the chain with an Ack or down the chain as Append.ConfirmedReads.
+// readQueues holds the reads at one member, in one queue per next step. A read first passes all writers in
+// Append.PendingReads, which proves that none of them took part in a newer view before the read was confirmed. It then
+// returns to its origin: up the chain in Ack.ConfirmedReads, or down the chain in Append.ConfirmedReads.
 type readQueues struct {
-	passing       []Read // to be passed on to the successor
-	confirmed     []Read // have passed all writers, and wait until their index is committed here
-	toFollowers   []Read // to be sent to the successor
-	toPredecessor []Read // to be sent with the next Ack
+	pending       []Read // unconfirmed; sent to the successor with the next Append
+	confirmed     []Read // passed all writers; wait until this member knows that their index is committed
+	toFollowers   []Read // confirmed; sent to the successor with the next Append
+	toPredecessor []Read // confirmed; sent to the predecessor with the next Ack
 }
 
-// confirmPassing is called at the last writer, which reads need not pass on.
-func (q *readQueues) confirmPassing() {
-	q.confirmed = append(q.confirmed, q.passing...)
-	q.passing = nil
+// confirmPending confirms all unconfirmed reads. It is called at the tail, since reads there have passed all writers.
+func (q *readQueues) confirmPending() {
+	q.confirmed = append(q.confirmed, q.pending...)
+	q.pending = nil
 }
 
-// takeCommitted removes the confirmed reads whose index is committed. They are in the order of their index.
+// takeCommitted removes and returns the confirmed reads whose index is committed. The queue is ordered by index.
 func (q *readQueues) takeCommitted(commitIndex uint64) []Read {
 	count := 0
 	for count < len(q.confirmed) && q.confirmed[count].Index <= commitIndex {
@@ -29,7 +29,7 @@
 	return reads
 }
 
-// releaseReads sends confirmed reads to their origins once their index is committed, at the tail and behind it.
+// releaseReads sends confirmed reads towards their origins once their index is committed, at the tail and at followers.
 func (r *Replica) releaseReads() {
 	if len(r.reads.confirmed) == 0 || !r.IsServing() {
 		return
@@ -37,7 +37,7 @@
 	r.routeReads(r.reads.takeCommitted(r.log.commitIndex))
 }
 
-// routeReads answers the reads of this member, and passes the others on to their origins.
+// routeReads passes the reads of this member to the host, and sends the others towards their origins.
 func (r *Replica) routeReads(reads []Read) {
 	for _, read := range reads {
 		switch {
--- a/coordination/chain/ready.go
+++ b/coordination/chain/ready.go
@@ -1,25 +1,25 @@
 package chain
 
-// Write asks the host to make entries durable, in order, and to call EntriesPersisted then.
+// Write asks the host to make entries durable, in order, and to call EntriesPersisted afterwards.
 type Write struct {
 	Entries    []Entry
-	Generation uint64 // to be handed back to EntriesPersisted
+	Generation uint64 // to be passed to EntriesPersisted
 }
 
-// Ready is what the host has to carry out, in the order of the fields. Messages may leave before the writes are
-// durable: members write in parallel, and each notifies its successor separately up to where it is durable.
+// Ready holds the work that the host has to carry out, in the order of the fields. Messages may be sent before the writes
+// are durable: members write in parallel, and each notifies its successor of its durable index separately.
 type Ready struct {
-	Snapshot         *Snapshot // replace state and log by this, and call SnapshotPersisted once it is durable
+	Snapshot         *Snapshot // replaces the state and the log; the host calls SnapshotPersisted once it is durable
 	Writes           []Write
 	Messages         []Envelope
-	CommittedEntries []Entry // to be applied
-	ConfirmedReads   []Read  // of this replica's own, to be answered after CommittedEntries are applied
-	// PersistCompleteness says that the complete log with which the view began is durable here: make that fact durable,
-	// and call CompletenessPersisted.
+	CommittedEntries []Entry // to be applied to the state
+	ConfirmedReads   []Read  // of this replica, to be answered after CommittedEntries are applied
+	// PersistCompleteness is set once the complete log with which the view began is durable at this replica. The host
+	// makes that fact durable and then calls CompletenessPersisted.
 	PersistCompleteness bool
 }
 
-// Ready returns what is to be carried out since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (r *Replica) Ready() Ready {
 	r.sendToSuccessor()
 	r.sendAck()
@@ -28,7 +28,7 @@
 	return ready
 }
 
-// EntriesPersisted notes that the entries of a Write are durable up to an index.
+// EntriesPersisted informs the replica that the entries of a Write are durable up to an index.
 func (r *Replica) EntriesPersisted(index, generation uint64) {
 	if generation != r.log.generation || index <= r.log.durableIndex {
 		return
@@ -37,7 +37,7 @@
 	r.advance()
 }
 
-// SnapshotPersisted notes that a snapshot from Ready is durable and in force.
+// SnapshotPersisted informs the replica that the host has made a snapshot from Ready durable and restored its state.
 func (r *Replica) SnapshotPersisted(index uint64) {
 	if index == r.log.snapshotIndex {
 		r.log.durableIndex = max(r.log.durableIndex, index)
@@ -45,9 +45,9 @@
 	}
 }
 
-// CompletenessPersisted notes that the host has made durable that this member is complete in an epoch.
+// CompletenessPersisted informs the replica that the host has made durable that this member is complete in an epoch.
 func (r *Replica) CompletenessPersisted(epoch uint64) {
-	if epoch == r.view.Epoch && r.viewLog.completing {
+	if epoch == r.view.Epoch && r.viewLog.persistRequested {
 		r.viewLog.complete = true
 		r.sendDue = true
 		r.advance()
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -1,7 +1,7 @@
 package chain
 
-// Receive takes in a message of another member. Messages of other epochs, and of members that are not neighbours in
-// the view in force, are dropped: a member of a former view must not change the log of this one.
+// Receive handles a message from another member. Messages of other epochs, and from members that are not neighbours in
+// the current view, are dropped: a member of a former view must not change the log of this replica.
 func (r *Replica) Receive(from MemberID, message *Message) {
 	if r.divergence != nil {
 		return
@@ -24,7 +24,7 @@
 
 func (r *Replica) receiveAppend(m *Append) {
 	if r.anyContradicts(m.PrevIndex, m.PrevEpoch, m.Entries) {
-		r.refuseView()
+		r.reportDivergence()
 		return
 	}
 	r.ackDue = true
@@ -33,11 +33,11 @@
 		r.rejectAppend(m)
 		return
 	}
-	r.takeEntries(m.Entries)
+	r.mergeEntries(m.Entries)
 	r.viewLog.received = max(r.viewLog.received, m.PrevIndex+uint64(len(m.Entries)))
 	r.viewLog.durableBefore = max(r.viewLog.durableBefore, m.DurableIndex)
 	r.viewLog.start, r.viewLog.startKnown = m.ViewStart, true
-	r.reads.passing = append(r.reads.passing, m.PendingReads...)
+	r.reads.pending = append(r.reads.pending, m.PendingReads...)
 	if len(m.Entries) > 0 || len(m.PendingReads) > 0 {
 		r.sendDue = true
 	}
@@ -48,8 +48,8 @@
 	r.advance()
 }
 
-// withoutCovered returns an Append without the entries that the snapshot here covers. These are committed, so they
-// can't differ. The message itself stays as it is: it may come twice.
+// withoutCovered returns an Append without the entries that this replica's snapshot covers. These are committed, so they
+// can't differ. The message itself is not modified, since it may be delivered twice.
 func (r *Replica) withoutCovered(m *Append) *Append {
 	if m.PrevIndex >= r.log.snapshotIndex || m.PrevIndex+uint64(len(m.Entries)) < r.log.snapshotIndex {
 		return m
@@ -60,14 +60,14 @@
 	return &rest
 }
 
-// rejectAppend tells the predecessor that the entry before those of an Append is not here.
+// rejectAppend notifies the predecessor that this replica lacks the entry that precedes the entries of an Append.
 func (r *Replica) rejectAppend(m *Append) {
 	r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, ReceivedIndex: r.lastCommonIndex(m.PrevIndex),
 		Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.log.commitIndex}})
 }
 
-// lastCommonIndex returns up to where the log here may be the predecessor's too, where it is not at the index. A
-// whole epoch is skipped at once, so that a long differing suffix costs one message an epoch.
+// lastCommonIndex returns the highest index up to which this log may be equal to the predecessor's, given that they differ
+// at index. It skips a whole epoch at once, so that a long differing suffix costs one message per epoch.
 func (r *Replica) lastCommonIndex(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
@@ -81,7 +81,7 @@
 
 func (r *Replica) receiveAck(m *Ack) {
 	if m.Diverged {
-		r.successor.refused = true
+		r.successor.diverged = true
 		return
 	}
 	if m.Rejected {
@@ -97,8 +97,8 @@
 	r.advance()
 }
 
-// restore replaces log and state by a snapshot that is ahead of what is committed here. Its entry is committed, so
-// nothing that is committed here is lost by it.
+// restore replaces the log and the state by a snapshot whose index is higher than the commit index of this replica. The
+// entry at the snapshot's index is committed, so no committed entry is lost.
 func (r *Replica) restore(snapshot *Snapshot) {
 	if snapshot.Index <= r.log.commitIndex {
 		return
--- a/coordination/chain/replica.go
+++ b/coordination/chain/replica.go
@@ -1,100 +1,106 @@
 // Package chain replicates an ordered log along a chain of replicas, after chain replication by van Renesse and
-// Schneider (OSDI 2004). The head gives entries their order and passes them on at once; every member makes them
-// durable in parallel.
+// Schneider (OSDI 2004). The head orders the entries and forwards them immediately; all members write them to disk in
+// parallel.
 //
-// Beyond the paper, only the first members of the chain are its writers, as many as the view asks for. The last
-// writer is the tail in the sense of the paper: it commits an entry once it knows that all writers have it durable.
-// Reads pass all writers too, so that a replica that was replaced can't answer one from an old state. The members
-// behind the writers are followers: they receive each entry and each commit, and nothing waits for them.
+// In contrast to the paper, only the first View.WriterCount members of the chain are writers. The last writer is the
+// tail in the sense of the paper: it commits an entry once it knows that the entry is durable at all writers. Reads also
+// pass through all writers, so that a replica that was replaced can't answer a read from an old state. The members after
+// the writers are followers: they receive all entries and commit indexes, and neither commits nor reads wait for them.
 //
-// Invariants, which the tests check in simulations of losses, late messages and planted faults:
+// The tests check these invariants in simulations with crashes, late messages and planted faults:
 //
-//   - An entry is committed only when every writer of the view has it durable, and never in a chain that has fewer
-//     members than the minimum. So each later view, headed by a former writer with its complete log, has it too.
-//   - Two replicas never commit different entries at one index. A replica whose log is contradicted where it is known
-//     to be committed stops taking part (Divergence) instead of dropping either history.
-//   - A read is answered from a state that holds all that was committed when the read was asked.
-//   - Members take messages of their own epoch and of their direct neighbours only.
+//   - An entry is committed only when it is durable at every writer of the view, and only in a chain that has at least
+//     the minimum number of members. So the entry is also in each later view, because the head of a later view is a
+//     former writer with its complete log.
+//   - Two replicas never commit different entries at the same index. A replica that receives an entry which contradicts
+//     the committed part of its log stops taking part in the chain (see Divergence); it discards neither history.
+//   - A read is answered from a state that contains all entries that were committed when the read was submitted.
+//   - A member accepts messages only of its own epoch and only from its direct neighbours in the chain.
 //
-// A Replica has no I/O, clock or randomness: the host hands it views, messages and finished writes, and carries out
-// what Ready returns. It never decides who is a member; package view does. docs/CONTROL-SAFETY.md has the argument.
+// A Replica does no I/O and uses neither a clock nor random numbers: the host passes views, messages and the completion
+// of writes to it, and carries out what Ready returns. The membership is decided by package view, not by this package.
+// docs/CONTROL-SAFETY.md has the safety argument.
 //
 // A Replica is not safe for concurrent use.
 package chain
 
 import "slices"
 
-// MemberID names a replica's disk; a replica that has lost its disk has another one. 0 is nobody.
+// MemberID identifies the disk of a replica: a replica that has lost its disk gets a new ID. 0 stands for no member.
 type MemberID = uint64
 
-// View is the membership in force, as far as the chain needs it. Package view agrees on it.
+// View is the part of the current membership that the chain needs. The members agree on it through package view.
 type View struct {
 	Epoch   uint64
 	Members []MemberID // head first
-	// WriterCount is how many members at the front must have an entry durable before it is committed; 0: all.
+	// WriterCount is the number of members, counted from the head, at which an entry must be durable before it is
+	// committed; 0: all members.
 	WriterCount int
 }
 
-// Replica is one member of the chain, or a replica that catches up outside of it.
+// Replica is a member of the chain, or a replica outside the chain that catches up with it.
 type Replica struct {
 	id MemberID
-	// minimum is how many members a chain needs to commit anything: one more than the disk losses to be survived.
-	minimum int
+	// minMembers is the number of members that a chain needs to commit entries: one more than the number of lost disks
+	// that the log has to survive.
+	minMembers int
 
 	view       View
 	position   int // in view.Members; -1: not a member
 	viewLog    viewLog
-	divergence *Divergence // set: this replica takes no part any more
+	divergence *Divergence // not nil: this replica no longer takes part in the chain
 
 	log        replicaLog
 	successor  successorProgress
 	reads      readQueues
-	compaction *compaction // waits for the successor
+	compaction *compaction // pending until the successor has the entries; nil: none
 
 	ready   Ready
-	sendDue bool // the successor is to get an Append
-	ackDue  bool // the predecessor is to get an Ack
+	sendDue bool // the next Ready sends an Append to the successor
+	ackDue  bool // the next Ready sends an Ack to the predecessor
 }
 
-// New returns a replica with the log that its disk held, and up to which index that is known to be committed. It
-// takes part in nothing before SetView. Minimum is how many members a chain needs to commit anything.
-func New(id MemberID, minimum int, base Snapshot, log []Entry, commitIndex uint64) *Replica {
-	r := &Replica{id: id, minimum: minimum, position: -1, log: replicaLog{snapshotIndex: base.Index,
+// New returns a replica with the log that was read from its disk; commitIndex is the highest index known to be committed.
+// The replica is outside the chain until SetView is called. minMembers is the number of members that a chain needs to commit
+// entries.
+func New(id MemberID, minMembers int, base Snapshot, log []Entry, commitIndex uint64) *Replica {
+	r := &Replica{id: id, minMembers: minMembers, position: -1, log: replicaLog{snapshotIndex: base.Index,
 		snapshotEpoch: base.IndexEpoch, snapshotData: base.Data, entries: log}}
 	r.log.durableIndex = r.log.lastIndex()
 	r.log.commitIndex = max(base.Index, min(commitIndex, r.log.lastIndex()))
 	return r
 }
 
-// LastIndex returns the index of the last entry, which need not be committed or durable.
+// LastIndex returns the index of the last entry, which may be neither committed nor durable yet.
 func (r *Replica) LastIndex() uint64 { return r.log.lastIndex() }
 
-// CommitIndex returns the index up to which entries are committed as far as this replica knows.
+// CommitIndex returns the highest index that this replica knows to be committed.
 func (r *Replica) CommitIndex() uint64 { return r.log.commitIndex }
 
-// EpochAt returns the epoch of an entry that is here, or 0. The host stores it with a snapshot of that entry.
+// EpochAt returns the epoch of the entry at an index, or 0 if this replica does not have that entry. The host stores the
+// epoch with a snapshot of the state after the entry.
 func (r *Replica) EpochAt(index uint64) uint64 { return r.log.epochAt(index) }
 
-// Epoch returns the epoch of the view in force here.
+// Epoch returns the epoch of this replica's current view.
 func (r *Replica) Epoch() uint64 { return r.view.Epoch }
 
-// IsHead reports whether this replica orders entries.
+// IsHead reports whether this replica is the head of the chain, which orders the entries.
 func (r *Replica) IsHead() bool { return r.position == 0 }
 
-// IsMember reports whether this replica is part of the chain.
+// IsMember reports whether this replica is a member of the chain.
 func (r *Replica) IsMember() bool { return r.position >= 0 }
 
-// IsComplete reports whether the complete log with which the view began is durable here.
+// IsComplete reports whether the complete log with which the view began is durable at this replica.
 func (r *Replica) IsComplete() bool { return r.viewLog.complete }
 
-// IsServing reports whether the replica's state follows what is committed: it is a complete member of a chain that is
-// long enough to commit, and knows that all entries of the view's beginning are committed.
+// IsServing reports whether this replica's state keeps up with the committed entries: it is a complete member of a chain
+// with enough members to commit, and it knows that all entries with which the view began are committed.
 func (r *Replica) IsServing() bool {
-	return r.divergence == nil && r.IsMember() && r.viewLog.complete && len(r.view.Members) >= r.minimum &&
+	return r.divergence == nil && r.IsMember() && r.viewLog.complete && len(r.view.Members) >= r.minMembers &&
 		r.log.commitIndex >= r.viewLog.start
 }
 
-// Head returns the head of the view, or 0.
+// Head returns the head of the current view, or 0 if the view has no members.
 func (r *Replica) Head() MemberID {
 	if len(r.view.Members) == 0 {
 		return 0
@@ -102,9 +108,9 @@
 	return r.view.Members[0]
 }
 
-// SetView puts a newer view in force; an older one has no effect. All that was learned of other members' logs is
-// void, since the new predecessor's log may differ, and reads that have not passed all writers are dropped: their
-// origins ask again.
+// SetView makes a newer view the current one; it ignores views that are not newer. It resets what this replica has learned
+// of the logs of other members, since the log of the new predecessor may differ. It also drops the reads that have not
+// passed all writers yet; their origins submit them again.
 func (r *Replica) SetView(view View) {
 	if view.Epoch <= r.view.Epoch {
 		return
@@ -121,7 +127,8 @@
 	r.advance()
 }
 
-// Propose orders new entries and reads at the head, in the order given. It reports whether this replica is the head.
+// Propose appends new entries to the log at the head, and starts reads, in the order given. It returns false and does
+// nothing if this replica is not the head or has diverged.
 func (r *Replica) Propose(proposals []Proposal) bool {
 	if !r.IsHead() || r.divergence != nil {
 		return false
@@ -129,7 +136,7 @@
 	var entries []Entry
 	for _, proposal := range proposals {
 		if proposal.Read {
-			r.reads.passing = append(r.reads.passing, Read{proposal.Origin, proposal.Tag, r.log.lastIndex()})
+			r.reads.pending = append(r.reads.pending, Read{proposal.Origin, proposal.Tag, r.log.lastIndex()})
 			continue
 		}
 		entry := Entry{r.log.lastIndex() + 1, r.view.Epoch, proposal.Origin, proposal.Tag, proposal.Data}
@@ -145,7 +152,8 @@
 	return true
 }
 
-// writerCount returns how many members at the front must have an entry durable before it is committed.
+// writerCount returns the number of members, counted from the head, at which an entry must be durable before it is
+// committed.
 func (r *Replica) writerCount() int {
 	if r.view.WriterCount == 0 {
 		return len(r.view.Members)
@@ -153,13 +161,13 @@
 	return min(r.view.WriterCount, len(r.view.Members))
 }
 
-// isTail reports whether this replica is the last of the writers, which commits.
+// isTail reports whether this replica is the last writer, which commits entries.
 func (r *Replica) isTail() bool { return r.IsMember() && r.position == r.writerCount()-1 }
 
-// isFollower reports whether this member stands behind the writers, so that nothing waits for it.
+// isFollower reports whether this replica comes after the writers in the chain, so that no commit or read waits for it.
 func (r *Replica) isFollower() bool { return r.position >= r.writerCount() }
 
-// successorID returns the next member of the chain, or 0.
+// successorID returns the next member of the chain, or 0 if there is none.
 func (r *Replica) successorID() MemberID {
 	if !r.IsMember() || r.position == len(r.view.Members)-1 {
 		return 0
@@ -167,7 +175,7 @@
 	return r.view.Members[r.position+1]
 }
 
-// predecessorID returns the member before this one in the chain, or 0.
+// predecessorID returns the previous member of the chain, or 0 if there is none.
 func (r *Replica) predecessorID() MemberID {
 	if r.position <= 0 {
 		return 0
--- a/coordination/chain/replica_test.go
+++ b/coordination/chain/replica_test.go
@@ -16,14 +16,14 @@
 	c.sync(3)
 	c.deliverAll()
 	if len(c.history) != 0 {
-		t.Fatal("committed before the head has it on disk")
+		t.Fatal("committed before the head has synced the entry")
 	}
 	c.sync(1)
 	c.runUntilQuiet()
 	if len(c.history) != 1 {
-		t.Fatal("not committed")
+		t.Fatal("not committed although all members have synced the entry")
 	}
-	golden(t, c)
+	assertTimeline(t, c)
 }
 
 func TestHeadLosesPowerAndComesBack(t *testing.T) {
@@ -32,7 +32,7 @@
 	c.propose(1, "a")
 	c.runUntilQuiet()
 	c.propose(1, "b")
-	c.deliver(1, 2) // the second member has it, the head's own sync never comes
+	c.deliver(1, 2) // the second member receives the entry; the head never syncs it
 	c.powerLoss(1)
 	c.setView(2, 2, 3)
 	c.runUntilQuiet()
@@ -45,9 +45,9 @@
 	c.handleReady(c.hosts[2])
 	c.runUntilQuiet()
 	if got := texts(c.hosts[1].applied); got != "a b c" {
-		t.Errorf("the former head has %q", got)
+		t.Errorf("the former head has applied %q", got)
 	}
-	golden(t, c)
+	assertTimeline(t, c)
 }
 
 func TestTooShortChainCommitsNothing(t *testing.T) {
@@ -56,7 +56,7 @@
 	c.propose(1, "a")
 	c.runUntilQuiet()
 	if len(c.history) != 0 || c.hosts[1].replica.IsServing() {
-		t.Error("one member alone commits")
+		t.Error("a chain with fewer members than the minimum commits or serves")
 	}
 }
 
@@ -68,10 +68,10 @@
 	head := c.hosts[1]
 	head.replica.Propose([]Proposal{{Origin: 2, Tag: 7, Read: true}})
 	c.handleReady(head)
-	c.cut[link{2, 3}] = true // the tail is replaced meanwhile, and the old head does not know
+	c.cut[link{2, 3}] = true // as if the tail were replaced without the old head's knowledge
 	c.runUntilQuiet()
 	if len(c.hosts[2].reads) != 0 {
-		t.Error("a read was answered that the tail has not confirmed")
+		t.Error("a read was answered although the tail has not confirmed it")
 	}
 	c.cut[link{2, 3}] = false
 	head.replica.Propose([]Proposal{{Origin: 2, Tag: 8, Read: true}})
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestSnapshotForNewcomer(t *testing.T) {
+func TestNewMemberReceivesSnapshot(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 1, 2)
 	c.propose(1, "a", "b", "c")
@@ -94,12 +94,13 @@
 	c.runUntilQuiet()
 	newcomer := c.hosts[3]
 	if newcomer.base.Index != 2 || string(newcomer.base.Data) != "state of 2" || texts(newcomer.applied) != "c" {
-		t.Errorf("the newcomer has snapshot %d and %q", newcomer.base.Index, texts(newcomer.applied))
+		t.Errorf("the newcomer has a snapshot with index %d and has applied %q",
+			newcomer.base.Index, texts(newcomer.applied))
 	}
 }
 
-// TestRestartedMemberGoesOnFromItsLog keeps what a restart costs: only what is missing is sent.
-func TestRestartedMemberGoesOnFromItsLog(t *testing.T) {
+// TestRestartedMemberIsSentOnlyMissingEntries checks that a restarted member is sent only the entries that it lacks.
+func TestRestartedMemberIsSentOnlyMissingEntries(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 1, 2, 3)
 	for i := range 200 {
@@ -122,9 +123,9 @@
 	c.setView(2, 1, 2, 3)
 	c.runUntilQuiet()
 	if sent > 4 {
-		t.Errorf("%d entries were sent where one was missing", sent)
+		t.Errorf("%d entries were sent although only one was missing", sent)
 	}
 	if len(c.history) != 201 {
-		t.Errorf("%d are committed", len(c.history))
+		t.Errorf("%d entries are committed, want 201", len(c.history))
 	}
 }
--- a/coordination/chain/send.go
+++ b/coordination/chain/send.go
@@ -1,17 +1,17 @@
 package chain
 
-// Bounds of what is sent to the successor.
+// Limits of the data that is sent to the successor.
 const (
-	// maxBatch is how many bytes of entries one Append, or one catch-up message, holds at most; the entry that
-	// crosses the bound is still in it. Heartbeats wait for a message on its connection, so a message is kept short.
-	maxBatch = 256 << 10
-	// maxInFlight is how many bytes of entries may be sent without an acknowledgement. What is beyond it waits, so
-	// that a successor that has to rewind does not get megabytes for nothing.
-	maxInFlight = 1 << 20
+	// maxBatchBytes limits the bytes of entries in one Append or one catch-up response; the entry that crosses the limit is
+	// still included. Messages are kept short because heartbeats on the same connection wait for them.
+	maxBatchBytes = 256 << 10
+	// maxInFlightBytes limits the bytes of entries that are sent and not acknowledged yet. Further entries wait, so that no
+	// megabytes are sent in vain to a successor that rejects them because its log differs.
+	maxInFlightBytes = 1 << 20
 )
 
-// Tick is called at a steady pace. After retransmitTicks of them without progress of the successor, all that it has
-// not acknowledged is sent again.
+// Tick is called by the host at regular intervals. After retransmitTicks calls without progress of the successor, the
+// entries that the successor has not acknowledged are sent again.
 func (r *Replica) Tick(retransmitTicks int) {
 	if r.successorID() == 0 {
 		return
@@ -24,7 +24,7 @@
 	r.sendDue = true
 }
 
-// Reconnected notes that messages to a member may have been lost.
+// Reconnected informs the replica that messages to a member may have been lost.
 func (r *Replica) Reconnected(member MemberID) {
 	if member == r.successorID() {
 		r.successor.retransmit(r.log.commitIndex)
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendAck notifies the predecessor of what is received and committed here, if that is due.
+// sendAck sends an Ack with the received and committed indexes to the predecessor if ackDue is set.
 func (r *Replica) sendAck() {
 	if r.ackDue && r.predecessorID() != 0 && r.divergence == nil {
 		r.send(r.predecessorID(), Message{Ack: &Ack{Epoch: r.view.Epoch, ReceivedIndex: r.viewLog.received,
@@ -45,14 +45,14 @@
 	r.ackDue = false
 }
 
-// sendToSuccessor passes on to the successor what it lacks, as far as maxInFlight allows, if that is due. At least
-// one Append leaves, which also carries indexes and reads.
+// sendToSuccessor sends the entries that the successor lacks, up to maxInFlightBytes, if sendDue is set. It sends at
+// least one Append, which also carries indexes and reads.
 func (r *Replica) sendToSuccessor() {
-	if !r.sendDue || r.successorID() == 0 || !r.viewLog.startKnown || r.successor.refused || r.divergence != nil {
+	if !r.sendDue || r.successorID() == 0 || !r.viewLog.startKnown || r.successor.diverged || r.divergence != nil {
 		return
 	}
 	r.sendDue = false
-	// What the predecessor has not confirmed in this view may yet be replaced by its log.
+	// Entries that the predecessor has not confirmed in this view may still be replaced by entries of its log.
 	r.successor.next = min(r.successor.next, r.viewLog.received+1)
 	if r.successor.next <= r.log.snapshotIndex {
 		r.send(r.successorID(), Message{Snapshot: r.log.snapshot(r.view.Epoch)})
@@ -62,25 +62,26 @@
 		message := r.nextAppend()
 		r.send(r.successorID(), Message{Append: message})
 		if len(message.Entries) == 0 || r.successor.next > r.viewLog.received ||
-			r.successor.bytesInFlight(&r.log) > maxInFlight {
+			r.successor.bytesInFlight(&r.log) > maxInFlightBytes {
 			return
 		}
 	}
 }
 
-// nextAppend makes the next Append: its entries, and all reads and indexes that the successor has to know.
+// nextAppend returns the next Append for the successor, with entries and all reads and indexes that are to be sent.
 func (r *Replica) nextAppend() *Append {
 	next := r.successor.next
 	message := &Append{Epoch: r.view.Epoch, PrevIndex: next - 1, PrevEpoch: r.log.epochAt(next - 1),
-		DurableIndex: r.durableInChain(), ViewStart: r.viewLog.start, PendingReads: r.reads.passing,
+		DurableIndex: r.durableInChain(), ViewStart: r.viewLog.start, PendingReads: r.reads.pending,
 		ConfirmedReads: r.reads.toFollowers}
 	if r.isTail() || r.isFollower() {
 		message.CommitIndex = r.log.commitIndex
 	}
-	r.reads.passing, r.reads.toFollowers = nil, nil
+	r.reads.pending, r.reads.toFollowers = nil, nil
 	r.successor.notifiedDurable = message.DurableIndex
 	size := 0
-	for r.successor.next <= r.viewLog.received && size < maxBatch && r.successor.bytesInFlight(&r.log) <= maxInFlight {
+	for r.successor.next <= r.viewLog.received && size < maxBatchBytes &&
+		r.successor.bytesInFlight(&r.log) <= maxInFlightBytes {
 		entry := r.log.entry(r.successor.next)
 		message.Entries = append(message.Entries, *entry)
 		size += len(entry.Data)
--- a/coordination/chain/simulation_test.go
+++ b/coordination/chain/simulation_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// simulate plays a seeded schedule of proposals, deliveries, syncs, cuts, losses of power and views.
+// simulate runs a schedule of proposals, deliveries, syncs, connection losses, power losses and view changes that is
+// generated from a seed.
 func simulate(seed uint64, intercept func(h *host, ready *Ready)) *cluster {
 	random := rand.New(rand.NewPCG(seed, 5))
 	c := newCluster(3+2*int(seed%2), 2+int(seed%2))
 	if seed/2%2 == 1 {
-		c.writers = c.minimum
+		c.writers = c.minMembers
 	}
 	c.intercept = intercept
 	epoch, count := uint64(1), 0
@@ -63,7 +64,7 @@
 	return c
 }
 
-// togglePower takes a member down or starts it again.
+// togglePower stops a running member or restarts a stopped one.
 func (c *cluster) togglePower(id MemberID) {
 	if !c.hosts[id].up {
 		c.powerOn(id)
@@ -72,7 +73,7 @@
 	c.powerLoss(id)
 }
 
-// changeView makes a view of members that are up, headed by one that has everything, as package view does.
+// changeView creates a view of running members whose head has the complete log, as package view does.
 func (c *cluster) changeView(random *rand.Rand, epoch uint64, eligible map[MemberID]bool) uint64 {
 	for _, id := range c.view.Members {
 		if c.hosts[id].up && c.hosts[id].replica.Epoch() == epoch && c.hosts[id].replica.IsComplete() {
@@ -105,7 +106,7 @@
 	return epoch
 }
 
-func TestRandomSimulations(t *testing.T) {
+func TestRandomSchedulesKeepInvariants(t *testing.T) {
 	seeds, committed := 400, 0
 	if testing.Short() {
 		seeds = 50
@@ -118,16 +119,17 @@
 		committed += len(c.history)
 	}
 	if committed < 20*seeds {
-		t.Errorf("only %d entries committed in %d simulations: they show little", committed, seeds)
+		t.Errorf("only %d entries committed in %d simulations: too few to exercise the protocol", committed, seeds)
 	}
 }
 
-// TestPlantedFaults shows that the simulations find a member that acknowledges before its sync.
-func TestPlantedFaults(t *testing.T) {
+// TestSimulationsFindEarlyAcknowledgement checks that the simulations find a planted fault: members acknowledge
+// entries before syncing them.
+func TestSimulationsFindEarlyAcknowledgement(t *testing.T) {
 	found := false
 	for seed := uint64(0); seed < 100 && !found; seed++ {
 		c := simulate(seed, func(h *host, ready *Ready) {
-			for _, write := range ready.Writes { // reported as durable, and never on the disk
+			for _, write := range ready.Writes { // reported as durable, but never written to the disk
 				h.replica.EntriesPersisted(write.Entries[len(write.Entries)-1].Index, write.Generation)
 			}
 			ready.Writes = nil
@@ -135,6 +137,6 @@
 		found = len(c.violations) > 0
 	}
 	if !found {
-		t.Error("a member that acknowledges before its sync was not found")
+		t.Error("the simulations did not find that members acknowledge entries before syncing them")
 	}
 }
--- a/coordination/chain/successor.go
+++ b/coordination/chain/successor.go
@@ -1,21 +1,21 @@
 package chain
 
-// successorProgress is what a member knows of its successor's log in the view in force. A new view resets it.
+// successorProgress is a member's knowledge of its successor's log in the current view. A new view resets it.
 type successorProgress struct {
-	next  uint64 // first entry that is not sent yet
-	acked uint64 // the successor's log is known to be this one up to here; 0: not known
-	// idleTicks counts ticks since acked last rose.
+	next  uint64 // index of the first entry that is not sent yet
+	acked uint64 // the successor's log is known to equal this one up to here; 0: not known
+	// idleTicks counts the ticks since acked last increased or entries were last retransmitted.
 	idleTicks int
-	// rewound: the successor has rejected an Append, and next went back to the entry after rewoundTo.
+	// rewound is set if the successor has rejected an Append, so that next went back to the entry after rewoundTo.
 	rewound   bool
 	rewoundTo uint64
-	// notifiedDurable is the index up to which the successor was notified that all members before it are durable.
+	// notifiedDurable is the DurableIndex of the last Append that was sent to the successor.
 	notifiedDurable uint64
-	refused         bool // the successor takes no part in the view, see Divergence
+	diverged        bool // the successor does not take part in the view, see Divergence
 	inflight        inflight
 }
 
-// acknowledge notes that the successor has received the log up to an index, and reports whether that is progress.
+// acknowledge records that the successor has received the log up to an index, and reports whether the index increased.
 func (p *successorProgress) acknowledge(received uint64) bool {
 	if received <= p.acked {
 		return false
@@ -26,8 +26,8 @@
 	return true
 }
 
-// rewind goes back to where both logs are the same, and reports whether it did. Rejections of what was sent before
-// an earlier rewind say nothing new.
+// rewind handles a rejection: it sets next to the entry after the last one that both logs may share, and reports whether it
+// did. A rejection of an Append that was sent before an earlier rewind is ignored, since it holds nothing new.
 func (p *successorProgress) rewind(ack *Ack) bool {
 	if p.rewound && ack.RejectedIndex > p.rewoundTo {
 		return false
@@ -37,30 +37,31 @@
 	return true
 }
 
-// retransmit goes back to what the successor has acknowledged, or what is committed and so must be there.
+// retransmit sets next to the first entry that is neither acknowledged nor committed; the successor must have all committed
+// entries.
 func (p *successorProgress) retransmit(commitIndex uint64) { p.next = max(p.acked, commitIndex) + 1 }
 
-// truncate follows the log, from which the entries from an index on were dropped.
+// truncate adjusts the progress after the log has dropped the entry at an index and all entries after it.
 func (p *successorProgress) truncate(from uint64) {
 	p.next = min(p.next, from)
 	p.inflight = inflight{}
 }
 
-// restore follows the log, which a snapshot has replaced.
+// restore adjusts the progress after a snapshot has replaced the log.
 func (p *successorProgress) restore(index uint64) {
 	p.next = index + 1
 	p.inflight = inflight{}
 }
 
-// inflight is the sum of the bytes of the entries after one index and before another.
+// inflight caches the total size of the entries between two indexes, both exclusive.
 type inflight struct {
 	after  uint64
 	before uint64
 	bytes  int
 }
 
-// bytesInFlight returns how many bytes of entries are sent and not acknowledged. It counts on from the last call,
-// since it is asked for each entry that is sent.
+// bytesInFlight returns the number of bytes of entries that are sent and not acknowledged. It updates the sum of the last
+// call instead of computing it anew, since it is called for each entry that is sent.
 func (p *successorProgress) bytesInFlight(log *replicaLog) int {
 	first := max(p.acked, log.snapshotIndex)
 	f := &p.inflight
--- a/coordination/chain/successor_test.go
+++ b/coordination/chain/successor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The bytes in flight are counted on, and come to the same as a count from the beginning.
+// TestBytesInFlight checks that the incrementally updated sum equals a sum over all entries in flight.
 func TestBytesInFlight(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	r := New(1, 1, Snapshot{}, nil, 0)
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkCatchUp measures how long a head takes to send a new successor what it lacks.
+// BenchmarkCatchUp measures how long a head takes to create the first Appends for a successor with an empty log.
 func BenchmarkCatchUp(b *testing.B) {
 	entries := make([]Entry, 20000)
 	for i := range entries {
