--- a/coordination/segment/dir.go
+++ b/coordination/segment/dir.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// Dir is the path of a folder of the operating system.
+// Dir is a Folder in the file system of the operating system, given by its path.
 type Dir string
 
-// Open opens a file in the folder, or makes it.
+// Open opens a file in the folder, and creates it if it does not exist.
 func (d Dir) Open(name string) (File, error) {
 	file, err := os.OpenFile(filepath.Join(string(d), name), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return osFile{file}, nil
 }
 
-// Sync makes names durable.
+// Sync makes the names of new files durable.
 func (d Dir) Sync() error {
 	folder, err := os.Open(string(d))
 	if err != nil {
@@ -30,10 +30,11 @@
 	return errors.Trace(folder.Sync())
 }
 
-// osFile is a file of the operating system.
+// osFile is a File in the file system of the operating system.
 type osFile struct{ *os.File }
 
-// ReadAt reads as os.File does, but a short file is no error: the rest stays as it is.
+// ReadAt reads like os.File.ReadAt, except that reading beyond the end of the file is no error: the rest of p is left
+// unchanged.
 func (f osFile) ReadAt(p []byte, offset int64) (int, error) {
 	n, err := f.File.ReadAt(p, offset)
 	if errors.Is(err, io.EOF) {
--- a/coordination/segment/fuzz_test.go
+++ b/coordination/segment/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// FuzzOpen damages one file of a store anywhere: opening it gives an error, or records that were written.
+// FuzzOpen overwrites bytes at any place in one file of a store, and checks that Open then fails or recovers only records
+// that were written.
 func FuzzOpen(f *testing.F) {
 	f.Add(byte(0), uint16(0), []byte("\x00\x00\x00\x00"))
 	f.Add(byte(1), uint16(40), []byte("\xff\xff\xff\xff\xff\xff\xff\xff"))
@@ -35,7 +36,7 @@
 		}
 		for _, got := range recovered.Records {
 			if string(got.Data) != fmt.Sprint("entry ", got.Index) {
-				t.Fatalf("record %d was never written so: %q", got.Index, got.Data)
+				t.Fatalf("record %d is recovered as %q, which was never written", got.Index, got.Data)
 			}
 		}
 	})
--- a/coordination/segment/golden_test.go
+++ b/coordination/segment/golden_test.go
@@ -8,9 +8,9 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden file was written by the code of 9db0dbd: what a disk holds keeps its bytes, so that a new version reads
-// what an old one has written, and the other way round.
-func TestFormOfFilesDoesNotChange(t *testing.T) {
+// TestFileFormatDoesNotChange compares the files of a store with a golden file written by the code of commit 9db0dbd. The
+// format must not change, so that new versions can read the files of old versions and vice versa.
+func TestFileFormatDoesNotChange(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	if err := store.Append([]Record{record(1, "a"), {Index: 2, Epoch: 3, CommitIndex: 1, Data: []byte("b")}}); err != nil {
@@ -19,7 +19,7 @@
 	if err := store.SaveSnapshot(Snapshot{Index: 1, Epoch: 1, Data: []byte("state of 1")}); err != nil {
 		t.Fatal(err)
 	}
-	store, _ = open(t, folder) // another incarnation
+	store, _ = open(t, folder) // the store is reopened as another incarnation
 	if err := store.Append([]Record{{Index: 3, Epoch: 3, CommitIndex: 2, Data: []byte("c")}}); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,8 @@
 		t.Fatal(err)
 	}
 	var files []byte
-	for _, name := range []string{"meta-a", "meta-b", "snapshot-a", "snapshot-b", "segment-a", "segment-b", "segment-c", "segment-d"} {
+	for _, name := range []string{"meta-a", "meta-b", "snapshot-a", "snapshot-b",
+		"segment-a", "segment-b", "segment-c", "segment-d"} {
 		content := bytes.TrimRight(folder.files[name].content, "\x00")
 		files = append(files, fmt.Sprintf("%s, %d bytes:", name, len(content))...)
 		files = append(files, content...)
--- a/coordination/segment/memoryfolder_test.go
+++ b/coordination/segment/memoryfolder_test.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// memoryFile is a file whose unsynced writes may be lost, kept or torn by a loss of power.
+// memoryFile is a File in memory whose unsynced writes may be lost, kept or torn by a loss of power.
 type memoryFile struct {
 	folder  *memoryFolder
 	durable []byte
@@ -14,14 +14,16 @@
 	writes  []pendingWrite
 }
 
+// pendingWrite is a write that is not synced yet.
 type pendingWrite struct {
 	offset int64
 	data   []byte
 }
 
+// memoryFolder is a Folder in memory.
 type memoryFolder struct {
 	files map[string]*memoryFile
-	full  bool
+	full  bool // writes and syncs fail
 }
 
 func newMemoryFolder() *memoryFolder { return &memoryFolder{files: map[string]*memoryFile{}} }
@@ -42,19 +44,20 @@
 	return copy(p, f.content[offset:]), nil
 }
 
+// write writes p at an offset into content, extending it as needed, and returns the result.
 func write(content []byte, p []byte, offset int64) []byte {
-	if need := int(offset) + len(p); need > len(content) {
-		content = append(content, make([]byte, need-len(content))...)
+	if size := int(offset) + len(p); size > len(content) {
+		content = append(content, make([]byte, size-len(content))...)
 	}
 	copy(content[offset:], p)
 	return content
 }
 
-var errDisk = errors.New("no space left")
+var errNoSpace = errors.New("no space left")
 
 func (f *memoryFile) WriteAt(p []byte, offset int64) (int, error) {
 	if f.folder.full {
-		return 0, errDisk
+		return 0, errNoSpace
 	}
 	f.content = write(f.content, p, offset)
 	f.writes = append(f.writes, pendingWrite{offset, append([]byte(nil), p...)})
@@ -63,7 +66,7 @@
 
 func (f *memoryFile) Sync() error {
 	if f.folder.full {
-		return errDisk
+		return errNoSpace
 	}
 	f.durable, f.writes = append([]byte(nil), f.content...), nil
 	return nil
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// losePower leaves of each unsynced write all, nothing or a part.
+// losePower simulates a loss of power: of each unsynced write, all, nothing or a prefix reaches the disk.
 func (f *memoryFolder) losePower(random *rand.Rand) {
 	for _, file := range f.files {
 		content := append([]byte(nil), file.durable...)
--- a/coordination/segment/record.go
+++ b/coordination/segment/record.go
@@ -5,16 +5,17 @@
 	"hash/crc32"
 )
 
-// Form of a record.
+// Format of a record. All numbers are little-endian.
 const (
-	// recordHeaderBytes are those before a record's data: length (with the header), checksum of all after it,
-	// sequence of the segment and incarnation of the writer, 4 bytes each; index, epoch and commit index, 8 each.
+	// recordHeaderBytes is the size of the header before a record's data: length including the header, checksum of all
+	// bytes after the checksum, sequence of the segment and incarnation of the writer, of 4 bytes each; then index, epoch
+	// and commit index, of 8 bytes each.
 	recordHeaderBytes = 40
-	// maxRecordBytes is more than any record has; a longer one is a length that was never written.
+	// maxRecordBytes is the maximum size of a record including its header; decodeRecord takes a greater length for garbage.
 	maxRecordBytes = 16 << 20
 )
 
-// appendRecord appends an encoded record to buffer.
+// appendRecord appends the encoding of a record to buffer.
 func appendRecord(buffer []byte, record *Record, sequence, incarnation uint32) []byte {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, recordHeaderBytes)...)
@@ -30,9 +31,10 @@
 	return buffer
 }
 
-// decodeRecord decodes the record with which content begins, and returns its length with the header and the
-// incarnation of its writer. A length of 0 says that there is none: nothing was written there in this round of the
-// ring, or it was torn, or it is left over from before an incarnation that wrote before it in the segment.
+// decodeRecord decodes the record at the start of content, and returns it with its length, including the header, and the
+// incarnation of its writer. A length of 0 means that there is no valid record: nothing was written there since the
+// segment was last reused, the write was torn, or the record is a leftover of an earlier incarnation than that of the
+// record before it (minIncarnation).
 func decodeRecord(content []byte, sequence, minIncarnation uint32) (record Record, length int64, incarnation uint32) {
 	if len(content) < recordHeaderBytes {
 		return Record{}, 0, 0
--- a/coordination/segment/recovery.go
+++ b/coordination/segment/recovery.go
@@ -8,7 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// load reads what the slots and the ring hold, and lets the ring continue after its last record.
+// load returns the content of the slots and the ring, and sets the position at which the ring continues to the end of its
+// last record.
 func (s *Store) load() (*Recovered, error) {
 	recovered := &Recovered{
 		Fresh:    s.metadata.sequence == 0,
@@ -36,11 +37,12 @@
 
 // scan reads the records of a ring in the order in which they were written.
 type scan struct {
-	covered     uint64 // index that the snapshot covers
+	covered     uint64 // the snapshot covers the log up to here
 	records     []Record
-	incarnation uint32 // that wrote the last record
+	incarnation uint32 // of the writer of the last record
 }
 
+// readRing reads the records of all segments, in the order in which the segments were begun.
 func (s *scan) readRing(r *ring) error {
 	used := slices.DeleteFunc(slices.Clone(r.segments), func(s *segment) bool { return s.sequence == 0 })
 	slices.SortFunc(used, func(a, b *segment) int { return cmp.Compare(a.sequence, b.sequence) })
@@ -70,13 +72,13 @@
 		if !s.add(record) {
 			return 0, &CorruptionError{from.name, offset, "an entry is missing before this one"}
 		}
-		from.last = max(from.last, record.Index)
+		from.lastIndex = max(from.lastIndex, record.Index)
 		offset += length
 	}
 }
 
-// add takes a record in, in the place of one with its index and of all after that: the log was truncated there. It
-// reports false where a record is missing before it.
+// add appends a record. It first drops a record with the same index and all after that, since the log was truncated there.
+// It returns false if a record is missing before the new one.
 func (s *scan) add(record Record) bool {
 	for len(s.records) > 0 && s.records[len(s.records)-1].Index >= record.Index {
 		s.records = s.records[:len(s.records)-1]
@@ -86,13 +88,13 @@
 		return false
 	}
 	if isGap {
-		s.records = s.records[:0] // the snapshot stands for what is between
+		s.records = s.records[:0] // the snapshot covers the gap
 	}
 	s.records = append(s.records, record)
 	return true
 }
 
-// afterSnapshot returns the records that the snapshot does not cover.
+// afterSnapshot returns the records that the snapshot does not cover, or a CorruptionError if the first of them is missing.
 func (s *scan) afterSnapshot(r *ring, snapshotEpoch uint64) ([]Record, error) {
 	first := 0
 	for first < len(s.records) && s.records[first].Index <= s.covered {
@@ -100,7 +102,7 @@
 	}
 	records := s.records[first:]
 	if len(records) > 0 && records[0].Epoch < snapshotEpoch {
-		return nil, nil // left over from before the snapshot of another replica was installed
+		return nil, nil // leftovers from before the snapshot of another replica was installed
 	}
 	if len(records) > 0 && records[0].Index != s.covered+1 {
 		return nil, &CorruptionError{r.active.name, 0, "entries after the snapshot are missing"}
--- a/coordination/segment/retry.go
+++ b/coordination/segment/retry.go
@@ -7,25 +7,25 @@
 	"github.com/juju/errors"
 )
 
-// RetryingFolder is a folder on a disk that may refuse for a while, as a full one does: what is refused is tried again
-// until it is done. It serves for opening a store, which takes several steps; after StopRetrying whoever writes to the
-// store gets the errors.
+// RetryingFolder is a folder that retries operations which fail with a transient disk error, for example on a full disk,
+// until they succeed. It is meant for opening a store, which takes several operations; after StopRetrying, errors are
+// returned to the caller of each operation.
 type RetryingFolder struct {
 	folder  Folder
 	wait    func(err error) bool
 	stopped atomic.Bool
 }
 
-// NewRetryingFolder returns a folder that retries. Wait is called after each refusal; it waits for as long as the
-// caller wants, and reports whether to try again.
+// NewRetryingFolder returns a folder that retries operations of the given folder. wait is called after each transient
+// error; it blocks until the next attempt, and reports whether there is to be one.
 func NewRetryingFolder(folder Folder, wait func(err error) bool) *RetryingFolder {
 	return &RetryingFolder{folder: folder, wait: wait}
 }
 
-// StopRetrying lets all errors pass from now on, also in files that are open already.
+// StopRetrying ends retries: from now on all errors are returned, also those of files that are already open.
 func (r *RetryingFolder) StopRetrying() { r.stopped.Store(true) }
 
-// Open opens a file in the folder, or makes it.
+// Open opens a file in the folder, and creates it if it does not exist.
 func (r *RetryingFolder) Open(name string) (File, error) {
 	var file File
 	err := r.retry(func() (err error) {
@@ -35,37 +35,37 @@
 	return &retryingFile{file, r}, errors.Trace(err)
 }
 
-// Sync makes names durable.
+// Sync makes the names of new files durable.
 func (r *RetryingFolder) Sync() error { return r.retry(r.folder.Sync) }
 
-// refusals are the errors by which a disk refuses for now; all others are faults that waiting does not mend.
-var refusals = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS}
+// transientErrors are the disk errors that may disappear with time; all other errors persist, so retrying does not help.
+var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS}
 
-func isRefusal(err error) bool {
-	for _, refusal := range refusals {
-		if errors.Is(err, refusal) {
+func isTransient(err error) bool {
+	for _, transient := range transientErrors {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *RetryingFolder) retry(do func() error) error {
+func (r *RetryingFolder) retry(operation func() error) error {
 	for {
-		err := do()
-		if err == nil || r.stopped.Load() || !isRefusal(err) || !r.wait(err) {
-			return err // the caller's trace says enough
+		err := operation()
+		if err == nil || r.stopped.Load() || !isTransient(err) || !r.wait(err) {
+			return err // not traced: the caller adds its trace
 		}
 	}
 }
 
-// retryingFile is a file whose refused reads and writes are tried again.
+// retryingFile is a file that retries operations which fail with a transient error.
 type retryingFile struct {
 	File
 	folder *RetryingFolder
 }
 
-// WriteAt writes as the file does.
+// WriteAt writes like File.WriteAt, with retries.
 func (f *retryingFile) WriteAt(p []byte, offset int64) (n int, err error) {
 	err = f.folder.retry(func() (err error) {
 		n, err = f.File.WriteAt(p, offset)
@@ -74,7 +74,7 @@
 	return n, err
 }
 
-// ReadAt reads as the file does.
+// ReadAt reads like File.ReadAt, with retries.
 func (f *retryingFile) ReadAt(p []byte, offset int64) (n int, err error) {
 	err = f.folder.retry(func() (err error) {
 		n, err = f.File.ReadAt(p, offset)
@@ -83,10 +83,10 @@
 	return n, err
 }
 
-// Sync syncs the file.
+// Sync syncs the file, with retries.
 func (f *retryingFile) Sync() error { return f.folder.retry(f.File.Sync) }
 
-// Truncate sets the file's size in bytes.
+// Truncate sets the file's size in bytes, with retries.
 func (f *retryingFile) Truncate(size int64) error {
 	return f.folder.retry(func() error { return f.File.Truncate(size) })
 }
--- a/coordination/segment/ring.go
+++ b/coordination/segment/ring.go
@@ -7,37 +7,41 @@
 	"github.com/juju/errors"
 )
 
-// Form of the files. All numbers are little-endian.
+// Format of the files. All numbers are little-endian.
 const (
-	// magic begins each segment and each slot: "GSfy" in memory.
+	// magic is the first 4 bytes of each segment and each slot: "GSfy" in memory.
 	magic = 0x79665347
-	// segmentHeaderBytes are those of a segment: magic, sequence, 4 bytes of zeros, checksum of these.
+	// segmentHeaderBytes is the size of the header of a segment: magic, sequence, 4 bytes of zeros, and the checksum of
+	// these, of 4 bytes each.
 	segmentHeaderBytes = 16
 )
 
-// castagnoli is the polynomial of all checksums; processors have an instruction for it.
+// castagnoli is the CRC table of all checksums; processors have an instruction for this polynomial.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // segment is one file of the ring.
 type segment struct {
-	name     string
-	file     File
-	sequence uint32 // order in which segments were begun; 0: never used
-	last     uint64 // highest index in it
+	name      string
+	file      File
+	sequence  uint32 // position in the order in which segments were begun; 0: never used
+	lastIndex uint64 // highest index of a record in the segment
 }
 
-// isFree reports whether the segment may be written over: its records are all covered by a snapshot.
-func (s *segment) isFree(covered uint64) bool { return s.sequence == 0 || s.last <= covered }
+// isFree reports whether the segment may be overwritten: it was never used, or a snapshot up to the index covered
+// covers all its records.
+func (s *segment) isFree(covered uint64) bool { return s.sequence == 0 || s.lastIndex <= covered }
 
-// ring is the log's segments, of which one is written at a time.
+// ring holds the segments of the log. Records are written to the active segment; when it is full, the free segment that was
+// used longest ago becomes the active one.
 type ring struct {
 	segmentBytes int64
 	segments     []*segment
 	active       *segment // nil: no segment was ever used
-	offset       int64    // bytes of the active segment that are in use
+	offset       int64    // end of the last record in the active segment, in bytes
 	sequence     uint32   // of the active segment
 }
 
+// openRing opens all segments of the ring, and creates those that do not exist.
 func openRing(folder Folder, layout Layout) (*ring, error) {
 	r := &ring{segmentBytes: layout.SegmentBytes}
 	for i := range layout.SegmentCount {
@@ -50,7 +54,7 @@
 	return r, nil
 }
 
-// openSegment opens a file, gives it its full size and reads its header.
+// openSegment opens the file of a segment, extends it to its full size and reads its header.
 func openSegment(folder Folder, name string, size int64) (*segment, error) {
 	file, err := folder.Open(name)
 	if err != nil {
@@ -71,13 +75,13 @@
 	return opened, nil
 }
 
-// preallocate makes a file as long as it will ever be, so that later syncs need not make its length durable.
+// preallocate extends a file to its final size, so that later syncs need not make its length durable.
 func preallocate(file File, size int64) error {
-	present, err := file.Size()
+	currentSize, err := file.Size()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if present >= size {
+	if currentSize >= size {
 		return nil
 	}
 	if err := file.Truncate(size); err != nil {
@@ -88,18 +92,18 @@
 
 func (r *ring) layout() Layout { return Layout{len(r.segments), r.segmentBytes} }
 
-// hasRoom reports whether so many bytes fit into the active segment.
+// hasRoom reports whether the given number of bytes fits into the active segment.
 func (r *ring) hasRoom(bytes int) bool {
 	return r.active != nil && r.offset+int64(bytes) <= r.segmentBytes
 }
 
-// write writes encoded records, of which last is the highest index, to the active segment.
-func (r *ring) write(records []byte, last uint64) error {
+// write writes encoded records to the active segment; lastIndex is the highest index of the records.
+func (r *ring) write(records []byte, lastIndex uint64) error {
 	if _, err := r.active.file.WriteAt(records, r.offset); err != nil {
 		return errors.Trace(err)
 	}
 	r.offset += int64(len(records))
-	r.active.last = max(r.active.last, last)
+	r.active.lastIndex = max(r.active.lastIndex, lastIndex)
 	return nil
 }
 
@@ -110,8 +114,8 @@
 	return errors.Trace(r.active.file.Sync())
 }
 
-// activateNext makes the free segment that was used longest ago the active one. What the former one holds is synced
-// first, since later syncs are of the new one alone.
+// activateNext makes the free segment that was used longest ago the active one. It first syncs the former active segment,
+// since later calls of sync only sync the new one.
 func (r *ring) activateNext(covered uint64) error {
 	var next *segment
 	for _, segment := range r.segments {
@@ -133,18 +137,19 @@
 		return errors.Trace(err)
 	}
 	r.sequence++
-	next.sequence, next.last = r.sequence, 0
+	next.sequence, next.lastIndex = r.sequence, 0
 	r.active, r.offset = next, segmentHeaderBytes
 	return nil
 }
 
-// clear frees all segments.
-func (r *ring) clear() {
+// freeAll frees all segments.
+func (r *ring) freeAll() {
 	for _, segment := range r.segments {
-		segment.last = 0
+		segment.lastIndex = 0
 	}
 }
 
+// freeSegments returns the number of free segments, without the active one.
 func (r *ring) freeSegments(covered uint64) int {
 	free := 0
 	for _, segment := range r.segments {
--- a/coordination/segment/slots.go
+++ b/coordination/segment/slots.go
@@ -7,21 +7,22 @@
 	"github.com/juju/errors"
 )
 
-// slotHeaderBytes are those of a slot: magic, length of the data, checksum of all after it, 4 bytes of zeros, then
-// sequence, index and epoch of 8 bytes each. All numbers are little-endian.
+// slotHeaderBytes is the size of the header of a slot: magic, length of the data, checksum of all bytes after the checksum
+// and 4 bytes of zeros, of 4 bytes each; then sequence, index and epoch, of 8 bytes each. All numbers are little-endian.
 const slotHeaderBytes = 40
 
-// slotPair keeps the newest version of some data in one of two files: the older one is written over, so that a torn
-// write never costs both.
+// slotPair stores the newest version of some data in one of two files, called slots. A new version overwrites the older
+// slot, so that a torn write never destroys the newest version.
 type slotPair struct {
 	files    [2]File
-	newest   int
+	newest   int    // index in files of the slot with the newest version
 	sequence uint64 // of the newest version; 0: none was ever saved
-	index    uint64 // the snapshot's, 0 for metadata
-	epoch    uint64 // likewise
+	index    uint64 // of the snapshot; 0 for metadata
+	epoch    uint64 // of the snapshot; 0 for metadata
 	data     []byte
 }
 
+// openSlotPair opens the two files of a slot pair and reads the newest intact version.
 func openSlotPair(folder Folder, name string) (*slotPair, error) {
 	s := &slotPair{}
 	for i := range s.files {
@@ -37,7 +38,7 @@
 	return s, nil
 }
 
-// read takes over the content of one slot if it is intact and newer.
+// read reads one slot, and keeps its content if it is intact and newer than the version read so far.
 func (s *slotPair) read(slot int) error {
 	size, err := s.files[slot].Size()
 	if err != nil {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// save writes the next version over the older slot and syncs it. After an error the newest version is still there.
+// save writes the next version to the older slot and syncs it. After an error the newest version is still intact.
 func (s *slotPair) save(index, epoch uint64, data []byte) error {
 	content := make([]byte, slotHeaderBytes, slotHeaderBytes+len(data))
 	content = append(content, data...)
--- a/coordination/segment/store.go
+++ b/coordination/segment/store.go
@@ -6,25 +6,24 @@
 	"github.com/juju/errors"
 )
 
-// Store is an open ring with its snapshots and metadata. It is not safe for concurrent use: one goroutine owns the
-// disk.
+// Store is an open ring with its snapshots and metadata. It is not safe for concurrent use: a single goroutine owns it.
 type Store struct {
 	ring     *ring
 	snapshot *slotPair
 	metadata *slotPair
-	// incarnation numbers the processes that have opened this store. A record of an earlier one after one of a later
-	// one is left over from before the later process went on at this place.
+	// incarnation increases with each opening of the store. A record of an earlier incarnation that follows a record of
+	// a later one is a leftover: the later process continued the log at that position.
 	incarnation uint32
 
-	buffer       []byte // records that are to be written together
-	bufferedLast uint64 // highest index in them
+	buffer            []byte // encoded records that are written together
+	bufferedLastIndex uint64 // highest index of the records in buffer
 }
 
-// incarnationBytes is how many bytes the incarnation takes before the caller's metadata.
+// incarnationBytes is the size of the incarnation, which is stored before the caller's metadata.
 const incarnationBytes = 4
 
-// Open opens the ring in the folder, makes it where there is none, and reads what it holds. On a fresh disk
-// SaveMetadata must come before the first Append. It fails with a CorruptionError where durable records are missing.
+// Open opens the store in a folder, or creates it if there is none, and returns its content. On a fresh disk SaveMetadata
+// must be called before the first Append. Open fails with a CorruptionError if durable records are missing.
 func Open(folder Folder, layout Layout) (*Store, *Recovered, error) {
 	s := &Store{}
 	var err error
@@ -46,7 +45,7 @@
 	}
 	s.incarnation++
 	if !recovered.Fresh {
-		// The new incarnation is durable before anything is written in it.
+		// The new incarnation must be durable before any record of it is written.
 		if err := s.SaveMetadata(recovered.Metadata); err != nil {
 			return nil, nil, errors.Trace(err)
 		}
@@ -54,14 +53,14 @@
 	return s, recovered, nil
 }
 
-// Append writes records after what is there, without syncing them. After an error the same records may be written
-// again. It fails with ErrFull where no segment is free, and with a RecordTooLongError, before it has written anything,
-// where a record would not fit into an empty one.
+// Append writes records after the last one, without syncing them. After an error the same records may be appended again.
+// It fails with ErrFull if no segment is free. If a record would not fit into an empty segment, it fails with a
+// RecordTooLongError before it writes anything.
 func (s *Store) Append(records []Record) error {
 	if err := s.checkLengths(records); err != nil {
 		return errors.Trace(err)
 	}
-	s.buffer, s.bufferedLast = s.buffer[:0], 0
+	s.buffer, s.bufferedLastIndex = s.buffer[:0], 0
 	for i := range records {
 		if length := recordHeaderBytes + len(records[i].Data); !s.ring.hasRoom(len(s.buffer) + length) {
 			if err := s.flush(); err != nil {
@@ -72,12 +71,12 @@
 			}
 		}
 		s.buffer = appendRecord(s.buffer, &records[i], s.ring.sequence, s.incarnation)
-		s.bufferedLast = max(s.bufferedLast, records[i].Index)
+		s.bufferedLastIndex = max(s.bufferedLastIndex, records[i].Index)
 	}
 	return errors.Trace(s.flush())
 }
 
-// checkLengths returns a RecordTooLongError for the first record that no segment takes.
+// checkLengths returns a RecordTooLongError for the first record that is longer than the layout allows.
 func (s *Store) checkLengths(records []Record) error {
 	maxBytes := s.ring.layout().MaxDataBytes()
 	for i := range records {
@@ -93,30 +92,30 @@
 	if len(s.buffer) == 0 {
 		return nil
 	}
-	if err := s.ring.write(s.buffer, s.bufferedLast); err != nil {
+	if err := s.ring.write(s.buffer, s.bufferedLastIndex); err != nil {
 		return errors.Trace(err)
 	}
 	s.buffer = s.buffer[:0]
 	return nil
 }
 
-// Sync makes all that was appended durable.
+// Sync makes all appended records durable.
 func (s *Store) Sync() error { return errors.Trace(s.ring.sync()) }
 
-// FreeSegments returns how many segments can still be written before the ring is full.
+// FreeSegments returns the number of segments that can still be filled before the ring is full, without the active one.
 func (s *Store) FreeSegments() int { return s.ring.freeSegments(s.coveredIndex()) }
 
-// SaveSnapshot makes a snapshot durable; segments that it covers become free.
+// SaveSnapshot makes a snapshot durable. The segments whose records it covers become free.
 func (s *Store) SaveSnapshot(snapshot Snapshot) error {
 	return errors.Trace(s.snapshot.save(snapshot.Index, snapshot.Epoch, snapshot.Data))
 }
 
-// InstallSnapshot makes a snapshot of another replica the whole content: the log before it is void.
+// InstallSnapshot makes a snapshot of another replica durable and discards the whole log of this store.
 func (s *Store) InstallSnapshot(snapshot Snapshot) error {
 	if err := s.SaveSnapshot(snapshot); err != nil {
 		return errors.Trace(err)
 	}
-	s.ring.clear()
+	s.ring.freeAll()
 	return errors.Trace(s.ring.activateNext(s.coveredIndex()))
 }
 
@@ -126,5 +125,5 @@
 	return errors.Trace(s.metadata.save(0, 0, append(data, metadata...)))
 }
 
-// coveredIndex returns the index that the newest durable snapshot covers.
+// coveredIndex returns the index up to which the newest durable snapshot covers the log.
 func (s *Store) coveredIndex() uint64 { return s.snapshot.index }
--- a/coordination/segment/store_test.go
+++ b/coordination/segment/store_test.go
@@ -10,6 +10,7 @@
 
 var layout = Layout{SegmentCount: 4, SegmentBytes: 4096}
 
+// open opens a store, and saves its metadata if it is fresh.
 func open(t *testing.T, folder Folder) (*Store, *Recovered) {
 	t.Helper()
 	store, recovered, err := Open(folder, layout)
@@ -28,11 +29,11 @@
 	return Record{Index: index, Epoch: 1, Data: []byte(text)}
 }
 
-func TestSyncedRecordsComeBack(t *testing.T) {
+func TestSyncedRecordsAreRecovered(t *testing.T) {
 	folder := newMemoryFolder()
 	store, recovered := open(t, folder)
 	if !recovered.Fresh {
-		t.Error("an empty folder is not fresh")
+		t.Error("an empty folder is not reported as fresh")
 	}
 	if err := store.Append([]Record{record(1, "a"), record(2, "b")}); err != nil {
 		t.Fatal(err)
@@ -41,12 +42,14 @@
 		t.Fatal(err)
 	}
 	_, recovered = open(t, folder)
-	if recovered.Fresh || string(recovered.Metadata) != "meta" || len(recovered.Records) != 2 || string(recovered.Records[1].Data) != "b" {
+	if recovered.Fresh || string(recovered.Metadata) != "meta" || len(recovered.Records) != 2 ||
+		string(recovered.Records[1].Data) != "b" {
 		t.Errorf("recovered %+v", recovered)
 	}
 }
 
-func TestLaterRecordReplacesItsIndexAndAllAfter(t *testing.T) {
+// TestRecoveryDropsOverwrittenRecords checks that a record replaces an earlier one with the same index and all after that.
+func TestRecoveryDropsOverwrittenRecords(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	if err := store.Append([]Record{record(1, "a"), record(2, "b"), record(3, "c")}); err != nil {
@@ -64,7 +67,8 @@
 	}
 }
 
-func TestFullRingNeedsASnapshot(t *testing.T) {
+// TestSnapshotFreesFullRing checks that Append fails with ErrFull until a snapshot covers the records.
+func TestSnapshotFreesFullRing(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	index := uint64(0)
@@ -91,11 +95,11 @@
 	}
 }
 
-func TestRefusedWriteCanBeRetried(t *testing.T) {
+func TestFailedAppendCanBeRetried(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	folder.full = true
-	if err := store.Append([]Record{record(1, "a")}); !errors.Is(err, errDisk) {
+	if err := store.Append([]Record{record(1, "a")}); !errors.Is(err, errNoSpace) {
 		t.Fatal(err)
 	}
 	folder.full = false
@@ -110,7 +114,9 @@
 	}
 }
 
-func TestCorruptionInTheMiddleIsNamed(t *testing.T) {
+// TestCorruptionOfDurableRecordIsReported checks that Open reports the file and the reason if a record before the last one
+// is corrupt.
+func TestCorruptionOfDurableRecordIsReported(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	for index := uint64(1); index <= 20; index++ {
@@ -125,15 +131,16 @@
 	_, _, err := Open(folder, layout)
 	var corruption *CorruptionError
 	if !errors.As(err, &corruption) {
-		t.Fatalf("the corruption was not found: %v", err)
+		t.Fatalf("Open returned %v, want a CorruptionError", err)
 	}
 	if corruption.File == "" || corruption.Reason == "" {
-		t.Errorf("corruption %+v", corruption)
+		t.Errorf("the error lacks a file or a reason: %+v", corruption)
 	}
 }
 
-// TestPowerLosses appends, syncs, replaces and loses power at random: what was synced is always there.
-func TestPowerLosses(t *testing.T) {
+// TestSyncedRecordsSurvivePowerLoss appends, syncs, saves snapshots and loses power at random, and checks that all synced
+// records are recovered.
+func TestSyncedRecordsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		folder := newMemoryFolder()
@@ -144,7 +151,8 @@
 			switch dice := random.IntN(10); {
 			case dice < 5:
 				next := snapshot + uint64(len(written)) + 1
-				r := Record{Index: next, Epoch: epoch, Data: []byte(fmt.Sprintf("%d.%d.%0*d", epoch, next, random.IntN(300), 0))}
+				r := Record{Index: next, Epoch: epoch,
+					Data: []byte(fmt.Sprintf("%d.%d.%0*d", epoch, next, random.IntN(300), 0))}
 				if store.Append([]Record{r}) == nil {
 					written = append(written, r)
 				}
@@ -173,13 +181,14 @@
 	}
 }
 
+// checkRecovered checks that the snapshot and all durable records were recovered.
 func checkRecovered(t *testing.T, seed uint64, recovered *Recovered, snapshot uint64, durable []Record) {
 	t.Helper()
 	if recovered.Snapshot.Index != snapshot {
 		t.Fatalf("seed %d: snapshot %d, want %d", seed, recovered.Snapshot.Index, snapshot)
 	}
 	if len(recovered.Records) < len(durable) {
-		t.Fatalf("seed %d: %d records, %d were synced", seed, len(recovered.Records), len(durable))
+		t.Fatalf("seed %d: %d records are recovered, but %d were synced", seed, len(recovered.Records), len(durable))
 	}
 	for i := range durable {
 		if string(recovered.Records[i].Data) != string(durable[i].Data) {
@@ -216,8 +225,9 @@
 	}
 }
 
-// A record that no segment takes is refused before anything of its batch is written, and what was there stays readable.
-func TestRecordLongerThanASegmentIsRefused(t *testing.T) {
+// TestRecordLongerThanASegmentIsRejected checks that Append rejects a record that is too long for a segment before it writes
+// any record of the batch, and that the records before remain readable.
+func TestRecordLongerThanASegmentIsRejected(t *testing.T) {
 	folder := newMemoryFolder()
 	store, _ := open(t, folder)
 	if err := store.Append([]Record{record(1, "a")}); err != nil {
@@ -227,15 +237,15 @@
 	var tooLong *RecordTooLongError
 	err := store.Append([]Record{record(2, "b"), {Index: 3, Epoch: 1, Data: append(longest, 0)}})
 	if !errors.As(err, &tooLong) || tooLong.Index != 3 || tooLong.Max != int64(len(longest)) || tooLong.Advice() == "" {
-		t.Fatalf("a record that is one byte too long: %v", err)
+		t.Fatalf("Append of a record that is one byte too long returned: %v", err)
 	}
 	if err := store.Append([]Record{{Index: 2, Epoch: 1, Data: longest}}); err != nil {
-		t.Fatalf("the longest record: %v", err)
+		t.Fatalf("Append of a record of the maximum length returned: %v", err)
 	}
 	if err := store.Sync(); err != nil {
 		t.Fatal(err)
 	}
 	if _, recovered := open(t, folder); len(recovered.Records) != 2 || len(recovered.Records[1].Data) != len(longest) {
-		t.Errorf("recovered %d records", len(recovered.Records))
+		t.Errorf("recovered %d records, or the last one has the wrong length", len(recovered.Records))
 	}
 }
