--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,32 +1,33 @@
-// Package lease is a lease protocol, without any input or output: the granter's half, which knows which
-// leases may still be in use, and the holder's half, which knows whether it may act now.
+// Package lease implements a lease protocol without I/O. Its two sides are Granter, which knows which leases may still be in
+// use, and Holder, which knows whether it may act now.
 //
-// The time of the two halves comes from different clocks, so safety rests on how each of them counts:
+// The two sides read different clocks, so safety depends on how each of them measures the lease:
 //
-//   - A lease has a number that grows with each grant. It is the fencing token: whoever acts under an older number is
-//     refused.
-//   - The holder counts from before it sent its request, and takes the lease as shorter by twice MaxClockDrift.
-//   - The granter counts a lease as in use from the moment it is granted. Its expiry is set only later, once a clock
-//     reading that was taken after the grant is known.
+//   - Each lease has a number that increases with each grant. The number is the fencing token: an action under an older
+//     number is rejected.
+//   - The holder measures from a clock reading that it took before sending its request, and shortens the lease by twice
+//     MaxClockDrift.
+//   - The granter considers a lease as in use from the moment of the grant. It sets the expiry only later, once it knows a
+//     clock reading that was taken after the grant.
 //
-// Hence a lease has ended at its holder before it has ended at its granter (Gray and Cheriton, Leases, SOSP 1989).
-// docs/FLEET-CONTROL.md, section Time, says where the fleet relies on it.
+// Hence a lease ends at its holder before it ends at its granter (Gray and Cheriton, Leases, SOSP 1989).
+// docs/FLEET-CONTROL.md, section Time, lists where the fleet relies on this.
 //
-// The package reads no clock and draws no random numbers. Times are passed in, those of each half by its own clock,
-// as durations since a moment that the caller chose.
+// The package reads no clock and draws no random numbers. Callers pass times as durations since a moment of their choice;
+// each side uses its own clock.
 package lease
 
 import "time"
 
-// MaxClockDrift bounds by how much one monotonic clock runs faster or slower than another, as a fraction: 1%. NTP slews a
-// clock by at most 0.05%, so the bound is generous. Where two clocks differ by more, a holder may act under a lease that
-// its granter takes to have ended.
+// MaxClockDrift is the maximum fraction by which one monotonic clock may run faster or slower than another: 1%. NTP slews a
+// clock by at most 0.05%, so the bound is generous. If the rates of two clocks differ by more, a holder may act under a
+// lease that has expired at its granter.
 const MaxClockDrift = 0.01
 
-// Lease is a lease as its granter knows it.
+// Lease is the granter's record of a lease.
 type Lease struct {
-	Number uint64        `cbor:"No" json:"No"`       // the fencing token; grows with each grant of the granter
-	Expiry time.Duration `cbor:"Until" json:"Until"` // on the granter's clock; 0: not known yet, the lease is in use
+	Number uint64        `cbor:"No" json:"No"`       // the fencing token; increases with each grant
+	Expiry time.Duration `cbor:"Until" json:"Until"` // on the granter's clock; 0: not known yet, so the lease is in use
 }
 
 // inUse reports whether the holder may still act under the lease.
