--- a/scheduling/job/fuzz_test.go
+++ b/scheduling/job/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzRequest decodes arbitrary bodies: every step of a valid request can be visited, and its size is within the limits.
+// FuzzRequest decodes arbitrary request bodies. A request that Valid accepts must be within the limits, and the methods of a
+// job with this request must work for all of its steps.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(`{"Spec":"s","Steps":[{"Count":2,"Cpu":500},{"Count":1,"DependsOn":[0],"Gang":true}],"Repeat":3,"FirstRunMs":9,"IntervalMs":5}`))
 	f.Add([]byte(`{"Steps":[{"Count":9223372036854775807},{"Count":1,"DependsOn":[-1]}]}`))
@@ -20,13 +21,13 @@
 			tasks += request.Steps[i].Count
 		}
 		if tasks > maxTasks || len(request.Steps) > maxSteps || len(request.Spec) > MaxSpecBytes {
-			t.Fatalf("%d tasks in %d steps pass as valid", tasks, len(request.Steps))
+			t.Fatalf("request with %d tasks in %d steps exceeds a limit but is accepted as valid", tasks, len(request.Steps))
 		}
 		j := &Job{ID: "0123456789abcdef", Request: request}
 		for step := range request.Steps {
 			key := TaskKey{Step: step, Index: request.Steps[step].Count - 1}
 			if !j.HasTask(key) {
-				t.Fatalf("%v is no task of the job", key)
+				t.Fatalf("HasTask(%v) is false for a task of the job", key)
 			}
 			j.DependenciesDone(StepKey{Step: step})
 			j.MarkDone(key)
@@ -35,7 +36,8 @@
 	})
 }
 
-// FuzzName parses arbitrary names of tasks: a name that parses is written the same way again.
+// FuzzName parses arbitrary task names. A name that parses must still have the same ID and key after formatting and parsing
+// it again.
 func FuzzName(f *testing.F) {
 	f.Add("5c0e7a21d94b36f8.0.1.17")
 	f.Add("...")
@@ -45,9 +47,9 @@
 		if !ok {
 			return
 		}
-		again, same, ok := ParseTaskName(key.Name(id))
-		if !ok || again != id || same != key {
-			t.Fatalf("%q becomes %q %v", name, again, same)
+		idAgain, keyAgain, ok := ParseTaskName(key.Name(id))
+		if !ok || idAgain != id || keyAgain != key {
+			t.Fatalf("%q becomes ID %q and key %v after a round trip", name, idAgain, keyAgain)
 		}
 	})
 }
--- a/scheduling/job/job.go
+++ b/scheduling/job/job.go
@@ -1,9 +1,9 @@
-// Package job has the nouns of the scheduler: jobs as clients submit them, their steps and tasks, and the state of each
-// task while the job runs.
+// Package job defines the data model of the scheduler: jobs as clients submit them, their steps and tasks, and the state of
+// each task while the job runs.
 //
-// Both the replicated state and every dispatcher's copy of it apply the rules of this package, so it has no I/O, clock or
-// randomness: the same calls in the same order give the same state on every machine. The values are encoded in requests,
-// commands, updates and snapshots; the names and numbers in their tags never change.
+// The replicated state and every dispatcher's copy of it both apply the rules of this package. It therefore has no I/O,
+// clock or randomness: the same calls in the same order give the same state on every machine. The types are encoded in
+// requests, commands, updates and snapshots; the names and numbers in their tags never change.
 package job
 
 import "slices"
@@ -11,7 +11,7 @@
 // State is the state of a job as clients see it.
 type State uint8
 
-// The states of a job. Those from Completed on are terminal.
+// The states of a job. Completed, Failed and Cancelled are terminal.
 const (
 	Queued State = iota
 	Running
@@ -28,27 +28,28 @@
 // Terminal reports whether the job has ended: its state never changes again.
 func (s State) Terminal() bool { return s >= Completed }
 
-// Job is a job that the system has accepted. The replicated state creates it with the client's Submit and removes it some
-// time after it has reached a terminal state.
+// Job is a job that the system has accepted. The replicated state creates it when it applies the client's Submit command,
+// and removes it some time after the job has reached a terminal state.
 type Job struct {
 	ID              string            `cbor:"1,keyasint"`
-	Route           string            `cbor:"2,keyasint"` // host and path prefix of its queue
+	Route           string            `cbor:"2,keyasint"` // host and path prefix of the job's queue
 	Service         string            `cbor:"3,keyasint"`
 	Priority        int               `cbor:"4,keyasint,omitempty"` // 0 is the most urgent
-	MaxAttempts     int               `cbor:"5,keyasint,omitempty"` // failed runs of a task after which the job has failed
-	Stretch         float64           `cbor:"6,keyasint,omitempty"` // the objective is so many times the critical path,
-	TargetLatencyMs int64             `cbor:"7,keyasint,omitempty"` // plus this
+	MaxAttempts     int               `cbor:"5,keyasint,omitempty"` // the job fails after this many failed runs of a task
+	Stretch         float64           `cbor:"6,keyasint,omitempty"` // the objective is Stretch times the critical path
+	TargetLatencyMs int64             `cbor:"7,keyasint,omitempty"` // added to the objective
 	Owner           uint64            `cbor:"8,keyasint,omitempty"` // session of the dispatcher that schedules it
 	Request         Request           `cbor:"9,keyasint"`
 	State           State             `cbor:"10,keyasint,omitempty"`
-	Tasks           map[TaskKey]*Task `cbor:"11,keyasint,omitempty"` // tasks that were ever placed
-	DoneTasks       map[StepKey]int   `cbor:"12,keyasint,omitempty"` // number of tasks that ended done
-	GangFailures    map[StepKey]int   `cbor:"13,keyasint,omitempty"` // runs of a gang that ended failed
-	// LastFailedGangRun is the newest failed run counted, in snapshots of versions before GangFailedRuns.
+	Tasks           map[TaskKey]*Task `cbor:"11,keyasint,omitempty"` // all tasks that were ever placed
+	DoneTasks       map[StepKey]int   `cbor:"12,keyasint,omitempty"` // number of tasks that have ended done
+	GangFailures    map[StepKey]int   `cbor:"13,keyasint,omitempty"` // number of runs of a gang that ended failed
+	// LastFailedGangRun is the newest failed run that GangFailures counts. Only snapshots of versions before GangFailedRuns
+	// have it.
 	LastFailedGangRun map[StepKey]uint64 `cbor:"14,keyasint,omitempty"`
-	EndedAtTick       uint64             `cbor:"15,keyasint,omitempty"` // tick of the replicated clock at which the job ended
-	Sequence          uint64             `cbor:"16,keyasint,omitempty"` // position in the order of acceptance
-	Started           bool               `cbor:"17,keyasint,omitempty"` // a task is known to have started, or the job has ended
+	EndedAtTick       uint64             `cbor:"15,keyasint,omitempty"` // tick of the replicated clock when the job ended
+	Sequence          uint64             `cbor:"16,keyasint,omitempty"` // position of the job in the order of acceptance
+	Started           bool               `cbor:"17,keyasint,omitempty"` // a task is known to have started, or the job ended
 	// GangFailedRuns are the numbers of the runs that GangFailures counts.
 	GangFailedRuns map[StepKey][]uint64 `cbor:"18,keyasint,omitempty"`
 }
@@ -63,8 +64,8 @@
 	return false
 }
 
-// CountGangFailure counts a run of a gang that ended failed, once for all members. It returns the number of failed runs so
-// far and whether this run was counted now.
+// CountGangFailure counts a run of a gang that ended failed, once for all members. It returns the number of failed runs
+// counted so far, and whether this call counted the run.
 func (j *Job) CountGangFailure(key StepKey, run uint64) (attempts int, counted bool) {
 	if j.GangFailures == nil {
 		j.GangFailures = map[StepKey]int{}
@@ -80,7 +81,7 @@
 	return j.GangFailures[key], true
 }
 
-// EnsureTask returns the state of a task and creates it where there is none yet.
+// EnsureTask returns the state of a task, and creates it if it does not exist yet.
 func (j *Job) EnsureTask(key TaskKey) *Task {
 	task := j.Tasks[key]
 	if task == nil {
@@ -93,13 +94,13 @@
 	return task
 }
 
-// HasTask reports whether the request names such a task, placed or not.
+// HasTask reports whether the job's request has a task with this key, whether or not it was ever placed.
 func (j *Job) HasTask(key TaskKey) bool {
-	return key.Repetition >= 0 && key.Repetition < j.Request.Repetitions() && key.Step >= 0 && key.Step < len(j.Request.Steps) &&
-		key.Index >= 0 && key.Index < j.Request.Steps[key.Step].Count
+	return key.Repetition >= 0 && key.Repetition < j.Request.Repetitions() && key.Step >= 0 &&
+		key.Step < len(j.Request.Steps) && key.Index >= 0 && key.Index < j.Request.Steps[key.Step].Count
 }
 
-// DependenciesDone reports whether all tasks on which the step depends are done, within the same repetition.
+// DependenciesDone reports whether all tasks of the steps on which the step depends are done in the same repetition.
 func (j *Job) DependenciesDone(key StepKey) bool {
 	for _, earlier := range j.Request.Steps[key.Step].DependsOn {
 		if j.DoneTasks[StepKey{key.Repetition, earlier}] < j.Request.Steps[earlier].Count {
@@ -134,7 +135,7 @@
 	return true
 }
 
-// CountPlacedAt returns how many tasks of one repetition of a step are placed at the worker.
+// CountPlacedAt returns the number of tasks of one repetition of a step that are placed at the worker.
 func (j *Job) CountPlacedAt(key StepKey, worker string) int {
 	count := 0
 	for k, task := range j.Tasks {
@@ -145,7 +146,7 @@
 	return count
 }
 
-// PlacedPerWorker returns how many tasks of a step are placed at each worker.
+// PlacedPerWorker returns the number of tasks of one repetition of a step that are placed at each worker.
 func (j *Job) PlacedPerWorker(key StepKey) map[string]int {
 	counts := map[string]int{}
 	for k, task := range j.Tasks {
@@ -156,8 +157,8 @@
 	return counts
 }
 
-// SortedTaskKeys returns the keys of all tasks that were ever placed, by repetition, step and index: the replicated state
-// walks tasks in this order, since the order of a map differs between machines.
+// SortedTaskKeys returns the keys of all tasks that were ever placed, sorted by repetition, step and index. The replicated
+// state iterates over tasks in this order, because the iteration order of a map differs between machines.
 func (j *Job) SortedTaskKeys() []TaskKey {
 	keys := make([]TaskKey, 0, len(j.Tasks))
 	for key := range j.Tasks {
--- a/scheduling/job/job_test.go
+++ b/scheduling/job/job_test.go
@@ -9,22 +9,22 @@
 		return request.Valid()
 	}
 	if !valid(func(*Request) {}) || !valid(func(r *Request) { r.Repeat = maxRepetitions }) {
-		t.Error("a plain job counts as invalid")
+		t.Error("valid request is rejected")
 	}
 	for name, change := range map[string]func(*Request){
 		"no steps":                        func(r *Request) { r.Steps = nil },
-		"a step without tasks":            func(r *Request) { r.Steps[0].Count = 0 },
+		"step without tasks":              func(r *Request) { r.Steps[0].Count = 0 },
 		"too many tasks":                  func(r *Request) { r.Steps[0].Count = maxTasks },
-		"depends on itself":               func(r *Request) { r.Steps[1].DependsOn = []int{1} },
-		"depends on a step below 0":       func(r *Request) { r.Steps[1].DependsOn = []int{-1} },
-		"a negative demand":               func(r *Request) { r.Steps[0].CPU = -1 },
-		"estimate below 0":                func(r *Request) { r.Steps[0].EstimateMs = -1 },
+		"step depends on itself":          func(r *Request) { r.Steps[1].DependsOn = []int{1} },
+		"step depends on step -1":         func(r *Request) { r.Steps[1].DependsOn = []int{-1} },
+		"negative demand":                 func(r *Request) { r.Steps[0].CPU = -1 },
+		"negative estimate":               func(r *Request) { r.Steps[0].EstimateMs = -1 },
 		"more repetitions than the limit": func(r *Request) { r.Repeat = maxRepetitions + 1 },
-		"repetitions below 0":             func(r *Request) { r.Repeat = -1 },
-		"a spec beyond the limit":         func(r *Request) { r.Spec = string(make([]byte, MaxSpecBytes+1)) },
+		"negative number of repetitions":  func(r *Request) { r.Repeat = -1 },
+		"spec beyond the limit":           func(r *Request) { r.Spec = string(make([]byte, MaxSpecBytes+1)) },
 	} {
 		if valid(change) {
-			t.Errorf("%s: counts as valid", name)
+			t.Errorf("%s: request is accepted as valid", name)
 		}
 	}
 }
@@ -36,10 +36,10 @@
 	j.MarkDone(TaskKey{Repetition: 1, Index: 0}) // a duplicate
 	j.MarkDone(TaskKey{Repetition: 0, Index: 1})
 	if j.DependenciesDone(second) {
-		t.Error("a step is ready with one task of two done in its repetition")
+		t.Error("dependencies count as done with one of two tasks done in the repetition")
 	}
 	j.MarkDone(TaskKey{Repetition: 1, Index: 1})
 	if !j.DependenciesDone(second) || j.DependenciesDone(StepKey{Step: 1}) {
-		t.Error("repetitions of a job share their progress")
+		t.Error("dependencies must be done in repetition 1 and not in repetition 0")
 	}
 }
--- a/scheduling/job/name.go
+++ b/scheduling/job/name.go
@@ -9,7 +9,7 @@
 type TaskKey struct {
 	Repetition int `cbor:"1,keyasint,omitempty"`
 	Step       int `cbor:"2,keyasint,omitempty"`
-	Index      int `cbor:"3,keyasint,omitempty"` // within the step, from 0
+	Index      int `cbor:"3,keyasint,omitempty"` // index within the step, from 0
 }
 
 // StepKey identifies one repetition of a step within its job.
@@ -29,8 +29,8 @@
 	return string(name)
 }
 
-// ParseTaskName is the inverse of TaskKey.Name. It reports false for anything else; it does not check that the ID is
-// valid or that a job has such a task.
+// ParseTaskName is the inverse of TaskKey.Name. It returns false for text of another form. It does not check that the ID is
+// valid or that the job has such a task.
 func ParseTaskName(name string) (jobID string, key TaskKey, ok bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
@@ -47,7 +47,7 @@
 	return parts[0], TaskKey{numbers[0], numbers[1], numbers[2]}, true
 }
 
-// idLength is the number of hexadecimal digits of a job's ID, by the protocol.
+// idLength is the number of hexadecimal digits in a job's ID, as the protocol defines it.
 const idLength = 16
 
 // ValidID reports whether id is a job's ID: 16 hexadecimal digits of either case.
--- a/scheduling/job/request.go
+++ b/scheduling/job/request.go
@@ -1,25 +1,25 @@
 package job
 
-// Step is one step of a job: Count tasks with the same demand. It is the protocol's shape of a step.
+// Step is one step of a job: Count tasks with the same demand. Its JSON form is that of the protocol.
 type Step struct {
 	Count         int    `json:"Count" cbor:"1,keyasint"`
-	CPU           int64  `json:"Cpu" cbor:"2,keyasint,omitempty"`        // of one task, thousandths of a core
-	MemoryMB      int64  `json:"MemMb" cbor:"3,keyasint,omitempty"`      // of one task
-	GPU           int64  `json:"Gpu" cbor:"4,keyasint,omitempty"`        // of one task, whole devices
-	EstimateMs    int64  `json:"EstimateMs" cbor:"5,keyasint,omitempty"` // the client's rough guess of a task's run time
-	DependsOn     []int  `json:"DependsOn" cbor:"6,keyasint,omitempty"`  // indices of earlier steps, all tasks of which must be done first
+	CPU           int64  `json:"Cpu" cbor:"2,keyasint,omitempty"`        // per task, in thousandths of a core
+	MemoryMB      int64  `json:"MemMb" cbor:"3,keyasint,omitempty"`      // per task, in megabytes
+	GPU           int64  `json:"Gpu" cbor:"4,keyasint,omitempty"`        // per task, in whole devices
+	EstimateMs    int64  `json:"EstimateMs" cbor:"5,keyasint,omitempty"` // the client's rough estimate of a task's run time
+	DependsOn     []int  `json:"DependsOn" cbor:"6,keyasint,omitempty"`  // indices of earlier steps that must be done first
 	Checkpoints   bool   `json:"Checkpoints" cbor:"7,keyasint,omitempty"`
-	Gang          bool   `json:"Gang" cbor:"8,keyasint,omitempty"`     // all tasks are placed together, run together and end together
-	SameRack      bool   `json:"SameRack" cbor:"9,keyasint,omitempty"` // a gang is slower on more than one rack
+	Gang          bool   `json:"Gang" cbor:"8,keyasint,omitempty"`     // all tasks are placed, run and end together
+	SameRack      bool   `json:"SameRack" cbor:"9,keyasint,omitempty"` // the gang is slower on more than one rack
 	RequiredLabel string `json:"Requires" cbor:"10,keyasint,omitempty"`
-	// Affinity is the rack that holds the data: elsewhere the work takes longer. "" means no such rack.
+	// Affinity is the rack that holds the step's data; tasks take longer in other racks. "" means that there is no such
+	// rack.
 	Affinity string `json:"Affinity" cbor:"11,keyasint,omitempty"`
-	// AntiAffinity is how many tasks of one repetition of the step a worker may hold; 0 means any number.
+	// AntiAffinity is the maximum number of tasks of one repetition of the step on the same worker; 0 means no limit.
 	AntiAffinity int `json:"AntiAffinity" cbor:"12,keyasint,omitempty"`
-	// Speculative allows copies of a task to run side by side, of which the first to end counts.
+	// Speculative allows several copies of a task to run in parallel; the first one to end counts.
 	Speculative bool `json:"Twice" cbor:"13,keyasint,omitempty"`
-	// LongRunning marks tasks without an end of their own: they run until the job is cancelled and are restarted however
-	// they end.
+	// LongRunning marks tasks that run until the job is cancelled. They are restarted if they end earlier, for any reason.
 	LongRunning bool `json:"LongRunning" cbor:"14,keyasint,omitempty"`
 }
 
@@ -30,25 +30,26 @@
 type Request struct {
 	Spec  string `json:"Spec" cbor:"1,keyasint"`
 	Steps []Step `json:"Steps" cbor:"2,keyasint"`
-	// Repeat is how often a scheduled job repeats its steps; 0 means a job that starts at once and runs its steps once.
+	// Repeat is how many times a scheduled job runs its steps; 0 means that the job starts at once and runs its steps once.
 	Repeat     int   `json:"Repeat" cbor:"3,keyasint,omitempty"`
 	FirstRunMs int64 `json:"FirstRunMs" cbor:"4,keyasint,omitempty"` // when repetition 0 is due, ms since 1970
-	IntervalMs int64 `json:"IntervalMs" cbor:"5,keyasint,omitempty"` // between the due times of repetitions
+	IntervalMs int64 `json:"IntervalMs" cbor:"5,keyasint,omitempty"` // time between the due times of repetitions
 }
 
-// Limits of one job; a request beyond any of them is invalid. They bound what a single request can make the replicated
-// state hold: the protocol itself limits only Spec.
+// Limits of one job. A request that exceeds any of them is invalid. They bound how much a single request can add to the
+// replicated state; the protocol itself limits only Spec.
 const (
 	MaxSpecBytes   = 4000 // by the protocol
 	maxSteps       = 256
-	maxTasks       = 1 << 16 // of one repetition, over all steps
+	maxTasks       = 1 << 16 // per repetition, over all steps
 	maxRepetitions = 10_000
 )
 
-// Valid reports whether the request is within the limits, has no negative amount, and has steps that depend on earlier
-// steps only, so that its dependencies have no cycle.
+// Valid reports whether the request is within the limits, has no negative amount, and has only steps that depend on earlier
+// steps, so that its dependencies have no cycle.
 func (r *Request) Valid() bool {
-	if len(r.Spec) > MaxSpecBytes || len(r.Steps) == 0 || len(r.Steps) > maxSteps || r.Repeat < 0 || r.Repeat > maxRepetitions {
+	if len(r.Spec) > MaxSpecBytes || len(r.Steps) == 0 || len(r.Steps) > maxSteps ||
+		r.Repeat < 0 || r.Repeat > maxRepetitions {
 		return false
 	}
 	tasks := 0
@@ -69,10 +70,10 @@
 	return true
 }
 
-// Repetitions returns how many times the steps run: at least once.
+// Repetitions returns how many times the steps run, which is at least 1.
 func (r *Request) Repetitions() int { return max(r.Repeat, 1) }
 
-// EstimatedWork returns the client's estimate for all tasks of one repetition, in thousandths of cores times milliseconds.
+// EstimatedWork returns the client's estimate of the work of one repetition, in thousandths of cores times milliseconds.
 func (r *Request) EstimatedWork() int64 {
 	work := int64(0)
 	for i := range r.Steps {
@@ -81,8 +82,8 @@
 	return work
 }
 
-// DueMs returns when a repetition of a scheduled job is due, in milliseconds since 1970, and 0 for a job that starts at
-// once.
+// DueMs returns the time at which a repetition of a scheduled job is due, in milliseconds since 1970. It returns 0 for a job
+// that starts at once.
 func (r *Request) DueMs(repetition int) int64 {
 	if r.Repeat == 0 {
 		return 0
