--- a/scheduling/placement/scheduler.go
+++ b/scheduling/placement/scheduler.go
@@ -1,6 +1,6 @@
 // Package placement decides which tasks of a dispatcher's queue go to which workers, and when. A scheduling cycle goes
 // through the units of the queue in order. For each unit it filters the feasible workers and ranks them by speed and
-// utilization. It takes the best worker, unless faster workers exist that are merely full: then the ACHQ threshold of
+// utilisation. It takes the best worker, unless faster workers exist that are merely full: then the ACHQ threshold of
 // package achq decides whether to take the slower worker or to wait.
 //
 // A decision is a proposal: other dispatchers place tasks on the same workers, and the replicated state commits or rejects
--- a/scheduling/placement/starvation.go
+++ b/scheduling/placement/starvation.go
@@ -6,8 +6,8 @@
 	// starvationTimeout is how long a unit that fits on some worker may wait for a better placement. The requirement behind
 	// it: no job may be without a running task for 3 s while it fits and less than half of its service is in use.
 	starvationTimeout = 2 * time.Second
-	// starvationMaxUtilization is the CPU utilization of the service from which on a job may wait without a running task.
-	starvationMaxUtilization = 0.5
+	// starvationMaxUtilisation is the CPU utilisation of the service from which on a job may wait without a running task.
+	starvationMaxUtilisation = 0.5
 )
 
 // isStarving reports whether the unit has waited for longer than starvationTimeout, and either its tasks run until they
@@ -17,5 +17,5 @@
 	if s.now-unit.EnqueuedAt <= starvationTimeout {
 		return false
 	}
-	return unit.Step().LongRunning || s.usedCPU < starvationMaxUtilization*s.serviceCPU && !unit.Job.HasPlacedTask()
+	return unit.Step().LongRunning || s.usedCPU < starvationMaxUtilisation*s.serviceCPU && !unit.Job.HasPlacedTask()
 }
