--- a/internal/dispatcher/workercalls_test.go
+++ b/internal/dispatcher/workercalls_test.go
@@ -14,7 +14,7 @@
 func TestOnlyDialErrorsCountAsNeverSent(t *testing.T) {
 	dial := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	if !isDialError(&url.Error{Op: "Post", Err: errors.Trace(dial)}) {
-		t.Error("a failed dial is not recognized as a call that was not sent")
+		t.Error("a failed dial does not count as a call that was not sent")
 	}
 	if isDialError(&url.Error{Op: "Post", Err: &net.OpError{Op: "read", Err: syscall.ECONNRESET}}) {
 		t.Error("a connection reset while reading is taken for a call that was not sent")
--- a/internal/dispatcher/workers_test.go
+++ b/internal/dispatcher/workers_test.go
@@ -37,6 +37,6 @@
 		t.Errorf("the reports are %v, want the run as not started", reports)
 	}
 	if ready.Draining {
-		t.Error("the worker state of the update was changed, which other code may hold")
+		t.Error("the worker state in the update was modified, although other code may hold it")
 	}
 }
