--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -6,63 +6,67 @@
 	"time"
 )
 
-// Failures. A worker's errorShare is a recent share of failed attempts, 0 to 1; one failure after a good
-// time is mostly chance, so it costs a few seconds, and each that follows soon costs more.
+// Failures. A worker's errorShare is its recent share of failed attempts, 0 to 1. A single failure after a
+// period without failures is mostly chance, so it lowers the worker's use for a few seconds only. Each
+// further failure soon after it has a larger effect.
 const (
-	// failureWeight is the error share that one failure tells of. With 0.3 one lost connection kept a
-	// worker out for 10 to 25 s.
+	// failureWeight is what one failure adds to the error share. With 0.3, one lost connection kept a
+	// worker out of use for 10 to 25 s.
 	failureWeight = 0.15
-	// connectionLossWeight is that of a connection lost while in use, which is mostly the connection's fault.
+	// connectionLossWeight is what a connection lost while in use adds; the connection is mostly at fault.
 	connectionLossWeight = 0.07
-	// errorShareGrowth is the factor on the share at each further failure: four failures in a row of a worker
-	// that was good bring it over loggedErrorShare. With more, fewer failures, which may be chance, do.
+	// errorShareGrowth multiplies the share at each failure: four failures in a row of a worker without
+	// earlier failures raise it above loggedErrorShare. With more, fewer failures do so, which may be chance.
 	errorShareGrowth = 1.5
-	// successDecay is what is left of the share after a success: a third after three.
+	// successDecay multiplies the share at each success: a third is left after three successes.
 	successDecay = 0.7
-	// suspectErrorShare is the share above which AtMostOnce requests stay away and the slot limit shrinks:
-	// one failure is over it, one connection lost is not. Lower, and a single lost connection takes a
-	// worker's slots away.
+	// suspectErrorShare is the share above which AtMostOnce requests avoid the worker and its slot limit
+	// shrinks. One failure exceeds it, one lost connection does not. With a lower value, a single lost
+	// connection shrinks the worker's slot limit.
 	suspectErrorShare = 0.1
-	// loggedErrorShare is the share above which operators are told of the worker.
+	// loggedErrorShare is the share above which failures of the worker are logged.
 	loggedErrorShare = 0.75
 )
 
 // Late and lost attempts.
 const (
-	// lateStartFactor is how many typical start delays an attempt may wait before its start counts as late,
-	// with two event gaps and lateStartSlackSeconds added. With less, delays of the network shrink limits;
-	// with more, jobs wait at workers before they do.
+	// lateStartFactor is the number of typical start delays after which the start of an attempt counts as
+	// late; two event gaps and lateStartSlackSeconds are added. With less, network delays shrink slot limits;
+	// with more, jobs wait at workers before the limits shrink.
 	lateStartFactor       = 3
 	lateStartSlackSeconds = 0.01
-	// overdueRuns is the number of expected runs past which an attempt is overdue. Sizes are long-tailed:
-	// with less, long jobs are held against their workers.
+	// overdueRuns is the number of expected run times after which an attempt is overdue. Job sizes are
+	// long-tailed: with less, workers are penalized for long jobs.
 	overdueRuns = 3.0
-	// lostRuns is the multiple of that past which one is presumed lost while later ones succeed: twelve
-	// expected runs. At six long jobs were caught too, and their slots were given out twice.
+	// lostRuns is the multiple of overdueRuns after which a running attempt is presumed lost if later ones
+	// have succeeded: twelve expected run times. At six, long jobs were presumed lost too, and their slots
+	// were used twice.
 	lostRuns = 4
-	// overtakeSlack is how long connecting may delay a job against one sent after it, where workers
-	// serve first in, first out. An attempt that is overtaken by more is presumed lost.
+	// overtakeSlack is the longest time by which connecting may delay a job relative to one sent after it,
+	// where workers serve first in, first out. If an attempt that was sent more than this after another one
+	// has started first, the earlier one is presumed lost.
 	overtakeSlack = 400 * time.Millisecond
-	// latenessStep is the least rise (ln) of a worker's lateness that is worth the time of a new rank.
+	// latenessStep is the smallest increase (ln) of a worker's lateness that justifies the cost of reranking.
 	latenessStep = 0.1
 )
 
-// recordFailure counts a failure of one attempt at w. The worker loses rank and, unless it is a single
-// lost connection, its slots for a backoff that grows while it goes on failing and ends in a trial.
-// When all workers fail, all lose alike.
+// recordFailure records a failed attempt at w. The worker loses rank. Unless the failure is a single lost
+// connection, it also loses slots for a backoff that grows with further failures and ends in a trial. When
+// all workers fail, all of them are penalized alike, so their order stays.
 func (d *dispatcher) recordFailure(w *worker, weight float64, out Actions) {
 	w.errorShare = min(errorShareGrowth*w.errorShare+weight, 1)
 	if w.errorShare > suspectErrorShare {
 		d.shrinkLimit(w, failureBackoffs)
 	}
 	if w.errorShare > loggedErrorShare {
-		next := w.limit.backoffUntil - d.now
-		d.log(out, "failing", fmt.Sprintf("worker %x fails, next trial in %v", uint64(w.ID), next))
+		wait := w.limit.backoffUntil - d.now
+		d.log(out, "failing", fmt.Sprintf("worker %x keeps failing; next trial in %v", uint64(w.ID), wait))
 	}
 }
 
-// probationWorker is the worker on probation where r may show whether it is healthy again; nil: none
-// is, or r may not go there. It comes before all faster ones: one dispatcher may have few jobs for it.
+// probationWorker returns the worker on probation that r may be sent to, to test whether the worker has
+// recovered, or nil if there is none. It takes precedence over faster workers, since one dispatcher may have
+// few jobs that can test it.
 func (d *dispatcher) probationWorker(r *request) *worker {
 	w := d.fleet.probation
 	if w != nil && w.Health == OnProbation && w.listed && d.eligible(w, r) && d.slowStartAllows(w, r) {
@@ -71,8 +75,8 @@
 	return nil
 }
 
-// superviseAttempt looks at an outstanding attempt: no notification of its start, an overdue run or
-// silence lowers its worker's limit and rank before any outcome does.
+// superviseAttempt checks an outstanding attempt. A missing start notification, an overdue run or a missing
+// progress notification lowers the worker's slot limit or rank before the outcome is known.
 func (d *dispatcher) superviseAttempt(a *attempt, out Actions) {
 	if !a.lost && d.presumedLost(a) {
 		d.markLost(a, out)
@@ -90,9 +94,10 @@
 	d.checkRun(a)
 }
 
-// presumedLost tells whether no more is to be heard of a, for no fault of its worker: first in, first out,
-// a job sent well after it could not have started before it; and a run very far past what is expected,
-// while later ones succeed, is a stream that stopped.
+// presumedLost reports whether a is presumed lost without a fault of its worker. At a first-in, first-out
+// worker, an attempt that has not started is presumed lost if a job sent well after it has started, or, in a
+// sparse fleet, if it has waited for reclaimAfter and may be reclaimed. A running attempt is presumed lost
+// if it takes far longer than expected while later ones succeed; its response stream has then stopped.
 func (d *dispatcher) presumedLost(a *attempt) bool {
 	if a.startedAt == 0 {
 		if !d.Workers.FIFO || !d.Workers.StartNotifications {
@@ -106,7 +111,7 @@
 		(d.Workers.ProgressInterval == 0 || d.now-a.lastNotifiedAt > 2*d.Workers.ProgressInterval)
 }
 
-// markLost frees what a holds at its worker, and reclaims it where it may be retried.
+// markLost releases the capacity of a at its worker, and cancels a if its request may be reclaimed.
 func (d *dispatcher) markLost(a *attempt, out Actions) {
 	a.lost = true
 	w, r := a.worker, a.request
@@ -121,7 +126,7 @@
 	}
 }
 
-// checkStart shrinks the limit of a worker where a has not started in time: once an attempt.
+// checkStart shrinks the worker's slot limit if a has not started in time, at most once per attempt.
 func (d *dispatcher) checkStart(a *attempt) {
 	w, r := a.worker, a.request
 	allowed := lateStartFactor**d.typicalStartDelay(w) + (2 * d.MinEventGap).Seconds() + lateStartSlackSeconds
@@ -130,16 +135,16 @@
 	}
 	a.startLate = true
 	d.settleOvercommit(a, true)
-	w.usage.slots -= r.Slots // what waits does not run
+	w.usage.slots -= r.Slots // the waiting attempt does not use a slot
 	d.shrinkLimit(w, rejectionBackoffs)
 	w.usage.slots += r.Slots
 }
 
-// checkRun stops the growth of a worker's limit and lowers its rank where a is overdue.
+// checkRun caps the worker's slot limit at its present usage and lowers its rank if a is overdue.
 func (d *dispatcher) checkRun(a *attempt) {
 	w := a.worker
-	age, due := (d.now - a.startedOrSentAt()).Seconds(), overdueRuns*d.expectedRun(a.request, w)
-	if age <= due {
+	age, overdueAge := (d.now - a.startedOrSentAt()).Seconds(), overdueRuns*d.expectedRun(a.request, w)
+	if age <= overdueAge {
 		return
 	}
 	if !a.overdue {
@@ -148,9 +153,9 @@
 	}
 	interval := d.Workers.ProgressInterval
 	if a.startedAt != 0 && interval > 0 && d.now-a.lastNotifiedAt < interval*3/2 {
-		return // a long job that still notifies of its progress
+		return // the job is long, but still sends progress notifications
 	}
-	if lateness := math.Log(age / due); lateness > w.speed.logLateness+latenessStep {
+	if lateness := math.Log(age / overdueAge); lateness > w.speed.logLateness+latenessStep {
 		w.speed.logLateness = lateness
 		d.rerank(w)
 	}
--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// loadReport is the latest report of a worker. Own attempts are added back to what it says is free, since
-// what is sent and ends after a report is known better than the report tells.
+// loadReport is the latest load report of a worker. Slots and memory that own attempts used at the time of
+// the report count as free in it: own attempts outstanding now are known exactly and are subtracted by the
+// code that uses the report.
 type loadReport struct {
-	at         time.Duration // 0: none that counts
-	known      bool          // one was taken in since the worker was first listed
-	free       float64       // slots
+	at         time.Duration // time of the report; 0: there is none, or it no longer applies
+	known      bool          // a report was received since the worker was first listed
+	free       float64       // in slots
 	freeMemory float64       // below 0: not stated
 	meanFree   float64       // running mean of free
 }
 
 const (
-	// meanFreeStep is what one report moves the mean of free slots by: a memory of some ten reports. With
-	// more, the mean is no better known than the latest report that fades into it.
+	// meanFreeStep is the weight of one report in the mean of free slots, which covers some ten reports. With
+	// more, the mean is no more reliable than the latest report, whose estimate fades into the mean.
 	meanFreeStep = 0.1
-	// maxLoadFigure bounds the figures of a report, of either sign; with one beyond it the report is ignored.
+	// maxLoadFigure bounds the absolute values in a report; a report with a larger value is ignored.
 	maxLoadFigure = 1e6
-	// reportedErrorWeight is what a reported share of errors counts, against 1 for one of own attempts: part
-	// of the errors are the jobs' own.
+	// reportedErrorWeight is the weight of a reported share of errors, relative to the share of failed own
+	// attempts: part of the errors are the fault of the jobs.
 	reportedErrorWeight = 0.5
 )
 
-// loadFigures is what one report says.
+// loadFigures holds the values of one report.
 type loadFigures struct {
 	freeSlots, freeMemory float64 // below 0: not stated
-	errorRate             float64 // a second
-	active                float64 // jobs at work, at least 1; 0: not stated
+	errorRate             float64 // errors per second
+	active                float64 // running jobs, at least 1; 0: not stated
 }
 
 func (d *dispatcher) ProbeAnswered(now time.Duration, id WorkerID, code Code, load []float64, out Actions) {
@@ -40,8 +41,8 @@
 	}
 }
 
-// recordLoad takes in a load report. Free slots count only where a job has ended with the report:
-// a probe's, or a rejection's, may be from before what was sent.
+// recordLoad applies a load report. Its free slots are used only if it came with the end of a job: the report
+// of a probe or a rejection may be older than the latest sends.
 func (d *dispatcher) recordLoad(w *worker, load []float64, finished bool) {
 	figures := d.parseLoad(load)
 	if figures.freeSlots >= 0 && finished {
@@ -69,15 +70,15 @@
 	d.observeSlots(w, math.Round(f.freeSlots))
 }
 
-// parseLoad reads a report. One with a value too many or too few, or with a figure that cannot be,
-// states nothing.
+// parseLoad parses a report. A report with the wrong number of values or with an impossible value counts as
+// one that states nothing.
 func (d *dispatcher) parseLoad(load []float64) loadFigures {
 	f := loadFigures{freeSlots: -1, freeMemory: -1}
 	if len(load) != len(d.Workers.LoadFields) {
 		return f
 	}
 	for _, v := range load {
-		if !(math.Abs(v) < maxLoadFigure) { // also what is not a number
+		if !(math.Abs(v) < maxLoadFigure) { // also true for NaN
 			return f
 		}
 	}
--- a/scheduling/dispatch/loadreport_test.go
+++ b/scheduling/dispatch/loadreport_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// The first report of far more free slots than were known counts at once where all usage is known:
-// otherwise half of the slots went unused in a day's first seconds.
-func TestClearReportOfMoreSlotsCountsAtOnce(t *testing.T) {
+// If all usage is known, a report of far more free slots than the kind was known to have raises the kind's
+// slots at once. Otherwise half of the slots went unused in the first seconds of a simulated day.
+func TestReportOfFarMoreSlotsAppliesAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Workers.LoadFields = []LoadField{LoadFreeSlots}
 	d, out := newDispatcher(s, 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
 	for _, c := range [][2]float64{{1.98, 2}, {2.4, 2}, {3.1, 3}, {0.2, 3}} {
 		if d.AttemptEnded(ms, Outcome{ID: 1, Worker: 1, Load: []float64{c[0]}}, out); d.fleet.kinds[0].slots.seen != c[1] {
-			t.Errorf("after a report of %v free slots the kind counts as %v, want %v", c[0], d.fleet.kinds[0].slots.seen, c[1])
+			t.Errorf("after a report of %v free slots the kind has %v slots, want %v", c[0], d.fleet.kinds[0].slots.seen, c[1])
 		}
 	}
 }
 
-// A kind's slots must be learned from reports on a large fleet too: sightings that decay once a worker
-// instead of once a kind never add up.
+// The slots of a kind must be learned from reports on a large fleet too. The test guards against sightings
+// that decay once per worker instead of once per kind: they never reach the required number.
 func TestKindSlotsAreLearnedOnALargeFleet(t *testing.T) {
 	s := testSettings()
 	s.Workers.LoadFields = []LoadField{LoadFreeSlots}
@@ -36,11 +36,11 @@
 		d.Timer(now, 0, out)
 	}
 	if got := d.fleet.kinds[0].slots.seen; got != 3 {
-		t.Errorf("after 40 reports of 3 free slots the kind counts as %v", got)
+		t.Errorf("after 40 reports of 3 free slots the kind has %v slots, want 3", got)
 	}
 }
 
-// A report that is cut short, too long or impossible is ignored, and what is known stays.
+// A report that is too short, too long or has impossible values is ignored and changes no estimate.
 func TestImpossibleLoadReportsAreIgnored(t *testing.T) {
 	s := testSettings()
 	s.Workers.LoadFields = []LoadField{LoadErrorRate, LoadFreeSlots}
@@ -53,6 +53,6 @@
 	}
 	w := d.fleet.workers[1]
 	if w.report.free != 3 || w.report.meanFree != 3 || w.errorShare != 0 || !w.report.known {
-		t.Errorf("after impossible reports: free %v, mean %v, errors %v", w.report.free, w.report.meanFree, w.errorShare)
+		t.Errorf("after impossible reports: free %v and mean %v, want 3; error share %v, want 0", w.report.free, w.report.meanFree, w.errorShare)
 	}
 }
--- a/scheduling/dispatch/lottery_test.go
+++ b/scheduling/dispatch/lottery_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Where queues stand at all workers, one that has just started has none: it is used as far as the
-// slow-start budget allows, not kept for when the others are worse.
-func TestRestartedWorkerHasNoQueue(t *testing.T) {
+// If all workers have queues, a worker that has just restarted counts as one without a queue. It is sent
+// jobs within its slow-start budget at once, not only when the other queues have become longer.
+func TestRestartedWorkerCountsAsWithoutQueue(t *testing.T) {
 	s := testSettings()
 	s.Fleet.Count, s.SlowStart.Share, s.Classes[0].LatencyTarget = 4, 0.9, 5*time.Second
 	d, out := mustNew(t, s, 5), &recorder{}
@@ -16,7 +16,7 @@
 	d.UpdateWorkers(0, ListFull, list, out)
 	var to []WorkerID
 	id, now := RequestID(0), time.Duration(0)
-	job := func(wait time.Duration) {
+	runJob := func(wait time.Duration) {
 		id++
 		d.Arrive(now, Request{ID: id, TimeLeft: 5 * time.Second, Slots: 1}, out)
 		for _, a := range out.take() {
@@ -29,18 +29,18 @@
 		now += wait + 900*ms
 	}
 	for range 20 {
-		job(1600 * ms)
+		runJob(1600 * ms)
 	}
 	for range 6 {
-		job(600 * ms) // the queues have become shorter than usual
+		runJob(600 * ms) // the queues have become shorter than usual
 	}
 	to = to[:0]
 	list[2].Launched = now
 	d.UpdateWorkers(now, ListDelta, list[2:], out)
 	for range 6 {
-		job(600 * ms)
+		runJob(600 * ms)
 	}
 	if !slices.Contains(to, 3) {
-		t.Errorf("sent to %v, never to 3, which has just started", to)
+		t.Errorf("jobs were sent to workers %v, want worker 3, which has just restarted, among them", to)
 	}
 }
--- a/scheduling/dispatch/queue.go
+++ b/scheduling/dispatch/queue.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// queueLookAhead is how many queued requests without a worker are looked at in one go. One that
-// fits nowhere, since it is large or bound to few workers, must not block those behind it; a
-// longer look costs processor time on every event while the fleet is full.
+// queueLookAhead is the number of requests without a suitable worker after which a pass over the queue
+// stops. A request that fits no worker, since it is large or restricted to few workers, must not block the
+// requests behind it. A larger number costs processor time on every event while the fleet is full.
 const queueLookAhead = 4
 
-// requestQueue holds the requests that wait for a worker: most value per slot time first, among
-// equals the oldest.
+// requestQueue holds the requests that wait for a worker, ordered by decreasing value density, then by
+// arrival.
 type requestQueue []*request
 
 func (q *requestQueue) insert(r *request) {
@@ -19,7 +19,7 @@
 		if c := cmp.Compare(b.valueDensity, a.valueDensity); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.arrivedAt, b.arrivedAt+1) // behind all that arrived at the same moment
+		return cmp.Compare(a.arrivedAt, b.arrivedAt+1) // behind all requests that arrived at the same time
 	})
 	*q = slices.Insert(*q, i, r)
 }
@@ -44,17 +44,17 @@
 	}
 }
 
-// sweepQueue answers what nobody can serve any more, demotes what can no longer be on time, and
-// sends what has been held as long as holding can pay.
+// sweepQueue answers the requests that can no longer be served, demotes those that can no longer be on time,
+// and sends those whose hold time has passed beyond known capacity.
 func (d *dispatcher) sweepQueue(out Actions) {
 	unplaced := 0
 	for i := 0; i < len(d.queue); {
 		r := d.queue[i]
 		switch {
 		case d.nearDeadline(r) || d.valueless(r):
-			d.answerUnserved(r, out) // and out of the queue: the next stands at i now
+			d.answerUnserved(r, out) // removes r from the queue, so the next request is at i now
 		case !r.demoted && d.now >= r.latestStart:
-			d.demote(r) // another may stand at i now
+			d.demote(r) // moves r, so another request may be at i now
 		case unplaced < queueLookAhead && d.mayOvercommit(r):
 			if !d.sendOvercommitted(r, out) {
 				unplaced++
@@ -66,7 +66,8 @@
 	}
 }
 
-// demote puts a request that can no longer be on time to where its value then places it.
+// demote lowers the value density of a request that can no longer be on time and moves the request to its
+// new place in the queue.
 func (d *dispatcher) demote(r *request) {
 	r.demoted = true
 	r.valueDensity *= r.class.LateValueShare
--- a/scheduling/dispatch/quota.go
+++ b/scheduling/dispatch/quota.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// tokenBucket is a tenant's quota at this dispatcher.
+// tokenBucket enforces a tenant's quota at this dispatcher.
 type tokenBucket struct {
 	tokens float64
-	at     time.Duration
+	at     time.Duration // time of the latest refill
 }
 
-// quotaBurstRequests is the least size of a tenant's bucket, in requests; it is a second of its rate where
-// that is more. With less, two requests at once would be beyond any small quota.
+// quotaBurstRequests is the minimum size of a tenant's bucket, in requests; a bucket holds one second of its
+// rate if that is more. With less, two simultaneous requests would exceed any small quota.
 const quotaBurstRequests = 2
 
-// withinQuota takes one request from its tenant's quota, of which each dispatcher has an equal part.
-// Beyond it the request is served too, with OverQuotaValueShare of its value.
+// withinQuota takes one request from the tenant's quota, of which each dispatcher has an equal part, and
+// reports whether the quota allows it. A request beyond the quota is served too, with
+// ValueSettings.OverQuotaShare of its value.
 func (d *dispatcher) withinQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(d.quotas) || d.Tenants[tenant].Quota <= 0 {
 		return true
--- a/scheduling/dispatch/requests.go
+++ b/scheduling/dispatch/requests.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// holdShare is the part of a request's slack (the time until its latestStart) for which it may be
-// held for a faster worker or for known capacity. After it, the request is sent beyond what
-// capacity is known, as the overcommit pacer allows; with more, too little
-// is left for a second attempt.
+// holdShare is the part of a request's slack (the time until its latestStart) for which the request may be
+// held for a faster worker or for known capacity. After that it may be sent beyond known capacity, as far as
+// the overcommit pacer allows. With a larger part, too little time is left for a second attempt.
 const holdShare = 0.25
 
 // request is one job from its arrival until it is answered and no attempt of it is outstanding.
@@ -17,19 +16,19 @@
 	class                  *Class // never nil
 	stats                  *classStats
 	arrivedAt              time.Duration
-	deadline               time.Duration // the client gives up
-	latestStart            time.Duration // a start after this is expected to miss the latency target
-	holdUntil              time.Duration // it may be held for capacity until then
-	valueDensity           float64       // value per slot, or per slot-second: the order of the queue
-	demoted, queued, ended bool          // ended: it has its final answer
-
-	attemptCount int        // so far
-	outstanding  []*attempt // by number
+	deadline               time.Duration // time at which the client gives up
+	latestStart            time.Duration // latest start with which the latency target is expected to be met
+	holdUntil              time.Duration // the request may be held for capacity until this time
+	valueDensity           float64       // value per slot, or per slot-second; orders the queue
+	demoted, queued, ended bool          // ended: the request has its final answer
+
+	attemptCount int        // attempts sent so far
+	outstanding  []*attempt // ordered by number
 	mayHaveRun   priorRun
-	rejectedBy   []*worker // since it was last sent beyond known capacity
+	rejectedBy   []*worker // workers that rejected it since it was last sent beyond known capacity
 }
 
-// priorRun is the first attempt of a request that may have run. The zero value: none may have.
+// priorRun is the first attempt of a request that may have run. The zero value means that there is none.
 type priorRun struct {
 	worker *worker
 	sentAt time.Duration
@@ -45,13 +44,13 @@
 	d.expectLargeJobs(r)
 	d.enqueue(r)
 	d.decide(out)
-	// The next look at the queue may come too late for a short-lived retry.
+	// The next sweep of the queue may come too late for a request with little time left, such as a retry.
 	if r.queued && (d.nearDeadline(r) || d.valueless(r)) {
 		d.answerUnserved(r, out)
 	}
 }
 
-// newRequest works out by when a request has to start, and its place in the queue.
+// newRequest returns the state of a new request, with its latest start and its value density.
 func (d *dispatcher) newRequest(q Request) *request {
 	q.Slots = max(q.Slots, 1)
 	if q.ResolvedClass == nil {
@@ -65,7 +64,7 @@
 	r.latestStart = d.now + min(max(d.slack(r, work), 0), q.TimeLeft)
 	r.holdUntil = d.now + time.Duration(holdShare*float64(r.latestStart-d.now))
 	r.valueDensity = d.valueDensity(r, work)
-	if q.BestEffort { // behind all else, and never to where there is no capacity
+	if q.BestEffort { // queued behind all other requests and never sent beyond known capacity
 		r.latestStart, r.holdUntil, r.valueDensity = r.deadline, r.deadline, 0
 	}
 	if q.EarlierWorker != nil {
@@ -74,19 +73,19 @@
 	return r
 }
 
-// slack is how long a request of so much work, in seconds, may wait and still be on time on an
-// average worker of the fleet: a quarter of the fixed part of its target at the least.
+// slack is how long a request with the given work, in seconds, may wait and still be on time on an average
+// worker of the fleet. It is at least a quarter of the fixed part of the latency target.
 func (d *dispatcher) slack(r *request, work float64) time.Duration {
 	target := r.class.LatencyTarget.Seconds() + r.class.Stretch*work
 	slack := max(target-work*math.Exp(d.speeds.logFleetSlowness), r.class.LatencyTarget.Seconds()/4)
 	if r.ClientRetry {
-		// The client's own retry belongs to its first request, whose time ran meanwhile.
+		// A client's retry continues its first request, so the time since that request is subtracted.
 		slack -= max(r.class.Deadline-r.TimeLeft, 0).Seconds()
 	}
 	return seconds(slack)
 }
 
-// valueDensity is what a request earns per slot, or per slot-second where value counts per request.
+// valueDensity is the value of a request per slot, or per slot-second if value counts per request.
 func (d *dispatcher) valueDensity(r *request, work float64) float64 {
 	density := r.class.Value / r.Slots
 	if !d.Values.PerWork {
@@ -101,7 +100,7 @@
 func (d *dispatcher) StreamStarted(now time.Duration, id RequestID, _ int, out Actions) {
 	d.beginEvent(now, out)
 	if r := d.requests[id]; r != nil {
-		r.deadline = math.MaxInt64 // the answer is the client's now; no deadline runs
+		r.deadline = math.MaxInt64 // the client is receiving the answer, so the deadline no longer applies
 	}
 }
 
@@ -112,8 +111,8 @@
 	}
 }
 
-// answerUnserved gives the final answer of a request that will not be served. Only one whose retry
-// by the client is harmless is rejected; any other fails.
+// answerUnserved gives the final answer to a request that will not be served. The request is rejected if a
+// retry by the client is harmless, else failed.
 func (d *dispatcher) answerUnserved(r *request, out Actions) {
 	retryHarmless := r.mayHaveRun.worker == nil || r.class.Semantics == Retryable ||
 		r.class.Semantics == Deduplicated && r.class.DedupScope == ScopeAll
@@ -125,7 +124,7 @@
 	d.endRequest(r)
 }
 
-// endRequest notes that a request has its final answer.
+// endRequest marks a request as finally answered, dequeues it and releases its reservation.
 func (d *dispatcher) endRequest(r *request) {
 	r.ended = true
 	d.dequeue(r)
@@ -133,21 +132,21 @@
 	d.forgetIfDone(r)
 }
 
-// forgetIfDone drops a request that is answered and of which no attempt is outstanding.
+// forgetIfDone deletes a request that has its final answer and no outstanding attempt.
 func (d *dispatcher) forgetIfDone(r *request) {
 	if r.ended && len(r.outstanding) == 0 {
 		delete(d.requests, r.ID)
 	}
 }
 
-// nearDeadline tells whether a request has no time left to be queued until the tick after the next.
+// nearDeadline reports whether the deadline of a request comes too soon to keep it queued until the tick
+// after the next.
 func (d *dispatcher) nearDeadline(r *request) bool {
 	return d.now+2*(tickInterval+d.MinEventGap) >= r.deadline
 }
 
-// valueless tells whether a request can no longer be on time and has no value late. It is given
-// up, so its answer is due at once: held until its deadline it would only keep the client from
-// asking again.
+// valueless reports whether a request can no longer be on time and has no value when late. Such a request is
+// answered at once: holding it until its deadline would only keep the client from retrying.
 func (d *dispatcher) valueless(r *request) bool {
 	return d.now >= r.latestStart && r.class.LateValueShare == 0
 }
--- a/scheduling/dispatch/requests_test.go
+++ b/scheduling/dispatch/requests_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request whose client waits only briefly is answered at once when no worker can take it: the next look
-// at the queue would come too late.
+// A request with a deadline shorter than two ticks is answered at once if no worker can take it: the next
+// sweep of the queue would come too late.
 func TestShortLivedRequestIsAnsweredAtOnce(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, nil, out)
@@ -17,27 +17,27 @@
 	}
 }
 
-// A queued request that can no longer be on time and has no value late is rejected at once with advice:
-// not held to near its deadline, where its client could no longer ask again.
+// A queued request that can no longer be on time and has no value when late is rejected at once, with a retry
+// delay. It is not held until shortly before its deadline, when its client could no longer retry.
 func TestValuelessRequestIsAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		late      float64 // part of the value that a late answer has
-		retry     bool
-		left      time.Duration
-		from, end time.Duration // when the answer is due
+		name           string
+		lateValueShare float64
+		clientRetry    bool
+		timeLeft       time.Duration
+		from, end      time.Duration // period in which the answer is expected
 	}{
 		{"first try", 0, false, 5 * time.Second, 100 * ms, 1200 * ms},
-		{"own retry whose time ran at the first try", 0, true, 3 * time.Second, 0, 1},
-		{"late answers earn: kept while they can", 0.2, false, 5 * time.Second, 4800 * ms, 5000 * ms},
+		{"client retry without slack left after the first try", 0, true, 3 * time.Second, 0, 1},
+		{"late answers have value: kept until near the deadline", 0.2, false, 5 * time.Second, 4800 * ms, 5000 * ms},
 	} {
 		s := testSettings()
 		s.Attempts.MaxRetryAfter = 2 * time.Second
-		s.Classes[2].LateValueShare = c.late
+		s.Classes[2].LateValueShare = c.lateValueShare
 		d, out := mustNew(t, s, 1), &recorder{}
 		d.UpdateWorkers(0, ListCached, nil, out) // no worker: nothing can be sent
 		out.take()
-		d.Arrive(ms, Request{ID: 7, Class: 2, TimeLeft: c.left, ClientRetry: c.retry}, out)
+		d.Arrive(ms, Request{ID: 7, Class: 2, TimeLeft: c.timeLeft, ClientRetry: c.clientRetry}, out)
 		var got []action
 		now := time.Duration(0)
 		for got = out.take(); len(got) == 0 && now < 6*time.Second; got = out.take() {
@@ -45,13 +45,13 @@
 			d.Timer(now, 0, out)
 		}
 		if len(got) != 1 || got[0].what != "reject" || now < c.from || now > c.end || got[0].in <= 0 || got[0].in > s.Attempts.MaxRetryAfter {
-			t.Errorf("%s: at %v got %+v, want one rejection with advice in %v to %v", c.name, now, got, c.from, c.end)
+			t.Errorf("%s: at %v got %+v, want one rejection with a retry delay, between %v and %v", c.name, now, got, c.from, c.end)
 		}
 	}
 }
 
-// One that a worker rejects when its time has passed is answered within the same event.
-func TestValuelessRequestIsAnsweredAtAnOutcome(t *testing.T) {
+// A valueless request that a worker rejects is answered while that outcome is handled.
+func TestValuelessRequestIsAnsweredOnRejection(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].LateValueShare = 0
 	d, out := mustNew(t, s, 1), &recorder{}
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// serveQueue takes ACHQ's decisions at an arrival or completion: the head of the queue goes to the
-// fastest worker with capacity, at once if that is the fastest overall, else with the probability of
-// its soft threshold.
+// serveQueue makes ACHQ's decisions at an arrival or completion: the request at the head of the queue goes to
+// the fastest worker with capacity. It is sent at once if that worker is the fastest of all, else with the
+// probability of the worker's soft threshold.
 func (d *dispatcher) serveQueue(out Actions) {
 	d.closeStep()
 	d.serveLargeJobs(out)
@@ -14,7 +14,7 @@
 		w, fastest := d.pickWorker(r)
 		if w == nil {
 			if unplaced++; unrestricted(r) {
-				break // what fits nowhere for it fits nowhere for those behind
+				break // no worker has capacity for an unrestricted request, so none has for those behind it
 			}
 			i++
 			continue
@@ -28,20 +28,20 @@
 			i++
 			continue
 		}
-		d.openStep() // the next decision of this event is a step of no length
+		d.openStep() // the time to the next decision of this event is a step of length 0
 		d.closeStep()
 	}
 	d.openStep()
 }
 
-// unrestricted tells whether nothing about a request itself keeps it from any worker.
+// unrestricted reports whether r has no property that excludes it from some workers.
 func unrestricted(r *request) bool {
 	return r.Slots == 1 && len(r.rejectedBy) == 0 && r.class.WorkerKind < 0 &&
 		r.mayHaveRun.worker == nil && r.Pools == 0
 }
 
-// pickWorker returns the fastest worker with capacity for r, and the fastest that could run it at all;
-// nil where there is none.
+// pickWorker returns the fastest worker with capacity for r and the fastest eligible worker; each is nil if
+// there is none.
 func (d *dispatcher) pickWorker(r *request) (w, fastest *worker) {
 	if p := d.probationWorker(r); p != nil {
 		return p, p
@@ -51,9 +51,9 @@
 		return w, w
 	}
 	for _, c := range d.fleet.ranked {
-		// Seen at a glance: it has no capacity for this dispatcher.
-		never := c.limit.slots < 1 && c.home.share == 0 && d.now-c.report.at >= d.speeds.meanRun
-		if fastest != nil && never || !d.eligible(c, r) {
+		// A cheap test that skips workers without capacity for this dispatcher.
+		noCapacity := c.limit.slots < 1 && c.home.share == 0 && d.now-c.report.at >= d.speeds.meanRun
+		if fastest != nil && noCapacity || !d.eligible(c, r) {
 			continue
 		}
 		if fastest == nil {
@@ -63,23 +63,23 @@
 			w != nil && d.spareSlots(c) >= d.spareSlots(w) {
 			continue
 		}
-		if w = c; !d.large.due { // else the tightest fit, so that slots stay free together
+		if w = c; !d.large.due { // if a large job is due, pick the tightest fit, to keep free slots together
 			break
 		}
 	}
 	return w, fastest
 }
 
-// eligible tells whether w may be given r at all, capacity aside.
+// eligible reports whether r may be sent to w, regardless of capacity.
 func (d *dispatcher) eligible(w *worker, r *request) bool {
 	limit := d.granted.jobsPerWorker
 	switch {
 	case r.class.WorkerKind >= 0 && r.class.WorkerKind != w.Kind, r.Pools != 0 && r.Pools&w.Pools == 0,
 		!d.attemptAllowed(r, w), limit != 0 && w.usage.jobs >= limit,
-		r.BestEffort && w.usage.busy()+r.Slots > d.homeSlots(w): // capacity that is surely its own
+		r.BestEffort && w.usage.busy()+r.Slots > d.homeSlots(w): // best effort stays within the home share
 		return false
 	case r.class.Semantics == AtMostOnce && w.errorShare > suspectErrorShare && d.now < r.latestStart:
-		return false // it has one attempt: not where errors were seen
+		return false // its only attempt should not go to a worker with recent errors
 	case w.Health == Ejected,
 		w.Health == OnProbation && (r.class.Semantics == AtMostOnce || w.usage.jobs > 0):
 		return false
@@ -87,9 +87,9 @@
 	return !slices.Contains(r.rejectedBy, w)
 }
 
-// hasCapacity tells whether w has capacity for r. Beyond the slot limit there is capacity where a
-// fresh report leaves a slot to spare for other dispatchers that saw it too; not where slots are
-// scarce, since a report may be older than what was sent.
+// hasCapacity reports whether w has capacity for r. There is capacity beyond the slot limit if a fresh load
+// report leaves one more slot free, for another dispatcher that got the same report. This does not apply
+// while slots are scarce, since a report may be older than the latest sends.
 func (d *dispatcher) hasCapacity(w *worker, r *request) bool {
 	if w.report.at != 0 && d.now-w.report.at < d.speeds.meanRun && !d.usageKnown() {
 		spare := w.report.free - w.usage.slots - r.Slots
@@ -100,7 +100,7 @@
 		}
 	}
 	if w.home.share > 0 && d.now >= w.limit.backoffUntil {
-		w.limit.slots = max(w.limit.slots, d.homeSlots(w)) // back to the own share after a backoff
+		w.limit.slots = max(w.limit.slots, d.homeSlots(w)) // at least the home share after a backoff
 	}
 	if w.usage.busy() > 0 && w.usage.memory+w.usage.peerMemory+r.Memory > d.fleet.kindSlots(w) {
 		return false
@@ -108,10 +108,10 @@
 	return w.usage.busy()+r.Slots <= w.limit.slots || w.usage.busy() == 0 && w.limit.slots >= 1
 }
 
-// usableSlots is how many slots of w are this dispatcher's to fill, as hasCapacity has it.
+// usableSlots is the number of slots of w that hasCapacity lets this dispatcher fill.
 func (d *dispatcher) usableSlots(w *worker) float64 {
 	return max(w.limit.slots, d.homeSlots(w))
 }
 
-// spareSlots is how many of those its own jobs leave free.
+// spareSlots is the number of usable slots of w that own jobs leave free.
 func (d *dispatcher) spareSlots(w *worker) float64 { return d.usableSlots(w) - w.usage.slots }
--- a/scheduling/dispatch/selection_test.go
+++ b/scheduling/dispatch/selection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A job goes to its pools alone, and one that may have run before only where and while repeats of it are
-// dropped.
+// A job is sent only to workers of its pools. A job that may have run before is sent only to workers that
+// drop its repeats, and only while they do.
 func TestPoolsAndEarlierRuns(t *testing.T) {
 	workers := []Worker{{ID: 1, Weight: 1, Cell: 1, Pools: 1}, {ID: 2, Weight: 1, Cell: 2, Pools: 2}, {ID: 3, Weight: 1, Cell: 3, Pools: 3}}
 	for _, c := range []struct {
@@ -14,21 +14,21 @@
 		q    Request
 		want map[WorkerID]bool
 	}{
-		{"any", Request{}, map[WorkerID]bool{1: true, 2: true, 3: true}},
+		{"any pool", Request{}, map[WorkerID]bool{1: true, 2: true, 3: true}},
 		{"first pool", Request{Pools: 1}, map[WorkerID]bool{1: true, 3: true}},
 		{"second pool", Request{Pools: 2}, map[WorkerID]bool{2: true, 3: true}},
-		{"a pool of nobody", Request{Pools: 8}, nil},
+		{"pool without workers", Request{Pools: 8}, nil},
 		{"ran in cell 2", Request{Class: 1, EarlierWorker: &Worker{Cell: 2}, EarlierRunAge: time.Second}, map[WorkerID]bool{2: true}},
 		{"ran in cell 2, too long ago", Request{Class: 1, EarlierWorker: &Worker{Cell: 2}, EarlierRunAge: 3 * time.Second}, nil},
-		{"ran in cell 1, of the second pool", Request{Class: 1, Pools: 2, EarlierWorker: &Worker{Cell: 1}}, nil},
-		{"unsafe, and ran", Request{Class: 2, EarlierWorker: &Worker{Cell: 2}}, nil},
+		{"ran in cell 1, restricted to the second pool", Request{Class: 1, Pools: 2, EarlierWorker: &Worker{Cell: 1}}, nil},
+		{"AtMostOnce, may have run", Request{Class: 2, EarlierWorker: &Worker{Cell: 2}}, nil},
 	} {
 		got := map[WorkerID]bool{}
 		for seed := range uint64(30) {
 			d, out := mustNew(t, testSettings(), seed), &recorder{}
 			d.UpdateWorkers(0, ListCached, workers, out)
 			now := ms
-			for id := range RequestID(4) { // some find no capacity at the first one's
+			for id := range RequestID(4) { // some of these find no capacity at the first worker
 				q := c.q
 				q.ID, q.TimeLeft = id+1, 2*time.Second
 				d.Arrive(now, q, out)
@@ -52,11 +52,12 @@
 	}
 }
 
-// A BestEffort request is sent to capacity that is surely there, never beyond it, and behind all others.
+// BestEffort requests are sent only within this dispatcher's home share of the slots, and after all other
+// requests.
 func TestBestEffortTakesSpareCapacityOnly(t *testing.T) {
 	for _, bestEffort := range []bool{true, false} {
 		s := testSettings()
-		s.Fleet.Count = 2 // what others send is not known: jobs are sent beyond the own share in the end
+		s.Fleet.Count = 2 // the other dispatcher's usage is unknown, so normal jobs are sent beyond the home share
 		d, out := mustNew(t, s, 1), &recorder{}
 		d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 4}, {ID: 2, Weight: 4}}, out)
 		for id := range RequestID(40) {
@@ -67,15 +68,15 @@
 			now += 25 * ms
 			d.Timer(now, 0, out)
 		}
-		held := len(out.sends())
-		t.Logf("best effort %t: %d of 40 jobs were sent to 2 workers, of which half is the own share", bestEffort, held)
-		if bestEffort && (held == 0 || held > 4) || !bestEffort && held <= 4 {
-			t.Errorf("best effort %t: %d of 40 jobs were sent", bestEffort, held)
+		sentCount := len(out.sends())
+		t.Logf("best effort %t: %d of 40 jobs were sent to 2 workers with a home share of one half", bestEffort, sentCount)
+		if bestEffort && (sentCount == 0 || sentCount > 4) || !bestEffort && sentCount <= 4 {
+			t.Errorf("best effort %t: %d of 40 jobs were sent, want 1 to 4 if best effort, else more than 4", bestEffort, sentCount)
 		}
 		if !bestEffort {
 			continue
 		}
-		// A client's request comes after 32 that wait: it gets the next slot that comes free.
+		// A normal request arrives behind the waiting best-effort requests: it gets the next free slot.
 		d.Arrive(now, Request{ID: 100, TimeLeft: 5 * time.Second}, out)
 		sent := out.sends()
 		for id := RequestID(1); id <= 8 && len(sent) == 0; id++ {
@@ -86,7 +87,7 @@
 			sent = out.sends()
 		}
 		if len(sent) == 0 || sent[0].id != 100 {
-			t.Errorf("sent next: %v, want the client's", sent)
+			t.Errorf("sent next: %v, want request 100, which is not best effort", sent)
 		}
 	}
 }
