--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -56,7 +56,7 @@
 func (d *dispatcher) recordFailure(w *worker, weight float64, out Actions) {
 	w.errorShare = min(errorShareGrowth*w.errorShare+weight, 1)
 	if w.errorShare > suspectErrorShare {
-		d.shrinkLimit(w, failureBackoffs)
+		d.shrinkLimit(w, maxFailureDoublings)
 	}
 	if w.errorShare > loggedErrorShare {
 		wait := w.limit.backoffUntil - d.now
@@ -134,9 +134,9 @@
 		return
 	}
 	a.startLate = true
-	d.settleOvercommit(a, true)
+	d.recordOvercommitOutcome(a, true)
 	w.usage.slots -= r.Slots // the waiting attempt does not use a slot
-	d.shrinkLimit(w, rejectionBackoffs)
+	d.shrinkLimit(w, maxRejectionDoublings)
 	w.usage.slots += r.Slots
 }
 
--- a/scheduling/dispatch/loadreport_test.go
+++ b/scheduling/dispatch/loadreport_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// The slots of a kind must be learned from reports on a large fleet too. The test guards against sightings
+// The slots of a kind must be learned from reports on a large fleet too. The test guards against observations
 // that decay once per worker instead of once per kind: they never reach the required number.
 func TestKindSlotsAreLearnedOnALargeFleet(t *testing.T) {
 	s := testSettings()
