--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -20,7 +20,7 @@
 	lastNotifiedAt time.Duration // time of the latest notification, or of the send if there was none
 	startLate      bool
 	overdue        bool // running for much longer than expected
-	overcommitted  bool // sent without known capacity, and not yet settled with the overcommit pacer
+	overcommitted  bool // sent without known capacity, and outcome not yet recorded in the overcommit pacer
 	lost           bool // presumed lost; its capacity has been released
 }
 
--- a/scheduling/dispatch/health_test.go
+++ b/scheduling/dispatch/health_test.go
@@ -31,7 +31,7 @@
 			d.Timer(now+45*ms, 0, out)
 		}
 		if cancelled != wantCancel || w.usage.slots != 0 || w.speed.logLateness != 0 || served < 30 {
-			t.Errorf("class %d: cancelled %v, want %v; used slots %v and lateness %v, want 0; jobs served %d, want 30 or more", class, cancelled, wantCancel, w.usage.slots, w.speed.logLateness, served)
+			t.Errorf("class %d: cancelled %v, want true for class 1 only; used slots %v and lateness %v, want 0; jobs served %d, want 30 or more", class, cancelled, w.usage.slots, w.speed.logLateness, served)
 		}
 		if d.AttemptEnded(2*time.Second, Outcome{ID: 1, Worker: 1, Code: TimedOut, Answered: true}, out); w.errorShare != 0 || w.usage.slots != 0 {
 			t.Errorf("class %d: after the timeout, error share %v and used slots %v, want 0", class, w.errorShare, w.usage.slots)
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -63,7 +63,7 @@
 			w != nil && d.spareSlots(c) >= d.spareSlots(w) {
 			continue
 		}
-		if w = c; !d.large.waiting { // if a large job waits, pick the tightest fit, to keep free slots together
+		if w = c; !d.large.waiting { // else pick the tightest fit, so that free slots stay together
 			break
 		}
 	}
