--- a/scheduling/backfill/plan.go
+++ b/scheduling/backfill/plan.go
@@ -127,7 +127,7 @@
 	p.dropIfEmpty(worker, w)
 }
 
-// Forget releases the reservation of a job that has ended, and discards what the plan knows of the job.
+// Forget releases the reservation of a job that has ended, and discards the time for which it was delayed.
 func (p *Plan) Forget(now time.Duration, job uint64) {
 	p.Release(now, job, false)
 	delete(p.delayedSince, job)
--- a/scheduling/dispatch/overcommit.go
+++ b/scheduling/dispatch/overcommit.go
@@ -14,7 +14,7 @@
 	// successes bring the rate back to normal.
 	overcommitDecay = 2.0
 	// overcommitMinGapRuns is the gap after the first wasted send, in mean run times. It is well below the
-	// time between two jobs of one busy worker.
+	// interval at which even one worker could take jobs.
 	overcommitMinGapRuns = 1.0 / 256
 	// overcommitMaxGapRuns is the largest gap, in mean run times. Without a bound a dispatcher would not
 	// notice the end of an overload.
@@ -49,7 +49,8 @@
 }
 
 // mayOvercommit reports whether r may be sent now to a worker without known free capacity. While slots are
-// scarce, a large job may not, as it would make a queue wait there; nor may any job while a large one waits.
+// scarce, only a job of one slot may, as a larger one would make a queue wait there; and no job may while a
+// large job waits.
 func (d *dispatcher) mayOvercommit(r *request) bool {
 	return d.now >= r.holdUntil && d.now >= d.overcommit.nextAt &&
 		(!d.slotsScarce() || r.Slots == 1 && !d.large.waiting)
@@ -74,14 +75,14 @@
 // With a smaller weight, jobs join the queues of fast workers on the basis of old load reports.
 const estimatedWaitWeight = 8.0
 
-// earliestEndWorker returns the worker where r is expected to end first, with free capacity or not; nil if r
-// may be sent to no worker. It serves requests that can be held no longer.
+// earliestEndWorker returns the worker where r is expected to end first, with free capacity or not, for a
+// request that can be held no longer. It returns nil if r may not be sent to any worker.
 func (d *dispatcher) earliestEndWorker(r *request) *worker {
 	var best *worker
 	least := math.Inf(1)
 	for _, w := range d.fleet.ranked {
 		if w.rankTime >= least {
-			break // at no later worker can it end sooner
+			break // r cannot end sooner at any later worker
 		}
 		if !d.eligible(w, r) || !d.slowStartAllows(w, r) || !d.mayBackfill(w, r) {
 			continue
--- a/scheduling/dispatch/reservations.go
+++ b/scheduling/dispatch/reservations.go
@@ -28,8 +28,8 @@
 type largeJobs struct {
 	plan        *backfill.Plan // nil: nothing is reserved
 	share       float64        // this process's share of the plan's bounds; 0: all of them
-	waiting     bool           // a large job waits, so others go to the tightest fit
-	expectUntil time.Duration  // until when another large job is expected
+	waiting     bool           // a large job waits, so others go to the worker with the tightest fit
+	expectUntil time.Duration  // another large job is expected until then
 }
 
 // configureReservations creates the plan, updates its settings or removes it, by the current settings.
@@ -125,7 +125,7 @@
 	return best, at
 }
 
-// mayBackfill reports whether r may start at w by the plan; see [backfill.Plan.MayBackfill].
+// mayBackfill reports whether the plan allows r to start at w; see [backfill.Plan.MayBackfill].
 func (d *dispatcher) mayBackfill(w *worker, r *request) bool {
 	return d.large.plan == nil || d.large.plan.MayBackfill(d.now, uint64(w.ID), uint64(r.ID), r.Slots,
 		d.usableSlots(w), d.runTime(r, w), d.slowStartOf(w))
--- a/scheduling/dispatch/slowstart_test.go
+++ b/scheduling/dispatch/slowstart_test.go
@@ -46,8 +46,8 @@
 }
 
 // With few dispatchers, each of them sends jobs to a reinstated worker that warms up, also without a home
-// share of it: the only dispatcher with a home share may have ejected the worker, or be down. Before, the
-// worker was unused during its warm-up although no other worker could run the jobs.
+// share of it: the only dispatcher with a home share may have ejected the worker, or be down. A rule
+// by home shares alone left the worker unused during its warm-up although no other worker could run the jobs.
 func TestReinstatedWorkerIsUsedByAll(t *testing.T) {
 	const workers = 6
 	for _, broadcasts := range []bool{false, true} {
