--- a/scheduling/placement/feasibility.go
+++ b/scheduling/placement/feasibility.go
@@ -21,8 +21,8 @@
 		!s.fits(worker, step.Demand(), headroom) {
 		return false
 	}
-	most := step.AntiAffinity
-	return most <= 0 || placed[worker.id] < most
+	limit := step.AntiAffinity
+	return limit <= 0 || placed[worker.id] < limit
 }
 
 // placedPerWorker returns the number of tasks of the unit's step per worker, or nil if the step has no anti-affinity limit.
@@ -69,12 +69,12 @@
 // dominantShare returns the fraction of a worker's capacity that the amount takes, in the resource for which this fraction
 // is largest (as defined by dominant resource fairness).
 func dominantShare(amount, capacity job.Resources) float64 {
-	part := 0.0
+	share := 0.0
 	for _, pair := range [3][2]int64{{amount.CPU, capacity.CPU}, {amount.MemoryMB, capacity.MemoryMB},
 		{amount.GPU, capacity.GPU}} {
 		if pair[1] > 0 {
-			part = max(part, float64(pair[0])/float64(pair[1]))
+			share = max(share, float64(pair[0])/float64(pair[1]))
 		}
 	}
-	return part
+	return share
 }
--- a/scheduling/worker/messages.go
+++ b/scheduling/worker/messages.go
@@ -2,10 +2,10 @@
 
 import "yardflow/scheduling/taskrun"
 
-// Poll asks the worker for its lists of runs, and renews its lease where LeaseUntilMs is not 0. On the wire it is the
+// Poll asks the worker for its lists of runs, and renews its lease if LeaseUntilMs is not 0. On the wire it is the
 // protocol's hold call.
 type Poll struct {
-	Sequence     uint64 // numbers an owner's polls from 1; not sent
+	Sequence     uint64 // number of the poll, counted per owner from 1; not sent
 	FencingToken uint64
 	LeaseUntilMs int64 // new end of the lease, on the worker's clock; 0: no renewal
 	// AcknowledgedEnd is the number of the end up to which all ends are committed, so that the worker may forget them.
