--- a/scheduling/worker/contact.go
+++ b/scheduling/worker/contact.go
@@ -45,8 +45,8 @@
 	return o.lease.clockKnown && now-o.contact.answeredAt <= contactFreshness
 }
 
-// recordAnswer updates the contact and the worker's clock after a call that the worker or another incarnation answered.
-// After any other call it changes nothing.
+// recordAnswer updates the contact after a call that the worker or another incarnation answered, and the worker's clock if
+// the worker itself answered. After a call without an answer it changes nothing.
 func (o *Owner) recordAnswer(now time.Duration, outcome Outcome, clockMs int64) {
 	switch outcome {
 	case Unanswered, Unreachable:
