--- a/internal/control/statemachine/apply_bench_test.go
+++ b/internal/control/statemachine/apply_bench_test.go
@@ -10,15 +10,15 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// script returns encoded commands that run jobs of four tasks in a cluster of 48 workers and 8 sessions.
-func script(jobs int) [][]byte {
-	var list [][]byte
+// encodedCommands returns encoded commands that run jobs of four tasks in a cluster of 48 workers and 8 sessions.
+func encodedCommands(jobs int) [][]byte {
+	var commands [][]byte
 	add := func(command Command) {
 		data, err := cbor.Marshal(command)
 		if err != nil {
 			panic(err)
 		}
-		list = append(list, data)
+		commands = append(commands, data)
 	}
 	for i := range 8 {
 		add(Command{OpenSession: &OpenSession{Node: fmt.Sprint("front-", i), Zone: fmt.Sprint("z", i%3), Incarnation: uint64(i + 1)}})
@@ -44,12 +44,12 @@
 			add(Command{AdvanceClock: &AdvanceClock{uint64(n/100 + 1)}})
 		}
 	}
-	return list
+	return commands
 }
 
 // BenchmarkApply measures decoding and applying one command.
 func BenchmarkApply(b *testing.B) {
-	commands := script(4000)
+	commands := encodedCommands(4000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	c := New(25)
@@ -71,7 +71,7 @@
 // BenchmarkSnapshot measures encoding the state with 2,500 jobs in it.
 func BenchmarkSnapshot(b *testing.B) {
 	c := New(25)
-	for _, data := range script(2500) {
+	for _, data := range encodedCommands(2500) {
 		command := &Command{}
 		if err := cbor.Unmarshal(data, command); err != nil {
 			b.Fatal(err)
--- a/internal/control/statemachine/checkpoints.go
+++ b/internal/control/statemachine/checkpoints.go
@@ -5,8 +5,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// recordCheckpoint keeps the checkpoint of a run, from which the task's next run resumes. One of a run that is not
-// placed any more, or that is older than the one kept, is ignored.
+// recordCheckpoint saves the checkpoint of a run, from which the task's next run resumes. It ignores a checkpoint of a run
+// that is no longer placed, and one that is older than the saved checkpoint.
 func (f *FSM) recordCheckpoint(command *taskrun.Checkpoint) Result {
 	worker, j := f.Workers[command.Worker], f.Jobs[command.Job]
 	if worker == nil || j == nil {
@@ -24,8 +24,8 @@
 	return Result{}
 }
 
-// isNewer reports whether a checkpoint is newer than all that the run has recorded: the one of a later owner is, and of
-// one owner's checkpoints the one that it received later.
+// isNewer reports whether a checkpoint is newer than all checkpoints that the run has recorded. A later owner has a higher
+// token, and one owner numbers its checkpoints in the order in which it received them.
 func isNewer(checkpoint *taskrun.Checkpoint, run Run) bool {
 	if checkpoint.Token != run.CheckpointToken {
 		return checkpoint.Token > run.CheckpointToken
@@ -33,7 +33,8 @@
 	return checkpoint.Sequence > run.CheckpointSequence
 }
 
-// saveCheckpoint keeps a checkpoint at the task. Any member's stands for its gang: all members resume from the same.
+// saveCheckpoint stores a checkpoint in the task. The checkpoint of any member of a gang is stored in all members, since
+// they all resume from the same one.
 func (f *FSM) saveCheckpoint(j *job.Job, key job.TaskKey, data string) {
 	if !stepOf(j, key).Gang {
 		j.EnsureTask(key).Checkpoint = data
--- a/internal/control/statemachine/checkpoints_test.go
+++ b/internal/control/statemachine/checkpoints_test.go
@@ -20,11 +20,11 @@
 	record(1, 3, "third")
 	record(1, 2, "second")
 	if saved := c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Checkpoint; saved != "third" {
-		t.Errorf("saved %q", saved)
+		t.Errorf("checkpoint %q is saved, want third", saved)
 	}
 	record(2, 1, "next owner")
 	record(1, 4, "former owner")
 	if saved := c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Checkpoint; saved != "next owner" {
-		t.Errorf("saved %q", saved)
+		t.Errorf("checkpoint %q is saved, want next owner", saved)
 	}
 }
--- a/internal/control/statemachine/clock.go
+++ b/internal/control/statemachine/clock.go
@@ -2,8 +2,8 @@
 
 import "yardflow/scheduling/job"
 
-// advanceClock counts one tick of the clock, and forgets what its retention has run out for. A tick that is counted
-// already, or that skips one, is a Conflict: it would shorten the retention that clients were promised.
+// advanceClock counts one tick of the clock, and removes the sessions and jobs whose retention has expired. A tick that is
+// already counted, or that skips one, is a Conflict: it would shorten the retention that clients were promised.
 func (f *FSM) advanceClock(command *AdvanceClock) Result {
 	if command.Tick != f.ClockTicks+1 {
 		return Result{Code: Conflict}
@@ -14,8 +14,8 @@
 	return Result{}
 }
 
-// forgetLatestSessions forgets nodes that have had no open session for the retention. Until then a delayed OpenSession
-// of one of their former incarnations is rejected.
+// forgetLatestSessions removes the LatestSession of each node that has had no open session for the retention time. Until
+// then a delayed OpenSession of a former incarnation of the node is rejected.
 func (f *FSM) forgetLatestSessions() {
 	for node, latest := range f.LatestSessions {
 		if f.Sessions[latest.ID] == nil && f.retentionOver(latest.Tick) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// forgetJobs forgets jobs that have been terminal for the retention. A job of which something is still placed stays:
+// forgetJobs removes the jobs that have been terminal for the retention time. A job that still has a placed task stays:
 // the demand of its steps is needed to release the capacity.
 func (f *FSM) forgetJobs() {
 	for _, id := range sortedKeys(f.Jobs) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// retentionOver reports whether what ended at the given tick need not be remembered any more.
+// retentionOver reports whether the retention time of a job or session that ended at the given tick has expired.
 func (f *FSM) retentionOver(ended uint64) bool { return ended+f.retentionTicks <= f.ClockTicks }
 
 func hasPlacedTasks(j *job.Job) bool {
--- a/internal/control/statemachine/clock_test.go
+++ b/internal/control/statemachine/clock_test.go
@@ -13,12 +13,12 @@
 		c.mustApply(Command{AdvanceClock: &AdvanceClock{c.ClockTicks + 1}}, OK)
 	}
 	if len(c.LatestSessions) != 0 {
-		t.Error("a node that has gone is remembered for ever")
+		t.Error("the latest session of a node is kept after its retention time")
 	}
 }
 
-// TestClockTicksCountOnce checks that a tick that is sent again, as while nothing is committed, makes the state forget
-// nothing early.
+// TestClockTicksCountOnce checks that resent ticks don't shorten the retention time. The head of the chain resends a tick
+// while nothing is committed.
 func TestClockTicksCountOnce(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
@@ -28,6 +28,6 @@
 		c.mustApply(Command{AdvanceClock: &AdvanceClock{1}}, Conflict)
 	}
 	if c.ClockTicks != 1 || c.Jobs[jobA] == nil {
-		t.Errorf("age %d", c.ClockTicks)
+		t.Errorf("%d ticks counted, want 1, or the job was removed early", c.ClockTicks)
 	}
 }
--- a/internal/control/statemachine/commands.go
+++ b/internal/control/statemachine/commands.go
@@ -9,9 +9,9 @@
 // Command is one change or read of the replicated state; exactly one of its pointers is set. Dispatchers and the
 // control machine at the head of the chain make commands; the log keeps them until a snapshot includes them.
 //
-// Commands that ask for something are named by the verb (SubmitJob, PlaceTasks), those that report a fact by the fact
-// (RunEnded, WorkerEnded). Senders send a command again until they know its outcome, so each must be one that may be
-// applied twice.
+// A command that makes a request is named by a verb (SubmitJob, PlaceTasks), and a command that reports a fact by that fact
+// (RunEnded, WorkerEnded). Senders resend a command until they know its outcome, so applying a command twice must be
+// safe.
 type Command struct {
 	OpenSession      *OpenSession        `cbor:"1,keyasint,omitempty"`
 	CloseSession     *CloseSession       `cbor:"2,keyasint,omitempty"`
@@ -31,9 +31,9 @@
 	WorkerEnded      *WorkerEnded        `cbor:"13,keyasint,omitempty"`
 
 	// Session, Sequence and AcknowledgedThrough fence a dispatcher's command against duplicates that are delivered
-	// late, as in Ongaro's thesis on Raft, section 6.3: the session that sent it, its number among the commands of
-	// that session, and the number up to which the session waits for no outcome any more. A command of a control
-	// machine has none of them.
+	// late, as in Ongaro's thesis on Raft, section 6.3. They are the session that sent the command, its number among
+	// the commands of that session, and the number up to which the session no longer waits for outcomes. They are
+	// not set in a command of a control machine.
 	Session             SessionID `cbor:"30,keyasint,omitempty"`
 	Sequence            uint64    `cbor:"31,keyasint,omitempty"`
 	AcknowledgedThrough uint64    `cbor:"32,keyasint,omitempty"`
@@ -44,32 +44,33 @@
 type OpenSession struct {
 	Node string `cbor:"1,keyasint"`
 	Zone string `cbor:"2,keyasint"`
-	// Incarnation is drawn at random by the process at its start. The same incarnation finds the session it has.
+	// Incarnation is a random number that the process chooses when it starts. If the incarnation has an open session
+	// already, the command returns that session.
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// ExpectedLatest is the node's latest session when the command was sent, 0 where there was none. A command that
-	// expects another one is delayed: it must not close the session of a later incarnation.
+	// ExpectedLatest is the node's latest session when the command was sent, or 0 if there was none. If the state has
+	// another latest session, the command is delayed and must not close the session of a later incarnation.
 	ExpectedLatest SessionID `cbor:"4,keyasint,omitempty"`
 }
 
 // CloseSession closes a session and gives its jobs and workers other owners. The dispatcher sends it when it shuts
-// down, and the head of the chain once a session's heartbeats have stopped.
+// down, and the head of the chain sends it once a session's heartbeats have stopped.
 type CloseSession struct {
 	Session SessionID `cbor:"1,keyasint"`
 }
 
 // InstancesChanged reports how the platform's instance list differs from the state. The session that is the
-// InstanceReader sends it. The list says which workers may be given tasks. It does not prove that a worker has ended:
-// it lags, and for some seconds names a crashed worker beside its successor.
+// InstanceReader sends it. Tasks are placed only at listed workers, but the list does not prove that a worker has ended:
+// it lags, and for some seconds contains both a crashed worker and its successor.
 type InstancesChanged struct {
 	Reader  SessionID  `cbor:"1,keyasint"`
 	Changed []Instance `cbor:"2,keyasint,omitempty"` // new, or listed with other values
 	Removed []string   `cbor:"3,keyasint,omitempty"` // IDs of workers that are no longer listed
-	// Sequence numbers the reports of one reader, rising: an earlier one that is delivered late changes nothing.
+	// Sequence increases with each report of one reader, so that an earlier report that is delivered late is ignored.
 	Sequence uint64 `cbor:"4,keyasint"`
 }
 
-// WorkerEnded reports proof that a worker's incarnation has ended: its owner was answered by another incarnation at
-// the same address. The worker's runs are lost.
+// WorkerEnded reports proof that a worker's incarnation has ended: another incarnation at the same address answered the
+// worker's owner. The worker's runs are lost.
 type WorkerEnded struct {
 	Worker string `cbor:"1,keyasint"`
 	Token  uint64 `cbor:"2,keyasint"` // fencing token of the owner that has the proof
@@ -80,35 +81,35 @@
 	Job job.Job `cbor:"1,keyasint"`
 }
 
-// CancelJob cancels a job that is not terminal yet. The dispatcher that received the client's request sends it.
+// CancelJob cancels a job that is not yet terminal. The dispatcher that received the client's request sends it.
 type CancelJob struct {
 	Job string `cbor:"1,keyasint"`
 }
 
-// Target is where one task is to run.
+// Target is the worker at which one task is to be placed.
 type Target struct {
 	Task   job.TaskKey `cbor:"1,keyasint"`
 	Worker string      `cbor:"2,keyasint"`
-	// Alternatives are workers that suit the task as well, tried in order where Worker can't take it. They count for
-	// a command with a single target alone.
+	// Alternatives are other suitable workers, tried in order if the task can't be placed at Worker. They are used only
+	// if the command has a single target.
 	Alternatives []string `cbor:"3,keyasint,omitempty"`
 }
 
-// PlaceTasks reserves capacity for tasks of one step of a job, for all targets or for none. The session that owns the
-// job sends it.
+// PlaceTasks reserves capacity for tasks of one step of a job, either for all targets or for none. The session that owns
+// the job sends it.
 type PlaceTasks struct {
 	Session SessionID `cbor:"1,keyasint"`
 	Job     string    `cbor:"2,keyasint"`
 	Targets []Target  `cbor:"3,keyasint"`
 }
 
-// JobsStarted reports jobs of which a task has started at a worker. The owners of the workers send it.
+// JobsStarted reports jobs that have a task that has started at a worker. The owners of the workers send it.
 type JobsStarted struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// StopRun asks for the end of a run, and of the runs of its whole gang. It is for the job's owner, which
-// places the task again once the run has ended; dispatchers of this version stop nothing by themselves.
+// StopRun requests the end of a run, and of the runs of its whole gang. Only the job's owner may send it, and places the
+// task again once the run has ended. Dispatchers of this version never send it on their own initiative.
 type StopRun struct {
 	Session SessionID   `cbor:"1,keyasint"`
 	Job     string      `cbor:"2,keyasint"`
@@ -116,31 +117,31 @@
 	Run     uint64      `cbor:"4,keyasint"`
 }
 
-// Configure puts a configuration in force that an operator has sent. It brings the whole body, or a patch of the body
-// of BaseVersion with the digest of what the patch makes.
+// Configure puts a configuration in force that an operator has sent. It contains the whole body, or a patch of the body
+// of BaseVersion and the digest of the resulting body.
 type Configure struct {
 	Version     int64        `cbor:"1,keyasint"`
-	BaseVersion int64        `cbor:"2,keyasint"` // the operator's If-Match: the version on which this one builds
+	BaseVersion int64        `cbor:"2,keyasint"` // the operator's If-Match: the version that this one replaces
 	Body        []byte       `cbor:"3,keyasint,omitempty"`
 	Patch       *patch.Patch `cbor:"4,keyasint,omitempty"`
-	Digest      []byte       `cbor:"5,keyasint,omitempty"` // SHA-256 of the body, set where Patch is
+	Digest      []byte       `cbor:"5,keyasint,omitempty"` // SHA-256 of the body, set if Patch is
 }
 
-// AdvanceClock reports that one tick of the clock has passed; the head of the chain sends it, and says how long a tick
-// is. Tick numbers the ticks, so that one that is delivered twice or late counts once.
+// AdvanceClock reports that one tick of the clock has passed. The head of the chain sends it, and so determines how long a
+// tick is. Tick is the number of the tick, so that a command that is delivered twice or late counts once.
 type AdvanceClock struct {
 	Tick uint64 `cbor:"1,keyasint"`
 }
 
-// ReadJob asks for a job's state.
+// ReadJob requests a job's state.
 type ReadJob struct {
 	Job string `cbor:"1,keyasint"`
 }
 
-// ReadQueue asks how many jobs of a route have no task that has started.
+// ReadQueue requests the number of jobs of a route that have no task that has started.
 type ReadQueue struct {
 	Route string `cbor:"1,keyasint"` // host and path prefix
 }
 
-// ReadConfig asks for the configuration in force.
+// ReadConfig requests the configuration in force.
 type ReadConfig struct{}
--- a/internal/control/statemachine/configurations.go
+++ b/internal/control/statemachine/configurations.go
@@ -7,19 +7,19 @@
 	"yardflow/internal/control/patch"
 )
 
-// maxConfigDigests is for how many configurations the state remembers that they were acknowledged: minutes of changes in
-// quick succession, in 50 KB of state. An older one that is sent again gets Unknown, since it can't be told whether it
-// was ever in force.
+// maxConfigDigests is the number of acknowledged configurations whose digests the state keeps. They cover minutes of
+// changes in quick succession and take 50 KB of state. An older configuration that is resent gets Unknown, since the state
+// no longer shows whether it was ever in force.
 const maxConfigDigests = 1024
 
-// digest returns the SHA-256 of a configuration's body, by which one that is sent again is recognised.
+// digest returns the SHA-256 of a configuration's body, by which a resent configuration is recognised.
 func digest(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return sum[:]
 }
 
-// NewConfigure returns the command that puts a body in force on top of baseVersion: as a patch where that is the
-// version in force here, else as a whole.
+// NewConfigure returns the command that puts a body in force as the successor of baseVersion. The command contains a
+// patch if baseVersion is the version in force in this state, and the whole body otherwise.
 func (f *FSM) NewConfigure(version, baseVersion int64, body []byte) *Configure {
 	if baseVersion != f.ConfigVersion || baseVersion == 0 {
 		return &Configure{Version: version, BaseVersion: baseVersion, Body: body}
@@ -28,8 +28,8 @@
 	return &Configure{Version: version, BaseVersion: baseVersion, Patch: &change, Digest: digest(body)}
 }
 
-// configure puts a configuration in force that builds on the present one. One that was in force before is acknowledged
-// again, also where another one is in force by now: its operator never got the answer.
+// configure puts a configuration in force if its base is the present one. A configuration that was in force before is
+// acknowledged again, even if another one is in force by now, since its operator may not have received the first answer.
 func (f *FSM) configure(command *Configure) Result {
 	sum := command.Digest
 	if command.Patch == nil {
@@ -39,7 +39,7 @@
 		return Result{}
 	}
 	if command.Version <= f.ForgottenThrough && command.BaseVersion < command.Version {
-		return Result{Code: Unknown} // it may be one that was acknowledged long ago
+		return Result{Code: Unknown} // it may have been acknowledged before its digest was dropped
 	}
 	if command.BaseVersion != f.ConfigVersion {
 		return Result{Code: Conflict}
@@ -57,18 +57,19 @@
 	return Result{}
 }
 
-// bodyAndPatch returns the body that a command puts in force and the patch that leads there from the present one. It is
-// not ok where the command's patch was made from another body, which the same version can't have.
+// bodyAndPatch returns the body that a command puts in force, and the patch that makes it from the present body. ok is
+// false if the command's patch was made from another body, which can't happen as one version has only one body.
 func (f *FSM) bodyAndPatch(command *Configure) (body []byte, change *patch.Patch, ok bool) {
 	if command.Patch != nil {
 		body, ok = command.Patch.Apply(f.ConfigBody)
 		return body, command.Patch, ok
 	}
-	made := patch.Diff(f.ConfigBody, command.Body)
-	return command.Body, &made, true
+	computed := patch.Diff(f.ConfigBody, command.Body)
+	return command.Body, &computed, true
 }
 
-// rememberDigest remembers that a configuration was in force, and forgets the lowest version where there are too many.
+// rememberDigest records that a configuration was in force. If there are more than maxConfigDigests digests, it drops the
+// one of the lowest version.
 func (f *FSM) rememberDigest(version int64, sum []byte) {
 	f.ConfigDigests[version] = sum
 	if len(f.ConfigDigests) <= maxConfigDigests {
@@ -82,7 +83,7 @@
 	f.ForgottenThrough = max(f.ForgottenThrough, lowest)
 }
 
-// FullConfig returns the update that brings the whole configuration in force, or nil before there is one.
+// FullConfig returns an update with the whole configuration in force, or nil if there is none yet.
 func (f *FSM) FullConfig() *ConfigUpdate {
 	if f.ConfigVersion == 0 {
 		return nil
--- a/internal/control/statemachine/configurations_test.go
+++ b/internal/control/statemachine/configurations_test.go
@@ -8,25 +8,25 @@
 
 func TestConfigureChecksVersions(t *testing.T) {
 	c := newTestCluster(t, 1, 0)
-	configure := func(version, match int64, body string, want Code) {
+	configure := func(version, baseVersion int64, body string, want Code) {
 		t.Helper()
-		c.mustApply(Command{Configure: &Configure{Version: version, BaseVersion: match, Body: []byte(body)}}, want)
+		c.mustApply(Command{Configure: &Configure{Version: version, BaseVersion: baseVersion, Body: []byte(body)}}, want)
 	}
 	c.mustApply(Command{ReadConfig: &ReadConfig{}}, NotFound)
 	configure(3, 0, "three", OK)
 	configure(3, 0, "three", OK)       // its acknowledgement was lost
 	configure(3, 0, "other", Conflict) // another body of the same version
-	configure(5, 0, "five", Conflict)  // lost the race
+	configure(5, 0, "five", Conflict)  // another configuration replaced the base version first
 	configure(2, 3, "two", Invalid)    // not above the current version
 	configure(5, 3, "five", OK)
-	configure(3, 0, "three", OK) // was in force once: never rejected
+	configure(3, 0, "three", OK) // was in force before: still acknowledged
 	if body := string(c.mustApply(Command{ReadConfig: &ReadConfig{}}, OK).Body); body != "five" {
-		t.Errorf("in force: %q", body)
+		t.Errorf("configuration %q is in force, want five", body)
 	}
 }
 
-// TestAcknowledgedConfigurationIsNeverRejected sends each configuration again at once and after many others, and
-// another body of each version.
+// TestAcknowledgedConfigurationIsNeverRejected resends each configuration immediately and after many others, and sends a
+// different body of each version, which must be rejected.
 func TestAcknowledgedConfigurationIsNeverRejected(t *testing.T) {
 	c := newTestCluster(t, 1, 0)
 	body := func(version int64) []byte {
@@ -36,30 +36,31 @@
 	for version := int64(1); version <= versions; version++ {
 		command := Command{Configure: c.NewConfigure(version, version-1, body(version))}
 		if version > 1 && command.Configure.Patch == nil {
-			t.Fatal("a change of the present version is sent whole")
+			t.Fatal("a change of the present version contains the whole body instead of a patch")
 		}
 		c.mustApply(command, OK)
 		c.mustApply(command, OK) // its acknowledgement was lost
 		c.mustApply(Command{Configure: c.NewConfigure(version, version-1, body(version))}, OK)
 		c.mustApply(Command{Configure: c.NewConfigure(version, version-1, append(body(version), ' '))}, Conflict)
 		if string(c.ConfigBody) != string(body(version)) {
-			t.Fatalf("version %d reads %s", version, c.ConfigBody)
+			t.Fatalf("version %d has body %s", version, c.ConfigBody)
 		}
 	}
 	for version := int64(1); version < versions; version++ {
 		result := c.Apply(&Command{Configure: c.NewConfigure(version, version-1, body(version))})
 		if want := map[bool]Code{true: Unknown, false: OK}[version <= versions-maxConfigDigests]; result.Code != want {
-			t.Fatalf("version %d of %d sent again: outcome %d, want %d", version, versions, result.Code, want)
+			t.Fatalf("version %d of %d resent: outcome %d, want %d", version, versions, result.Code, want)
 		}
 	}
 	if len(c.ConfigDigests) > maxConfigDigests {
-		t.Errorf("%d digests are kept", len(c.ConfigDigests))
+		t.Errorf("the state has %d digests, more than maxConfigDigests", len(c.ConfigDigests))
 	}
-	// What can't have been acknowledged is rejected also where digests are forgotten.
+	// A configuration that can't have been acknowledged is rejected even after its version's digest was dropped.
 	c.mustApply(Command{Configure: c.NewConfigure(3, versions, body(3))}, Invalid)
 }
 
-// TestOneOfTwoConfigurationsOfAVersionIsAcknowledged checks that of two bodies of one version only one ever is.
+// TestOneOfTwoConfigurationsOfAVersionIsAcknowledged checks that only one of two bodies of the same version is ever
+// acknowledged.
 func TestOneOfTwoConfigurationsOfAVersionIsAcknowledged(t *testing.T) {
 	c := newTestCluster(t, 1, 0)
 	c.mustApply(Command{Configure: c.NewConfigure(3, 0, []byte(`{"Version":3}`))}, OK)
@@ -71,12 +72,12 @@
 	c.mustApply(second, Conflict)
 }
 
-// TestRestoreOfASnapshotWithoutDigests checks that after a snapshot of an earlier version, which has no digests, the
-// configuration in force is acknowledged again, and that older ones are not rejected.
+// TestRestoreOfASnapshotWithoutDigests restores a snapshot of an earlier version, which has no digests. It checks that the
+// configuration in force is acknowledged again, and that an older one gets Unknown and is not rejected.
 func TestRestoreOfASnapshotWithoutDigests(t *testing.T) {
 	c := New(2)
 	c.Restore(State{ConfigVersion: 9, ConfigBody: []byte("nine"), Sessions: map[SessionID]*Session{4: {ID: 4, Node: "n", Incarnation: 1}}})
-	for _, again := range []struct {
+	for _, resent := range []struct {
 		configure Configure
 		want      Code
 	}{
@@ -84,11 +85,11 @@
 		{Configure{Version: 9, BaseVersion: 7, Body: []byte("other")}, Conflict},
 		{Configure{Version: 7, BaseVersion: 3, Body: []byte("seven")}, Unknown},
 	} {
-		if result := c.Apply(&Command{Configure: &again.configure}); result.Code != again.want {
-			t.Errorf("version %d: outcome %d, want %d", again.configure.Version, result.Code, again.want)
+		if result := c.Apply(&Command{Configure: &resent.configure}); result.Code != resent.want {
+			t.Errorf("version %d: outcome %d, want %d", resent.configure.Version, result.Code, resent.want)
 		}
 	}
 	if c.LatestSession("n") != 4 {
-		t.Error("the newest session of a node is not known")
+		t.Error("the latest session of a node was not restored")
 	}
 }
--- a/internal/control/statemachine/draining_test.go
+++ b/internal/control/statemachine/draining_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// TestDrainIsNotifiedOnceAndAheadOfTheWorkersState: the notice may overtake other updates, so it must not come a second time
-// when the list names a drain again, and the state that follows in order says the same.
-func TestDrainIsNotifiedOnceAndAheadOfTheWorkersState(t *testing.T) {
+// TestDrainIsNotifiedOnceBeforeTheWorkerUpdate checks that a WorkerDraining update, which may overtake other updates, is
+// queued only once even if a second report contains the drain, and that the Worker update that follows in order shows the
+// drain too.
+func TestDrainIsNotifiedOnceBeforeTheWorkerUpdate(t *testing.T) {
 	c := newTestCluster(t, 2, 1)
 	draining := c.Workers["w1"].Instance
 	draining.Draining, draining.RemainingMs = true, 4000
@@ -27,16 +28,16 @@
 			notified = append(notified, "state of "+addressed.Update.Worker.ID)
 		}
 		if addressed.To != 0 {
-			t.Errorf("session %d alone is notified", addressed.To)
+			t.Errorf("only session %d is notified, want all", addressed.To)
 		}
 	}
 	if got := strings.Join(notified, ", "); got != "drain of w1, state of w1, state of w1" {
-		t.Errorf("notified of %s", got)
+		t.Errorf("the sessions are notified of %s", got)
 	}
 }
 
-// Updates of the version before the field WorkerDraining: what it sent is read, and what does not use the field has the same
-// bytes for it.
+// TestUpdatesWithoutWorkerDrainingKeepTheirBytes checks that updates of the version before the field WorkerDraining can be
+// decoded, and that an update without the field is encoded to the same bytes as before.
 func TestUpdatesWithoutWorkerDrainingKeepTheirBytes(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "before-worker-draining", "update.golden"))
 	if err != nil {
@@ -51,6 +52,6 @@
 		t.Fatal(err)
 	}
 	if again, err := encode(update); err != nil || !bytes.Equal(again, former) {
-		t.Errorf("%x becomes %x, %v", former, again, err)
+		t.Errorf("%x is encoded as %x, error %v", former, again, err)
 	}
 }
--- a/internal/control/statemachine/duplicates_test.go
+++ b/internal/control/statemachine/duplicates_test.go
@@ -8,24 +8,24 @@
 	"yardflow/scheduling/job"
 )
 
-// duplicator simulates a node whose commands are applied at once, and again as duplicates at any later time, as by
-// members that were partitioned, processes that were frozen and slow connections.
+// duplicator simulates a node whose commands are applied immediately, and again as duplicates at any later time.
+// Partitioned members, frozen processes and slow connections cause such duplicates.
 type duplicator struct {
 	*FSM
 	random      *rand.Rand
-	unfenced    bool // planted fault: duplicates are fenced as if they were sent just now
+	unfenced    bool // injected fault: duplicates pass all fences, as if they were new commands
 	sent        []Command
 	incarnation uint64
-	session     SessionID // of the present incarnation of the node; 0: none was opened yet
+	session     SessionID // of the present incarnation of the node; 0 before one is opened
 	sequence    uint64
 	reports     uint64
-	listed      bool // the worker is in the platform's list
+	listed      bool // w1 is in the platform's list
 	cancelled   map[string]bool
 	jobs        int
 	violations  []string
 }
 
-// simulateDuplicates takes 400 random steps, or fewer where an invariant is violated.
+// simulateDuplicates takes 400 random steps, or stops after the first violation of an invariant.
 func simulateDuplicates(seed uint64, unfenced bool) *duplicator {
 	c := &duplicator{FSM: New(2), random: rand.New(rand.NewPCG(seed, 3)), unfenced: unfenced, cancelled: map[string]bool{}}
 	for range 400 {
@@ -38,20 +38,20 @@
 	return c
 }
 
-// send applies a command, and keeps it to be duplicated later.
+// send applies a command, and records it for later duplicates.
 func (c *duplicator) send(command Command) Result {
 	c.sent = append(c.sent, command)
 	return c.Apply(&command)
 }
 
-// sendFenced sends a command of the node's session.
+// sendFenced sends a command of the node's session, with the fields that fence it.
 func (c *duplicator) sendFenced(command Command) Result {
 	c.sequence++
 	command.Session, command.Sequence, command.AcknowledgedThrough = c.session, c.sequence, c.sequence-1
 	return c.send(command)
 }
 
-// deliverDuplicate applies one of the commands that were sent again.
+// deliverDuplicate applies a random one of the recorded commands again.
 func (c *duplicator) deliverDuplicate() {
 	if len(c.sent) == 0 {
 		return
@@ -63,7 +63,7 @@
 	c.Apply(&command)
 }
 
-// withoutFences returns a command that no fence can tell from one that is sent just now.
+// withoutFences returns a command that the fences can't distinguish from a new one.
 func (c *duplicator) withoutFences(command Command) Command {
 	command.Session, command.Sequence, command.AcknowledgedThrough = 0, 0, 0
 	if open := command.OpenSession; open != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// reportInstances reports that the platform's list names w1 where it did not, and the other way round.
+// reportInstances reports w1 as listed if it was not listed before, and as removed otherwise.
 func (c *duplicator) reportInstances() {
 	if c.session == 0 || c.InstanceReader() != c.session {
 		return
@@ -109,7 +109,7 @@
 	c.sendFenced(Command{InstancesChanged: instances})
 }
 
-// submitAndCancelJob submits a job and cancels it at once.
+// submitAndCancelJob submits a job and cancels it immediately.
 func (c *duplicator) submitAndCancelJob() {
 	if c.session == 0 {
 		return
@@ -122,24 +122,24 @@
 	c.cancelled[id] = true
 }
 
-// checkInvariants checks that the present incarnation keeps its session, that a worker is there as the newest report
-// says, and that a terminal job is not started again.
+// checkInvariants checks that the session of the present incarnation is open, that w1 is in the state if and only if the
+// newest report lists it, and that a terminal job is not started again.
 func (c *duplicator) checkInvariants() {
 	if c.session != 0 && (c.Sessions[c.session] == nil || c.Sessions[c.session].Incarnation != c.incarnation) {
 		c.violations = append(c.violations, "a former incarnation has closed the present session")
 	}
 	if c.Workers["w1"] != nil != c.listed {
-		c.violations = append(c.violations, "an old report is in force")
+		c.violations = append(c.violations, "an outdated instance report was applied")
 	}
 	for id := range c.cancelled {
-		if known := c.Jobs[id]; known != nil && !known.State.Terminal() {
+		if j := c.Jobs[id]; j != nil && !j.State.Terminal() {
 			c.violations = append(c.violations, "a terminal job was started again")
 		}
 	}
 }
 
-// TestDelayedDuplicatesKeepTheInvariants applies duplicates of commands at any later time. With the fault planted that
-// they are not fenced, each invariant is found to be violated.
+// TestDelayedDuplicatesKeepTheInvariants checks that duplicates of commands at any later time violate no invariant, and that
+// they violate each of the three invariants if they are not fenced (injected fault).
 func TestDelayedDuplicatesKeepTheInvariants(t *testing.T) {
 	const seeds = 400
 	for seed := range uint64(seeds) {
@@ -154,6 +154,6 @@
 		}
 	}
 	if len(found) != 3 {
-		t.Errorf("without fences only these violations are found: %v", found)
+		t.Errorf("without fences only these violations are found, want three: %v", found)
 	}
 }
--- a/internal/control/statemachine/fsm.go
+++ b/internal/control/statemachine/fsm.go
@@ -3,19 +3,19 @@
 //
 // Every control machine holds one [FSM] and applies the same log of [Command] values to it. The package is a function
 // of that log: it has no I/O, clock or randomness, and no result depends on the iteration order of a map. So the same
-// commands in the same order give the same state, results, updates and notices on every replica. Time passes only by
+// commands in the same order give the same state, results, updates and notices on every replica. Time advances only by
 // [AdvanceClock].
 //
-// Invariants, each of which a test holds against random commands:
+// Invariants, each of which a test checks with random commands:
 //
 //   - Commands are idempotent or fenced. A duplicate that is delivered at any later time does not end a newer session,
-//     bring back a removed worker or restart a job that was forgotten.
-//   - The sum of what runs at a worker demands is its Used, and no placement takes Used above Capacity.
+//     restore a removed worker or restart a job that was removed after its retention time.
+//   - The Used of a worker is the sum of the demands of its runs, and no placement raises Used above Capacity.
 //   - A worker belongs to the open session with the highest claim, under a fencing token that no other change of owner
 //     has had.
 //
-// The package never sends, stores or logs: the server takes [FSM.DequeueUpdates] and [FSM.DequeueNotices] after each
-// command. CBOR keys in tags are part of the log and of snapshots on disk and never change; Go names may.
+// The package never sends, stores or logs anything: the server calls [FSM.DequeueUpdates] and [FSM.DequeueNotices] after
+// each command. The CBOR keys in tags are part of the log and of snapshots on disk and never change; Go names may.
 package statemachine
 
 import (
@@ -25,46 +25,47 @@
 	"yardflow/scheduling/job"
 )
 
-// FSM applies commands to the replicated state and queues what dispatchers and operators are to be notified of. It
-// belongs to one goroutine.
+// FSM applies commands to the replicated state, and queues updates for dispatchers and notices for operators. It must be
+// used by one goroutine only.
 type FSM struct {
 	State
-	// retentionTicks is for how many ticks of the clock a terminal job, or the latest session of a node that has
-	// gone, is remembered.
+	// retentionTicks is the number of ticks of the clock for which the state keeps a terminal job, or the latest session
+	// of a node that has no open one.
 	retentionTicks uint64
 	updates        []AddressedUpdate
 	notices        []Notice
 }
 
-// State is the replicated state, as a snapshot stores it. Commands alone change it; its fields are exported for the
+// State is the replicated state, as a snapshot stores it. Only commands change it; its fields are exported for the
 // encoding and for status pages, which only read them.
 type State struct {
-	// ConfigVersion and ConfigBody are the configuration in force; version 0 says that there is none yet.
+	// ConfigVersion and ConfigBody are the configuration in force; version 0 means that there is none yet.
 	ConfigVersion int64  `cbor:"1,keyasint"`
 	ConfigBody    []byte `cbor:"2,keyasint"`
-	// LastSessionID, LastToken and LastJobNumber are the last numbers that were given out. None is given out twice.
+	// LastSessionID, LastToken and LastJobNumber are the last numbers that were assigned. No number is assigned twice.
 	LastSessionID SessionID `cbor:"4,keyasint"`
 	LastToken     uint64    `cbor:"5,keyasint"`
 	LastJobNumber uint64    `cbor:"6,keyasint"`
-	// ClockTicks is the state's clock: how many AdvanceClock commands have counted.
+	// ClockTicks is the state's clock: the number of AdvanceClock commands that were counted.
 	ClockTicks uint64                 `cbor:"7,keyasint"`
 	Sessions   map[SessionID]*Session `cbor:"8,keyasint"`  // open sessions
 	Workers    map[string]*Worker     `cbor:"9,keyasint"`  // by ID
 	Jobs       map[string]*job.Job    `cbor:"10,keyasint"` // by ID
-	// PendingByRoute counts the jobs of a route of which no task has started; a route without any has no entry.
+	// PendingByRoute is the number of jobs of a route that have no task that has started. A route without such jobs has
+	// no entry.
 	PendingByRoute map[string]int `cbor:"11,keyasint"`
-	// ConfigDigests has the SHA-256 digests of the configurations that were in force lately, by version, at most
-	// maxConfigDigests. ForgottenThrough is the highest version whose digest was dropped. (Key 3 held an earlier form.)
+	// ConfigDigests contains the SHA-256 digests of the latest configurations that were in force, by version, at most
+	// maxConfigDigests. ForgottenThrough is the highest version whose digest was dropped. (Key 3 had an earlier format.)
 	ConfigDigests    map[int64][]byte          `cbor:"12,keyasint"`
 	ForgottenThrough int64                     `cbor:"13,keyasint"`
 	LatestSessions   map[string]*LatestSession `cbor:"14,keyasint"` // by node
-	// LastReader and LastReport name the newest report of the platform's instance list that was accepted: the session
-	// that read it, and its number among the reports of that session.
+	// LastReader and LastReport identify the newest accepted report of the platform's instance list: the session that
+	// sent the report, and the report's number among those of that session.
 	LastReader SessionID `cbor:"15,keyasint"`
 	LastReport uint64    `cbor:"16,keyasint"`
 }
 
-// New returns the state machine of an empty cluster. It forgets a job retentionTicks ticks of the clock after the job
+// New returns the state machine of an empty cluster. It removes a job retentionTicks ticks of the clock after the job
 // became terminal.
 func New(retentionTicks uint64) *FSM {
 	return &FSM{retentionTicks: retentionTicks, State: State{
@@ -77,8 +78,8 @@
 	}}
 }
 
-// Restore replaces the state by that of a snapshot, and drops the updates and notices that are queued: whoever was to
-// get them gets a snapshot.
+// Restore replaces the state by that of a snapshot, and drops the queued updates and notices: their recipients get a
+// snapshot instead.
 func (f *FSM) Restore(state State) {
 	if state.ConfigDigests == nil {
 		state.addConfigDigests()
@@ -89,8 +90,8 @@
 	f.State, f.updates, f.notices = state, nil, nil
 }
 
-// addConfigDigests fills in what a snapshot of an earlier version lacks. Of older configurations it can't be told
-// whether they were in force, so that all below the present one count as forgotten.
+// addConfigDigests fills in the digests that a snapshot of an earlier version lacks. The snapshot does not show which older
+// configurations were in force, so all versions below the present one are treated as dropped.
 func (s *State) addConfigDigests() {
 	s.ConfigDigests = map[int64][]byte{}
 	s.ForgottenThrough = s.ConfigVersion - 1
@@ -99,7 +100,7 @@
 	}
 }
 
-// addLatestSessions fills in what a snapshot of an earlier version lacks.
+// addLatestSessions fills in the latest sessions that a snapshot of an earlier version lacks.
 func (s *State) addLatestSessions() {
 	s.LatestSessions = map[string]*LatestSession{}
 	for _, session := range s.Sessions {
@@ -107,9 +108,9 @@
 	}
 }
 
-// Apply carries out one command and returns its outcome. A command whose outcome is not OK leaves configuration,
-// sessions, owners, placements and job states as they were, and queues no updates. A dispatcher's command moves its
-// session's AcknowledgedThrough whatever the outcome.
+// Apply executes one command and returns its outcome. A command whose outcome is not OK leaves configuration, sessions,
+// owners, placements and job states as they were, and queues no updates. A dispatcher's command advances its session's
+// AcknowledgedThrough even then.
 func (f *FSM) Apply(command *Command) Result {
 	if command.Session != 0 && !command.IsRead() && !f.admit(command) {
 		return Result{Code: Stale}
@@ -151,8 +152,8 @@
 	return Result{Code: Invalid}
 }
 
-// sortedKeys returns the keys of a map in rising order: whatever visits a map and has an effect that depends on the
-// order goes by it, so that all replicas agree. It is not nil where the map is empty.
+// sortedKeys returns the keys of a map in ascending order. Code whose effect depends on the iteration order must use it,
+// so that all replicas agree. The result is not nil even if the map is empty.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for key := range m {
--- a/internal/control/statemachine/fuzz_test.go
+++ b/internal/control/statemachine/fuzz_test.go
@@ -9,8 +9,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// FuzzApply applies arbitrary commands to a cluster at work: an outcome, never a panic, and no worker
-// above its capacity.
+// FuzzApply applies arbitrary commands to a cluster with a running job, and checks that no command panics and that no
+// worker exceeds its capacity.
 func FuzzApply(f *testing.F) {
 	add := func(command Command) {
 		data, err := cbor.Marshal(command)
@@ -41,7 +41,7 @@
 		c.Apply(&command)
 		for id, worker := range c.Workers {
 			if len(worker.Runs) > 0 && !worker.Capacity.Covers(worker.Used) && command.InstancesChanged == nil {
-				t.Fatalf("%s is above its capacity: %v of %v", id, worker.Used, worker.Capacity)
+				t.Fatalf("%s exceeds its capacity: used %v of %v", id, worker.Used, worker.Capacity)
 			}
 		}
 	})
--- a/internal/control/statemachine/golden_test.go
+++ b/internal/control/statemachine/golden_test.go
@@ -8,7 +8,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden files were written at b99a1ea: commands stand in logs, and the state in snapshots, of every control machine.
+// TestEncodingsOfCommandsUpdatesAndSnapshotsDoNotChange checks the encodings that every control machine has on its disk:
+// commands are stored in logs, and the state in snapshots. The golden files were written at b99a1ea.
 func TestEncodingsOfCommandsUpdatesAndSnapshotsDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "command", encode[Command], decode[Command])
 	wiretest.AssertEncoding(t, "update", encode[Update], decode[Update])
--- a/internal/control/statemachine/jobs.go
+++ b/internal/control/statemachine/jobs.go
@@ -7,7 +7,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// submitJob accepts a job. One whose ID is known stays as it is.
+// submitJob accepts a job. If the state has a job with the same ID already, that job is unchanged.
 func (f *FSM) submitJob(command *SubmitJob) Result {
 	if f.Jobs[command.Job.ID] != nil {
 		return Result{}
@@ -28,7 +28,7 @@
 	return Result{}
 }
 
-// cancelJob cancels a job and returns the state that it has then: one that was terminal before stays as it is.
+// cancelJob cancels a job and returns the resulting job state. A job that was terminal before keeps its state.
 func (f *FSM) cancelJob(command *CancelJob) Result {
 	j := f.Jobs[command.Job]
 	if j == nil {
@@ -40,7 +40,7 @@
 	return Result{JobState: j.State}
 }
 
-// finishJob makes a job terminal and stops the runs that it still has.
+// finishJob makes a job terminal and stops its placed runs.
 func (f *FSM) finishJob(j *job.Job, state job.State) {
 	f.markStarted(j)
 	j.State, j.EndedAtTick = state, f.ClockTicks
@@ -50,7 +50,7 @@
 	f.notify(j.Owner, Update{JobState: &JobStateUpdate{j.ID, state}})
 }
 
-// jobsStarted enters that a task of each of these jobs has started. A job that is forgotten is skipped.
+// jobsStarted records that each of these jobs has a task that has started. It skips jobs that are no longer in the state.
 func (f *FSM) jobsStarted(command *JobsStarted) Result {
 	for _, id := range command.Jobs {
 		if j := f.Jobs[id]; j != nil {
@@ -60,7 +60,7 @@
 	return Result{}
 }
 
-// markStarted takes a job out of the count of pending jobs of its route, once.
+// markStarted records that a job has started and removes it from the count of pending jobs of its route, once per job.
 func (f *FSM) markStarted(j *job.Job) {
 	if j.Started || j.State.Terminal() {
 		return
@@ -71,8 +71,8 @@
 	}
 }
 
-// stopRun asks for the end of a run that is placed, and of its whole gang. Conflict: the session does not own the job,
-// or another run of the task is placed, or none.
+// stopRun requests the end of a placed run, and of its whole gang. It returns Conflict if the session does not own the
+// job, or if another run of the task is placed, or none.
 func (f *FSM) stopRun(command *StopRun) Result {
 	j := f.Jobs[command.Job]
 	if j == nil || j.Owner != command.Session || !j.HasTask(command.Task) {
@@ -89,8 +89,8 @@
 	return Result{}
 }
 
-// stopTask asks the worker's owner to end the run of a task, where one is placed and not stopping yet. Its capacity
-// stays reserved until the run has ended.
+// stopTask requests the worker's owner to end the run of a task, if a run is placed that is not stopping yet. The run's
+// capacity stays reserved until it has ended.
 func (f *FSM) stopTask(j *job.Job, key job.TaskKey) {
 	task := j.Tasks[key]
 	if task == nil || task.Worker == "" || task.Stopping {
@@ -103,27 +103,28 @@
 	f.notifyTask(j, key, taskrun.Done)
 }
 
-// stopGang stops all members of a gang that still run.
+// stopGang stops all members of a gang that are still placed.
 func (f *FSM) stopGang(j *job.Job, key job.TaskKey) {
 	for member := range gangOf(j, key) {
 		f.stopTask(j, member)
 	}
 }
 
-// notifyTask notifies the job's owner of a task. The reason says how the task's last run ended; Done where it has not.
+// notifyTask notifies the job's owner of a task's state. The reason is how the task's last run ended, or Done if the run
+// has not ended.
 func (f *FSM) notifyTask(j *job.Job, key job.TaskKey, reason taskrun.EndReason) {
 	f.notify(j.Owner, Update{Task: &TaskUpdate{j.ID, key, *j.EnsureTask(key), reason}})
 }
 
-// stepOf returns the step of a task that the job has.
+// stepOf returns the step of a task; the job must have that task.
 func stepOf(j *job.Job, key job.TaskKey) *job.Step { return &j.Request.Steps[key.Step] }
 
-// stepKeyOf names the repetition of the step to which a task belongs.
+// stepKeyOf returns the key of the step repetition to which a task belongs.
 func stepKeyOf(key job.TaskKey) job.StepKey {
 	return job.StepKey{Repetition: key.Repetition, Step: key.Step}
 }
 
-// gangOf yields the keys of all tasks of one repetition of a task's step, by index.
+// gangOf yields the keys of all tasks in the same repetition of a task's step, in order of their indices.
 func gangOf(j *job.Job, key job.TaskKey) iter.Seq[job.TaskKey] {
 	return func(yield func(job.TaskKey) bool) {
 		for index := range stepOf(j, key).Count {
--- a/internal/control/statemachine/jobs_test.go
+++ b/internal/control/statemachine/jobs_test.go
@@ -10,7 +10,7 @@
 func TestJobRunsToCompletion(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1000}, job.Step{Count: 2, CPU: 1000, DependsOn: []int{0}})
-	c.place(jobA, Conflict, Target{Task: taskKey(1, 0), Worker: "w1"}) // it depends on step 0
+	c.place(jobA, Conflict, Target{Task: taskKey(1, 0), Worker: "w1"}) // depends on step 0
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
 	c.place(jobA, Conflict, Target{Task: taskKey(0, 0), Worker: "w1"}) // placed already
 	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Done)
@@ -18,19 +18,19 @@
 	c.place(jobA, OK, Target{Task: taskKey(1, 1), Worker: "w1"})
 	c.endRun(jobA, taskKey(1, 0), "w1", 1, taskrun.Done)
 	if state := c.Jobs[jobA].State; state != job.Running {
-		t.Errorf("state %v before the last task is done", state)
+		t.Errorf("the job is %v before the last task is done", state)
 	}
 	c.endRun(jobA, taskKey(1, 1), "w1", 1, taskrun.Done)
 	if state := c.Jobs[jobA].State; state != job.Completed {
-		t.Errorf("state %v", state)
+		t.Errorf("the job is %v after the last task is done", state)
 	}
 	if used := c.Workers["w1"].Used; used != (job.Resources{}) {
-		t.Errorf("still used: %v", used)
+		t.Errorf("capacity %v of the worker is still used", used)
 	}
 	c.mustApply(Command{AdvanceClock: &AdvanceClock{c.ClockTicks + 1}}, OK)
 	c.mustApply(Command{AdvanceClock: &AdvanceClock{c.ClockTicks + 1}}, OK)
 	if c.Jobs[jobA] != nil {
-		t.Error("not forgotten")
+		t.Error("the job is still in the state after its retention time")
 	}
 }
 
@@ -42,7 +42,7 @@
 	c.mustApply(Command{CancelJob: &CancelJob{jobA}}, OK)
 	c.place(jobA, Conflict, Target{Task: taskKey(0, 1), Worker: "w1"})
 	if !c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Stopping {
-		t.Error("what runs is not stopped")
+		t.Error("the placed run is not stopping")
 	}
 	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Stopped)
 	c.mustApply(Command{CancelJob: &CancelJob{"00000000000000cc"}}, NotFound)
@@ -54,18 +54,18 @@
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
 	c.submit(jobA, job.Step{Count: 5, CPU: 1})
 	if got := c.Jobs[jobA].Request.Steps[0].Count; got != 1 || c.PendingByRoute["r"] != 1 {
-		t.Errorf("%d tasks, %d pending", got, c.PendingByRoute["r"])
+		t.Errorf("%d tasks, %d pending jobs; want 1 each", got, c.PendingByRoute["r"])
 	}
 }
 
-// TestDelayedSubmitOfAForgottenJobIsStale checks that a terminal job that is forgotten is not started again by a
-// duplicate of its SubmitJob: its session has acknowledged the outcome, or is closed.
-func TestDelayedSubmitOfAForgottenJobIsStale(t *testing.T) {
+// TestDelayedSubmitOfARemovedJobIsStale checks that a duplicate of a SubmitJob does not start a job again that was removed
+// after its retention time, if its session has acknowledged the outcome or is closed.
+func TestDelayedSubmitOfARemovedJobIsStale(t *testing.T) {
 	submit := func() Command {
 		return Command{SubmitJob: &SubmitJob{job.Job{ID: jobA, Route: "r", Service: "s", MaxAttempts: 1, Owner: 1,
 			Request: job.Request{Steps: []job.Step{{Count: 1, CPU: 1}}}}}}
 	}
-	forgotten := func(t *testing.T) *testCluster {
+	clusterAfterRetention := func(t *testing.T) *testCluster {
 		c := newTestCluster(t, 1, 1)
 		c.mustApply(fenced(submit(), 1, 7, 6), OK)
 		c.mustApply(fenced(submit(), 1, 7, 6), OK) // sent again before its outcome was known: one job
@@ -74,32 +74,32 @@
 			c.mustApply(Command{AdvanceClock: &AdvanceClock{c.ClockTicks + 1}}, OK)
 		}
 		if c.Jobs[jobA] != nil {
-			t.Fatal("the job is not forgotten")
+			t.Fatal("the job is still in the state after its retention time")
 		}
 		return c
 	}
-	t.Run("its outcome is known", func(t *testing.T) {
-		c := forgotten(t)
+	t.Run("the outcome is acknowledged", func(t *testing.T) {
+		c := clusterAfterRetention(t)
 		c.mustApply(fenced(submit(), 1, 7, 6), Stale)
 		if len(c.Jobs) != 0 {
-			t.Error("the job is back")
+			t.Error("the duplicate has started the job again")
 		}
 	})
-	t.Run("its session is closed", func(t *testing.T) {
-		c := forgotten(t)
+	t.Run("the session is closed", func(t *testing.T) {
+		c := clusterAfterRetention(t)
 		c.mustApply(Command{CloseSession: &CloseSession{1}}, OK)
 		c.mustApply(fenced(submit(), 1, 7, 6), Stale)
 		if len(c.Jobs) != 0 {
-			t.Error("the job is back")
+			t.Error("the duplicate has started the job again")
 		}
 	})
 }
 
-// TestPendingCountsJobsThatHaveNotStarted follows a queue's count as the platform's page NEWS defines it: placing a
-// task does not start it.
+// TestPendingCountsJobsThatHaveNotStarted checks the number of pending jobs of a queue, as the platform's page NEWS defines
+// it: placing a task does not start it.
 func TestPendingCountsJobsThatHaveNotStarted(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
-	count := func(want int) {
+	expectPending := func(want int) {
 		t.Helper()
 		if got := c.mustApply(Command{ReadQueue: &ReadQueue{"r"}}, OK).Count; got != want {
 			t.Errorf("%d jobs are pending, want %d", got, want)
@@ -109,20 +109,20 @@
 	for _, id := range []string{jobA, other, third} {
 		c.submit(id, job.Step{Count: 1, CPU: 1})
 	}
-	count(3)
+	expectPending(3)
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
-	count(3)
+	expectPending(3)
 	c.mustApply(Command{JobsStarted: &JobsStarted{[]string{jobA}}}, OK)
 	c.mustApply(Command{JobsStarted: &JobsStarted{[]string{jobA}}}, OK)
-	count(2)
+	expectPending(2)
 	c.place(other, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
 	c.endRun(other, taskKey(0, 0), "w1", 1, taskrun.NotStarted)
-	count(2) // it has never started
+	expectPending(2) // the job has never started
 	c.place(other, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
 	c.endRun(other, taskKey(0, 0), "w1", 2, taskrun.Failed)
-	count(1) // that its worker reports an end shows that it started
+	expectPending(1) // an end that is reported by the worker shows that the job has started
 	c.mustApply(Command{CancelJob: &CancelJob{third}}, OK)
-	count(0)
+	expectPending(0)
 	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Done)
-	count(0)
+	expectPending(0)
 }
--- a/internal/control/statemachine/notices.go
+++ b/internal/control/statemachine/notices.go
@@ -2,18 +2,18 @@
 
 import "yardflow/scheduling/taskrun"
 
-// NoticeKind says what a Notice is about.
+// NoticeKind is the kind of event that a Notice describes.
 type NoticeKind uint8
 
-// What operators are notified of.
+// Kinds of notices.
 const (
 	NoticeWorkerJoined   NoticeKind = iota // a worker was listed for the first time
-	NoticeWorkerUnlisted                   // the platform's list no longer names a worker
+	NoticeWorkerUnlisted                   // a worker is no longer in the platform's list
 	NoticeWorkerEnded                      // another incarnation answered at a worker's address
 	NoticeWorkerRemoved                    // an unlisted worker without runs was removed
-	NoticeRunLost                          // a run counts as ended though its worker never reported the end
+	NoticeRunLost                          // a run was declared ended though its worker did not report the end
 	NoticeFailureCounted                   // a failed run was counted as an attempt
-	NoticeEndIgnored                       // the end of a run that is not placed any more changed nothing
+	NoticeEndIgnored                       // the end of a run that is no longer placed was ignored
 )
 
 // noticeMessages are log messages that operators search for; docs/OPERATING.md lists them.
@@ -27,11 +27,11 @@
 	NoticeEndIgnored:     "run end ignored",
 }
 
-// String returns the message under which the notice is logged.
+// String returns the log message of notices of this kind.
 func (k NoticeKind) String() string { return noticeMessages[k] }
 
-// Notice is a decision of the state machine that operators may ask about later. Commands queue notices; every replica
-// has the same ones, and the head of the chain logs them. Fields that do not concern its kind are empty.
+// Notice describes a decision of the state machine that operators may need to trace later. Commands queue notices; every
+// replica has the same ones, and the head of the chain logs them. Fields that do not apply to its kind are empty.
 type Notice struct {
 	Kind      NoticeKind
 	Worker    string // ID
@@ -39,10 +39,10 @@
 	Task      string // wire name
 	Run       uint64
 	EndReason taskrun.EndReason
-	Reader    SessionID // reader of the newest report of the platform's list, and that report's sequence number
-	Report    uint64
-	Runs      int // runs that were placed at the worker
-	Attempts  int // failed runs counted so far
+	Reader    SessionID // session that sent the newest report of the platform's list
+	Report    uint64    // sequence number of that report
+	Runs      int       // runs that were placed at the worker
+	Attempts  int       // failed runs counted so far
 }
 
 // DequeueNotices returns the notices that were queued since the last call, in order.
@@ -54,7 +54,7 @@
 
 func (f *FSM) addNotice(notice Notice) { f.notices = append(f.notices, notice) }
 
-// addWorkerNotice queues a notice about a worker, with the report of the platform's list that was the newest.
+// addWorkerNotice queues a notice about a worker, with the newest report of the platform's list.
 func (f *FSM) addWorkerNotice(kind NoticeKind, worker *Worker) {
 	f.addNotice(Notice{Kind: kind, Worker: worker.ID, Address: worker.Address, Runs: len(worker.Runs),
 		Reader: f.LastReader, Report: f.LastReport})
--- a/internal/control/statemachine/owners.go
+++ b/internal/control/statemachine/owners.go
@@ -9,23 +9,24 @@
 
 // Every worker and every job that is not terminal has an owner: the open session that rendezvous hashing chooses
 // (Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996). A session that opens takes its share of
-// the workers from all others, and one that closes leaves its own to all others; nothing else changes hands. A worker's
-// owner is in its zone where a session is, so that polls cross no zone.
+// the workers from all others, and the workers of one that closes are shared among all others; no other worker changes its
+// owner. If sessions are open in a worker's zone, its owner is one of them, so that polls don't cross zones.
 //
-// A job keeps its owner as long as that session is open: the job's queue and what its dispatcher has learned of it are
-// in that process.
+// A job keeps its owner as long as that session is open, since the job's queue and the observations that its dispatcher
+// has made of it exist only in that process.
 //
-// Both changes compare claims only where they can differ, since every control machine does this for each of hundreds
-// of dispatchers that attach at once after a change of view.
+// Opening and closing a session compare only the claims that the change can affect, since every control machine does this
+// for each of hundreds of dispatchers that connect at once after a change of view.
 
-// claim is how strongly a session claims to own something. The highest claim wins.
+// claim is the rank of a session as owner of a worker or job. The session with the highest claim becomes the owner.
 type claim struct {
 	session  SessionID // 0: no claim, lower than any other
 	sameZone bool
 	weight   uint64
 }
 
-// outranks reports whether claim a wins over b: by zone, then by weight, then by the older session.
+// outranks reports whether claim a is higher than b: it compares the zones first, then the weights, and an older session
+// breaks ties.
 func (a claim) outranks(b claim) bool {
 	switch {
 	case b.session == 0:
@@ -38,8 +39,8 @@
 	return a.session < b.session
 }
 
-// claimOf returns a session's claim to the worker or job of that name; a closed session has none. Zone "" has no
-// preference.
+// claimOf returns a session's claim to the worker or job of that name; a closed session has none. If zone is "", no
+// session's zone is preferred.
 func (f *FSM) claimOf(id SessionID, name, zone string) claim {
 	session := f.Sessions[id]
 	if session == nil {
@@ -53,12 +54,12 @@
 	return xxhash.Sum64(buffer)
 }
 
-// chooseOwner returns the session with the highest claim, or 0 where none is open.
+// chooseOwner returns the session with the highest claim, or 0 if no session is open.
 func (f *FSM) chooseOwner(name, zone string) SessionID {
 	best := claim{}
 	for id := range f.Sessions {
-		if own := f.claimOf(id, name, zone); own.outranks(best) {
-			best = own
+		if candidate := f.claimOf(id, name, zone); candidate.outranks(best) {
+			best = candidate
 		}
 	}
 	return best.session
@@ -67,36 +68,36 @@
 // claimOwnership gives a session that has just opened the workers to which it has the highest claim, and the jobs that
 // have no owner.
 func (f *FSM) claimOwnership(session *Session) {
-	var won []string
+	var claimed []string
 	for id, worker := range f.Workers {
-		own := f.claimOf(session.ID, id, worker.Zone)
-		if own.outranks(f.claimOf(worker.Owner, id, worker.Zone)) {
-			won = append(won, id)
+		candidate := f.claimOf(session.ID, id, worker.Zone)
+		if candidate.outranks(f.claimOf(worker.Owner, id, worker.Zone)) {
+			claimed = append(claimed, id)
 		}
 	}
-	slices.Sort(won)
-	for _, id := range won {
+	slices.Sort(claimed)
+	for _, id := range claimed {
 		f.setOwner(f.Workers[id], session.ID)
 	}
 	f.assignOrphanedJobs()
 }
 
-// reassignWorkersAndJobs gives what a closed session has owned to the sessions with the highest claims now.
+// reassignWorkersAndJobs gives the workers and jobs of a closed session to the open sessions with the highest claims.
 func (f *FSM) reassignWorkersAndJobs(closed SessionID) {
-	var left []string
+	var orphans []string
 	for id, worker := range f.Workers {
 		if worker.Owner == closed {
-			left = append(left, id)
+			orphans = append(orphans, id)
 		}
 	}
-	slices.Sort(left)
-	for _, id := range left {
+	slices.Sort(orphans)
+	for _, id := range orphans {
 		f.assignWorker(f.Workers[id])
 	}
 	f.assignOrphanedJobs()
 }
 
-// assignOrphanedJobs gives each job whose owner's session is closed a new owner.
+// assignOrphanedJobs gives a new owner to each non-terminal job whose owner's session is closed.
 func (f *FSM) assignOrphanedJobs() {
 	var orphans []string
 	for id, j := range f.Jobs {
@@ -120,21 +121,21 @@
 	}
 }
 
-// setOwner makes a session, or none with 0, the owner of a worker, under the next fencing token. Only the former and
-// the new owner are notified: the others do not dispatch to the worker, and hundreds of workers change owners with each
-// session.
+// setOwner makes a session the owner of a worker, under the next fencing token; with 0 the worker has no owner. Only the
+// former and the new owner are notified: the others do not dispatch to the worker, and hundreds of workers change owners
+// with each session.
 func (f *FSM) setOwner(worker *Worker, owner SessionID) {
 	former := worker.Owner
 	f.LastToken++
 	worker.Owner, worker.Token = owner, f.LastToken
-	public := worker.withoutRuns()
-	if former != 0 { // also where its session is closed: its dispatcher may be connected still
-		f.updates = append(f.updates, AddressedUpdate{former, Update{Worker: public}})
+	stripped := worker.withoutRuns()
+	if former != 0 { // even if its session is closed, since its dispatcher may still be connected
+		f.updates = append(f.updates, AddressedUpdate{former, Update{Worker: stripped}})
 	}
 	if owner == 0 {
 		return
 	}
-	f.notify(owner, Update{Worker: public})
+	f.notify(owner, Update{Worker: stripped})
 	for _, placement := range f.placementsOf(worker) {
 		f.notify(owner, Update{Placement: placement})
 	}
--- a/internal/control/statemachine/owners_bench_test.go
+++ b/internal/control/statemachine/owners_bench_test.go
@@ -22,9 +22,9 @@
 	return c
 }
 
-// BenchmarkSessionsComeAndGo measures opening and closing one session beside 270 others and 3,000 workers, and how many
-// updates that makes, where an update to all counts once for each session.
-func BenchmarkSessionsComeAndGo(b *testing.B) {
+// BenchmarkOpenAndCloseSession measures opening and closing one session while 270 other sessions are open and 3,000 workers
+// are listed, and the number of updates that are sent. An update to all sessions counts once for each session.
+func BenchmarkOpenAndCloseSession(b *testing.B) {
 	const sessions, workers = 270, 3000
 	c := largeFSM(sessions, workers)
 	b.ReportAllocs()
--- a/internal/control/statemachine/owners_test.go
+++ b/internal/control/statemachine/owners_test.go
@@ -13,23 +13,23 @@
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
 	c.mustApply(Command{CloseSession: &CloseSession{1}}, OK)
 	if owner := c.Jobs[jobA].Owner; owner != 2 && owner != 3 {
-		t.Errorf("the job's owner is %d", owner)
+		t.Errorf("the job's owner is session %d, want 2 or 3", owner)
 	}
 	for id, worker := range c.Workers {
 		if worker.Owner == 1 || worker.Owner == 0 {
-			t.Errorf("%s is owned by %d", id, worker.Owner)
+			t.Errorf("%s is owned by session %d, want 2 or 3", id, worker.Owner)
 		}
 	}
 	c.mustApply(Command{CloseSession: &CloseSession{2}}, OK)
 	c.mustApply(Command{CloseSession: &CloseSession{3}}, OK)
 	result := c.mustApply(Command{OpenSession: &OpenSession{Node: "front-9", Incarnation: 9}}, OK)
 	if c.Jobs[jobA].Owner != result.Session {
-		t.Error("a job without an owner is not taken up by the next session")
+		t.Error("the next session does not become the owner of a job without one")
 	}
 }
 
-// TestOwnersHaveTheHighestClaims opens and closes sessions and reports workers at random, and compares each worker's
-// owner with the highest of all claims: the changes look only at some of them.
+// TestOwnersHaveTheHighestClaims opens and closes sessions and reports workers at random, and checks that each worker's
+// owner has the highest claim of all open sessions. The state machine compares only some of the claims at each change.
 func TestOwnersHaveTheHighestClaims(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	c := New(25)
@@ -52,7 +52,7 @@
 		checkOwners(t, c, step)
 	}
 	if len(c.Workers) < 40 {
-		t.Errorf("%d workers: too few for the test to show much", len(c.Workers))
+		t.Errorf("only %d workers of 60 joined, too few to test the owners", len(c.Workers))
 	}
 }
 
@@ -63,15 +63,15 @@
 		if want := c.chooseOwner(id, worker.Zone); worker.Owner != want {
 			t.Fatalf("step %d: %s is owned by %d, want %d", step, id, worker.Owner, want)
 		}
-		if other, taken := tokens[worker.Token]; taken && worker.Owner != 0 {
-			t.Fatalf("step %d: %s and %s have one token", step, id, other)
+		if other, used := tokens[worker.Token]; used && worker.Owner != 0 {
+			t.Fatalf("step %d: %s and %s have the same token", step, id, other)
 		}
 		tokens[worker.Token] = id
 	}
 }
 
-// TestOwnerChangeNotifiesBothOwners checks that the new and the former owner of a worker are notified, and nobody else:
-// workers change owners with each of hundreds of dispatchers that attach.
+// TestOwnerChangeNotifiesBothOwners checks that only the new and the former owner of a worker are notified. Otherwise each
+// of hundreds of dispatchers that connect would cause updates to all sessions.
 func TestOwnerChangeNotifiesBothOwners(t *testing.T) {
 	c := largeFSM(5, 40)
 	before := map[string]SessionID{}
@@ -94,13 +94,13 @@
 	for id, worker := range c.Workers {
 		if worker.Owner == before[id] {
 			if notified[id] != nil {
-				t.Errorf("%s has kept its owner, and %v are notified", id, notified[id])
+				t.Errorf("%s has kept its owner, but sessions %v are notified", id, notified[id])
 			}
 			continue
 		}
 		moved++
 		if worker.Owner != opened || !notified[id][opened] || !notified[id][before[id]] || len(notified[id]) != 2 {
-			t.Errorf("%s went from %d to %d, and %v are notified", id, before[id], worker.Owner, notified[id])
+			t.Errorf("%s changed owner from %d to %d, and sessions %v are notified", id, before[id], worker.Owner, notified[id])
 		}
 	}
 	if moved == 0 {
@@ -108,7 +108,8 @@
 	}
 }
 
-// TestNewWorkerIsAnnouncedToAll checks that every dispatcher is notified of a worker that joins: all place tasks there.
+// TestNewWorkerIsAnnouncedToAll checks that every dispatcher is notified of a worker that joins, since all of them may place
+// tasks there.
 func TestNewWorkerIsAnnouncedToAll(t *testing.T) {
 	c := largeFSM(3, 0)
 	c.Apply(&Command{InstancesChanged: &InstancesChanged{Reader: c.InstanceReader(), Sequence: 2, Changed: []Instance{{ID: "i-1", Service: "service"}}}})
@@ -117,5 +118,5 @@
 			return
 		}
 	}
-	t.Error("the others are not notified")
+	t.Error("no update about the new worker is sent to all sessions")
 }
--- a/internal/control/statemachine/placements.go
+++ b/internal/control/statemachine/placements.go
@@ -5,8 +5,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// placeTasks reserves capacity for all targets or for none. It is where dispatchers that decide independently meet, as
-// in Nomad's plan applier: what one of them has decided from its copy of the state is checked against the state itself.
+// placeTasks reserves capacity for all targets or for none. Dispatchers decide independently, each from its own copy of
+// the state, so placeTasks checks their decisions against the state itself, like Nomad's plan applier.
 func (f *FSM) placeTasks(command *PlaceTasks) Result {
 	j := f.Jobs[command.Job]
 	if j == nil || j.State.Terminal() || j.Owner != command.Session || len(command.Targets) == 0 {
@@ -16,7 +16,7 @@
 	if code != OK {
 		return Result{Code: code}
 	}
-	run := uint64(0) // one number for all members of a gang, higher than any that one of them has had
+	run := uint64(0) // one number for all members of a gang, higher than that of any earlier run of a member
 	for _, target := range targets {
 		run = max(run, j.EnsureTask(target.Task).Run+1)
 	}
@@ -30,8 +30,8 @@
 	return Result{}
 }
 
-// resolveTargets returns the targets as they can be placed: as they are, or where that can't be, a single one at its
-// first alternative that can take it. Otherwise the code says why the targets as they are can't.
+// resolveTargets returns the targets unchanged if they can be placed. Otherwise it moves a single target to its first
+// alternative that suits it. If there is none, the code is the reason why the unchanged targets can't be placed.
 func (f *FSM) resolveTargets(j *job.Job, targets []Target) ([]Target, Code) {
 	code := f.checkTargets(j, targets)
 	if code == OK || len(targets) != 1 {
@@ -46,8 +46,8 @@
 	return nil, code
 }
 
-// checkTargets checks every rule of a placement: the step's dependencies are done, a gang is complete, all tasks are
-// of one step and neither done nor placed, and each worker may take and has capacity for what is to run there.
+// checkTargets checks all rules of a placement: the step's dependencies are done, a gang is complete, all tasks belong to
+// one step and are neither done nor placed, and each worker is eligible and has free capacity for its tasks.
 func (f *FSM) checkTargets(j *job.Job, targets []Target) Code {
 	first := targets[0].Task
 	if !j.HasTask(first) || !j.DependenciesDone(stepKeyOf(first)) {
@@ -57,7 +57,7 @@
 	if step.Gang && len(targets) != step.Count {
 		return Conflict
 	}
-	targetsAt := map[string]int{} // targets so far by worker
+	targetsAt := map[string]int{} // number of targets checked so far, by worker
 	seen := map[job.TaskKey]bool{}
 	for _, target := range targets {
 		key := target.Task
@@ -76,7 +76,8 @@
 	return OK
 }
 
-// checkWorker checks whether a worker may and can take so many more tasks of a step; key is one of them.
+// checkWorker checks whether a worker is eligible for a number of further tasks of a step and has the free capacity for
+// them; key is one of these tasks.
 func (f *FSM) checkWorker(j *job.Job, key job.TaskKey, id string, tasks int) Code {
 	step, worker := stepOf(j, key), f.Workers[id]
 	if worker == nil || worker.Unschedulable() || worker.Service != j.Service || !worker.HasLabel(step.RequiredLabel) {
@@ -91,13 +92,13 @@
 	return OK
 }
 
-// placeTask places one task whose target has been checked.
+// placeTask places one task whose target checkTargets has accepted.
 func (f *FSM) placeTask(j *job.Job, target Target, run uint64) {
 	task := j.EnsureTask(target.Task)
 	task.Run, task.Worker, task.Stopping = run, target.Worker, false
 	worker := f.Workers[target.Worker]
 	name := target.Task.Name(j.ID)
-	if worker.Runs == nil { // snapshots leave an empty map out
+	if worker.Runs == nil { // snapshots omit an empty map
 		worker.Runs = map[string]Run{}
 	}
 	worker.Runs[name] = Run{Number: run, Checkpoint: task.Checkpoint}
@@ -108,7 +109,7 @@
 	f.notifyTask(j, target.Task, taskrun.Done)
 }
 
-// placementsOf returns all that is placed at a worker, for its owner.
+// placementsOf returns all placements at a worker, for its owner.
 func (f *FSM) placementsOf(worker *Worker) []*taskrun.Placement {
 	placements := make([]*taskrun.Placement, 0, len(worker.Runs))
 	for _, name := range sortedKeys(worker.Runs) {
@@ -119,7 +120,7 @@
 	return placements
 }
 
-// placement returns what a worker's owner needs to know of a run, or nil where its job is not known.
+// placement returns the placement of a run, for the worker's owner, or nil if the state does not have the run's job.
 func (f *FSM) placement(worker *Worker, name string) *taskrun.Placement {
 	jobID, key, _ := job.ParseTaskName(name)
 	j := f.Jobs[jobID]
--- a/internal/control/statemachine/placements_test.go
+++ b/internal/control/statemachine/placements_test.go
@@ -32,8 +32,8 @@
 	c.place("00000000000000bb", Conflict, Target{Task: taskKey(0, 0), Worker: "w1"})
 }
 
-// TestTargetFallsBackToAnAlternative: a task is placed at an alternative where its worker lacks capacity, and all rules
-// hold there too.
+// TestTargetFallsBackToAnAlternative checks that a task is placed at an alternative if its worker lacks capacity, and that
+// all placement rules apply to alternatives too.
 func TestTargetFallsBackToAnAlternative(t *testing.T) {
 	c := newTestCluster(t, 1, 4)
 	c.submit("j1", job.Step{Count: 1, CPU: 4000})
@@ -43,7 +43,7 @@
 	c.place("j2", NoCapacity, Target{Task: key(0), Worker: "w1", Alternatives: []string{"w1", "unknown"}})
 	c.place("j2", OK, Target{Task: key(0), Worker: "w1", Alternatives: []string{"w1", "w2"}})
 	if at := c.Jobs["j2"].EnsureTask(key(0)).Worker; at != "w2" {
-		t.Errorf("placed at %q, not at the one that has free capacity", at)
+		t.Errorf("placed at %q, want w2, the alternative that has free capacity", at)
 	}
 	c.place("j2", NoCapacity, Target{Task: key(1), Worker: "w1", Alternatives: []string{"w2"}})
 	c.place("j2", NoCapacity, Target{Task: key(1), Worker: "w2", Alternatives: []string{"w1"}})
--- a/internal/control/statemachine/replicas_test.go
+++ b/internal/control/statemachine/replicas_test.go
@@ -11,7 +11,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// TestReplicasAgree applies random commands to two replicas, one of them restored from a snapshot midway.
+// TestReplicasAgree applies random commands to two replicas, one of which is restored from a snapshot midway.
 func TestReplicasAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -20,7 +20,7 @@
 			command := randomCommand(random)
 			a, b := first.Apply(command), second.Apply(command)
 			if a.Code != b.Code || a.Session != b.Session || a.JobState != b.JobState {
-				t.Fatalf("seed %d step %d: %v and %v", seed, step, a, b)
+				t.Fatalf("seed %d step %d: the replicas return %v and %v", seed, step, a, b)
 			}
 			if encoded(t, first.DequeueUpdates()) != encoded(t, second.DequeueUpdates()) {
 				t.Fatalf("seed %d step %d: updates differ", seed, step)
@@ -43,7 +43,7 @@
 	}
 }
 
-// encoded returns a value's deterministic encoding, with the keys of maps in order.
+// encoded returns a value's deterministic CBOR encoding, with sorted map keys.
 func encoded(t *testing.T, value any) string {
 	t.Helper()
 	mode, err := cbor.CoreDetEncOptions().EncMode()
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkUsage checks that what is used at each worker is the sum of what its runs demand, and within its capacity.
+// checkUsage checks that the used capacity of each worker is the sum of its runs' demands, and within its capacity.
 func checkUsage(t *testing.T, c *FSM) {
 	t.Helper()
 	for id, worker := range c.Workers {
@@ -99,7 +99,7 @@
 			sum = sum.Plus(c.Jobs[jobID].Request.Steps[key.Step].Demand())
 		}
 		if sum != worker.Used || !worker.Capacity.Covers(worker.Used) {
-			t.Fatalf("%s uses %v of %v, placed %v", id, worker.Used, worker.Capacity, sum)
+			t.Fatalf("%s: used %v of %v, sum of its runs' demands %v", id, worker.Used, worker.Capacity, sum)
 		}
 	}
 }
--- a/internal/control/statemachine/results.go
+++ b/internal/control/statemachine/results.go
@@ -2,40 +2,40 @@
 
 import "yardflow/scheduling/job"
 
-// Code is the outcome of a command. Values are numbers on the wire: new ones go at the end.
+// Code is the outcome of a command. Its values are sent as numbers, so new codes must be added at the end.
 type Code uint8
 
-// Outcomes of commands, with what those who sent them do.
+// Outcomes of commands, and how their senders react.
 const (
-	// OK: carried out, now or by an earlier delivery of the same command. Operators and clients get 200, and a
-	// dispatcher acknowledges a run's end to its worker.
+	// OK: the command was executed, now or by an earlier delivery. Operators and clients get 200, and a dispatcher
+	// acknowledges a run's end to its worker.
 	OK Code = iota
-	// Conflict: the command rests on a version, owner, placement or clock tick that is no longer the present one.
+	// Conflict: the command is based on a version, owner, placement or clock tick that is no longer the present one.
 	// Nothing has changed. An operator's configuration is answered 412. A dispatcher puts the tasks of a placement
-	// back into its queue and decides anew from the updates it gets. A control machine sends OpenSession again, with
-	// the latest session that the Result names. Reports that are in conflict are dropped.
+	// back into its queue and decides again from the updates that it receives. A control machine resends OpenSession
+	// with the latest session from the Result. Reports with this outcome are dropped.
 	Conflict
-	// NoCapacity: a worker of a placement lacks free capacity, and no alternative can take the task. The dispatcher
-	// goes on as with Conflict.
+	// NoCapacity: a worker of a placement lacks free capacity, and no alternative suits the task. The dispatcher reacts
+	// as to Conflict.
 	NoCapacity
 	// NotFound: there is no such job, or no configuration yet. Clients get 410 and operators 404.
 	NotFound
-	// Invalid: the command can't be carried out in any state, or can't be read. Clients and operators get 400.
+	// Invalid: the command can't be executed in any state, or can't be decoded. Clients and operators get 400.
 	Invalid
-	// Stale: the session that sent it is closed, or does not wait for its outcome any more. The dispatcher opens a
-	// new session, and sends there again what it still waits for.
+	// Stale: the session that sent the command is closed, or no longer waits for its outcome. The dispatcher opens a
+	// new session, and resends there the commands whose outcomes it still waits for.
 	Stale
-	// Unknown: whether it was ever carried out can't be told. Operators get 503, which asks them to send the same
-	// again. A control machine that has lost the majority gives this outcome to them, too.
+	// Unknown: the state does not show whether the command was ever executed. Operators get 503, which asks them to
+	// resend the same request. A control machine that has lost the majority also answers them with this outcome.
 	Unknown
 )
 
-// Result answers a command. Beside Code, only what the command asks for is set.
+// Result answers a command. Besides Code, only the fields that the command requests are set.
 type Result struct {
 	Code Code `cbor:"1,keyasint,omitempty"`
-	// Session answers OpenSession: the session that is open, and with Conflict the latest one of the node.
+	// Session answers OpenSession: the open session, or with Conflict the latest session of the node.
 	Session  SessionID `cbor:"2,keyasint,omitempty"`
 	JobState job.State `cbor:"3,keyasint,omitempty"` // answers ReadJob and CancelJob
-	Count    int       `cbor:"4,keyasint,omitempty"` // answers ReadQueue: jobs
+	Count    int       `cbor:"4,keyasint,omitempty"` // answers ReadQueue: number of jobs
 	Body     []byte    `cbor:"5,keyasint,omitempty"` // answers ReadConfig
 }
--- a/internal/control/statemachine/run_ends.go
+++ b/internal/control/statemachine/run_ends.go
@@ -5,8 +5,9 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// runEnded enters that a run has ended. The worker's own report counts whoever brings it. What an owner has concluded
-// (NotStarted, Lost) counts only under the present fencing token: the next owner may have started the run meanwhile.
+// runEnded records that a run has ended. The worker's own report is accepted from any sender. An end that the worker's owner
+// has concluded (NotStarted, Lost) is accepted only under the present fencing token, since the next owner may have started
+// the run meanwhile.
 func (f *FSM) runEnded(command *taskrun.Ended) Result {
 	worker, j := f.Workers[command.Worker], f.Jobs[command.Job]
 	if worker != nil && !command.Reason.ReportedByWorker() && command.Token != worker.Token {
@@ -31,7 +32,7 @@
 	return Result{}
 }
 
-// releaseRun takes a run that has ended off its worker, and gives its capacity back.
+// releaseRun removes a run that has ended from its worker, and releases its capacity.
 func (f *FSM) releaseRun(worker *Worker, j *job.Job, command *taskrun.Ended) {
 	name := command.Task.Name(command.Job)
 	if command.Reason == taskrun.Lost {
@@ -44,7 +45,7 @@
 	f.removeIfIdle(worker)
 }
 
-// endTask enters at the task how its placed run ended.
+// endTask updates a task after the end of its placed run.
 func (f *FSM) endTask(j *job.Job, command *taskrun.Ended) {
 	task := j.EnsureTask(command.Task)
 	task.Worker, task.Stopping = "", false
@@ -62,23 +63,23 @@
 	}
 }
 
-// countsAgainstWorker reports whether a run that ended for this reason is better placed elsewhere next time.
+// countsAgainstWorker reports whether the next run of a task should avoid the worker at which a run ended for this reason.
 func countsAgainstWorker(reason taskrun.EndReason) bool {
 	return reason != taskrun.Done && reason != taskrun.Stopped && reason != taskrun.GangBroken
 }
 
-// unplacedRunEnded enters the end of a run that is not placed any more: mostly one that its worker's owner declared lost
-// before the worker could report. Work that was done counts, so that it is not done again, and a failed run counts as an
-// attempt. All else, such as an end that is reported again, is ignored.
+// unplacedRunEnded records the end of a run that is no longer placed, usually because its worker's owner declared it lost
+// before the worker reported its end. A successful run completes the task, so that the work is not repeated, and a failed
+// run counts as an attempt. Any other end, such as one that is reported twice, is ignored.
 func (f *FSM) unplacedRunEnded(j *job.Job, command *taskrun.Ended) {
 	task := j.EnsureTask(command.Task)
 	step := stepOf(j, command.Task)
-	countsNoMore := task.Done || j.State.Terminal() || step.LongRunning || command.Run > task.Run
+	mustIgnore := task.Done || j.State.Terminal() || step.LongRunning || command.Run > task.Run
 	switch {
-	case !countsNoMore && command.Reason == taskrun.Failed:
+	case !mustIgnore && command.Reason == taskrun.Failed:
 		f.countFailure(j, command.Task, command.Run)
-	case !countsNoMore && command.Reason == taskrun.Done && !step.Gang:
-		f.stopTask(j, command.Task) // a later run of the task may be at work
+	case !mustIgnore && command.Reason == taskrun.Done && !step.Gang:
+		f.stopTask(j, command.Task) // a later run of the task may be placed
 		f.completeTask(j, command.Task)
 		f.notifyTask(j, command.Task, taskrun.Done)
 	default:
@@ -87,8 +88,8 @@
 	}
 }
 
-// completeTask marks a task as done, and with one member its whole gang. It completes the job with its last task. A task
-// of a long-running step is never done.
+// completeTask marks a task as done, or all tasks of its gang. When the last task is done, the job is completed. A task of a
+// long-running step is never marked as done.
 func (f *FSM) completeTask(j *job.Job, key job.TaskKey) {
 	step := stepOf(j, key)
 	if step.LongRunning {
@@ -98,7 +99,7 @@
 	if step.Gang {
 		for member := range gangOf(j, key) {
 			if j.EnsureTask(member).Done {
-				continue // notified already: each member's end would notify of all members again, n² updates a gang
+				continue // it was notified already; else each member's end would notify all members: n² updates per gang
 			}
 			j.MarkDone(member)
 			f.notifyTask(j, member, taskrun.Done)
@@ -109,8 +110,8 @@
 	}
 }
 
-// countFailure counts a failed run as an attempt, once for a whole gang, and fails the job with its last attempt. A run
-// that is counted already counts no more: its end may be reported by two owners, or late.
+// countFailure counts a failed run as an attempt, once for a whole gang, and fails the job after its last attempt. A run
+// is counted only once, since two owners may report its end, and reports may be late.
 func (f *FSM) countFailure(j *job.Job, key job.TaskKey, run uint64) {
 	step := stepOf(j, key)
 	if step.LongRunning {
@@ -125,7 +126,8 @@
 	if !counted {
 		return
 	}
-	f.addNotice(Notice{Kind: NoticeFailureCounted, Task: key.Name(j.ID), Run: run, EndReason: taskrun.Failed, Attempts: attempts})
+	f.addNotice(Notice{Kind: NoticeFailureCounted, Task: key.Name(j.ID), Run: run, EndReason: taskrun.Failed,
+		Attempts: attempts})
 	if attempts >= j.MaxAttempts && !j.State.Terminal() {
 		f.finishJob(j, job.Failed)
 	}
--- a/internal/control/statemachine/run_ends_test.go
+++ b/internal/control/statemachine/run_ends_test.go
@@ -16,16 +16,16 @@
 	c.endRun(jobA, taskKey(0, 0), "w1", 2, taskrun.Failed)
 	c.endRun(jobA, taskKey(0, 0), "w1", 2, taskrun.Failed) // reported twice
 	if state := c.Jobs[jobA].State; state != job.Running {
-		t.Errorf("state %v after one failed run of two", state)
+		t.Errorf("the job is %v after one failed run of two attempts", state)
 	}
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
 	c.endRun(jobA, taskKey(0, 0), "w1", 3, taskrun.Failed)
 	if state := c.Jobs[jobA].State; state != job.Failed {
-		t.Errorf("state %v", state)
+		t.Errorf("the job is %v after its last attempt", state)
 	}
 }
 
-// TestFormerOwnerCannotEndARun checks that a worker's former owner can't release what the next one runs.
+// TestFormerOwnerCannotEndARun checks that a worker's former owner can't end a run that the next owner may have started.
 func TestFormerOwnerCannotEndARun(t *testing.T) {
 	c := newTestCluster(t, 2, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
@@ -33,16 +33,16 @@
 	former := *c.Workers["w1"]
 	c.mustApply(Command{CloseSession: &CloseSession{former.Owner}}, OK)
 	if c.Workers["w1"].Owner == former.Owner || c.Workers["w1"].Token <= former.Token {
-		t.Fatal("no new owner with a higher token")
+		t.Fatal("the worker has no new owner with a higher token")
 	}
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Run: 1, Reason: taskrun.NotStarted, Token: former.Token}}, Conflict)
 	if c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Worker != "w1" {
-		t.Error("the former owner has released the run")
+		t.Error("the former owner has ended the run")
 	}
 }
 
-// TestLateSuccessOfARunDeclaredLostCounts: a run that was declared lost turns out to be done. The task is done, and its
-// next run is stopped.
+// TestLateSuccessOfARunDeclaredLostCounts checks that the late report of success of a run that was declared lost completes
+// the task, and that the task's next run is stopped.
 func TestLateSuccessOfARunDeclaredLostCounts(t *testing.T) {
 	c := newTestCluster(t, 1, 2)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1}, job.Step{Count: 1, CPU: 1, DependsOn: []int{0}})
@@ -50,16 +50,16 @@
 	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Lost)
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w2"})
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Done}}, OK)
-	if seen := c.Jobs[jobA].EnsureTask(taskKey(0, 0)); !seen.Done || !seen.Stopping {
-		t.Errorf("task %+v", seen)
+	if task := c.Jobs[jobA].EnsureTask(taskKey(0, 0)); !task.Done || !task.Stopping {
+		t.Errorf("the task is not done, or its next run is not stopping: %+v", task)
 	}
 	c.place(jobA, OK, Target{Task: taskKey(1, 0), Worker: "w1"})
 	c.endRun(jobA, taskKey(0, 0), "w2", 2, taskrun.Stopped)
 	c.place(jobA, Conflict, Target{Task: taskKey(0, 0), Worker: "w2"})
 }
 
-// TestFailureOfARunDeclaredLostCounts: a run that was declared lost turns out to have failed. It counts as an attempt,
-// once, and the last attempt ends the job.
+// TestFailureOfARunDeclaredLostCounts checks that the late report of failure of a run that was declared lost counts as one
+// attempt, even if it is repeated, and that the job fails with its last attempt.
 func TestFailureOfARunDeclaredLostCounts(t *testing.T) {
 	c := newTestCluster(t, 1, 2)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1}) // two attempts
@@ -70,7 +70,7 @@
 	c.mustApply(late, OK)
 	c.mustApply(late, OK)
 	if attempts := c.Jobs[jobA].EnsureTask(taskKey(0, 0)).FailedAttempts; attempts != 1 {
-		t.Errorf("%d attempts are counted, one has failed", attempts)
+		t.Errorf("%d failed attempts are counted, want 1", attempts)
 	}
 	c.endRun(jobA, taskKey(0, 0), "w2", 2, taskrun.Failed)
 	if state := c.Jobs[jobA].State; state != job.Failed {
@@ -79,8 +79,8 @@
 	c.place(jobA, Conflict, Target{Task: taskKey(0, 0), Worker: "w1"})
 }
 
-// TestFailureOfAGangDeclaredLostCounts: the same for a gang, whose failed run counts once for all members, in whatever
-// order its runs are reported.
+// TestFailureOfAGangDeclaredLostCounts checks that the failed run of a gang that was declared lost counts once for all
+// members, whichever order its runs are reported in.
 func TestFailureOfAGangDeclaredLostCounts(t *testing.T) {
 	c := newTestCluster(t, 1, 2)
 	c.submit(jobA, job.Step{Count: 2, CPU: 1, Gang: true}) // two attempts
@@ -98,7 +98,7 @@
 	failed(0, 2)
 	failed(1, 2)
 	if failures := c.Jobs[jobA].GangFailures[step]; failures != 1 {
-		t.Errorf("%d failed runs are counted, one has failed", failures)
+		t.Errorf("%d failed runs are counted, want 1", failures)
 	}
 	failed(0, 1)
 	if state := c.Jobs[jobA].State; state != job.Failed {
@@ -106,7 +106,8 @@
 	}
 }
 
-// TestEndsOfUnknownRunsAreIgnored: ends of runs that never were, and of jobs that are terminal, change nothing.
+// TestEndsOfUnknownRunsAreIgnored checks that ends of runs that were never placed, and of runs of terminal jobs, change
+// nothing.
 func TestEndsOfUnknownRunsAreIgnored(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
@@ -114,12 +115,13 @@
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 2, Reason: taskrun.Failed}}, OK)
 	c.endRun(jobA, taskKey(0, 0), "w1", 1, taskrun.Done)
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Failed}}, OK)
-	if known := c.Jobs[jobA]; known.State != job.Completed || known.EnsureTask(taskKey(0, 0)).FailedAttempts != 0 {
-		t.Errorf("%v, %+v", known.State, known.EnsureTask(taskKey(0, 0)))
+	if j := c.Jobs[jobA]; j.State != job.Completed || j.EnsureTask(taskKey(0, 0)).FailedAttempts != 0 {
+		t.Errorf("the job is %v, its task %+v; want completed without failed attempts", j.State, j.EnsureTask(taskKey(0, 0)))
 	}
 }
 
-// TestEndOfARunAtARemovedWorkerCounts checks that work counts that was done at a worker which is unlisted by now.
+// TestEndOfARunAtARemovedWorkerCounts checks that a success that is reported after the worker was unlisted completes the
+// task.
 func TestEndOfARunAtARemovedWorkerCounts(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
@@ -127,6 +129,6 @@
 	c.mustApply(Command{InstancesChanged: &InstancesChanged{Reader: 1, Sequence: 2, Removed: []string{"w1"}}}, OK)
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: "w1", Job: jobA, Task: taskKey(0, 0), Run: 1, Reason: taskrun.Done}}, OK)
 	if !c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Done {
-		t.Error("the reported end does not count: the task would be done twice")
+		t.Error("the reported success does not complete the task, which would run again")
 	}
 }
--- a/internal/control/statemachine/sessions.go
+++ b/internal/control/statemachine/sessions.go
@@ -1,31 +1,31 @@
 package statemachine
 
-// SessionID names a session; numbers rise, and none is used twice. 0 names none.
+// SessionID identifies a session. IDs increase, and none is used twice; 0 means no session.
 type SessionID = uint64
 
-// Session is the right of one incarnation of a dispatcher to own jobs and workers and to send commands. OpenSession
-// creates it, the dispatcher's commands move its AcknowledgedThrough, and CloseSession, or the OpenSession of another
-// incarnation of the same node, removes it.
+// Session entitles one incarnation of a dispatcher to own jobs and workers and to send commands. OpenSession creates it,
+// the dispatcher's commands advance its AcknowledgedThrough, and CloseSession, or the OpenSession of another incarnation
+// of the same node, removes it.
 type Session struct {
 	ID          SessionID `cbor:"1,keyasint"`
 	Node        string    `cbor:"2,keyasint"`
 	Zone        string    `cbor:"3,keyasint"`
 	Incarnation uint64    `cbor:"4,keyasint"`
-	// AcknowledgedThrough is the number of the command up to which the dispatcher waits for no outcome any more: it
-	// knows the outcome, or has given the command up. Duplicates of these commands are rejected.
+	// AcknowledgedThrough is the number of the command up to which the dispatcher no longer waits for outcomes: it has
+	// received the outcome of each, or has abandoned the command. Duplicates of these commands are rejected.
 	AcknowledgedThrough uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// LatestSession is the last session that was opened for a node, open or not. It outlives the session by the retention,
-// so that a delayed OpenSession of a former incarnation is known for what it is.
+// LatestSession is the last session that was opened for a node, whether or not it is still open. It is kept for the
+// retention time after the session was closed, so that a delayed OpenSession of a former incarnation is recognised.
 type LatestSession struct {
 	ID   SessionID `cbor:"1,keyasint"`
 	Tick uint64    `cbor:"2,keyasint"` // ClockTicks when the session was opened or, later, closed
 }
 
-// admit records what the command's session has acknowledged, and reports whether the session still waits for the
-// command's outcome. It does not for a duplicate that is delivered late: the session is closed, has the outcome already
-// or has given the command up.
+// admit records which commands the session has acknowledged, and reports whether the session still waits for the
+// command's outcome. For a duplicate that is delivered late it does not: the session is closed, has received the outcome or
+// has abandoned the command.
 func (f *FSM) admit(command *Command) bool {
 	session := f.Sessions[command.Session]
 	if session == nil {
@@ -35,8 +35,8 @@
 	return command.Sequence > session.AcknowledgedThrough
 }
 
-// openSession opens a session for an incarnation of a node, or finds the one that is open for it. A command that
-// expects another latest session than the present one is a Conflict, with the present one in the result.
+// openSession opens a session for an incarnation of a node, or returns the one that the incarnation has open. A command
+// whose ExpectedLatest is not the node's latest session is a Conflict, with the latest session in the result.
 func (f *FSM) openSession(command *OpenSession) Result {
 	for _, id := range f.sessionIDs() {
 		session := f.Sessions[id]
@@ -61,7 +61,7 @@
 	return Result{Session: id}
 }
 
-// closeSession closes a session and reassigns what it owned. One that is closed already stays so.
+// closeSession closes a session and reassigns its workers and jobs. It does nothing if the session is closed already.
 func (f *FSM) closeSession(id SessionID) Result {
 	session := f.Sessions[id]
 	if session == nil {
@@ -76,7 +76,7 @@
 	return Result{}
 }
 
-// LatestSession returns the last session that was opened for a node, or 0 where none is known.
+// LatestSession returns the last session that was opened for a node, or 0 if the state has none.
 func (f *FSM) LatestSession(node string) SessionID {
 	if latest := f.LatestSessions[node]; latest != nil {
 		return latest.ID
@@ -84,8 +84,8 @@
 	return 0
 }
 
-// InstanceReader returns the session whose duty it is to read the platform's instance list, the open one with the
-// lowest ID, or 0 where none is open. Dispatchers find it out for themselves from the list of sessions.
+// InstanceReader returns the session that is responsible for reading the platform's instance list: the open session with
+// the lowest ID, or 0 if none is open. Dispatchers determine it themselves from the list of sessions.
 func (f *FSM) InstanceReader() SessionID {
 	first := SessionID(0)
 	for id := range f.Sessions {
@@ -96,5 +96,5 @@
 	return first
 }
 
-// sessionIDs returns the IDs of the open sessions in rising order; it is never nil.
+// sessionIDs returns the IDs of the open sessions in ascending order; the slice is never nil.
 func (f *FSM) sessionIDs() []SessionID { return sortedKeys(f.Sessions) }
--- a/internal/control/statemachine/snapshots.go
+++ b/internal/control/statemachine/snapshots.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// SharedSnapshot returns the part of a dispatcher's first state that is the same for all sessions: the open sessions
-// and all workers. The configuration is not in it, since a dispatcher that reconnects may have it.
+// SharedSnapshot returns the part of a dispatcher's initial state that is the same for all sessions: the open sessions
+// and all workers. It does not include the configuration, since a dispatcher that reconnects may have it already.
 func (f *FSM) SharedSnapshot() []Update {
 	updates := []Update{{Sessions: f.sessionIDs()}}
 	for _, id := range sortedKeys(f.Workers) {
@@ -12,8 +12,8 @@
 	return updates
 }
 
-// SessionSnapshot returns the part that concerns one session alone: what is placed at its workers, and its jobs. Of a
-// terminal job only the state is in it.
+// SessionSnapshot returns the part of a dispatcher's initial state that is specific to its session: the placements at its
+// workers, and its jobs. For a terminal job it includes only the job state.
 func (f *FSM) SessionSnapshot(session SessionID) []Update {
 	var updates []Update
 	for _, id := range sortedKeys(f.Workers) {
--- a/internal/control/statemachine/snapshots_test.go
+++ b/internal/control/statemachine/snapshots_test.go
@@ -9,7 +9,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-func TestSnapshotHoldsTheCompleteState(t *testing.T) {
+func TestSnapshotContainsTheCompleteState(t *testing.T) {
 	c := newTestCluster(t, 2, 2)
 	c.submit(jobA, job.Step{Count: 2, CPU: 1})
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
@@ -26,9 +26,9 @@
 	restored.place(jobA, OK, Target{Task: taskKey(0, 1), Worker: "w2"})
 }
 
-// TestSessionSnapshotHoldsItsOwnJobsOnly: the session's jobs as a whole, of those that are terminal the state, and
-// nothing of others.
-func TestSessionSnapshotHoldsItsOwnJobsOnly(t *testing.T) {
+// TestSessionSnapshotContainsOnlyItsOwnJobs checks that a session's snapshot contains each of its non-terminal jobs as a
+// whole, only the state of its terminal jobs, and nothing about jobs of other sessions.
+func TestSessionSnapshotContainsOnlyItsOwnJobs(t *testing.T) {
 	c := newTestCluster(t, 2, 2)
 	c.submit("open", job.Step{Count: 1, CPU: 1})
 	c.submit("terminal", job.Step{Count: 1, CPU: 1})
@@ -47,10 +47,10 @@
 	}
 	whole, states := contents(1)
 	if len(whole) != 1 || whole[0] != "open" || len(states) != 1 || states[0] != "terminal" {
-		t.Errorf("whole %v, states %v", whole, states)
+		t.Errorf("the snapshot contains jobs %v and states of %v, want [open] and [terminal]", whole, states)
 	}
 	if whole, states := contents(2); len(whole)+len(states) != 0 {
-		t.Errorf("another session's snapshot has %v %v", whole, states)
+		t.Errorf("another session's snapshot contains jobs %v and states of %v, want none", whole, states)
 	}
 	workers := 0
 	for _, update := range c.SharedSnapshot() {
@@ -59,6 +59,6 @@
 		}
 	}
 	if workers != 2 {
-		t.Errorf("%d workers of 2 in the shared part", workers)
+		t.Errorf("the shared snapshot contains %d workers, want 2", workers)
 	}
 }
--- a/internal/control/statemachine/testcluster_test.go
+++ b/internal/control/statemachine/testcluster_test.go
@@ -8,8 +8,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// testCluster is a state machine that has sessions (ID i of node front-i, zone z) and workers (w1, w2, … with 4 cores
-// each), for tests. What a test does as a dispatcher it does as session 1.
+// testCluster is a state machine with sessions (ID i of node front-i, zone z) and workers (w1, w2, … with 4 cores each).
+// Its methods send the commands of a dispatcher as session 1.
 type testCluster struct {
 	*FSM
 	t *testing.T
@@ -32,7 +32,7 @@
 	return c
 }
 
-// mustApply applies a command whose outcome has to be want.
+// mustApply applies a command, and fails the test if its outcome is not want.
 func (c *testCluster) mustApply(command Command, want Code) Result {
 	c.t.Helper()
 	result := c.Apply(&command)
@@ -42,7 +42,7 @@
 	return result
 }
 
-// submit accepts a job of two attempts.
+// submit submits a job of two attempts.
 func (c *testCluster) submit(id string, steps ...job.Step) {
 	c.t.Helper()
 	c.mustApply(Command{SubmitJob: &SubmitJob{job.Job{ID: id, Route: "r", Service: "s", MaxAttempts: 2, Owner: 1,
@@ -54,7 +54,7 @@
 	c.mustApply(Command{PlaceTasks: &PlaceTasks{Session: 1, Job: id, Targets: targets}}, want)
 }
 
-// endRun ends a run, as reported under the present token of the worker's owner.
+// endRun reports the end of a run under the present token of the worker's owner.
 func (c *testCluster) endRun(id string, key job.TaskKey, worker string, run uint64, reason taskrun.EndReason) {
 	c.t.Helper()
 	c.mustApply(Command{RunEnded: &taskrun.Ended{Worker: worker, Job: id, Task: key, Run: run, Reason: reason, Token: c.Workers[worker].Token}}, OK)
@@ -64,19 +64,19 @@
 
 const jobA = "00000000000000aa"
 
-// fenced returns a command with what fences a dispatcher's command.
+// fenced returns a command with the fields that fence a dispatcher's command.
 func fenced(command Command, session SessionID, sequence, acknowledged uint64) Command {
 	command.Session, command.Sequence, command.AcknowledgedThrough = session, sequence, acknowledged
 	return command
 }
 
-// reportInstances applies a report of the platform's list.
+// reportInstances applies a report of the platform's list as session 1.
 func (c *testCluster) reportInstances(sequence uint64, removed []string, changed ...Instance) {
 	c.t.Helper()
 	c.mustApply(Command{InstancesChanged: &InstancesChanged{Reader: 1, Sequence: sequence, Changed: changed, Removed: removed}}, OK)
 }
 
-// wantPlaced checks where the first task of job A is placed.
+// wantPlaced checks that the first task of job A is placed at a worker, or not placed if worker is "".
 func (c *testCluster) wantPlaced(when, worker string) {
 	c.t.Helper()
 	if at := c.Jobs[jobA].EnsureTask(taskKey(0, 0)).Worker; at != worker {
--- a/internal/control/statemachine/workers.go
+++ b/internal/control/statemachine/workers.go
@@ -7,7 +7,7 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Instance is a worker as the platform's instance list names it. InstancesChanged brings it into the state.
+// Instance is a worker as described by the platform's instance list. InstancesChanged adds it to the state.
 type Instance struct {
 	ID       string        `cbor:"1,keyasint"` // of one incarnation: a restarted worker has another ID
 	Service  string        `cbor:"2,keyasint"`
@@ -16,65 +16,65 @@
 	Labels   []string      `cbor:"5,keyasint,omitempty"`
 	Capacity job.Resources `cbor:"6,keyasint"`
 	Draining bool          `cbor:"7,keyasint,omitempty"`
-	// RemainingMs is the least time that a draining worker still has, in milliseconds from the reading of the list.
+	// RemainingMs is the minimum time until a draining worker ends, in milliseconds since the list was read.
 	RemainingMs int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Worker is an instance with its owner and what is placed at it. The instance reader's first report of it creates it;
-// later reports, changes of owner and placements change it. It is removed once it is unlisted and its last run ended.
+// Worker is an instance with its owner and placed runs. The instance reader's first report of the instance creates it;
+// later reports, changes of owner and placements change it. It is removed once it is unlisted and its last run has ended.
 type Worker struct {
 	Instance
 	// Owner is the session that dispatches to the worker; 0 while no session is open.
 	Owner SessionID `cbor:"20,keyasint,omitempty"`
-	// Token is the owner's fencing token. Every change of owner takes the next number of the whole cluster.
+	// Token is the owner's fencing token. Every change of owner takes the next number of a counter of the whole cluster.
 	Token uint64 `cbor:"21,keyasint,omitempty"`
-	// Used is what the runs at the worker demand together.
+	// Used is the sum of the demands of the runs at the worker.
 	Used job.Resources `cbor:"22,keyasint,omitempty"`
-	// Runs has what is placed at the worker, by the wire name of the task.
+	// Runs contains the runs that are placed at the worker, by the wire name of the task.
 	Runs map[string]Run `cbor:"23,keyasint,omitempty"`
-	// Unlisted says that the platform's list no longer names the worker. Nothing new is placed there, and its runs go
-	// on: they end by reports of the worker or by proof of its owner.
+	// Unlisted is set while the worker is not in the platform's list. No new tasks are placed there. Its runs continue
+	// until the worker reports their ends or its owner proves that the worker has ended.
 	Unlisted bool `cbor:"24,keyasint,omitempty"`
-	// Ended says that the worker's incarnation is proven to have ended. The worker stays in the state as long as it is
-	// listed, so that a report that still names it does not make it schedulable again.
+	// Ended is set once the worker's incarnation is proven to have ended. The worker stays in the state as long as it is
+	// listed, so that a report that still contains it does not make it schedulable again.
 	Ended bool `cbor:"25,keyasint,omitempty"`
 }
 
 // Run is one run of a task that is placed at a worker. PlaceTasks creates it, and the end of the run removes it.
 type Run struct {
-	Number     uint64 `cbor:"1,keyasint"`           // rises with each run of the task; a gang's members share it
+	Number     uint64 `cbor:"1,keyasint"`           // increases with each run of the task; a gang's members share it
 	Checkpoint string `cbor:"2,keyasint,omitempty"` // from which the run resumes
-	// CheckpointToken and CheckpointSequence are those of the newest checkpoint that the run has recorded: an earlier
-	// one is ignored.
+	// CheckpointToken and CheckpointSequence are the token and sequence number of the newest checkpoint that the run has
+	// recorded. An earlier checkpoint is ignored.
 	CheckpointToken    uint64 `cbor:"3,keyasint,omitempty"`
 	CheckpointSequence uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Unschedulable reports whether nothing new may be placed at the worker.
+// Unschedulable reports whether no new tasks may be placed at the worker.
 func (w *Worker) Unschedulable() bool { return w.Draining || w.Unlisted || w.Ended }
 
-// FreeCapacity returns the capacity that no run at the worker demands.
+// FreeCapacity returns the capacity that is not used by the runs at the worker.
 func (w *Worker) FreeCapacity() job.Resources { return w.Capacity.Minus(w.Used) }
 
-// HasLabel reports whether the worker bears the label; every worker bears "".
+// HasLabel reports whether the worker has the label; every worker has the label "".
 func (w *Worker) HasLabel(label string) bool {
 	return label == "" || slices.Contains(w.Labels, label)
 }
 
-// withoutRuns returns a copy for those who need not know what runs at the worker, which can be much.
+// withoutRuns returns a copy without Runs, which can be large. The worker's owner gets the runs as placements.
 func (w *Worker) withoutRuns() *Worker {
-	public := *w
-	public.Runs = nil
-	return &public
+	stripped := *w
+	stripped.Runs = nil
+	return &stripped
 }
 
-// instancesChanged applies a report of the instance reader. One of another session is a Conflict.
+// instancesChanged applies a report of the instance reader. A report of another session is a Conflict.
 func (f *FSM) instancesChanged(command *InstancesChanged) Result {
 	if command.Reader != f.InstanceReader() {
 		return Result{Code: Conflict}
 	}
 	if command.Reader == f.LastReader && command.Sequence <= f.LastReport {
-		return Result{} // a newer report of the same reader counts already
+		return Result{} // this report, or a newer one of the same reader, was applied already
 	}
 	f.LastReader, f.LastReport = command.Reader, command.Sequence
 	for i := range command.Changed {
@@ -86,8 +86,8 @@
 	return Result{}
 }
 
-// updateInstance enters what the list says of one worker. It concerns that worker alone: another one at the same
-// address may have ended and be listed still, or be its successor. A worker that drains never stops doing so.
+// updateInstance applies the list's entry of one worker. It changes no other worker at the same address, which may have
+// ended and still be listed, or be the successor. A draining worker stays draining until it ends.
 func (f *FSM) updateInstance(instance Instance) {
 	worker := f.Workers[instance.ID]
 	if worker == nil {
@@ -106,7 +106,7 @@
 	f.notifyAll(Update{Worker: worker.withoutRuns()})
 }
 
-// markUnlisted enters that the list no longer names a worker.
+// markUnlisted records that a worker is no longer in the list.
 func (f *FSM) markUnlisted(id string) {
 	worker := f.Workers[id]
 	if worker == nil || worker.Unlisted {
@@ -119,7 +119,7 @@
 	}
 }
 
-// removeIfIdle removes a worker that is unlisted and has no run, and reports whether it did.
+// removeIfIdle removes a worker if it is unlisted and has no runs, and reports whether it did.
 func (f *FSM) removeIfIdle(worker *Worker) bool {
 	if !worker.Unlisted || len(worker.Runs) > 0 {
 		return false
@@ -130,8 +130,8 @@
 	return true
 }
 
-// workerEnded enters the proof that a worker's incarnation has ended: all its runs are lost. The proof of a former
-// owner is a Conflict: another incarnation that answered it may be one that the present owner dispatches to.
+// workerEnded records the proof that a worker's incarnation has ended: all its runs are lost. The proof of a former owner
+// is a Conflict, since the other incarnation that answered it may be one to which the present owner dispatches.
 func (f *FSM) workerEnded(command *WorkerEnded) Result {
 	worker := f.Workers[command.Worker]
 	if worker == nil || worker.Ended {
@@ -147,13 +147,13 @@
 		f.runEnded(&taskrun.Ended{Worker: worker.ID, Job: jobID, Task: key, Run: worker.Runs[name].Number,
 			Reason: taskrun.Lost, Token: worker.Token})
 	}
-	if f.Workers[worker.ID] != nil { // an unlisted one has left with its last run
+	if f.Workers[worker.ID] != nil { // an unlisted worker was removed with its last run
 		f.notifyAll(Update{Worker: worker.withoutRuns()})
 	}
 	return Result{}
 }
 
-// addUsage adds to what is used at a worker; the amount is negative where a run has ended.
+// addUsage adds an amount to the used capacity of a worker; it is negative if a run has ended.
 func (f *FSM) addUsage(worker *Worker, amount job.Resources) {
 	worker.Used = worker.Used.Plus(amount)
 	f.notifyAll(Update{Usage: &UsageUpdate{worker.ID, worker.Used}})
