--- a/internal/control/protocol/compression.go
+++ b/internal/control/protocol/compression.go
@@ -9,16 +9,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of compressed updates.
+// Size limits of compressed updates.
 const (
-	// minCompressedBytes is below how many bytes compression of a single update saves less than it costs.
+	// minCompressedBytes is the size below which compressing a single update saves less than it costs.
 	minCompressedBytes = 2 << 10
-	// maxDecompressedBytes bounds what a list can make its receiver allocate; what is beyond it is lost, and the list
-	// with it. It is the longest message of package frame.
+	// maxDecompressedBytes limits the memory that a list can make its receiver allocate. A longer list is cut there, so
+	// that it can't be decoded and is dropped. The limit is the longest message of package frame.
 	maxDecompressedBytes = 64 << 20
 )
 
-// compressors keeps flate writers for reuse: each has tables of half a megabyte.
+// compressors contains flate writers for reuse, since each allocates tables of half a megabyte.
 var compressors = sync.Pool{New: func() any {
 	compressor, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return compressor
 }}
 
-// CompressUpdates makes one item of ControlMessage.Updates: the list deflated, as a CBOR byte string. A short list
-// with a single update stays as it is. A configuration of 1,500 routes compresses to a quarter, and so takes a quarter
-// of the time on a dispatcher's link.
+// CompressUpdates returns one item of ControlMessage.Updates: the list compressed by DEFLATE, as a CBOR byte string. A
+// single short update is returned unchanged. A configuration of 1,500 routes compresses to a quarter of its size, and so
+// takes a quarter of the time on a dispatcher's link.
 func CompressUpdates(updates []cbor.RawMessage) cbor.RawMessage {
 	if len(updates) == 1 && len(updates[0]) < minCompressedBytes {
 		return updates[0]
@@ -39,16 +39,16 @@
 	defer compressors.Put(compressor)
 	compressor.Reset(compressed)
 	if _, err := compressor.Write(Encode(updates)); err != nil {
-		panic(err) // a buffer takes everything
+		panic(err) // writing to a buffer doesn't fail
 	}
 	if err := compressor.Close(); err != nil {
-		panic(err) // likewise
+		panic(err) // nor does flushing into it
 	}
 	return Encode(compressed.Bytes())
 }
 
-// DecompressUpdates returns the updates of a list in which some items may be compressed. What can't be decompressed is
-// left out.
+// DecompressUpdates returns the updates of a list in which some items may be compressed. It leaves out items that can't be
+// decompressed.
 func DecompressUpdates(items []cbor.RawMessage) []cbor.RawMessage {
 	updates := make([]cbor.RawMessage, 0, len(items))
 	for _, item := range items {
@@ -61,7 +61,7 @@
 	return updates
 }
 
-// decompress returns the list in one item, or nothing.
+// decompress returns the updates of one compressed item, or nil if it can't be decompressed.
 func decompress(item cbor.RawMessage) []cbor.RawMessage {
 	compressed, updates := []byte{}, []cbor.RawMessage{}
 	if !Decode(item, &compressed) {
@@ -74,5 +74,5 @@
 	return updates
 }
 
-// isByteString distinguishes a CBOR byte string from other items by its major type.
+// isByteString reports whether an item is a CBOR byte string, by its major type.
 func isByteString(item cbor.RawMessage) bool { return len(item) > 0 && item[0]>>5 == 2 }
--- a/internal/control/protocol/compression_test.go
+++ b/internal/control/protocol/compression_test.go
@@ -9,32 +9,33 @@
 	"yardflow/internal/control/statemachine"
 )
 
-func TestCompressedUpdatesComeInOrder(t *testing.T) {
+func TestDecompressedUpdatesKeepTheirOrder(t *testing.T) {
 	var many []cbor.RawMessage
 	for i := range 500 {
 		many = append(many, Encode(statemachine.Update{WorkerRemoved: fmt.Sprint("worker-", i)}))
 	}
 	single := []cbor.RawMessage{Encode(statemachine.Update{JobRemoved: "a"})}
-	packed := []cbor.RawMessage{CompressUpdates(single), CompressUpdates(many), CompressUpdates(single)}
-	if len(packed[1]) > 6000 {
-		t.Errorf("500 updates pack to %d bytes", len(packed[1]))
+	items := []cbor.RawMessage{CompressUpdates(single), CompressUpdates(many), CompressUpdates(single)}
+	if len(items[1]) > 6000 {
+		t.Errorf("500 updates are compressed to %d bytes, want at most 6000", len(items[1]))
 	}
 	want := append(append(append([]cbor.RawMessage{}, single...), many...), single...)
-	got := DecompressUpdates(packed)
+	got := DecompressUpdates(items)
 	if len(got) != len(want) {
-		t.Fatalf("%d updates of %d", len(got), len(want))
+		t.Fatalf("decompressed %d updates, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if string(got[i]) != string(want[i]) {
-			t.Fatalf("update %d differs", i)
+			t.Fatalf("decompressed update %d differs from the original", i)
 		}
 	}
 }
 
+// FuzzUnpack checks that DecompressUpdates returns without a panic for arbitrary items.
 func FuzzUnpack(f *testing.F) {
 	f.Add([]byte(CompressUpdates([]cbor.RawMessage{Encode(statemachine.Update{JobRemoved: "a"}), Encode(statemachine.Update{JobRemoved: "b"})})))
 	f.Add([]byte{0x41, 0x00})
 	f.Fuzz(func(t *testing.T, item []byte) {
-		DecompressUpdates([]cbor.RawMessage{item}) // whatever comes, it ends
+		DecompressUpdates([]cbor.RawMessage{item})
 	})
 }
--- a/internal/control/protocol/configbytes_test.go
+++ b/internal/control/protocol/configbytes_test.go
@@ -12,8 +12,8 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// bodyOf returns a configuration with so many routes, as operators write them.
-func bodyOf(version int64, routes int) []byte {
+// makeBody returns the body of a configuration with a number of typical routes.
+func makeBody(version int64, routes int) []byte {
 	text := fmt.Appendf(nil, `{"Version":%d,"Routes":[`, version)
 	for i := range routes {
 		if i > 0 {
@@ -35,22 +35,22 @@
 	return len(CompressUpdates([]cbor.RawMessage{Encode(statemachine.Update{Config: update})}))
 }
 
-// TestBytesOfChanges makes the table of what configurations cost on the way to a dispatcher, in the chain and in the
-// state, by their number and size. The sizes are bytes.
+// TestBytesOfChanges tabulates the sizes of configurations in bytes, as sent to a dispatcher, in the chain's log and in the
+// state, by the number of routes and changes. It also checks upper limits.
 func TestBytesOfChanges(t *testing.T) {
 	lines := []string{fmt.Sprintf("%7s %8s %10s %12s %11s %11s %13s", "routes", "changes", "body",
 		"whole, sent", "a change", "in the log", "in the state")}
 	for _, routes := range []int{4, 76, 1480} {
 		for _, changes := range []int{10, 300, 3000} {
-			if routes*changes > 125_000 { // a change costs the same whatever came before it
+			if routes*changes > 125_000 { // skipped: the size of a change does not depend on the earlier ones
 				continue
 			}
 			c := statemachine.New(10)
 			sent, logged := 0, 0
 			for version := int64(1); version <= int64(changes); version++ {
-				command := &statemachine.Command{Configure: c.NewConfigure(version, version-1, bodyOf(version, routes))}
+				command := &statemachine.Command{Configure: c.NewConfigure(version, version-1, makeBody(version, routes))}
 				if c.Apply(command).Code != statemachine.OK {
-					t.Fatal("a change is refused")
+					t.Fatal("a change is rejected")
 				}
 				if version > 1 {
 					logged += len(Encode(command))
--- a/internal/control/protocol/fuzz_test.go
+++ b/internal/control/protocol/fuzz_test.go
@@ -7,7 +7,7 @@
 	"yardflow/scheduling/job"
 )
 
-// FuzzDecode hands arbitrary bytes to the decoders of inner messages; what can be read can be written again.
+// FuzzDecode decodes arbitrary bytes as each type of message, and checks that a decoded message can be encoded again.
 func FuzzDecode(f *testing.F) {
 	place := &statemachine.Command{PlaceTasks: &statemachine.PlaceTasks{Session: 3, Job: "0123456789abcdef",
 		Targets: []statemachine.Target{{Task: job.TaskKey{Index: 1}, Worker: "w", Alternatives: []string{"v"}}}}}
--- a/internal/control/protocol/golden_test.go
+++ b/internal/control/protocol/golden_test.go
@@ -12,8 +12,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden files were written at b99a1ea, and got the fields that came since behind the former ones: messages between
-// processes of mixed versions keep their bytes.
+// TestEncodingsOfMessagesDoNotChange checks that messages between processes of different versions keep their bytes. The
+// golden files were written at b99a1ea; fields that were added since are appended to them.
 func TestEncodingsOfMessagesDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "hello", encode[SessionRequest], decode[SessionRequest])
 	wiretest.AssertEncoding(t, "up", encode[DispatcherMessage], decode[DispatcherMessage])
@@ -21,8 +21,8 @@
 	wiretest.AssertEncoding(t, "peer", encode[PeerMessage], decode[PeerMessage])
 }
 
-// Messages of the version before the field InstanceListDuty: what it sent is read, and what does not use the field has the
-// same bytes for it.
+// TestMessagesWithoutInstanceListDutyKeepTheirBytes checks that messages of the version before the field InstanceListDuty
+// can be decoded, and that messages without the field are encoded to the same bytes as before.
 func TestMessagesWithoutInstanceListDutyKeepTheirBytes(t *testing.T) {
 	assertFormerBytes[SessionRequest](t, "hello")
 	assertFormerBytes[DispatcherMessage](t, "up")
@@ -41,10 +41,10 @@
 	}
 	var message T
 	if !Decode(former, &message) {
-		t.Fatalf("%s: what the former version sent can't be read", name)
+		t.Fatalf("%s: the former version's message can't be decoded", name)
 	}
 	if again := Encode(message); !bytes.Equal(again, former) {
-		t.Errorf("%s: %x becomes %x", name, former, again)
+		t.Errorf("%s: %x is encoded as %x", name, former, again)
 	}
 }
 
@@ -52,7 +52,7 @@
 
 func decode[T any](data []byte, value *T) error {
 	if !Decode(data, value) {
-		return errors.New("the message cannot be decoded")
+		return errors.New("the message can't be decoded")
 	}
 	return nil
 }
--- a/internal/control/protocol/messages.go
+++ b/internal/control/protocol/messages.go
@@ -1,10 +1,10 @@
-// Package protocol has the messages between dispatchers and control machines, and those among control machines. All
-// travel as CBOR in frames.
+// Package protocol defines the messages between dispatchers and control machines, and those between control machines. All
+// messages are sent as CBOR in frames.
 //
-// The CBOR numbers are the protocol: a rolling upgrade mixes versions, so a number never changes its meaning, and a
-// field that an older version lacks must have a zero value that says what it meant before. The package decides
-// nothing: what a message does is in internal/control/server, internal/dispatcher and the packages whose types it
-// carries. It never trusts what it decodes to be complete or well-meant, only to be bounded in size and depth.
+// The CBOR keys are the protocol. Versions are mixed during a rolling upgrade, so a key never changes its meaning, and the
+// zero value of a new field must stand for the behaviour of versions that lack the field. The package makes no decisions:
+// messages are handled in internal/control/server, internal/dispatcher and the packages whose types they contain. A decoded
+// message is limited in size and depth, but it may be incomplete or malicious.
 package protocol
 
 import (
@@ -15,41 +15,41 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// Paths at a control machine's address, on which connections are upgraded to frames.
+// HTTP paths of a control machine at which connections are upgraded to frames.
 const (
-	PeerPath       = "/internal/core"       // for other control machines: PeerMessage
-	DispatcherPath = "/internal/dispatcher" // for dispatchers: DispatcherMessage and ControlMessage
+	PeerPath       = "/internal/core"       // used by other control machines: PeerMessage
+	DispatcherPath = "/internal/dispatcher" // used by dispatchers: DispatcherMessage and ControlMessage
 )
 
-// SessionRequest opens a dispatcher's session, or resumes that of the same incarnation on another connection. It is
-// the first message of a connection.
+// SessionRequest opens a dispatcher's session, or resumes the session of the same incarnation on another connection. It
+// is in the first message of a connection.
 type SessionRequest struct {
 	Node        string `cbor:"1,keyasint"` // the dispatcher's machine
 	Zone        string `cbor:"2,keyasint"` // its failure domain
 	Incarnation uint64 `cbor:"3,keyasint"` // of the dispatcher's process
-	// ConfigVersion is the version of the configuration that the dispatcher has, so that it need not be sent again.
+	// ConfigVersion is the version of the dispatcher's configuration, so that it need not be sent again.
 	ConfigVersion int64 `cbor:"4,keyasint,omitempty"`
-	// AcknowledgesBytes says that the dispatcher reports how much it has received, so that what is not urgent may wait
-	// for that.
+	// AcknowledgesBytes is set if the dispatcher reports ReceivedBytes, so that the control machine may delay updates that
+	// are not urgent until the dispatcher has received the earlier ones.
 	AcknowledgesBytes bool `cbor:"5,keyasint,omitempty"`
-	// DelegatesInstanceList says that the dispatcher leaves reading the platform's list to its control machine, where that
-	// says that it reads.
+	// DelegatesInstanceList is set if the dispatcher does not read the platform's instance list itself while its control
+	// machine reads it (see InstanceListDuty).
 	DelegatesInstanceList bool `cbor:"6,keyasint,omitempty"`
 }
 
-// InstanceListDuty says who reads the platform's list of instances while a dispatcher is the InstanceReader.
+// InstanceListDuty specifies which process reads the platform's instance list while a dispatcher is the InstanceReader.
 type InstanceListDuty uint8
 
-// Duties. A control machine that says nothing leaves the duty as it was; one of a former version never says anything.
+// Values of InstanceListDuty. Control machines of earlier versions send only DutyUnchanged, the zero value.
 const (
-	DutyUnchanged   InstanceListDuty = iota
-	ControlReads                     // the control machine, on behalf of the dispatcher
-	DispatcherReads                  // the dispatcher itself: the control machine's readings fail
+	DutyUnchanged   InstanceListDuty = iota // as in the last message that assigned the duty
+	ControlReads                            // the control machine, on behalf of the dispatcher
+	DispatcherReads                         // the dispatcher itself, since the control machine can't read the list
 )
 
-// TaggedCommand is a command with the dispatcher's name for it, which its Outcome repeats.
+// TaggedCommand is a command with a tag that its Outcome repeats.
 type TaggedCommand struct {
-	Tag     uint64          `cbor:"1,keyasint"` // rises for as long as the dispatcher's process runs
+	Tag     uint64          `cbor:"1,keyasint"` // unique and increasing within the dispatcher's process
 	Command cbor.RawMessage `cbor:"3,keyasint"` // a statemachine.Command
 }
 
@@ -57,14 +57,14 @@
 type DispatcherMessage struct {
 	SessionRequest *SessionRequest `cbor:"1,keyasint,omitempty"`
 	Commands       []TaggedCommand `cbor:"2,keyasint,omitempty"`
-	ShuttingDown   bool            `cbor:"3,keyasint,omitempty"` // gracefully: the session may end at once
-	// ConfigVersion acknowledges the configuration that is in force at the dispatcher.
+	ShuttingDown   bool            `cbor:"3,keyasint,omitempty"` // graceful shutdown: the session may be closed immediately
+	// ConfigVersion acknowledges the configuration that the dispatcher has put in force.
 	ConfigVersion int64 `cbor:"4,keyasint,omitempty"`
-	// ReceivedBytes is how many bytes of messages the dispatcher has taken in on this connection.
+	// ReceivedBytes is the number of message bytes that the dispatcher has received on this connection.
 	ReceivedBytes uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Outcome answers a TaggedCommand once it is committed and applied, or refused.
+// Outcome answers a TaggedCommand once it is committed and applied, or rejected.
 type Outcome struct {
 	Tag    uint64              `cbor:"1,keyasint"`
 	Result statemachine.Result `cbor:"2,keyasint"`
@@ -72,8 +72,8 @@
 
 // ControlMessage goes from a control machine to a dispatcher. An empty one is a heartbeat.
 type ControlMessage struct {
-	Session statemachine.SessionID `cbor:"1,keyasint,omitempty"` // set: the updates are a whole snapshot for this session
-	// Updates are each a statemachine.Update, or a list of them from CompressUpdates.
+	Session statemachine.SessionID `cbor:"1,keyasint,omitempty"` // if set, the updates are a full snapshot for this session
+	// Updates contains single statemachine.Update values, and lists of them that CompressUpdates has compressed.
 	Updates          []cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 	Outcomes         []Outcome         `cbor:"3,keyasint,omitempty"`
 	ControlAddresses []string          `cbor:"4,keyasint,omitempty"` // of all control machines
@@ -81,17 +81,18 @@
 	InstanceListDuty InstanceListDuty  `cbor:"6,keyasint,omitempty"`
 }
 
-// PeerMessage goes from one control machine to another. It has a heartbeat with its sessions, or one of the others.
+// PeerMessage goes from one control machine to another. It contains a heartbeat with sessions, or one of the other fields.
 type PeerMessage struct {
 	Heartbeat *view.Heartbeat `cbor:"1,keyasint,omitempty"`
-	// ConnectedSessions are those of dispatchers that the sender hears, with a heartbeat.
+	// ConnectedSessions contains the sessions of dispatchers whose heartbeats the sender receives. It is set in heartbeats.
 	ConnectedSessions []statemachine.SessionID `cbor:"2,keyasint,omitempty"`
-	// DisconnectedSessions are those of dispatchers whose connections to the sender ended all at once.
+	// DisconnectedSessions contains the sessions of dispatchers whose connections to the sender have ended other than by a
+	// timeout.
 	DisconnectedSessions []statemachine.SessionID `cbor:"6,keyasint,omitempty"`
 	View                 *view.Message            `cbor:"3,keyasint,omitempty"`
 	Chain                *chain.Message           `cbor:"4,keyasint,omitempty"`
 	CatchUpRequest       *chain.CatchUpRequest    `cbor:"7,keyasint,omitempty"`
 	CatchUpResponse      *chain.CatchUpResponse   `cbor:"8,keyasint,omitempty"`
-	// ForwardedProposals are for the head to order.
+	// ForwardedProposals are sent to the head of the chain, which orders them.
 	ForwardedProposals []chain.Proposal `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/control/protocol/versions_test.go
+++ b/internal/control/protocol/versions_test.go
@@ -27,9 +27,9 @@
 	Rejected         bool                   `cbor:"5,keyasint,omitempty"`
 }
 
-// A dispatcher of the former version leaves the list to nobody, and a control machine of the former version says nothing
-// about who reads it: the fields that they lack have their zero values, and all others arrive.
-func TestFormerVersionsNeitherDelegateTheListNorReadIt(t *testing.T) {
+// TestMessagesOfFormerVersionsNeitherDelegateNorAssignTheList checks that messages of the former version, which lacks the
+// fields about the instance list, are decoded with zero values for these fields, and that all other fields are decoded.
+func TestMessagesOfFormerVersionsNeitherDelegateNorAssignTheList(t *testing.T) {
 	request := SessionRequest{}
 	mustDecode(t, Encode(formerSessionRequest{"front-1", "z1", 7, 3, true}), &request)
 	expectEqual(t, "the request", SessionRequest{Node: "front-1", Zone: "z1", Incarnation: 7, ConfigVersion: 3, AcknowledgesBytes: true}, request)
@@ -41,8 +41,9 @@
 		ControlAddresses: []string{"core-1:1"}, Rejected: true, InstanceListDuty: DutyUnchanged}, message)
 }
 
-// The former version reads what this one sends, and skips the fields that it does not know.
-func TestFormerVersionsReadMessagesAboutTheList(t *testing.T) {
+// TestFormerVersionsDecodeMessagesAboutTheList checks that the former version can decode messages of the present one, and
+// skips the fields that it does not know.
+func TestFormerVersionsDecodeMessagesAboutTheList(t *testing.T) {
 	request := formerSessionRequest{}
 	mustDecode(t, Encode(SessionRequest{Node: "front-1", Zone: "z1", Incarnation: 7, ConfigVersion: 3, AcknowledgesBytes: true,
 		DelegatesInstanceList: true}), &request)
@@ -55,11 +56,11 @@
 	}
 }
 
-// A duty is a number on the wire, and keeps its meaning.
-func TestNumbersOfDutiesDoNotChange(t *testing.T) {
+// TestValuesOfInstanceListDutyDoNotChange checks the numbers that stand for duties in messages.
+func TestValuesOfInstanceListDutyDoNotChange(t *testing.T) {
 	for duty, number := range map[InstanceListDuty]byte{DutyUnchanged: 0, ControlReads: 1, DispatcherReads: 2} {
 		if got := Encode(duty); len(got) != 1 || got[0] != number {
-			t.Errorf("a duty is %x on the wire, was %d", got, number)
+			t.Errorf("a duty is encoded as %x, want %d", got, number)
 		}
 	}
 }
@@ -67,13 +68,13 @@
 func mustDecode(t *testing.T, data []byte, message any) {
 	t.Helper()
 	if !Decode(data, message) {
-		t.Fatalf("%x can't be read", data)
+		t.Fatalf("%x can't be decoded", data)
 	}
 }
 
 func expectEqual[T any](t *testing.T, what string, want, got T) {
 	t.Helper()
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Errorf("%s differs (- wanted, + got):\n%s", what, difference)
+		t.Errorf("%s differs (- want, + got):\n%s", what, difference)
 	}
 }
--- a/internal/control/statemachine/owners_test.go
+++ b/internal/control/statemachine/owners_test.go
@@ -100,7 +100,7 @@
 		}
 		moved++
 		if worker.Owner != opened || !notified[id][opened] || !notified[id][before[id]] || len(notified[id]) != 2 {
-			t.Errorf("%s changed owner from %d to %d, and sessions %v are notified", id, before[id], worker.Owner, notified[id])
+			t.Errorf("%s: owner changed from %d to %d, sessions %v are notified", id, before[id], worker.Owner, notified[id])
 		}
 	}
 	if moved == 0 {
