--- a/internal/control/configuration/configuration.go
+++ b/internal/control/configuration/configuration.go
@@ -1,9 +1,9 @@
-// Package configuration reads and checks the operator's configuration: routes, services and limits. Control machines
-// check with it what an operator sends, and dispatchers read with it what is in force.
+// Package configuration parses and validates the operator's configuration: routes, services and limits. Control machines
+// use it to validate a configuration that an operator sends, and dispatchers use it to read the one in force.
 //
-// It reads JSON by itself since encoding/json accepts what must be rejected, a key that appears twice, and names no path
-// for a value that is wrong. Keys that this version does not know are skipped, so that a later version's configuration
-// can be read. The package has no I/O, and it does not check a version against the one in force: the state machine does.
+// It has its own JSON parser, since encoding/json accepts duplicate keys, which must be rejected, and does not report the
+// path of an invalid value. Unknown keys are skipped, so that a later version's configuration can be read. The package has
+// no I/O. It does not compare a version with the one in force; the state machine does.
 package configuration
 
 import (
@@ -11,30 +11,30 @@
 	"strings"
 )
 
-// Configuration is a whole configuration that has passed all checks. It does not change once it is parsed.
+// Configuration is a complete and valid configuration. It is immutable.
 type Configuration struct {
 	Version  int64   // above 0
-	Routes   []Route // by falling length of the path prefix
+	Routes   []Route // sorted by descending length of the path prefix
 	Services map[string]*Service
 	Limits   Limits
 }
 
-// Route is a queue: where its jobs are submitted, and how they are scheduled.
+// Route is a queue: it specifies the host and path at which its jobs are submitted, and how they are scheduled.
 type Route struct {
 	Name       string
 	Host       string // in lower case
-	PathPrefix string // begins with /; a job's ID follows it
-	Service    string // whose workers run the tasks
+	PathPrefix string // begins with /; it is followed by a job's ID
+	Service    string // name of the service whose workers run the tasks
 	TimeoutMs  int64  // above 0
-	// TargetLatencyMs and Stretch say by when a job is within its objective: it may take TargetLatencyMs beside Stretch
-	// times the longest chain of its steps, by the client's estimates.
+	// TargetLatencyMs and Stretch are the latency objective of a job: TargetLatencyMs plus Stretch times its critical path,
+	// the longest chain of its steps by the client's estimates.
 	TargetLatencyMs int64
 	Stretch         float64
-	Priority        int // 0 comes first
-	MaxAttempts     int // runs of a task or gang that may fail before its job does; at least 1
+	Priority        int // 0 is the highest priority
+	MaxAttempts     int // number of failed runs of a task or gang after which its job fails; at least 1
 }
 
-// Key names the route by where its jobs are submitted: host and path prefix.
+// Key identifies the route by the host and path prefix at which its jobs are submitted.
 func (r *Route) Key() string { return r.Host + r.PathPrefix }
 
 // Service is a set of workers that run the same tasks.
@@ -42,11 +42,11 @@
 	Name       string
 	HealthPath string
 	MaxConns   int
-	// Guards says that the workers themselves reject what exceeds their capacity. The state machine never relies on it.
+	// Guards is set if the workers reject tasks that exceed their capacity. The state machine does not rely on it.
 	Guards bool
 }
 
-// Limits bound what clients may send; 0 means unlimited.
+// Limits are the limits of clients' requests; 0 means unlimited.
 type Limits struct {
 	MaxHeaderBytes  int64
 	MaxBodyBytes    int64
@@ -54,16 +54,16 @@
 	IdleTimeoutMs   int64
 }
 
-// InvalidError says why a configuration can't be put in force. An operator gets its text with status 400 and corrects
-// what it names; nothing has changed.
+// InvalidError is the reason why a configuration can't be put in force. An operator gets its text with status 400 and can
+// correct the value at Path; the configuration in force is unchanged.
 type InvalidError struct {
-	Path    string // the key, as in Routes[1].Service, or body where the text is no JSON object
-	Problem string // what is wrong with its value
+	Path    string // of the value, such as Routes[1].Service, or body if the text is not a JSON object
+	Problem string // why the value is invalid
 }
 
 func (e *InvalidError) Error() string { return e.Path + ": " + e.Problem }
 
-// Parse reads and checks a whole configuration. It returns either a configuration or the first problem that it meets.
+// Parse parses and validates a whole configuration. It returns either a configuration or the first problem that it finds.
 func Parse(body []byte) (*Configuration, *InvalidError) {
 	value, err := parseJSON(body)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return c, nil
 }
 
-// FindRoute returns the route at a host with the longest prefix of a path, or nil.
+// FindRoute returns the route of a host with the longest prefix of a path, or nil if there is none.
 func (c *Configuration) FindRoute(host, path string) *Route {
 	for i := range c.Routes {
 		route := &c.Routes[i]
--- a/internal/control/configuration/json.go
+++ b/internal/control/configuration/json.go
@@ -9,13 +9,13 @@
 // value is a JSON value (RFC 8259): nil, bool, float64, string, []value or object.
 type value any
 
-// object has the members of a JSON object.
+// object is a JSON object: its members by key.
 type object map[string]value
 
-// maxDepth bounds how deep values may nest, so that no body can exhaust the stack. A configuration needs 3.
+// maxDepth limits the nesting of values, so that no body can exhaust the stack. A configuration needs 3.
 const maxDepth = 32
 
-// syntaxError says where a text is no JSON.
+// syntaxError describes why and at which offset a text is not valid JSON.
 type syntaxError struct {
 	problem string
 	offset  int // bytes
@@ -23,15 +23,15 @@
 
 func (e *syntaxError) Error() string { return e.problem + " at byte " + strconv.Itoa(e.offset) }
 
-// parser is a recursive descent parser of one JSON text. Its methods read from offset on, and move it behind what they
-// have read.
+// parser is a recursive descent parser of one JSON text. Its methods read from offset, and advance it past the bytes that
+// they have read.
 type parser struct {
 	text   []byte
 	offset int
 }
 
-// parseJSON reads a whole text as one value. A *syntaxError says where it can't be read. Beyond RFC 8259, a key that
-// appears twice in an object is an error, and so is a string that is not UTF-8.
+// parseJSON parses a whole text as one value. If it can't, the error is a *syntaxError. Stricter than RFC 8259, it rejects
+// duplicate keys in an object and strings that are not UTF-8.
 func parseJSON(text []byte) (value, error) {
 	p := &parser{text: text}
 	parsed, err := p.parseValue(0)
@@ -66,7 +66,7 @@
 	}
 }
 
-// consume reads a byte behind white space, and reports whether it is there.
+// consume skips white space, and reads the wanted byte if it comes next. It reports whether it does.
 func (p *parser) consume(want byte) bool {
 	p.skipSpace()
 	next, exists := p.peek()
@@ -132,7 +132,7 @@
 	}
 }
 
-// parseMember reads a key and its value into members.
+// parseMember parses a key and its value, and adds them to members.
 func (p *parser) parseMember(members object, depth int) error {
 	p.skipSpace()
 	if next, exists := p.peek(); !exists || next != '"' {
@@ -179,8 +179,8 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// parseNumber reads all bytes that a number may have and leaves it to strconv what they are. So it accepts some that
-// JSON does not, as "1." and "-.5"; it rejects leading zeros, which strconv would accept.
+// parseNumber reads all bytes that may occur in a number and passes them to strconv. So it accepts some numbers that are
+// not valid JSON, such as "1." and "-.5". It rejects leading zeros, which strconv would accept.
 func (p *parser) parseNumber() (value, error) {
 	start := p.offset
 	for next, exists := p.peek(); exists; next, exists = p.peek() {
@@ -230,10 +230,10 @@
 	}
 }
 
-// simpleEscapes are the escapes of one byte.
+// simpleEscapes maps the character after the backslash of a two-character escape to the byte that it represents.
 var simpleEscapes = map[byte]byte{'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t'}
 
-// appendEscape reads one escape, or two that make a surrogate pair, and appends what it stands for.
+// appendEscape parses one escape, or two that form a surrogate pair, and appends the character that it represents.
 func (p *parser) appendEscape(text []byte) ([]byte, error) {
 	if p.offset+1 >= len(p.text) {
 		return nil, p.errorHere("text ends early")
@@ -260,7 +260,7 @@
 	return utf8.AppendRune(text, utf16.DecodeRune(first, second)), nil
 }
 
-// parseCodeUnit reads one \uXXXX, a code unit of UTF-16.
+// parseCodeUnit parses one \uXXXX escape, a code unit of UTF-16.
 func (p *parser) parseCodeUnit() (rune, error) {
 	const length = len(`\uXXXX`)
 	if p.offset+length > len(p.text) || p.text[p.offset] != '\\' || p.text[p.offset+1] != 'u' {
--- a/internal/control/configuration/read.go
+++ b/internal/control/configuration/read.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// readConfiguration reads the members of the whole text, and checks each by itself.
+// readConfiguration reads the members of the root object, and checks each entry on its own.
 func readConfiguration(root object) (*Configuration, *InvalidError) {
 	s := &section{members: root}
 	c := &Configuration{Version: s.requiredInteger("Version"), Services: map[string]*Service{}}
@@ -76,7 +76,7 @@
 	}
 }
 
-// check checks what concerns more than one entry.
+// check checks the rules that concern more than one entry: services exist, and routes differ in host or prefix.
 func (c *Configuration) check() *InvalidError {
 	type location struct{ host, prefix string }
 	seen := map[location]bool{}
--- a/internal/control/configuration/section.go
+++ b/internal/control/configuration/section.go
@@ -7,15 +7,15 @@
 )
 
 // section reads the members of one JSON object by key and type. A method that finds no usable value reports the problem
-// and returns the zero value, so that reading goes on; the whole text's first problem counts.
+// and returns the zero value, so that reading continues; only the first problem in the whole text is kept.
 type section struct {
-	path    string // of the object in the text; "" for the whole text
+	path    string // of the object in the text; "" for the root object
 	members object
-	root    *section      // the section of the whole text; nil in that section itself
-	invalid *InvalidError // the first problem of the whole text, set in the root alone
+	root    *section      // the section of the root object; nil in that section itself
+	invalid *InvalidError // the first problem in the whole text, set only in the root section
 }
 
-// fail reports a problem with the member of that key, or with the object itself where the key is "".
+// fail reports a problem with the member of that key, or with the object itself if the key is "".
 func (s *section) fail(key, problem string) {
 	root := s
 	if s.root != nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// object returns the section of a member of the root that has to be an object.
+// object returns the section of a member of the root, and reports a problem if the member is not an object.
 func (s *section) object(path string, member value) *section {
 	child := &section{path: path, root: s}
 	members, isObject := member.(object)
@@ -56,7 +56,7 @@
 	return entries
 }
 
-// requiredString returns a string that is not empty.
+// requiredString returns a string, and reports a problem if it is missing or empty.
 func (s *section) requiredString(key string) string {
 	text, _ := s.members[key].(string)
 	if text == "" {
@@ -77,7 +77,7 @@
 	return optional[float64](s, key, "must be a number")
 }
 
-// maxInteger bounds integers: up to 2^53, every integer has a float64 of its own, which JSON numbers are read to.
+// maxInteger limits integers: JSON numbers are parsed to float64, which represents all integers up to 2^53 exactly.
 const maxInteger = 1 << 53
 
 func (s *section) optionalInteger(key string) int64 {
@@ -96,7 +96,7 @@
 	return s.optionalInteger(key)
 }
 
-// optional returns a member of one type, or the zero value where there is none.
+// optional returns a member of type T, or the zero value if there is none. It reports a problem if its type is another one.
 func optional[T any](s *section, key, problem string) T {
 	var none T
 	member, exists := s.members[key]
