--- a/internal/control/instances/absence.go
+++ b/internal/control/instances/absence.go
@@ -1,36 +1,36 @@
 package instances
 
-// Bounds of what readings without a worker show.
+// Numbers of consecutive complete readings without a worker after which it counts as removed.
 const (
-	// removedAfter is how many complete readings in a row must lack a worker. They span two seconds, more than the lag
-	// between the views of the list that its callers get.
-	removedAfter = 3
-	// removedSurely is how many do, whatever else leaves the list meanwhile.
-	removedSurely = 8
+	// conclusiveAbsences is the required number of conclusive readings (absenceCount.conclusive). They span two seconds,
+	// more than the lag between the views of the list that different clients get.
+	conclusiveAbsences = 3
+	// maxAbsences is the number of readings that suffices even if most of them are inconclusive.
+	maxAbsences = 8
 )
 
-// absenceCount is how many readings in a row lack a worker.
+// absenceCount is the number of consecutive readings that lack a worker.
 type absenceCount struct {
-	steady int // those that show it: nothing else left the list before them
-	all    int
+	conclusive int // the first one, and those that list all entries of the reading before them
+	all        int
 }
 
-// absenceTracker counts the readings of the platform's list that lack a worker. The list comes in pages that are read one
-// after the other: while entries leave it, others move to a page that has been read, and seem to be missing. So a reading
-// that lacks what the one before named shows nothing of what it lacks.
+// absenceTracker counts the readings of the platform's list that lack a worker. The pages of the list are read one after
+// the other. If entries are removed meanwhile, others move to a page that was read already, and seem to be missing. So
+// further absences of a worker are inconclusive in a reading that lacks any entry of the previous reading.
 type absenceTracker struct {
-	missing map[string]absenceCount // by the worker's ID
-	last    map[string]bool         // what the reading before named; nil: there was none
+	missing  map[string]absenceCount // by the worker's ID
+	previous map[string]bool         // IDs in the previous reading; nil if there was none
 }
 
-// reset forgets all readings: those of an earlier term as reader show nothing.
-func (a *absenceTracker) reset() { a.missing, a.last = nil, nil }
+// reset discards all readings, since readings of an earlier term as reader must not count.
+func (a *absenceTracker) reset() { a.missing, a.previous = nil, nil }
 
-// observe takes in a complete reading, and returns which of the known workers count as removed, in the order of known.
+// observe records a complete reading, and returns the known workers that count as removed, in the order of known.
 func (a *absenceTracker) observe(listed map[string]bool, known []string) (removed []string) {
-	steady := a.last != nil
-	for id := range a.last {
-		steady = steady && listed[id]
+	conclusive := a.previous != nil // and all previous entries are listed
+	for id := range a.previous {
+		conclusive = conclusive && listed[id]
 	}
 	missing := map[string]absenceCount{}
 	for _, id := range known {
@@ -39,14 +39,14 @@
 		}
 		count := a.missing[id]
 		count.all++
-		if steady || count.all == 1 {
-			count.steady++
+		if conclusive || count.all == 1 {
+			count.conclusive++
 		}
 		missing[id] = count
-		if count.steady >= removedAfter || count.all >= removedSurely {
+		if count.conclusive >= conclusiveAbsences || count.all >= maxAbsences {
 			removed = append(removed, id)
 		}
 	}
-	a.missing, a.last = missing, listed
+	a.missing, a.previous = missing, listed
 	return removed
 }
--- a/internal/control/instances/absence_test.go
+++ b/internal/control/instances/absence_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// removedAfterReadings lets readings of the list be observed, each a word of the one-letter names that it has, and returns
-// after which of them (from 1) the worker w counts as removed, or 0.
+// removedAfterReadings passes readings of the list to the tracker, each as a word of one-letter worker IDs. It returns the
+// number of the reading, from 1, after which the worker w counts as removed, or 0 if it never does.
 func removedAfterReadings(a *absenceTracker, known string, lists ...string) int {
 	for i, list := range lists {
 		listed := map[string]bool{}
@@ -23,44 +23,44 @@
 	return 0
 }
 
-func TestWorkerCountsAsRemovedAfterItsAbsence(t *testing.T) {
+func TestWorkerCountsAsRemovedAfterConsecutiveAbsences(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		lists   string
 		removed int
 	}{
-		{"it is listed", "abw abw abw abw abw", 0},
-		{"it has left", "abw ab ab ab", 4},
-		{"it has left for good, and others come", "abw ab abc abcd", 4},
-		{"it is back", "abw ab ab abw ab ab", 0},
-		{"others leave while the pages are read", "abcdw bcd cd d", 0},
-		{"others leave, then the list is steady", "abcdw bcd cd cd cd", 5},
-		{"others leave each time", "abcdefghijw bcdefghij cdefghij defghij efghij fghij ghij hij ij", 9},
+		{"listed worker", "abw abw abw abw abw", 0},
+		{"removed worker", "abw ab ab ab", 4},
+		{"removed worker while others join", "abw ab abc abcd", 4},
+		{"worker listed again after two readings", "abw ab ab abw ab ab", 0},
+		{"others are removed between the pages", "abcdw bcd cd d", 0},
+		{"others are removed, then the list is stable", "abcdw bcd cd cd cd", 5},
+		{"others are removed before each reading", "abcdefghijw bcdefghij cdefghij defghij efghij fghij ghij hij ij", 9},
 	} {
 		if after := removedAfterReadings(&absenceTracker{}, "abw", strings.Fields(c.lists)...); after != c.removed {
-			t.Errorf("%s (%s): removed after reading %d, want %d", c.name, c.lists, after, c.removed)
+			t.Errorf("%s (%s): w counts as removed after reading %d, want %d", c.name, c.lists, after, c.removed)
 		}
 	}
 }
 
-// TestAbsencesOfAnEarlierTermDoNotCount keeps that readings of a former term as reader do not count.
+// TestAbsencesOfAnEarlierTermDoNotCount checks that readings of an earlier term as reader don't count.
 func TestAbsencesOfAnEarlierTermDoNotCount(t *testing.T) {
 	a := &absenceTracker{}
 	removedAfterReadings(a, "abw", "ab", "ab")
 	a.reset()
 	if after := removedAfterReadings(a, "abw", "ab", "ab"); after != 0 {
-		t.Errorf("removed after reading %d of a new term", after)
+		t.Errorf("w counts as removed after reading %d of a new term, want never within two", after)
 	}
 	if after := removedAfterReadings(a, "abw", "ab"); after == 0 {
-		t.Error("not removed after three readings of one term")
+		t.Error("w does not count as removed after three readings of one term")
 	}
 }
 
-// TestPagedReadingsRemoveNoListedWorker reads a list in pages, one after the other, while entries leave it: no worker
-// that stays on it counts as removed.
+// TestPagedReadingsRemoveNoListedWorker reads a list page by page while entries are removed from it, and checks that no
+// worker that stays in the list counts as removed.
 func TestPagedReadingsRemoveNoListedWorker(t *testing.T) {
 	const page = 5
-	for leaving := range 3 { // how many entries of the first page leave between two pages
+	for removals := range 3 { // number of entries that are removed after the first page is read
 		list := []string{}
 		for i := range 60 {
 			list = append(list, fmt.Sprint("w", i))
@@ -74,16 +74,16 @@
 					listed[id] = true
 				}
 				if from == 0 {
-					list = list[leaving:]
+					list = list[removals:]
 				}
 			}
-			stays := map[string]bool{}
+			remaining := map[string]bool{}
 			for _, id := range list {
-				stays[id] = true
+				remaining[id] = true
 			}
 			for _, id := range a.observe(listed, known) {
-				if stays[id] {
-					t.Errorf("%d leave at a time: %s is listed and counts as removed", leaving, id)
+				if remaining[id] {
+					t.Errorf("%d removals per reading: %s is still listed but counts as removed", removals, id)
 				}
 			}
 		}
--- a/internal/control/instances/instances.go
+++ b/internal/control/instances/instances.go
@@ -1,10 +1,10 @@
-// Package instances compares what the platform's list of instances says with the replicated state.
+// Package instances compares the platform's instance list with the replicated state.
 //
-// It has no I/O and no clock: internal/control/instancelist reads the list, and whoever reads it hands each reading to a
-// Tracker, which returns the report that the replicated state is to apply (statemachine.InstancesChanged).
+// It has no I/O and no clock: internal/control/instancelist reads the list, and the reader passes each reading to a
+// Tracker, which returns the report for the replicated state (statemachine.InstancesChanged).
 //
-// Its invariants: a worker that drains is never reported as ready again, since only an older page can say so; and a worker
-// counts as removed only by complete readings of one reader's term.
+// Its invariants are that a draining worker is never reported as ready again, since only an outdated page can list it as
+// ready, and that a worker counts as removed only after complete readings of one reader's term.
 package instances
 
 import (
@@ -15,10 +15,10 @@
 	"yardflow/scheduling/job"
 )
 
-// stateDraining is the State of an entry whose worker is about to end.
+// stateDraining is the State of an entry whose worker will end soon.
 const stateDraining = "draining"
 
-// Entry is a worker in the platform's list, as its JSON names it.
+// Entry is a worker in the JSON of the platform's list.
 type Entry struct {
 	ID          string        `json:"Id"`
 	Service     string        `json:"Service"`
@@ -30,7 +30,7 @@
 	RemainingMs int64         `json:"RemainingMs"`
 }
 
-// Instance returns the entry as the replicated state has it.
+// Instance converts the entry to the type in the replicated state.
 func (e *Entry) Instance() statemachine.Instance {
 	instance := statemachine.Instance{ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
 		Labels: e.Labels, Capacity: e.Capacity, Draining: e.State == stateDraining}
@@ -40,20 +40,20 @@
 	return instance
 }
 
-// Reading is what one pass over the list's pages has brought.
+// Reading is the result of reading the list's pages once.
 type Reading struct {
 	Entries []Entry
 	Pages   int
-	Err     error // set: not all pages came
+	Err     error // set if not all pages were received
 }
 
-// Report is how a reading differs from the state.
+// Report contains the differences between a reading and the state.
 type Report struct {
 	Changed []statemachine.Instance // new, or listed with other values
 	Removed []string                // IDs of workers that are no longer listed
 }
 
-// IsEmpty reports whether the reading does not differ from the state.
+// IsEmpty reports whether there are no differences.
 func (r *Report) IsEmpty() bool { return len(r.Changed)+len(r.Removed) == 0 }
 
 // ChangedIDs returns the IDs of the workers that are new or listed with other values.
@@ -65,15 +65,15 @@
 	return ids
 }
 
-// Tracker compares the readings of one reader with the state. Its zero value is ready for the first reading of a term.
+// Tracker compares the readings of one reader with the state. Its zero value is ready for use in a new term as reader.
 type Tracker struct {
 	absences absenceTracker
 }
 
-// Reset forgets all readings: those of an earlier term as reader do not show that a worker has been removed.
+// Reset discards all readings, since readings of an earlier term as reader do not show that a worker has been removed.
 func (t *Tracker) Reset() { t.absences.reset() }
 
-// Observe takes in a complete reading and the workers that the state knows, and returns how they differ.
+// Observe records a complete reading, and returns its differences to the workers in the state.
 func (t *Tracker) Observe(reading *Reading, workers map[string]*statemachine.Worker) Report {
 	report := Report{}
 	listed := map[string]bool{}
@@ -93,8 +93,8 @@
 	return report
 }
 
-// upToDate reports whether the replicated state already has what the list says. A worker that has begun to drain goes on
-// draining, so a list that says otherwise is an older one.
+// upToDate reports whether a worker's instance in the replicated state already equals the one in the list. A worker that has
+// begun to drain stays draining until it ends, so a list in which it does not drain is an outdated one.
 func upToDate(known, read *statemachine.Instance) bool {
 	return known.Service == read.Service && known.Address == read.Address && known.Zone == read.Zone &&
 		known.Capacity == read.Capacity && (known.Draining || !read.Draining) && slices.Equal(known.Labels, read.Labels)
--- a/internal/control/instances/instances_test.go
+++ b/internal/control/instances/instances_test.go
@@ -13,7 +13,7 @@
 	"yardflow/scheduling/job"
 )
 
-// readyEntry returns what the list says of the worker w, with what change makes of it.
+// readyEntry returns the list's entry of the ready worker w, modified by change.
 func readyEntry(change func(*Entry)) Entry {
 	entry := Entry{ID: "w", Service: "s", Address: "a:1", Zone: "z", State: "ready",
 		Capacity: job.Resources{CPU: 4000, MemoryMB: 8000}, Labels: []string{"ssd"}}
@@ -21,7 +21,7 @@
 	return entry
 }
 
-// knownWorker returns the worker w as the state has it after a report of readyEntry, with what change makes of it.
+// knownWorker returns the worker w in the state after a report of readyEntry, modified by change.
 func knownWorker(change func(*statemachine.Worker)) *statemachine.Worker {
 	entry := readyEntry(func(*Entry) {})
 	worker := &statemachine.Worker{Instance: entry.Instance(), Owner: 7, Token: 3}
@@ -29,7 +29,7 @@
 	return worker
 }
 
-func TestWorkerIsReportedAsChangedWhereTheStateLacksWhatTheListSays(t *testing.T) {
+func TestWorkerIsReportedAsChangedIfTheStateDiffersFromTheList(t *testing.T) {
 	asListed := func(*Entry) {}
 	asKnown := func(*statemachine.Worker) {}
 	drains := func(remainingMs int64) func(*Entry) {
@@ -39,13 +39,13 @@
 	unlisted := func(w *statemachine.Worker) { w.Unlisted = true }
 	for _, c := range []struct {
 		name     string
-		known    *statemachine.Worker // nil: the state does not know it
+		known    *statemachine.Worker // nil: not in the state
 		listed   Entry
 		reported bool
 	}{
 		{"a new worker", nil, readyEntry(asListed), true},
-		{"a new worker that drains already", nil, readyEntry(drains(5000)), true},
-		{"a worker that is listed as it is known", knownWorker(asKnown), readyEntry(asListed), false},
+		{"a new worker that is draining", nil, readyEntry(drains(5000)), true},
+		{"an unchanged worker", knownWorker(asKnown), readyEntry(asListed), false},
 		{"a worker of another service", knownWorker(asKnown), readyEntry(func(e *Entry) { e.Service = "t" }), true},
 		{"a worker at another address", knownWorker(asKnown), readyEntry(func(e *Entry) { e.Address = "b:1" }), true},
 		{"a worker in another zone", knownWorker(asKnown), readyEntry(func(e *Entry) { e.Zone = "y" }), true},
@@ -53,16 +53,16 @@
 		{"a worker with another label", knownWorker(asKnown), readyEntry(func(e *Entry) { e.Labels = []string{"ssd", "gpu"} }), true},
 		{"a worker that has lost its labels", knownWorker(asKnown), readyEntry(func(e *Entry) { e.Labels = nil }), true},
 		{"a worker that starts to drain", knownWorker(asKnown), readyEntry(drains(5000)), true},
-		{"a worker that drains, with less time", knownWorker(knownToDrain), readyEntry(drains(5000)), false},
-		{"a worker that drains and is ready by an older page", knownWorker(knownToDrain), readyEntry(asListed), false},
-		{"a worker that was unlisted and is back", knownWorker(unlisted), readyEntry(asListed), true},
-		{"a worker that has ended and is listed still", knownWorker(func(w *statemachine.Worker) { w.Ended = true }),
+		{"a draining worker with less remaining time", knownWorker(knownToDrain), readyEntry(drains(5000)), false},
+		{"a draining worker that an outdated page lists as ready", knownWorker(knownToDrain), readyEntry(asListed), false},
+		{"an unlisted worker that is listed again", knownWorker(unlisted), readyEntry(asListed), true},
+		{"an ended worker that is still listed", knownWorker(func(w *statemachine.Worker) { w.Ended = true }),
 			readyEntry(asListed), false},
-		{"no labels in the state, empty ones on the list", knownWorker(func(w *statemachine.Worker) { w.Labels = nil }),
+		{"nil labels in the state, empty in the list", knownWorker(func(w *statemachine.Worker) { w.Labels = nil }),
 			readyEntry(func(e *Entry) { e.Labels = []string{} }), false},
-		{"empty labels in the state, none on the list", knownWorker(func(w *statemachine.Worker) { w.Labels = []string{} }),
+		{"empty labels in the state, nil in the list", knownWorker(func(w *statemachine.Worker) { w.Labels = []string{} }),
 			readyEntry(func(e *Entry) { e.Labels = nil }), false},
-		{"another state than the two that are known", knownWorker(asKnown), readyEntry(func(e *Entry) { e.State = "starting" }), false},
+		{"an unknown listed state", knownWorker(asKnown), readyEntry(func(e *Entry) { e.State = "starting" }), false},
 	} {
 		workers, want := map[string]*statemachine.Worker{}, Report{}
 		if c.known != nil {
@@ -73,24 +73,24 @@
 		}
 		got := (&Tracker{}).Observe(&Reading{Entries: []Entry{c.listed}, Pages: 1}, workers)
 		if difference := cmp.Diff(want, got); difference != "" {
-			t.Errorf("%s: the report differs (- wanted, + got):\n%s", c.name, difference)
+			t.Errorf("%s: the report differs (- want, + got):\n%s", c.name, difference)
 		}
 		if got.IsEmpty() == c.reported {
-			t.Errorf("%s: the report counts as empty: %v", c.name, got.IsEmpty())
+			t.Errorf("%s: IsEmpty of the report is %v", c.name, got.IsEmpty())
 		}
 	}
 }
 
-// A report names what is new in the order of the list, and what has gone in the order of the IDs, whatever the order of
-// the state: two readers that read the same report the same.
-func TestReportsNameWorkersInAFixedOrder(t *testing.T) {
+// TestReportsListWorkersInAFixedOrder checks that a report contains changed workers in the order of the list and removed
+// workers in the order of their IDs, independent of map order, so that two readers of the same list make equal reports.
+func TestReportsListWorkersInAFixedOrder(t *testing.T) {
 	tracker := &Tracker{}
 	for range 20 {
 		tracker.Reset()
 		workers := map[string]*statemachine.Worker{"d": {}, "c": {}, "a": {}, "b": {}}
 		reading := &Reading{Entries: []Entry{{ID: "z"}, {ID: "x"}, {ID: "y"}}}
 		report := Report{}
-		for range removedAfter {
+		for range conclusiveAbsences {
 			report = tracker.Observe(reading, workers)
 		}
 		if !slices.Equal(report.ChangedIDs(), []string{"z", "x", "y"}) || !slices.Equal(report.Removed, []string{"a", "b", "c", "d"}) {
@@ -99,23 +99,24 @@
 	}
 }
 
-// In the lists each word is a reading, a letter a worker; "|" is the begin of another term as reader.
-func TestWorkerIsReportedAsRemovedOnceThreeReadingsOfOneTermLackIt(t *testing.T) {
+// TestWorkerIsReportedAsRemovedAfterThreeAbsencesInOneTerm checks the reports of a sequence of readings. Each word is a
+// reading, each letter a worker, and "|" stands for the start of another term as reader.
+func TestWorkerIsReportedAsRemovedAfterThreeAbsencesInOneTerm(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		unlisted bool // the state knows already that w is not listed
+		unlisted bool // w is unlisted in the state already
 		readings string
-		removed  []int // the readings, from 1, whose reports name w as removed
+		removed  []int // numbers of the readings, from 1, whose reports contain w as removed
 	}{
-		{"it is listed", false, "aw aw aw aw aw", nil},
-		{"it is lacking twice", false, "aw a a aw a a", nil},
-		{"it has gone", false, "aw a a a", []int{4}},
-		{"it has gone before the first reading", false, "a a a", []int{3}},
-		{"it has gone, and a report is lost", false, "aw a a a a", []int{4, 5}},
-		{"the state knows that it has gone", true, "a a a a a", nil},
-		{"the term ends before the third reading", false, "aw a a | a a", nil},
-		{"the term ends, and the next one has three readings", false, "aw a a | a a a", []int{6}},
-		{"no worker is listed any more", false, "aw - - - -", []int{4, 5}},
+		{"listed worker", false, "aw aw aw aw aw", nil},
+		{"absent from two consecutive readings", false, "aw a a aw a a", nil},
+		{"removed worker", false, "aw a a a", []int{4}},
+		{"removed before the first reading", false, "a a a", []int{3}},
+		{"removed worker, and a report is lost", false, "aw a a a a", []int{4, 5}},
+		{"already unlisted in the state", true, "a a a a a", nil},
+		{"term ends before the third absence", false, "aw a a | a a", nil},
+		{"three absences in the next term", false, "aw a a | a a a", []int{6}},
+		{"no workers are listed", false, "aw - - - -", []int{4, 5}},
 	} {
 		tracker, removed, reading := &Tracker{}, []int(nil), 0
 		workers := map[string]*statemachine.Worker{"a": {Instance: statemachine.Instance{ID: "a"}},
@@ -132,7 +133,7 @@
 			}
 			removed = append(removed, reading)
 			if report.IsEmpty() {
-				t.Errorf("%s (%s): the report of reading %d counts as empty", c.name, c.readings, reading)
+				t.Errorf("%s (%s): IsEmpty is true for the report of reading %d", c.name, c.readings, reading)
 			}
 		}
 		if !slices.Equal(removed, c.removed) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// readingOf returns a reading that names workers by one letter each; "-" names none.
+// readingOf returns a reading with one worker per letter of word; "-" stands for none.
 func readingOf(word string) *Reading {
 	reading := &Reading{Pages: 1}
 	for _, id := range strings.Trim(word, "-") {
@@ -150,8 +151,8 @@
 	return reading
 }
 
-// The platform's JSON reaches the state with every field. A field that is added to the state's Instance and not filled by
-// the list fails here.
+// TestEveryFieldOfTheListReachesTheState checks that all fields of the state's Instance are set from the platform's JSON. It
+// fails if a field is added to Instance and not set from the list.
 func TestEveryFieldOfTheListReachesTheState(t *testing.T) {
 	entry := Entry{}
 	text := `{"Id":"w1","Service":"s","Address":"a:1","Zone":"z","State":"draining",
@@ -163,17 +164,18 @@
 	want := statemachine.Instance{ID: "w1", Service: "s", Address: "a:1", Zone: "z", Labels: []string{"ssd", "gpu"},
 		Capacity: job.Resources{CPU: 4000, MemoryMB: 8000, GPU: 2}, Draining: true, RemainingMs: 5000}
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Errorf("the state gets (- wanted, + got):\n%s", difference)
+		t.Errorf("the instance differs (- want, + got):\n%s", difference)
 	}
 	for fields, i := reflect.ValueOf(got), 0; i < fields.NumField(); i++ {
 		if fields.Field(i).IsZero() {
-			t.Errorf("the field %s stays empty", fields.Type().Field(i).Name)
+			t.Errorf("the field %s is not set", fields.Type().Field(i).Name)
 		}
 	}
 }
 
-// The remaining time of a worker that does not drain means nothing, and does not reach the state.
-func TestOnlyWorkersThatDrainHaveARemainingTime(t *testing.T) {
+// TestOnlyDrainingWorkersHaveARemainingTime checks that the remaining time of a worker that is not draining, which has no
+// meaning, is not passed to the state.
+func TestOnlyDrainingWorkersHaveARemainingTime(t *testing.T) {
 	for state, c := range map[string]struct {
 		draining    bool
 		remainingMs int64
