--- a/internal/control/instancelist/errors.go
+++ b/internal/control/instancelist/errors.go
@@ -5,17 +5,17 @@
 	"net/http"
 )
 
-// StatusError says that the platform refused a page of its list.
+// StatusError reports that the platform answered a request for a page with another HTTP status than 200.
 type StatusError struct {
-	Status int // of HTTP
+	Status int // HTTP status
 }
 
-// Error names the status, with the advice.
+// Error returns the status and the advice.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("the platform's list answers %d; %s", e.Status, e.Advice())
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *StatusError) Advice() string {
 	if e.Status == http.StatusTooManyRequests {
 		return "others read the list too: see who does, or raise Cloud.RatePerS at the platform"
@@ -23,17 +23,17 @@
 	return "check Cloud.Address and the platform"
 }
 
-// TooManyPagesError says that the list did not end.
+// TooManyPagesError reports that the list has more pages than a reading may have.
 type TooManyPagesError struct {
-	Pages int // the most that are read
+	Pages int // maximum number of pages that are read
 }
 
-// Error names the bound, with the advice.
+// Error returns the maximum and the advice.
 func (e *TooManyPagesError) Error() string {
 	return fmt.Sprintf("the platform's list has more than %d pages; %s", e.Pages, e.Advice())
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *TooManyPagesError) Advice() string {
 	return "check the platform: its last page has to say that no other follows"
 }
--- a/internal/control/instancelist/instancelist.go
+++ b/internal/control/instancelist/instancelist.go
@@ -1,5 +1,5 @@
-// Package instancelist reads the platform's list of instances over HTTP, page by page. It decides nothing: what a reading
-// shows is up to internal/control/instances.
+// Package instancelist reads the platform's list of instances over HTTP, page by page. It makes no decisions: package
+// internal/control/instances evaluates the readings.
 package instancelist
 
 import (
@@ -18,37 +18,39 @@
 	"yardflow/internal/control/instances"
 )
 
-// Bounds of a reading.
+// Limits of a reading.
 const (
 	pageTimeout  = 900 * time.Millisecond
 	maxPageBytes = 16 << 20
 	maxPages     = 1000
 )
 
-// slowReading is how long a reading may take before it is logged as slow: what it brings may be as old.
-const slowReading = time.Second
+// slowReadingThreshold is the duration above which a reading is logged as slow, since its first entries may be that old.
+const slowReadingThreshold = time.Second
 
-// LogReading logs a reading, as a warning where it failed or was slow: until the next one, workers that drain are given tasks.
+// LogReading logs a reading, as a warning if it failed or was slow: until the next one, tasks are still placed at workers
+// that have begun to drain.
 func LogReading(logger zerolog.Logger, reading *instances.Reading, took time.Duration) {
 	line := logger.Debug()
-	if reading.Err != nil || took > slowReading {
+	if reading.Err != nil || took > slowReadingThreshold {
 		line = logger.Warn()
 	}
 	line.Int("pages", reading.Pages).Int("listed", len(reading.Entries)).Dur("took_ms", took).Err(reading.Err).
 		Msg("instance list read")
 }
 
-// Pace of readings.
+// Limits of the rate of readings.
 const (
-	// minInterval is the time from the start of one reading to that of the next.
+	// minInterval is the minimum time between the starts of two consecutive readings.
 	minInterval = time.Second
-	// rateShare is the part of the calls that the platform takes (settings key Cloud.RatePerS) that readings use at most:
-	// the rest is for a second reader while the duty passes from one to the other.
+	// rateShare is the maximum share of the platform's rate limit (settings key Cloud.RatePerS) that a reader uses. The
+	// rest is for a second reader while the duty passes from one to the other.
 	rateShare = 0.5
 )
 
-// Interval returns the time from the start of a reading that had so many pages to that of the next. The platform takes
-// ratePerS calls a second from all machines together; 0: no rate is known.
+// Interval returns the time from the start of a reading with the given number of pages to the start of the next one.
+// ratePerS is the number of calls per second that the platform accepts from all machines together; 0 means that it is
+// unknown.
 func Interval(pages int, ratePerS float64) time.Duration {
 	if ratePerS <= 0 {
 		return minInterval
@@ -56,13 +58,13 @@
 	return max(minInterval, time.Duration(float64(pages)/(rateShare*ratePerS)*float64(time.Second)))
 }
 
-// Client reads the list. It may be used by one goroutine at a time, but for Close.
+// Client reads the list. It must be used by one goroutine at a time, except that Close may be called concurrently.
 type Client struct {
 	address string // host and port of the platform
 	http    *http.Client
 }
 
-// NewClient returns a client of the platform at an address, host and port, which it dials over the network.
+// NewClient returns a client of the platform at address, a host and port, which it dials over network.
 func NewClient(network frame.Network, address string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true,
 		DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
@@ -71,16 +73,16 @@
 	return &Client{address: address, http: &http.Client{Transport: transport}}
 }
 
-// Close closes the connection that is kept between two readings.
+// Close closes the idle connection that is kept open between readings.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// page is one page of the list, as its JSON names it.
+// page is the JSON of one page of the list.
 type page struct {
 	Instances []instances.Entry `json:"Instances"`
 	NextToken *string           `json:"NextToken"`
 }
 
-// Read reads all pages. Each may take pageTimeout.
+// Read reads all pages. Each page may take up to pageTimeout.
 func (c *Client) Read() instances.Reading {
 	reading := instances.Reading{}
 	token := ""
