--- a/internal/control/patch/patch.go
+++ b/internal/control/patch/patch.go
@@ -1,9 +1,9 @@
-// Package patch encodes a text as the difference to a base that its reader has already: copies of ranges of the base
-// and literal text, as in VCDIFF (RFC 3284). It is meant for configurations, JSON lists of hundreds of objects of which
-// few change at a time: for one changed route of 1,400, a test allows 400 bytes of literal text.
+// Package patch encodes a text as the difference to a base that its receiver already has, by copies of ranges of the base
+// and literal text, as in VCDIFF (RFC 3284). It is designed for configurations, which are JSON lists of hundreds of objects
+// of which few change at a time: for one changed route of 1,400, a test allows 400 bytes of literal text.
 //
-// It is pure and deterministic. A patch shows by its checksum that it was applied to the right base. The checksum is no
-// protection against an adversary.
+// The package is pure and deterministic. The checksum in a patch detects that it was applied to the wrong base, but does not
+// protect against an adversary.
 package patch
 
 import (
@@ -12,30 +12,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Patch makes a target text from a base by its instructions, in order. It is part of logged commands and of messages;
-// its CBOR keys never change.
+// Patch is a list of instructions that make a target text from a base, in order. It is part of logged commands and of
+// messages; its CBOR keys never change.
 type Patch struct {
 	Instructions []Instruction `cbor:"1,keyasint,omitempty"`
 	Checksum     uint64        `cbor:"2,keyasint"` // xxHash64 of the target
-	Size         int           `cbor:"3,keyasint"` // of the target, bytes
+	Size         int           `cbor:"3,keyasint"` // of the target, in bytes
 }
 
-// Instruction appends to the target: a copy of Length bytes of the base from Offset on, or the literal text where Length
-// is 0.
+// Instruction appends a copy of Length bytes of the base at Offset to the target, or the literal text if Length is 0.
 type Instruction struct {
 	Offset  int    `cbor:"1,keyasint,omitempty"` // bytes
 	Length  int    `cbor:"2,keyasint,omitempty"` // bytes
 	Literal []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// maxSize bounds the text that a patch may make: 64 MiB, twice the largest configuration that is accepted. Larger ones
-// are not applied, so that a damaged size allocates no more.
+// maxSize limits the target of a patch: 64 MiB, twice the largest configuration that is accepted. A patch with a larger size
+// is not applied, so that a damaged size can't cause a larger allocation.
 const maxSize = 64 << 20
 
-// Diff returns the patch that makes target from base. Both are split into blocks, and a block of the target that is in
-// the base is copied from its first occurrence there. Cost and memory are linear in both sizes.
+// Diff returns the patch that makes target from base. It splits both into blocks, and copies a block of the target that
+// occurs in the base from its first occurrence there. Time and memory are linear in both sizes.
 func Diff(base, target []byte) Patch {
-	offsets := map[string]int{} // first occurrence in the base by block
+	offsets := map[string]int{} // of the first occurrence in the base, by block
 	offset := 0
 	for _, block := range splitBlocks(base) {
 		if _, exists := offsets[string(block)]; !exists {
@@ -54,7 +53,7 @@
 	return patch
 }
 
-// appendCopy appends a range of the base, to the last instruction where it continues that one's range.
+// appendCopy appends the copy of a range of the base. It extends the last instruction if the range continues that one's.
 func (p *Patch) appendCopy(offset, length int) {
 	if last := p.last(); last != nil && last.Length > 0 && last.Offset+last.Length == offset {
 		last.Length += length
@@ -63,7 +62,7 @@
 	p.Instructions = append(p.Instructions, Instruction{Offset: offset, Length: length})
 }
 
-// appendLiteral appends text that the base lacks, to the last instruction where that is literal, too.
+// appendLiteral appends literal text. It extends the last instruction if that is literal too.
 func (p *Patch) appendLiteral(text []byte) {
 	if last := p.last(); last != nil && last.Length == 0 {
 		last.Literal = append(last.Literal, text...)
@@ -72,7 +71,7 @@
 	p.Instructions = append(p.Instructions, Instruction{Literal: bytes.Clone(text)})
 }
 
-// last returns the last instruction, or nil.
+// last returns the last instruction, or nil if there is none.
 func (p *Patch) last() *Instruction {
 	if len(p.Instructions) == 0 {
 		return nil
@@ -80,8 +79,8 @@
 	return &p.Instructions[len(p.Instructions)-1]
 }
 
-// Apply returns the text that the patch makes from the base. It is not ok where the base is not the one from which the
-// patch was made, or the patch is damaged.
+// Apply returns the text that the patch makes from the base. ok is false if the patch was made from another base or is
+// damaged.
 func (p *Patch) Apply(base []byte) (target []byte, ok bool) {
 	if p.Size < 0 || p.Size > maxSize {
 		return nil, false
@@ -97,7 +96,7 @@
 	return target, len(target) == p.Size && xxhash.Sum64(target) == p.Checksum
 }
 
-// text returns what the instruction appends. It is not ok where the range to copy is not in the base.
+// text returns the text that the instruction appends. ok is false if the range to copy is not in the base.
 func (i *Instruction) text(base []byte) (text []byte, ok bool) {
 	switch {
 	case i.Length == 0:
@@ -108,7 +107,7 @@
 	return base[i.Offset : i.Offset+i.Length], true
 }
 
-// splitBlocks splits a text before each brace that opens an object. Joined, the blocks are the text.
+// splitBlocks splits a text before each opening brace. The concatenated blocks are the text.
 func splitBlocks(text []byte) [][]byte {
 	var blocks [][]byte
 	for len(text) > 0 {
--- a/internal/control/patch/patch_test.go
+++ b/internal/control/patch/patch_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// routes returns a configuration of so many routes, one of which differs between versions.
-func routes(version, count, changed int) []byte {
+// makeConfiguration returns a configuration with count routes. The timeout of the route at index changed depends on the
+// version.
+func makeConfiguration(version, count, changed int) []byte {
 	text := fmt.Appendf(nil, `{"Version":%d,"Routes":[`, version)
 	for i := range count {
 		timeout := 3000
@@ -21,27 +22,27 @@
 }
 
 func TestPatchOfOneChangedRouteIsSmall(t *testing.T) {
-	base, target := routes(5, 1400, 3), routes(7, 1400, 900)
-	made := Diff(base, target)
-	got, ok := made.Apply(base)
+	base, target := makeConfiguration(5, 1400, 3), makeConfiguration(7, 1400, 900)
+	patch := Diff(base, target)
+	got, ok := patch.Apply(base)
 	if !ok || !bytes.Equal(got, target) {
 		t.Fatal("the patch does not make the target")
 	}
 	literal := 0
-	for _, instruction := range made.Instructions {
+	for _, instruction := range patch.Instructions {
 		literal += len(instruction.Literal)
 	}
-	if literal > 400 || len(made.Instructions) > 8 {
-		t.Errorf("%d bytes of literal text in %d instructions for one route of 1,400", literal, len(made.Instructions))
+	if literal > 400 || len(patch.Instructions) > 8 {
+		t.Errorf("%d bytes of literal text in %d instructions for one route of 1,400", literal, len(patch.Instructions))
 	}
 }
 
 func TestPatchAppliesToItsBaseOnly(t *testing.T) {
-	base, target := routes(5, 20, 3), routes(7, 21, 4)
-	made := Diff(base, target)
-	for _, other := range [][]byte{nil, routes(6, 20, 5), base[:len(base)-1]} {
-		if got, ok := made.Apply(other); ok && !bytes.Equal(got, target) {
-			t.Errorf("another base makes %q", got)
+	base, target := makeConfiguration(5, 20, 3), makeConfiguration(7, 21, 4)
+	patch := Diff(base, target)
+	for _, other := range [][]byte{nil, makeConfiguration(6, 20, 5), base[:len(base)-1]} {
+		if got, ok := patch.Apply(other); ok && !bytes.Equal(got, target) {
+			t.Errorf("the patch applies to another base, with result %q", got)
 		}
 	}
 }
@@ -49,26 +50,26 @@
 func TestPatchesOfRandomTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	text := func() []byte {
-		made := make([]byte, random.IntN(60))
-		for i := range made {
-			made[i] = `{}a,`[random.IntN(4)]
+		generated := make([]byte, random.IntN(60))
+		for i := range generated {
+			generated[i] = `{}a,`[random.IntN(4)]
 		}
-		return made
+		return generated
 	}
 	for range 20000 {
 		base, target := text(), text()
-		made := Diff(base, target)
-		if got, ok := made.Apply(base); !ok || !bytes.Equal(got, target) {
-			t.Fatalf("from %q to %q: %q", base, target, got)
+		patch := Diff(base, target)
+		if got, ok := patch.Apply(base); !ok || !bytes.Equal(got, target) {
+			t.Fatalf("the patch from %q to %q makes %q", base, target, got)
 		}
 	}
 }
 
-// FuzzApply applies damaged patches.
+// FuzzApply checks that applying a damaged patch does not panic.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"a":1}`), []byte(`{"b":2}`), 0, 7, 7)
 	f.Fuzz(func(t *testing.T, base, text []byte, from, length, size int) {
 		p := Patch{Instructions: []Instruction{{Offset: from, Length: length}, {Literal: text}}, Size: size}
-		p.Apply(base) // whatever it is, it ends without a panic
+		p.Apply(base)
 	})
 }
