--- a/internal/discovery/membership/catalog.go
+++ b/internal/discovery/membership/catalog.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// sourceState is what one source has reported.
+// sourceState holds the reports of one source.
 type sourceState struct {
 	Source
-	preference        int // position in Config.Sources; the lower the better
+	preference        int // index in Config.Sources; a lower one is preferred
 	records           map[string]*record
-	reported          bool      // it has reported anything
-	unresponsiveSince time.Time // zero: it responds
-	tombstones        int       // records whose State is Removed
+	reported          bool      // whether the source has reported anything
+	unresponsiveSince time.Time // zero while the source responds
+	tombstones        int       // number of records whose State is Removed
 }
 
-// Catalog holds what the sources have reported. It is not safe for concurrent use.
+// Catalog holds the reports of all sources, the bans and the connect failures. It is not
+// safe for concurrent use.
 type Catalog struct {
 	cfg             Config
 	sources         []*sourceState // in the order of preference
@@ -28,16 +29,16 @@
 	priorityLevels  map[string]*priorityLevel // by pool
 }
 
-// New makes an empty catalog. It returns the error of Config.Validate, if any.
+// New returns an empty catalog, and the error of Config.Validate, if any.
 func New(cfg Config) (*Catalog, error) {
 	c := &Catalog{banned: map[string]bool{}, connectFailures: map[string]failureRun{},
 		priorityLevels: map[string]*priorityLevel{}, byName: map[string]*sourceState{}}
 	return c, c.Configure(cfg)
 }
 
-// Configure replaces the configuration, or returns an error and changes nothing.
-// What a source has reported stays as long as its name does; a source that is no
-// longer configured takes its records and its tombstones with it.
+// Configure replaces the configuration. If the new one is invalid, Configure returns an
+// error and changes nothing. A source that keeps its name and Identity keeps its records;
+// the records of any other source are dropped, tombstones included.
 func (c *Catalog) Configure(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -58,20 +59,20 @@
 	return nil
 }
 
-// Update applies what a source reports: its complete list, or changed entries only.
-// Updates of one source must come in the order in which it made them. An entry
-// without a name or a usable address is skipped and named in the error; the others
-// are applied.
+// Update applies a report of a source: its complete list, or changed entries only.
+// Updates of one source must be applied in the order in which the source made them. An
+// entry without a usable name (an id, or except under ByID a target with an address) is
+// skipped and included in the error; the other entries are applied.
 func (c *Catalog) Update(now time.Time, source string, complete bool, workers []Worker) error {
 	src := c.byName[source]
 	if src == nil {
-		return fmt.Errorf("no source is called %q", source)
+		return fmt.Errorf("source %q is not configured", source)
 	}
 	var errs []error
 	seen := make(map[string]bool, len(workers))
 	for _, w := range workers {
 		if w.ID == "" && (w.Target == "" || w.Addr == "") || src.Identity == ByID && w.ID == "" {
-			errs = append(errs, fmt.Errorf("source %s: an entry at %q has no name", source, w.Addr))
+			errs = append(errs, fmt.Errorf("source %s: entry at %q has no usable name", source, w.Addr))
 			continue
 		}
 		key := w.key()
@@ -86,7 +87,7 @@
 	return errors.Join(errs...)
 }
 
-// applyEntry applies one entry.
+// applyEntry applies one entry of a report.
 func (s *sourceState) applyEntry(now time.Time, key string, w Worker) {
 	r := s.records[key]
 	if r == nil {
@@ -99,10 +100,10 @@
 			r.InferredStart = now
 		}
 	} else if s.InferStart && r.Addr != w.Addr {
-		r.InferredStart = now // the name stands for another process now
+		r.InferredStart = now // the name refers to another process now
 	}
 	if w.Addr == "" {
-		w.Addr = r.Addr // a removal may come without
+		w.Addr = r.Addr // a removal may omit the address
 	}
 	if w.State == Removed {
 		s.tombstones++
@@ -113,8 +114,8 @@
 	r.Worker, r.RetainedSince = w, time.Time{}
 }
 
-// addRecord adds the first report of a worker. A removal of an unknown worker makes
-// a tombstone only where the source has ids: others can't report a removal.
+// addRecord adds the first report of a worker. A removal of an unknown worker adds a
+// tombstone only if the source's Identity is ByID; other sources can't report a removal.
 func (s *sourceState) addRecord(now time.Time, key string, w Worker) {
 	if w.State == Removed && s.Identity != ByID {
 		return
@@ -129,26 +130,27 @@
 	}
 }
 
-// applyMissing removes or retains what a complete list lacks.
+// applyMissing removes or retains the workers that are missing from a complete list.
 func (c *Catalog) applyMissing(src *sourceState, now time.Time, seen map[string]bool) {
 	var missing []string
-	before := 0
+	total := 0
 	for _, key := range slices.Sorted(maps.Keys(src.records)) {
 		if src.records[key].State == Removed {
 			continue
 		}
-		before++
+		total++
 		if !seen[key] {
 			missing = append(missing, key)
 		}
 	}
-	// A roster says who is gone, a list of names only who is there: a name list that
-	// shrinks a lot at once may be a broken zone file, a roster is taken at its word.
-	retain := src.Identity != ByID && src.ShrinkHoldTime > 0 && float64(len(missing)) > src.ShrinkThreshold*float64(before)
+	// A roster reports which workers are gone, a list of names only which are present. A
+	// list of names that shrinks a lot at once may come from a broken zone file, so its
+	// missing workers are retained; those of a roster are removed at once.
+	retain := src.Identity != ByID && src.ShrinkHoldTime > 0 && float64(len(missing)) > src.ShrinkThreshold*float64(total)
 	for _, key := range missing {
 		r := src.records[key]
 		switch {
-		case !r.RetainedSince.IsZero() && now.Before(r.RetainedSince.Add(src.ShrinkHoldTime)): // retained already
+		case !r.RetainedSince.IsZero() && now.Before(r.RetainedSince.Add(src.ShrinkHoldTime)): // still retained
 		case retain && r.RetainedSince.IsZero():
 			r.RetainedSince = now
 		default:
@@ -158,8 +160,9 @@
 	}
 }
 
-// SetUnresponsive records that a source does not respond, as of now, or that it does
-// again. It does nothing for a source that is not configured.
+// SetUnresponsive records that a source does not respond since now, or that it responds
+// again. A source that is already unresponsive keeps its earlier time. SetUnresponsive
+// does nothing for a source that is not configured.
 func (c *Catalog) SetUnresponsive(now time.Time, source string, unresponsive bool) {
 	src := c.byName[source]
 	switch {
--- a/internal/discovery/membership/explain.go
+++ b/internal/discovery/membership/explain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Find returns the entry that goes by a name: its id, an address or a target.
+// Find returns the entry with a given name, which may be its id, an address or a target.
 func (l List) Find(name string) (Entry, bool) {
 	for _, e := range l.Entries {
 		if slices.Contains(e.names, name) {
@@ -16,18 +16,18 @@
 	return Entry{}, false
 }
 
-// Explain returns what each source reports of a worker, tombstones included, in the
-// order of preference; nil if no source knows the name.
+// Explain returns one text for each source's report about a worker, tombstones included,
+// in the order of preference. It returns nil if no source knows the name.
 func (c *Catalog) Explain(now time.Time, name string) []string {
 	m := c.newMerge(now)
-	m.collectStatements()
-	for _, id := range slices.Sorted(maps.Keys(m.statements)) {
+	m.collectViews()
+	for _, id := range slices.Sorted(maps.Keys(m.views)) {
 		var reports []string
 		found := id == name
-		for _, st := range m.statements[id] {
-			r := st.record
+		for _, v := range m.views[id] {
+			r := v.record
 			found = found || r.Addr == name || r.Target == name
-			text := st.reason + " at " + r.Addr
+			text := v.reason + " at " + r.Addr
 			if !r.ExpiresAt.IsZero() && r.State != Removed {
 				text += ", until " + clockText(r.ExpiresAt)
 			}
@@ -44,12 +44,12 @@
 type Summary struct {
 	Name                          string
 	Serving, Draining, Tombstones int
-	Retained                      int       // missing from its list, and not removed yet
-	Reported                      bool      // the source has reported anything
-	UnresponsiveSince             time.Time // zero: it responds
+	Retained                      int       // missing from the source's list, but not removed yet
+	Reported                      bool      // whether the source has reported anything
+	UnresponsiveSince             time.Time // zero while the source responds
 }
 
-// Summaries returns the figures of each source, in the order of preference.
+// Summaries returns the summary of each source, in the order of preference.
 func (c *Catalog) Summaries() []Summary {
 	var out []Summary
 	for _, src := range c.sources {
--- a/internal/discovery/membership/golden_test.go
+++ b/internal/discovery/membership/golden_test.go
@@ -7,8 +7,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden file was written at b99a1ea: a process hands its members to the one that takes over from it.
-func TestEncodingOfSavedMembersDoesNotChange(t *testing.T) {
+// A process hands its snapshot to its successor, so the encoding must not change. The golden file was written at b99a1ea.
+func TestEncodingOfSnapshotDoesNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "saved",
 		func(value map[string]savedSource) ([]byte, error) { return json.Marshal(value) },
 		func(data []byte, value *map[string]savedSource) error { return json.Unmarshal(data, value) })
--- a/internal/discovery/membership/identity.go
+++ b/internal/discovery/membership/identity.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// claimedID is the id that a record gives by itself, before addresses are compared.
+// claimedID returns the worker id that a record gives by itself, before its address is
+// compared with those of other sources.
 func (s *sourceState) claimedID(r *record) string {
 	switch s.Identity {
 	case ByHostPort:
@@ -20,8 +21,8 @@
 	return r.ID
 }
 
-// listedID is the id under which a record was last listed, as callers of
-// ObserveConnect know it.
+// listedID returns the id under which a record's worker is listed. Callers of
+// ObserveConnect use this id.
 func (c *Catalog) listedID(src *sourceState, r *record) string {
 	if src.Identity != ByHostPort {
 		return src.claimedID(r)
@@ -39,7 +40,7 @@
 	return src.claimedID(r)
 }
 
-// addressOwner is a worker that a source with ids has at an address.
+// addressOwner is a worker that a source with Identity ByID or ByLabel reports at an address.
 type addressOwner struct {
 	id         string
 	removed    bool
@@ -47,14 +48,14 @@
 	since      time.Time
 }
 
-// compare orders owners of one address by precedence: a live entry before a
-// tombstone, the preferred source first, the later report before the earlier.
+// compare orders the possible owners of one address by precedence: a live entry before
+// a tombstone, then by the preference of the sources, then the later report first.
 func (o addressOwner) compare(other addressOwner) int {
 	return cmp.Or(compareBool(o.removed, other.removed), cmp.Compare(o.preference, other.preference),
 		-o.since.Compare(other.since), strings.Compare(o.id, other.id))
 }
 
-// resolveAddresses finds which worker an address belongs to, for sources that name
+// resolveAddresses determines which worker owns each address, for sources that identify
 // workers by address alone.
 func (m *merge) resolveAddresses() {
 	owners := map[string]addressOwner{}
@@ -85,7 +86,8 @@
 	return 1
 }
 
-// rosterHas reports whether the roster has that id at that address, and not removed.
+// rosterHas reports whether the roster has an entry with this id and address that is not
+// removed.
 func (m *merge) rosterHas(id, addr string) bool {
 	roster := m.catalog.byName[RosterSource]
 	if roster == nil {
--- a/internal/discovery/membership/membership.go
+++ b/internal/discovery/membership/membership.go
@@ -1,36 +1,38 @@
-// Package membership merges what any number of named sources report about loan
+// Package membership merges the reports of any number of named sources about loan
 // workers into one list, with a reason for every entry.
 //
 // The merge rule, which applies to every source:
 //
 //   - A drain or a removal reported by a source that is authoritative for a worker
-//     takes effect at once over every source that still names the worker, and stays
-//     in effect (a tombstone) until that source itself names the worker as serving
-//     again or reports a later start. Another source that names it again, whatever
-//     the lifetime, does not lift it. The MergeRule says which sources are
-//     authoritative.
-//   - An operator's ban overrides all sources, under whichever of the worker's
-//     names it was given.
-//   - What a source has reported holds for its lifetime. While the source does not
-//     respond it holds on for the source's StaleTTL (serve-stale, RFC 8767), and
-//     then the worker is drained or kept, as KeepStale says. A worker that comes
-//     back after such a gap has not restarted.
-//   - A list of names that shrinks by more than ShrinkThreshold in one update is
-//     not trusted at once: what it lacks is retained for ShrinkHoldTime, while it
-//     answers connects. Sources that report drains (rosters) are never held back.
-//   - Workers of a worse priority are listed only while no worker of a better one in
-//     the same pool can serve: none is listed as serving, or each of them has failed
-//     FailureThreshold connects in a row, or one connect UnreachableAfter ago, and
-//     has answered nothing since (a failing worker soon receives few requests, so
-//     that a count alone would take long). They leave once one of the better has
-//     been able to serve for FailbackDelay.
-//   - An id is one worker. Two workers that claim one id are a fault; the one that
-//     claimed it first keeps it, and the other is not listed.
+//     takes effect at once and overrides every source that still names the worker. It
+//     stays in effect (a removal as a tombstone) until the same source names the worker
+//     as serving again, for example after a restart. Another source that names the
+//     worker again does not lift it, whatever the lifetime of its entry. The MergeRule
+//     defines which sources are authoritative.
+//   - An operator's ban overrides all sources. It may give any of the worker's names.
+//   - A source's entry is valid for its lifetime. While the source does not respond,
+//     the entry stays valid for the source's StaleTTL beyond that (serve-stale,
+//     RFC 8767); then the worker is drained or kept, depending on KeepStale. A worker
+//     that comes back after such a gap does not count as restarted.
+//   - If a list of names shrinks by more than ShrinkThreshold in one update, the
+//     missing workers are retained for ShrinkHoldTime, as long as they answer connects:
+//     the list may be broken. Sources that report drains (rosters) are exempt; their
+//     removals take effect at once.
+//   - Workers of a worse priority are on standby while any worker of a better priority
+//     in the same pool can serve. A worker cannot serve if it is not listed as serving,
+//     if its last FailureThreshold connects failed, or if one connect failed
+//     UnreachableAfter ago and the worker has not answered since. The time limit exists
+//     because a failing worker soon receives few requests, so that the count alone would
+//     take long. Workers return to standby once a worker of a better priority has been
+//     able to serve for FailbackDelay.
+//   - An id identifies one worker. If two workers claim one id, the first to claim it
+//     keeps it; the other is not listed, and the conflict is reported as a fault.
 //
-// The package does no I/O and has no clock, no randomness and no goroutine: time is
-// what the caller passes in. The list is a function of the reports, the bans and the
-// time, so reports of equal time from different sources may come in any order. A
-// tombstone is never dropped while another source still names the worker.
+// The package does no I/O and has no clock, no randomness and no goroutine: the caller
+// passes in the time. The list is a function of the reports, the bans, the results of
+// connects and the time, so reports of equal time from different sources may come in
+// any order. A tombstone that the merge rule uses is never dropped while another source
+// still names the worker.
 package membership
 
 import (
@@ -42,8 +44,8 @@
 // State is the state of a worker, as one source reports it or in the merged list.
 type State uint8
 
-// The states. A draining worker finishes what it has and gets nothing new. The
-// values are part of the snapshot that a process hands to its successor.
+// The states of a worker. A draining worker finishes its requests and receives no new
+// ones. The values are part of the snapshot that a process hands to its successor.
 const (
 	Serving State = iota
 	Draining
@@ -53,21 +55,22 @@
 // String returns the state as the console prints it.
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// MergeRule says which sources may add a worker, and which may take one out. Its
-// values are those of the operator's file.
+// MergeRule defines which sources may add a worker and which may remove one. Its values
+// are those of the operator's configuration file.
 type MergeRule string
 
-// The rules. Under RuleRosterVetoes every source may add, and the roster alone takes
-// out what it has named; a name that a list of names drops is out once no other
-// source has it. Under RuleAny every source may do both. Under RuleAll a worker needs
-// every source that has reported anything, and each may take it out.
+// The merge rules. Under RuleRosterVetoes every source may add workers, but only the
+// roster's drains and removals override other sources; a worker that a list of names
+// drops is removed once no other source names it. Under RuleAny every source may add and
+// remove workers. Under RuleAll a worker is listed as serving only if every source that
+// has reported names it, and each source may remove it.
 const (
 	RuleRosterVetoes MergeRule = "roster-vetoes"
 	RuleAny          MergeRule = "any"
 	RuleAll          MergeRule = "all"
 )
 
-// Identity says how an entry of a source is matched to a worker.
+// Identity selects how an entry of a source is matched to a worker.
 type Identity string
 
 // The identities: by the entry's own instance id, by its host:port, or by the
@@ -78,37 +81,38 @@
 	ByLabel    Identity = "target-label"
 )
 
-// RosterSource is the reserved name of the one source that reports drains.
+// RosterSource is the reserved name of the roster, the only source that reports drains.
 const RosterSource = "roster"
 
-// Source declares a source.
+// Source is the configuration of one source.
 type Source struct {
 	Name     string
 	Identity Identity
-	// StaleTTL is how long past its lifetime an entry holds while the source does
-	// not respond, 0 or more. With KeepStale it holds on after that too; else the
-	// worker is drained.
+	// StaleTTL is how long an entry stays valid past its lifetime while the source does
+	// not respond; 0 or more. After that the entry stays valid if KeepStale is set;
+	// otherwise the worker is drained.
 	StaleTTL  time.Duration
 	KeepStale bool
-	// ShrinkThreshold is the share of a list, over 0 to 1, by which it may shrink in
-	// one update without being held back; ShrinkHoldTime is for how long it is held
-	// back (0: not at all).
+	// ShrinkThreshold is the share of a list, greater than 0 and at most 1, that may be
+	// missing from one update. If more is missing, the missing workers are retained for
+	// ShrinkHoldTime (0: not at all).
 	ShrinkThreshold float64
 	ShrinkHoldTime  time.Duration
-	// InferStart: a name first seen in a later list than the first, or at another
-	// address, counts as started then, if no source reports its start.
+	// InferStart infers that a worker started when its name first appears in a list
+	// after the source's first one, or changes its address. The inferred start is not
+	// used if the first source that names the worker has Identity ByID.
 	InferStart bool
 }
 
 // Config is the configuration of a Catalog.
 type Config struct {
 	Rule             MergeRule
-	Sources          []Source // in the order of preference; the roster comes first
-	FailureThreshold int      // connects failed in a row that make a worker unable to serve; 1 or more
+	Sources          []Source // in the order of preference, the roster first
+	FailureThreshold int      // consecutive failed connects after which a worker cannot serve; 1 or more
 	FailbackDelay    time.Duration
 }
 
-// Validate reports a configuration under which no list can be made.
+// Validate returns an error if the configuration cannot be used.
 func (c *Config) Validate() error {
 	switch {
 	case c.Rule != RuleRosterVetoes && c.Rule != RuleAny && c.Rule != RuleAll:
@@ -121,7 +125,7 @@
 	seen := map[string]bool{}
 	for _, s := range c.Sources {
 		if seen[s.Name] {
-			return fmt.Errorf("source %q comes twice", s.Name)
+			return fmt.Errorf("source %q is configured twice", s.Name)
 		}
 		if err := s.validate(); err != nil {
 			return err
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// statement is what one record says of a worker at the moment of a merge.
-type statement struct {
+// sourceView is the evaluation of one record at the time of a merge.
+type sourceView struct {
 	source *sourceState
 	record *record
 	state  State  // Draining once the record is past its lifetime and StaleTTL
-	reason string // for Entry.Reason and Explain
-	named  bool   // its source names the worker now
+	reason string // text for Entry.Reason and Explain
+	named  bool   // whether the source currently names the worker
 }
 
-// merge is one computation of the list.
+// merge holds the data of one computation of the list.
 type merge struct {
-	catalog    *Catalog
-	now        time.Time
-	statements map[string][]statement // by worker id, in the order of preference of their sources
-	idByAddr   map[string]string      // of sources that have ids
-	list       List
+	catalog  *Catalog
+	now      time.Time
+	views    map[string][]sourceView // by worker id, in the order of preference of their sources
+	idByAddr map[string]string       // worker id by address, from sources that identify workers by id or label
+	list     List
 }
 
-// Merge computes the list as of now. It also ends retentions that are over and
-// forgets connect failures of workers that nobody reports any more.
+// Merge computes the list as of now. It also ends retentions that are over and drops the
+// connect failures of workers that no source reports any more.
 func (c *Catalog) Merge(now time.Time) List {
 	m := c.newMerge(now)
 	for _, src := range c.sources {
 		m.endRetention(src)
 	}
-	m.collectStatements()
-	for _, id := range slices.Sorted(maps.Keys(m.statements)) {
-		if e, ok := m.entry(id, m.statements[id]); ok {
+	m.collectViews()
+	for _, id := range slices.Sorted(maps.Keys(m.views)) {
+		if e, ok := m.entry(id, m.views[id]); ok {
 			m.list.Entries = append(m.list.Entries, e)
 		}
 	}
 	m.applyPriorities()
 	for id := range c.connectFailures {
-		if _, ok := m.statements[id]; !ok {
+		if _, ok := m.views[id]; !ok {
 			delete(c.connectFailures, id)
 		}
 	}
@@ -51,12 +51,12 @@
 }
 
 func (c *Catalog) newMerge(now time.Time) *merge {
-	return &merge{catalog: c, now: now, statements: map[string][]statement{}, idByAddr: map[string]string{}}
+	return &merge{catalog: c, now: now, views: map[string][]sourceView{}, idByAddr: map[string]string{}}
 }
 
-// collectStatements assigns every record to the worker it speaks of. Records are
-// taken in a fixed order, as the list may not depend on the order of reports.
-func (m *merge) collectStatements() {
+// collectViews assigns every record to its worker. It visits the records in a fixed
+// order, because the list must not depend on the order of reports.
+func (m *merge) collectViews() {
 	m.resolveAddresses()
 	for _, src := range m.catalog.sources {
 		for _, key := range slices.Sorted(maps.Keys(src.records)) {
@@ -69,21 +69,22 @@
 	m.list.Faults = append(m.list.Faults, fmt.Sprintf(format, args...))
 }
 
-// recheckAt notes a moment at which the list may change by itself.
+// recheckAt records a time at which the list may change without a new report.
 func (m *merge) recheckAt(at time.Time) {
 	if at.After(m.now) && (m.list.NextChange.IsZero() || at.Before(m.list.NextChange)) {
 		m.list.NextChange = at
 	}
 }
 
-// endRetention removes retained workers whose time is over, or that answer no
-// connects any more.
+// endRetention removes retained workers whose hold time is over or that no longer answer
+// connects.
 func (m *merge) endRetention(src *sourceState) {
 	for key, r := range src.records {
 		if r.RetainedSince.IsZero() {
 			continue
 		}
-		if end := r.RetainedSince.Add(src.ShrinkHoldTime); m.now.Before(end) && !m.catalog.unreachable(m.catalog.listedID(src, r)) {
+		if end := r.RetainedSince.Add(src.ShrinkHoldTime); m.now.Before(end) &&
+			!m.catalog.unreachable(m.catalog.listedID(src, r)) {
 			m.recheckAt(end)
 			continue
 		}
@@ -92,109 +93,111 @@
 	}
 }
 
-// assign adds a record's statement to the worker it speaks of. An entry whose claimed
-// id contradicts the roster is a fault, and is not listed.
+// assign adds the view of a record to its worker. An entry whose claimed id contradicts
+// the roster is a fault, and is not listed.
 func (m *merge) assign(src *sourceState, r *record) {
-	st := m.statement(src, r)
+	v := m.view(src, r)
 	id := src.claimedID(r)
 	switch owner, ok := m.idByAddr[r.Addr]; {
 	case !ok:
 	case src.Identity == ByHostPort:
 		id = owner
-	case src.Identity == ByLabel && owner != id && st.named && m.rosterHas(owner, r.Addr):
-		m.fault("%s: %s at %s claims the id %q, but the address is %q's in the roster: not listed", src.Name, r.Target, r.Addr, id, owner)
+	case src.Identity == ByLabel && owner != id && v.named && m.rosterHas(owner, r.Addr):
+		m.fault("%s: %s at %s claims the id %q, but the address is %q's in the roster: not listed",
+			src.Name, r.Target, r.Addr, id, owner)
 		return
 	}
-	m.statements[id] = append(m.statements[id], st)
+	m.views[id] = append(m.views[id], v)
 }
 
-// statement says what a record is worth now: as reported, retained, stale, or past
-// its stale time.
-func (m *merge) statement(src *sourceState, r *record) statement {
-	st := statement{source: src, record: r, state: r.State, named: r.State != Removed}
-	st.reason = fmt.Sprintf("%s: %s since %s", src.Name, r.State, clockText(r.Since))
+// view evaluates a record as of now: as reported, retained, stale, or past its stale
+// time.
+func (m *merge) view(src *sourceState, r *record) sourceView {
+	v := sourceView{source: src, record: r, state: r.State, named: r.State != Removed}
+	v.reason = fmt.Sprintf("%s: %s since %s", src.Name, r.State, clockText(r.Since))
 	switch {
 	case r.State == Removed:
 	case !r.RetainedSince.IsZero():
-		st.reason = fmt.Sprintf("%s: missing since %s, held: the list shrank too much at once", src.Name, clockText(r.RetainedSince))
+		v.reason = fmt.Sprintf("%s: missing since %s, held: the list shrank too much at once",
+			src.Name, clockText(r.RetainedSince))
 	case !r.ExpiresAt.IsZero() && m.now.Before(r.ExpiresAt):
 		m.recheckAt(r.ExpiresAt)
 	case !r.ExpiresAt.IsZero():
-		m.applyStaleness(&st)
+		m.applyStaleness(&v)
 	}
-	return st
+	return v
 }
 
-// applyStaleness applies serve-stale (RFC 8767) to the statement of a record that is
-// past its lifetime.
-func (m *merge) applyStaleness(st *statement) {
-	src, r := st.source, st.record
+// applyStaleness applies serve-stale (RFC 8767) to the view of a record that is past its
+// lifetime.
+func (m *merge) applyStaleness(v *sourceView) {
+	src, r := v.source, v.record
 	end := r.ExpiresAt.Add(src.StaleTTL)
-	lapsed := m.now.Sub(r.ExpiresAt).Truncate(time.Second)
+	expiredFor := m.now.Sub(r.ExpiresAt).Truncate(time.Second)
 	switch {
 	case m.now.Before(end):
 		m.recheckAt(end)
-		st.reason = fmt.Sprintf("%s: lapsed %v ago, kept: resolver silent", src.Name, lapsed)
+		v.reason = fmt.Sprintf("%s: lapsed %v ago, kept: resolver silent", src.Name, expiredFor)
 	case src.KeepStale:
-		st.reason = fmt.Sprintf("%s: lapsed %v ago, kept without end: resolver silent", src.Name, lapsed)
+		v.reason = fmt.Sprintf("%s: lapsed %v ago, kept without end: resolver silent", src.Name, expiredFor)
 	default:
-		st.state, st.named = Draining, false
-		st.reason = fmt.Sprintf("%s: lapsed %v ago, past its stale time of %v", src.Name, lapsed, src.StaleTTL)
+		v.state, v.named = Draining, false
+		v.reason = fmt.Sprintf("%s: lapsed %v ago, past its stale time of %v", src.Name, expiredFor, src.StaleTTL)
 	}
 }
 
 func clockText(t time.Time) string { return t.UTC().Format("15:04:05") }
 
-// authoritative reports whether a source may take a worker out that it has named.
+// authoritative reports whether a drain or removal by this source overrides other sources.
 func (m *merge) authoritative(src *sourceState) bool {
 	return m.catalog.cfg.Rule != RuleRosterVetoes || src.Identity == ByID
 }
 
-// deciding are the statements that decide a worker's entry; any may be nil.
-type deciding struct {
-	veto      *statement // the earliest by which an authoritative source takes the worker out
-	serving   *statement // of the first source that has the worker serving
-	lapsed    *statement // of the first source that had it serving, and is past its stale time
-	describes *statement // of the first source that names the worker; else lapsed
+// decision holds the views that determine a worker's entry; any may be nil.
+type decision struct {
+	veto    *sourceView // the earliest drain or removal by an authoritative source
+	serving *sourceView // the first that names the worker and is not a drain or removal
+	expired *sourceView // the first with the worker serving, but past its stale time
+	details *sourceView // the first that names the worker; else expired
 }
 
-func (m *merge) decide(statements []statement) (d deciding) {
-	for i := range statements {
-		st := &statements[i]
+func (m *merge) decide(views []sourceView) (d decision) {
+	for i := range views {
+		v := &views[i]
 		switch {
-		case st.record.State != Serving && m.authoritative(st.source):
-			if d.veto == nil || st.record.Since.Before(d.veto.record.Since) {
-				d.veto = st
+		case v.record.State != Serving && m.authoritative(v.source):
+			if d.veto == nil || v.record.Since.Before(d.veto.record.Since) {
+				d.veto = v
 			}
-		case st.named && d.serving == nil:
-			d.serving = st
-		case st.record.State == Serving && !st.named && d.lapsed == nil:
-			d.lapsed = st
+		case v.named && d.serving == nil:
+			d.serving = v
+		case v.record.State == Serving && !v.named && d.expired == nil:
+			d.expired = v
 		}
-		if st.named && d.describes == nil {
-			d.describes = st
+		if v.named && d.details == nil {
+			d.details = v
 		}
 	}
-	if d.describes == nil {
-		d.describes = d.lapsed
+	if d.details == nil {
+		d.details = d.expired
 	}
 	return d
 }
 
-// entry makes one worker's entry; false if no source names it any more.
-func (m *merge) entry(id string, statements []statement) (Entry, bool) {
-	statements = m.uncontested(id, statements)
+// entry returns the entry of one worker, and false if no source names the worker any more.
+func (m *merge) entry(id string, views []sourceView) (Entry, bool) {
+	views = m.dropConflictingClaims(id, views)
 	e := Entry{ID: id, names: []string{id}}
-	for i := range statements {
-		r := statements[i].record
+	for i := range views {
+		r := views[i].record
 		e.names = append(e.names, r.Addr)
 		if r.Target != "" {
 			e.names = append(e.names, r.Target)
 		}
 	}
-	d := m.decide(statements)
-	if d.describes == nil {
-		return e, false // tombstones alone
+	d := m.decide(views)
+	if d.details == nil {
+		return e, false // no source names the worker
 	}
 	switch {
 	case d.veto != nil:
@@ -202,12 +205,12 @@
 	case d.serving != nil:
 		e.SourceState, e.Reason = Serving, d.serving.reason
 	default:
-		e.SourceState, e.Reason = Draining, d.lapsed.reason
+		e.SourceState, e.Reason = Draining, d.expired.reason
 	}
 	if m.catalog.cfg.Rule == RuleAll && e.SourceState == Serving {
-		m.requireAllSources(&e, statements)
+		m.requireAllSources(&e, views)
 	}
-	m.fillDetails(&e, d.describes, statements)
+	m.fillDetails(&e, d.details, views)
 	e.State = e.SourceState
 	if slices.ContainsFunc(e.names, func(n string) bool { return m.catalog.banned[n] }) {
 		e.Banned, e.State, e.Reason = true, Draining, "operator: called out"
@@ -215,38 +218,38 @@
 	return e, true
 }
 
-// requireAllSources drains a worker that some source which has reported does not name.
-func (m *merge) requireAllSources(e *Entry, statements []statement) {
+// requireAllSources drains a worker unless every source that has reported anything names it.
+func (m *merge) requireAllSources(e *Entry, views []sourceView) {
 	for _, src := range m.catalog.sources {
-		if src.reported && !slices.ContainsFunc(statements, func(st statement) bool { return st.source == src && st.named }) {
+		if src.reported && !slices.ContainsFunc(views, func(v sourceView) bool { return v.source == src && v.named }) {
 			e.SourceState, e.Reason = Draining, src.Name+": does not name it, and the rule asks for all"
 			return
 		}
 	}
 }
 
-// fillDetails sets everything but the worker's state.
-func (m *merge) fillDetails(e *Entry, describes *statement, statements []statement) {
-	r := describes.record
+// fillDetails sets the fields of an entry that do not concern its state.
+func (m *merge) fillDetails(e *Entry, details *sourceView, views []sourceView) {
+	r := details.record
 	e.Addr, e.Zone, e.Kind, e.Cell, e.Weight, e.Priority = r.Addr, r.Zone, r.Kind, r.Cell, r.Weight, r.Priority
-	e.pool = describes.source.Name
-	if describes.source.Identity == ByID {
+	e.pool = details.source.Name
+	if details.source.Identity == ByID {
 		e.pool += " " + r.Kind
 	}
-	ranked := false
-	for i := range statements {
-		st := &statements[i]
-		if !st.named {
+	prioritySet := false
+	for i := range views {
+		v := &views[i]
+		if !v.named {
 			continue
 		}
-		if e.StartedAt = later(e.StartedAt, st.record.StartedAt); describes.source.Identity != ByID {
-			e.StartedAt = later(e.StartedAt, st.record.InferredStart)
+		if e.StartedAt = later(e.StartedAt, v.record.StartedAt); details.source.Identity != ByID {
+			e.StartedAt = later(e.StartedAt, v.record.InferredStart)
 		}
-		// Weights and priorities are comparable only among the names of one list.
-		if st.source.Identity != ByID && !ranked {
-			ranked, e.Priority, e.pool = true, st.record.Priority, st.source.Name
-			if describes.source.Identity != ByID || e.Weight == 0 {
-				e.Weight = st.record.Weight
+		// Weights and priorities are comparable only within one list of names.
+		if v.source.Identity != ByID && !prioritySet {
+			prioritySet, e.Priority, e.pool = true, v.record.Priority, v.source.Name
+			if details.source.Identity != ByID || e.Weight == 0 {
+				e.Weight = v.record.Weight
 			}
 		}
 	}
@@ -259,30 +262,32 @@
 	return a
 }
 
-// uncontested leaves out claims to an id that another worker had first, that is
-// another target at another address. Rosters name by id and contest nothing.
-func (m *merge) uncontested(id string, statements []statement) []statement {
-	var first *statement
-	for i := range statements {
-		st := &statements[i]
-		if st.source.Identity != ByLabel || !st.named {
+// dropConflictingClaims drops the views of workers that claim an id which another worker
+// claimed first. Two claims conflict if their addresses differ, and their targets or ports
+// differ too. Only entries identified by label can conflict.
+func (m *merge) dropConflictingClaims(id string, views []sourceView) []sourceView {
+	var first *sourceView
+	for i := range views {
+		v := &views[i]
+		if v.source.Identity != ByLabel || !v.named {
 			continue
 		}
-		if first == nil || cmp.Or(st.record.FirstNamed.Compare(first.record.FirstNamed), cmp.Compare(st.source.preference, first.source.preference),
-			strings.Compare(st.record.key(), first.record.key())) < 0 {
-			first = st
+		if first == nil || cmp.Or(v.record.FirstNamed.Compare(first.record.FirstNamed),
+			cmp.Compare(v.source.preference, first.source.preference),
+			strings.Compare(v.record.key(), first.record.key())) < 0 {
+			first = v
 		}
 	}
 	if first == nil {
-		return statements
+		return views
 	}
-	return slices.DeleteFunc(statements, func(st statement) bool {
-		contests := st.source.Identity == ByLabel && st.named && st.record.Addr != first.record.Addr &&
-			(st.record.Target != first.record.Target || port(st.record.Addr) != port(first.record.Addr))
-		if contests {
+	return slices.DeleteFunc(views, func(v sourceView) bool {
+		conflicts := v.source.Identity == ByLabel && v.named && v.record.Addr != first.record.Addr &&
+			(v.record.Target != first.record.Target || port(v.record.Addr) != port(first.record.Addr))
+		if conflicts {
 			m.fault("id %q: %s at %s (%s) claims it beside %s at %s (%s), who had it first: not listed",
-				id, st.record.Target, st.record.Addr, st.source.Name, first.record.Target, first.record.Addr, first.source.Name)
+				id, v.record.Target, v.record.Addr, v.source.Name, first.record.Target, first.record.Addr, first.source.Name)
 		}
-		return contests
+		return conflicts
 	})
 }
--- a/internal/discovery/membership/priorities.go
+++ b/internal/discovery/membership/priorities.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// priorityLevel is the hysteresis of one pool's priorities. Fail-over to a worse
-// priority is immediate, fail-back waits for Config.FailbackDelay, so that a worker
-// that comes and goes does not move the whole load each time.
+// priorityLevel is the hysteresis state of one pool's priorities. Fail-over to a worse
+// priority is immediate; fail-back waits for Config.FailbackDelay, so that a worker that
+// repeatedly fails and recovers does not move the whole load each time.
 type priorityLevel struct {
-	worstListed     int       // the worst priority that is listed
-	betterAbleSince time.Time // since when a better one can serve again; zero: it can't
+	worstListed     int       // the worst priority that is listed; worse ones are on standby
+	betterAbleSince time.Time // since when a better priority can serve again; zero if none can
 }
 
 // applyPriorities puts on standby the workers that a better priority of the same pool
@@ -37,7 +37,8 @@
 	}
 }
 
-// prioritiesThatCanServe says, by pool, of each priority whether a worker of it can serve.
+// prioritiesThatCanServe returns, by pool and priority, whether any worker of the priority
+// can serve.
 func (m *merge) prioritiesThatCanServe() map[string]map[int]bool {
 	canServe := map[string]map[int]bool{}
 	for _, e := range m.list.Entries {
@@ -50,8 +51,8 @@
 	return canServe
 }
 
-// worstNeeded is the best priority that can serve, or the worst there is where none
-// can: then all are listed.
+// worstNeeded returns the best priority that can serve. If none can, it returns the worst
+// priority, so that all are listed.
 func worstNeeded(canServe map[int]bool) int {
 	priorities := slices.Sorted(maps.Keys(canServe))
 	for _, p := range priorities {
@@ -62,8 +63,8 @@
 	return priorities[len(priorities)-1]
 }
 
-// updatePriorityLevel applies the hysteresis of a pool and returns the worst priority
-// that is listed.
+// updatePriorityLevel updates the hysteresis of a pool with the priority needed now, and
+// returns the worst priority that is listed.
 func (m *merge) updatePriorityLevel(pool string, needed int) int {
 	level := m.catalog.priorityLevels[pool]
 	if level == nil {
--- a/internal/discovery/membership/reachability.go
+++ b/internal/discovery/membership/reachability.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// UnreachableAfter is how long after one failed connect without an answer since a
-// worker counts as unable to serve, even below Config.FailureThreshold failures.
+// UnreachableAfter is the time after a failed connect at which a worker that has not
+// answered since counts as unable to serve, even below Config.FailureThreshold failures.
 const UnreachableAfter = time.Second
 
 // failureRun is a run of failed connects to one worker.
 type failureRun struct {
 	count int       // up to FailureThreshold + 1
-	since time.Time // the first of them
+	since time.Time // time of the first failure
 }
 
-// ObserveConnect records how a connect to a worker ended. It reports whether the
-// list may change because of it, now or UnreachableAfter later.
+// ObserveConnect records the result of a connect to a worker. It reports whether the list
+// may change as a result, now or UnreachableAfter later.
 func (c *Catalog) ObserveConnect(now time.Time, id string, answered bool) (changed bool) {
 	f := c.connectFailures[id]
 	switch {
@@ -31,13 +31,12 @@
 	return false
 }
 
-// unreachable reports whether so many connects failed in a row that the worker
-// counts as gone.
+// unreachable reports whether the last Config.FailureThreshold connects to a worker failed.
 func (c *Catalog) unreachable(id string) bool {
 	return c.connectFailures[id].count >= c.cfg.FailureThreshold
 }
 
-// cannotServe reports whether a worker is unreachable, or failed a connect
+// cannotServe reports whether a worker is unreachable, or failed a connect at least
 // UnreachableAfter ago and has not answered since.
 func (m *merge) cannotServe(id string) bool {
 	f := m.catalog.connectFailures[id]
--- a/internal/discovery/membership/snapshot.go
+++ b/internal/discovery/membership/snapshot.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// savedSource is one source in the snapshot, which is a JSON object of them by name.
-// A process hands it to the one that takes over, which may be of another version: the
-// keys stay.
+// savedSource is one source in the snapshot, which is a JSON object of savedSources by
+// name. A process hands the snapshot to its successor, which may be of another version,
+// so the JSON keys must not change.
 type savedSource struct {
 	Reported          bool      `json:"told"`
 	UnresponsiveSince time.Time `json:"silent,omitzero"`
 	Records           []*record `json:"records"`
 }
 
-// Snapshot returns all that the sources have reported, lifetimes and tombstones
-// included, for Restore.
+// Snapshot returns the records of all sources, including lifetimes and tombstones, in the
+// format that Restore reads.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	out := map[string]savedSource{}
 	for _, src := range c.sources {
@@ -31,19 +31,19 @@
 	return json.Marshal(out)
 }
 
-// Restore applies the Snapshot of another catalog. Sources that are not configured
-// here, or that have reported something here already, keep what they have: a report
-// of this process is newer than any of the process before. An error leaves the
-// catalog as it was.
+// Restore applies the Snapshot of another catalog. It skips sources that are not
+// configured here, and sources that have already reported here: a report to this process
+// is newer than any report to its predecessor. If Restore returns an error, the catalog is
+// unchanged.
 func (c *Catalog) Restore(snapshot []byte) error {
 	var in map[string]savedSource
 	if err := json.Unmarshal(snapshot, &in); err != nil {
-		return fmt.Errorf("membership state: %w", err)
+		return fmt.Errorf("membership snapshot: %w", err)
 	}
 	for name, s := range in {
 		for i, r := range s.Records {
 			if r == nil || r.key() == "" || r.State > Removed {
-				return fmt.Errorf("membership state: %s: records[%d] can't be read", name, i)
+				return fmt.Errorf("membership snapshot: %s: records[%d] is invalid", name, i)
 			}
 		}
 	}
--- a/internal/discovery/membership/tombstones.go
+++ b/internal/discovery/membership/tombstones.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// maxTombstones bounds the tombstones of one source, a few hundred bytes of memory
-// each. Past it the oldest that no other source names are forgotten, down to three
-// quarters of the bound, so that not every update has to prune.
+// maxTombstones bounds the tombstones of one source; each takes a few hundred bytes of
+// memory. Above the bound, the oldest tombstones of workers that no other source names are
+// dropped until three quarters of the bound remain, so that not every update has to prune.
 const maxTombstones = 8192
 
-// markRemoved makes a record a tombstone.
+// markRemoved turns a record into a tombstone.
 func (s *sourceState) markRemoved(now time.Time, r *record) {
 	r.State, r.Since, r.RetainedSince = Removed, now, time.Time{}
 	s.tombstones++
 }
 
-// dropUnneededTombstone forgets a tombstone that the rule would never look at.
+// dropUnneededTombstone drops a tombstone that the merge rule ignores: under
+// RuleRosterVetoes, that of a source whose Identity is not ByID.
 func (c *Catalog) dropUnneededTombstone(src *sourceState, key string, r *record) {
 	if r.State == Removed && src.Identity != ByID && c.cfg.Rule == RuleRosterVetoes {
 		delete(src.records, key)
@@ -26,9 +27,9 @@
 	}
 }
 
-// pruneTombstones forgets the oldest tombstones past the bound. One whose id or
-// address another source still names stays, whatever its age: without it that source
-// would bring the worker back.
+// pruneTombstones drops the oldest tombstones of a source that has more than
+// maxTombstones. A tombstone whose id or address another source still names is kept
+// regardless of its age: without it that source would bring the worker back.
 func (c *Catalog) pruneTombstones(src *sourceState) {
 	if src.tombstones <= maxTombstones {
 		return
