--- a/internal/discovery/srv/answer.go
+++ b/internal/discovery/srv/answer.go
@@ -1,8 +1,8 @@
 package srv
 
-// Reading of answers: chains of aliases, lifetimes, negative answers and additional
-// addresses. Nothing here does I/O, and nothing panics on anything that a server may
-// send (FuzzDecode).
+// This file reads answers: chains of CNAMEs, lifetimes, negative answers and the
+// addresses in the additional section. It does no I/O, and does not panic on any message
+// that a server may send (FuzzDecode).
 
 import (
 	"errors"
@@ -15,33 +15,33 @@
 	"github.com/miekg/dns"
 )
 
-// maxAliases bounds a chain of CNAMEs, so that a loop ends. RFC 1034 names no figure;
-// resolvers in wide use follow 8 to 16.
+// maxAliases bounds the length of a chain of CNAMEs, so that a loop ends. RFC 1034
+// specifies no limit; widely used resolvers follow 8 to 16.
 const maxAliases = 8
 
-var errAliasLoop = errors.New("a chain of CNAMEs without end")
+var errAliasLoop = errors.New("the chain of CNAMEs is a loop or too long")
 
 // Record is one SRV record with the address of its target.
 type Record struct {
-	Target           string // in lower case, without the last dot
+	Target           string // in lower case, without the trailing dot
 	Addr             netip.AddrPort
 	Priority, Weight uint16
-	ExpiresAt        time.Time // the end of its lifetime
+	ExpiresAt        time.Time // end of its lifetime
 }
 
-// rrset is what one message says of one name and type.
+// rrset is the answer of one message to a name and type.
 type rrset struct {
 	records    []dns.RR
-	ttl        time.Duration // the least of the chain's and the records'
-	negative   bool          // the name, or the type at it, does not exist
-	continueAt string        // the chain leaves the message: look this name up next
-	aliases    int           // followed so far
+	ttl        time.Duration // the minimum of the chain's and the records' TTLs
+	negative   bool          // the name does not exist, or has no records of the type
+	continueAt string        // the name to look up next, if the chain leaves the message
+	aliases    int           // CNAMEs followed so far
 }
 
-// noTTL stands for no lifetime read yet: more than any that a TTL can have.
+// noTTL is the initial value for a minimum of TTLs, greater than any TTL.
 const noTTL time.Duration = 1 << 62
 
-// ttlDuration converts a TTL: one with the highest bit set counts as 0 (RFC 2181, 8).
+// ttlDuration converts a TTL. A TTL with the highest bit set counts as 0 (RFC 2181, 8).
 func ttlDuration(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 {
 		return 0
@@ -49,12 +49,12 @@
 	return time.Duration(ttl) * time.Second
 }
 
-// readAnswer takes out of a message what it says of name and kind, along its chain of
-// CNAMEs. aliases is how many were followed in messages before.
-func readAnswer(m *dns.Msg, name string, kind uint16, aliases int) (rrset, error) {
+// readAnswer reads a message's answer for name and qtype, following its chain of CNAMEs.
+// aliases is the number of CNAMEs followed in earlier messages.
+func readAnswer(m *dns.Msg, name string, qtype uint16, aliases int) (rrset, error) {
 	out := rrset{ttl: noTTL, aliases: aliases}
 	for {
-		alias := out.addRecords(m, name, kind)
+		alias := out.addRecords(m, name, qtype)
 		if len(out.records) > 0 {
 			return out, nil
 		}
@@ -68,7 +68,7 @@
 		name = alias.Target
 	}
 	if out.aliases > aliases && m.Rcode == dns.RcodeSuccess && !hasSOA(m) {
-		out.continueAt = name // the rest of the chain is another server's
+		out.continueAt = name // another server has the rest of the chain
 		return out, nil
 	}
 	out.negative = true
@@ -76,15 +76,15 @@
 	return out, nil
 }
 
-// addRecords adds the records of name and kind in a message's answer section, and
+// addRecords adds the records of name and qtype from a message's answer section, and
 // returns the name's CNAME, if it has one.
-func (s *rrset) addRecords(m *dns.Msg, name string, kind uint16) (alias *dns.CNAME) {
+func (s *rrset) addRecords(m *dns.Msg, name string, qtype uint16) (alias *dns.CNAME) {
 	for _, rr := range m.Answer {
 		h := rr.Header()
 		if h.Class != dns.ClassINET || !strings.EqualFold(h.Name, name) {
 			continue
 		}
-		if h.Rrtype == kind {
+		if h.Rrtype == qtype {
 			s.records = append(s.records, rr)
 			s.ttl = min(s.ttl, ttlDuration(h.Ttl))
 		} else if c, ok := rr.(*dns.CNAME); ok {
@@ -98,8 +98,8 @@
 	return slices.ContainsFunc(m.Ns, func(rr dns.RR) bool { return rr.Header().Rrtype == dns.TypeSOA })
 }
 
-// negativeTTL is how long a negative answer holds: the lesser of the SOA's own lifetime and its
-// last field (RFC 2308, 5); 0 without one.
+// negativeTTL returns the lifetime of a negative answer: the minimum of the SOA's own TTL and
+// its MINIMUM field (RFC 2308, 5), or 0 without an SOA.
 func negativeTTL(m *dns.Msg) time.Duration {
 	for _, rr := range m.Ns {
 		if soa, ok := rr.(*dns.SOA); ok {
@@ -109,12 +109,12 @@
 	return 0
 }
 
-// canonicalName is a target in lower case and without the last dot.
+// canonicalName returns a target in lower case and without the trailing dot.
 func canonicalName(target string) string { return strings.ToLower(strings.TrimSuffix(target, ".")) }
 
-// readServices reads the SRV records of a set, of which there may be at most limit.
-// Some servers send a record twice; "." as the one target says that there is no such
-// service (RFC 2782).
+// readServices returns the SRV records of a set without duplicates, which some servers
+// send, or an error if there are more than limit. A single target "." means that the
+// service does not exist (RFC 2782).
 func readServices(s rrset, limit int) ([]*dns.SRV, error) {
 	var out []*dns.SRV
 	seen := map[dns.SRV]bool{}
@@ -135,13 +135,14 @@
 	}
 	out = slices.DeleteFunc(out, func(r *dns.SRV) bool { return r.Target == "." || r.Port == 0 })
 	if len(out) > limit {
-		return nil, fmt.Errorf("%d records are more than the %d that are taken", len(out), limit)
+		return nil, fmt.Errorf("%d records exceed the limit of %d", len(out), limit)
 	}
 	return out, nil
 }
 
-// readAddresses reads A or AAAA records, in ascending order and each once. Unspecified
-// and multicast addresses are no address of a service.
+// readAddresses returns the addresses of A or AAAA records in ascending order, without
+// duplicates. It skips unspecified and multicast addresses, which cannot be those of a
+// service.
 func readAddresses(records []dns.RR) []netip.Addr {
 	var out []netip.Addr
 	for _, rr := range records {
@@ -161,13 +162,13 @@
 	return slices.Compact(out)
 }
 
-// readGlue reads the addresses of targets out of the additional section. Records of
-// names that are not wanted may be cache poisoning, and are not kept.
-func readGlue(m *dns.Msg, wanted map[string]bool, kind uint16) map[string]rrset {
+// readGlue reads the address records of targets from the additional section. It ignores
+// records of names that are not wanted, since they may be cache poisoning.
+func readGlue(m *dns.Msg, wanted map[string]bool, qtype uint16) map[string]rrset {
 	out := map[string]rrset{}
 	for _, rr := range m.Extra {
 		h := rr.Header()
-		if name := canonicalName(h.Name); h.Rrtype == kind && h.Class == dns.ClassINET && wanted[name] {
+		if name := canonicalName(h.Name); h.Rrtype == qtype && h.Class == dns.ClassINET && wanted[name] {
 			s, ok := out[name]
 			if !ok {
 				s.ttl = noTTL
--- a/internal/discovery/srv/client.go
+++ b/internal/discovery/srv/client.go
@@ -16,15 +16,15 @@
 	"github.com/miekg/dns"
 )
 
-// Counters are figures since the resolver was made.
+// Counters count events since the resolver was created.
 type Counters struct {
 	Questions, OverTCP                                            atomic.Int64
 	MismatchedID, MismatchedQuestion, MismatchedServer, Malformed atomic.Int64 // datagrams dropped
 	TimedOut, Refused, ServerFailed, BrokenChains                 atomic.Int64
-	Unresolved                                                    atomic.Int64 // targets left out for want of an address
+	Unresolved                                                    atomic.Int64 // targets left out: they have no address
 }
 
-// Dropped counts datagrams that were not taken for an answer.
+// Dropped returns the number of datagrams that were not accepted as an answer.
 func (c *Counters) Dropped() int64 {
 	return c.MismatchedID.Load() + c.MismatchedQuestion.Load() + c.MismatchedServer.Load() + c.Malformed.Load()
 }
@@ -33,27 +33,27 @@
 type server struct {
 	addr           netip.AddrPort
 	retryDelay     *backoff.ExponentialBackOff
-	unhealthyUntil time.Time // it is asked after the others until then
+	unhealthyUntil time.Time // until then it is queried after the healthy ones
 }
 
-// An unhealthy server is asked first again after a delay that is drawn from 0 to 1 s
-// after the first failure, and from 0 to 30 s after many.
+// A server that failed is unhealthy for a random delay: from 0 to twice
+// firstUnhealthyDelay after the first failure, and from 0 to maxUnhealthyDelay after many.
 const (
 	firstUnhealthyDelay = time.Second
 	maxUnhealthyDelay   = 30 * time.Second
 )
 
-// client puts questions to a list of servers.
+// client queries a list of name servers.
 type client struct {
-	timeout  time.Duration // of one question to one server, over UDP and TCP each
+	timeout  time.Duration // of one query to one server, for UDP and for TCP each
 	counters *Counters
 
 	mu      sync.Mutex // guards the servers' health
 	servers []*server
 }
 
-// newFullJitter makes a backoff with full jitter: each delay is drawn uniformly from
-// nothing to twice its step, and the steps double up to limit/2.
+// newFullJitter returns a backoff with full jitter: each delay is drawn uniformly from 0
+// to twice its step. The first step is first, and the steps double up to limit/2.
 func newFullJitter(first, limit time.Duration) *backoff.ExponentialBackOff {
 	b := &backoff.ExponentialBackOff{InitialInterval: first, RandomizationFactor: 1, Multiplier: 2, MaxInterval: limit / 2}
 	b.Reset()
@@ -68,9 +68,8 @@
 	return c
 }
 
-// serversByHealth returns the servers in the order in which they are to be asked: as
-// configured, the unhealthy last, of these the one that is to be asked again soonest
-// first.
+// serversByHealth returns the servers in the order in which to query them: the healthy
+// ones as configured, then the unhealthy ones by the end of their delay.
 func (c *client) serversByHealth(now time.Time) []*server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,14 +100,14 @@
 	s.unhealthyUntil = now.Add(s.retryDelay.NextBackOff())
 }
 
-// query puts one question to the servers in turn until one answers. NXDOMAIN and
-// an answer without records are answers. The error says what each server did.
-func (c *client) query(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
+// query sends one question to the servers in turn until one answers. NXDOMAIN and an
+// answer without records count as answers. The error contains the failure of each server.
+func (c *client) query(ctx context.Context, name string, qtype uint16) (*dns.Msg, error) {
 	var errs []error
 	for _, s := range c.serversByHealth(time.Now()) {
-		m, err := c.queryServer(ctx, s, name, kind, true)
+		m, err := c.queryServer(ctx, s, name, qtype, true)
 		if err == nil && (m.Rcode == dns.RcodeFormatError || m.Rcode == dns.RcodeNotImplemented) {
-			m, err = c.queryServer(ctx, s, name, kind, false) // a server from before EDNS (RFC 6891, 7)
+			m, err = c.queryServer(ctx, s, name, qtype, false) // the server does not support EDNS (RFC 6891, 7)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -125,12 +124,12 @@
 		c.recordResult(s, time.Now(), false)
 		errs = append(errs, fmt.Errorf("%v: %w", s.addr, err))
 	}
-	return nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, errors.Join(errs...))
+	return nil, fmt.Errorf("%s %s: %w", dns.TypeToString[qtype], name, errors.Join(errs...))
 }
 
-// queryServer asks one server over UDP, and again over TCP if the answer was truncated.
-func (c *client) queryServer(ctx context.Context, s *server, name string, kind uint16, edns bool) (*dns.Msg, error) {
-	q := question(name, kind, edns)
+// queryServer queries one server over UDP, and again over TCP if the answer is truncated.
+func (c *client) queryServer(ctx context.Context, s *server, name string, qtype uint16, edns bool) (*dns.Msg, error) {
+	q := newQuery(name, qtype, edns)
 	c.counters.Questions.Add(1)
 	ctx, stop := context.WithTimeout(ctx, c.timeout)
 	defer stop()
@@ -139,14 +138,14 @@
 		return m, err
 	}
 	c.counters.OverTCP.Add(1)
-	return c.queryTCP(ctx, s.addr, question(name, kind, edns))
+	return c.queryTCP(ctx, s.addr, newQuery(name, qtype, edns))
 }
 
-// countError counts a failure by its cause, and returns it.
+// countError counts an error by its cause, and returns it.
 func (c *client) countError(err error) error {
-	var slow net.Error
+	var netErr net.Error
 	switch {
-	case errors.As(err, &slow) && slow.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		c.counters.TimedOut.Add(1)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		c.counters.Refused.Add(1)
--- a/internal/discovery/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -1,13 +1,13 @@
-// Package srv finds loan workers in DNS SRV records (RFC 2782) and keeps what it
-// found fresh.
+// Package srv finds loan workers in DNS SRV records (RFC 2782) and refreshes the records
+// before they expire.
 //
 // A Resolver looks a service up, then the addresses of its targets, and looks each up
-// again at a random moment before its lifetime ends, so that many dispatchers never
-// ask in step. Messages are a library's (miekg/dns); sockets, time-outs, which server
-// is asked first and what is not taken for an answer are this package's.
+// again at a random time before its lifetime ends, so that many dispatchers do not query
+// in lockstep. The library miekg/dns encodes and decodes messages; this package handles
+// sockets, timeouts, the order of the servers and the validation of answers.
 //
-// The package never reports half a list as a whole one, never takes an answer that
-// does not match its question, and never asks the system's own resolver.
+// The package never reports a partial answer as a complete list, never accepts an answer
+// that does not match its question, and never uses the system's own resolver.
 package srv
 
 import (
@@ -23,28 +23,28 @@
 	"yardflow/internal/platform/timers"
 )
 
-// Config says which service to resolve, and how.
+// Config is the configuration of a Resolver.
 type Config struct {
 	Service string           // the full name, such as _loans._tcp.example.cz.
 	Servers []netip.AddrPort // name servers, in the order of preference
-	Timeout time.Duration    // of one question to one server
-	// MinTTL and MaxTTL bound lifetimes: a TTL of 0 would be asked for without end,
-	// one of 68 years would never be asked for again.
+	Timeout time.Duration    // of one query to one server
+	// MinTTL and MaxTTL bound lifetimes: a record with a TTL of 0 would be looked up
+	// continuously, one with a TTL of 68 years never again.
 	MinTTL, MaxTTL time.Duration
-	StaleTTL       time.Duration // how long an address is used past its lifetime while none can be had (RFC 8767)
-	AddressTypes   []uint16      // dns.TypeA, dns.TypeAAAA; the first that has an address counts
-	MaxRecords     int           // a longer list is refused whole
+	StaleTTL       time.Duration // how long an expired address is used while look-ups fail (RFC 8767)
+	AddressTypes   []uint16      // dns.TypeA or dns.TypeAAAA; the first type that has an address is used
+	MaxRecords     int           // a longer list is rejected as a whole
 }
 
-// Update is the result of a round. Without Err it is the whole list; with it
-// nothing new is known, and the list of the Update before still holds.
+// Update is the result of a round of look-ups. If Err is nil, Records is the complete
+// list. Otherwise the list of the previous Update remains in effect.
 type Update struct {
 	Records []Record
 	Err     error
 	At      time.Time
 }
 
-// Resolver resolves one service. Run owns all of it but Counters.
+// Resolver resolves one service. Only Run may access its fields, except for Counters.
 type Resolver struct {
 	Counters Counters // may be read at any time
 
@@ -56,10 +56,10 @@
 	servicesRefreshAt time.Time
 	servicesKnown     bool
 	addresses         map[string]*cachedAddresses // by target
-	addressInUse      map[string]netip.Addr       // by target; kept while it is one of the target's
+	addressInUse      map[string]netip.Addr       // by target; kept while the target still has this address
 }
 
-// New makes a resolver; Run runs it.
+// New returns a resolver, which Run runs.
 func New(cfg Config) *Resolver {
 	r := &Resolver{cfg: cfg, addresses: map[string]*cachedAddresses{}, addressInUse: map[string]netip.Addr{}}
 	r.client = newClient(cfg.Servers, cfg.Timeout, &r.Counters)
@@ -67,17 +67,17 @@
 }
 
 const (
-	// After a failed round the next begins minRoundGap later, and up to
-	// firstRetryDelay, doubled up to maxRetryDelay, beyond that.
+	// After a failed round the next begins after minRoundGap plus a random delay: from 0 to
+	// twice firstRetryDelay at first, doubled with each failure up to maxRetryDelay.
 	firstRetryDelay = 250 * time.Millisecond
 	maxRetryDelay   = 10 * time.Second
-	// minRoundGap is the least time between two rounds, whatever the lifetimes.
+	// minRoundGap is the minimum time between two rounds, regardless of the lifetimes.
 	minRoundGap = 50 * time.Millisecond
 )
 
-// Run resolves until ctx ends, and calls notify after each round. Rounds after a
-// success come before the first lifetime ends, at a moment drawn each time; rounds
-// after a failure come after a backoff with full jitter.
+// Run resolves until ctx ends, and calls notify after each round. After a successful round
+// the next begins at a random time before the first lifetime ends; after a failed one it
+// begins after a backoff with full jitter.
 func (r *Resolver) Run(ctx context.Context, notify func(Update)) {
 	retryDelay := newFullJitter(firstRetryDelay, maxRetryDelay)
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// sleep waits, and reports false if ctx ended first.
+// sleep waits for d, and reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(timers.Positive(d))
 	defer t.Stop()
@@ -110,38 +110,39 @@
 	}
 }
 
-// clampTTL bounds a lifetime by MinTTL and MaxTTL.
+// clampTTL limits a lifetime to the range from MinTTL to MaxTTL.
 func (r *Resolver) clampTTL(ttl time.Duration) time.Duration {
 	return min(max(ttl, r.cfg.MinTTL), r.cfg.MaxTTL)
 }
 
-// refreshTime draws when to look up again what holds for ttl: after 60 to 85% of it.
-// The rest leaves time for retries before the end.
+// refreshTime returns a random time at which to look up again a record whose lifetime is
+// ttl: after 60 to 85% of it. The rest leaves time for retries before the lifetime ends.
 func refreshTime(now time.Time, ttl time.Duration) time.Time {
 	return now.Add(time.Duration(float64(ttl) * (0.6 + 0.25*rand.Float64())))
 }
 
-// refresh looks up whatever is due and makes the list. next is when the first thing
-// cached is due again.
+// refresh looks up all records whose refresh time has come, and returns the list. next is
+// the time of the earliest next refresh.
 func (r *Resolver) refresh(ctx context.Context) (records []Record, next time.Time, err error) {
 	additional, err := r.refreshServices(ctx)
 	if err != nil {
 		return nil, next, err
 	}
 	if err := r.resolveTargets(ctx, additional); err != nil {
-		r.servicesRefreshAt = time.Time{} // no list was reported: look all of it up again
+		r.servicesRefreshAt = time.Time{} // no list is reported, so look the services up again
 		return nil, next, err
 	}
 	now := time.Now()
-	records, next = r.list()
-	if least := now.Add(minRoundGap); next.Before(least) {
-		next = least
+	records, next = r.currentRecords()
+	if earliest := now.Add(minRoundGap); next.Before(earliest) {
+		next = earliest
 	}
 	return records, next, nil
 }
 
-// refreshServices looks the SRV records up if they are due. The message returned may
-// have the targets' addresses as additional records; it is nil if nothing was due.
+// refreshServices looks the SRV records up if their refresh time has come. The message
+// returned may have the targets' addresses as additional records; it is nil if there was
+// no look-up.
 func (r *Resolver) refreshServices(ctx context.Context) (*dns.Msg, error) {
 	if now := time.Now(); r.servicesKnown && now.Before(r.servicesRefreshAt) {
 		return nil, nil
@@ -155,13 +156,14 @@
 		return nil, err
 	}
 	now, ttl := time.Now(), r.clampTTL(set.ttl)
-	r.services, r.servicesKnown, r.servicesExpireAt, r.servicesRefreshAt = services, true, now.Add(ttl), refreshTime(now, ttl)
+	r.services, r.servicesKnown, r.servicesExpireAt, r.servicesRefreshAt =
+		services, true, now.Add(ttl), refreshTime(now, ttl)
 	return m, nil
 }
 
-// list makes the list of all targets that have an address, and says when the first
-// of what it consists of is due again.
-func (r *Resolver) list() (records []Record, next time.Time) {
+// currentRecords returns the records of all targets that have an address, and the time of
+// the earliest next refresh.
+func (r *Resolver) currentRecords() (records []Record, next time.Time) {
 	next = r.servicesRefreshAt
 	for _, s := range r.services {
 		name := canonicalName(s.Target)
@@ -184,27 +186,28 @@
 		if c.expiresAt.Before(expiresAt) {
 			expiresAt = c.expiresAt
 		}
-		records = append(records, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port), Priority: s.Priority, Weight: s.Weight, ExpiresAt: expiresAt})
+		records = append(records, Record{Target: name, Addr: netip.AddrPortFrom(addr, s.Port),
+			Priority: s.Priority, Weight: s.Weight, ExpiresAt: expiresAt})
 	}
 	return records, next
 }
 
-// lookup asks for a name and follows its chain of aliases over as many messages as it
-// takes. The set's lifetime is the least of the whole chain.
-func (r *Resolver) lookup(ctx context.Context, name string, kind uint16) (rrset, *dns.Msg, error) {
+// lookup looks a name up and follows its chain of CNAMEs, over several messages if
+// necessary. The set's lifetime is the minimum over the whole chain.
+func (r *Resolver) lookup(ctx context.Context, name string, qtype uint16) (rrset, *dns.Msg, error) {
 	ttl := noTTL
 	for aliases := 0; ; {
-		m, err := r.client.query(ctx, name, kind)
+		m, err := r.client.query(ctx, name, qtype)
 		if err != nil {
 			return rrset{}, nil, err
 		}
-		set, err := readAnswer(m, name, kind, aliases)
+		set, err := readAnswer(m, name, qtype, aliases)
 		if err == nil && set.continueAt != "" && set.aliases >= maxAliases {
 			err = errAliasLoop
 		}
 		if err != nil {
 			r.Counters.BrokenChains.Add(1)
-			return rrset{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[kind], name, err)
+			return rrset{}, nil, fmt.Errorf("%s %s: %w", dns.TypeToString[qtype], name, err)
 		}
 		ttl = min(ttl, set.ttl)
 		if set.ttl = ttl; set.continueAt == "" {
--- a/internal/discovery/srv/targets.go
+++ b/internal/discovery/srv/targets.go
@@ -9,26 +9,27 @@
 	"github.com/miekg/dns"
 )
 
-// cachedAddresses are the addresses of one target; none for a negative answer.
+// cachedAddresses holds the addresses of one target; none after a negative answer.
 type cachedAddresses struct {
 	addrs     []netip.Addr
 	expiresAt time.Time
 	refreshAt time.Time // when to look the target up again
 }
 
-// cacheAddresses makes a cache entry of addresses that hold for ttl from now on.
+// cacheAddresses returns a cache entry of addresses that expire ttl after now.
 func (r *Resolver) cacheAddresses(now time.Time, addrs []netip.Addr, ttl time.Duration) *cachedAddresses {
 	ttl = r.clampTTL(ttl)
 	return &cachedAddresses{addrs, now.Add(ttl), refreshTime(now, ttl)}
 }
 
-// maxConcurrentQueries bounds how many targets are looked up at once, and so the
-// sockets of a resolver.
+// maxConcurrentQueries bounds the number of targets that are looked up concurrently, and
+// with it the number of sockets of a resolver.
 const maxConcurrentQueries = 8
 
-// resolveTargets makes sure that every target has addresses that are fresh, or as
-// fresh as can be had. additional is the answer that listed the targets, nil if that
-// was cached. An error means that no server answered.
+// resolveTargets refreshes the addresses of all targets whose refresh time has come.
+// additional is the message that listed the targets; it is nil if they were cached. A
+// target whose look-up fails keeps its stale addresses. resolveTargets returns an error if
+// ctx ended or no look-up succeeded.
 func (r *Resolver) resolveTargets(ctx context.Context, additional *dns.Msg) error {
 	targets := map[string]bool{}
 	for _, s := range r.services {
@@ -39,23 +40,23 @@
 	if additional != nil {
 		r.cacheGlue(now, additional, targets)
 	}
-	var due []string
+	var toRefresh []string
 	for name := range targets {
 		if c := r.addresses[name]; c == nil || !now.Before(c.refreshAt) {
-			due = append(due, name)
+			toRefresh = append(toRefresh, name)
 		}
 	}
 	l := &targetLookups{resolver: r, slots: make(chan struct{}, maxConcurrentQueries)}
 	if additional != nil {
-		l.succeeded++ // the list itself
+		l.succeeded++ // the look-up of the list itself
 	}
-	l.run(ctx, due)
+	l.run(ctx, toRefresh)
 	if ctx.Err() != nil || l.failed == 0 {
 		return ctx.Err()
 	}
-	// Where nobody answered, nothing is known; the next round looks the list up too.
-	// Where somebody did, a target that could not be resolved is at fault itself, and is
-	// left out until it has an address.
+	// If no look-up succeeded, the servers are at fault; the next round looks the list up
+	// too. Otherwise the targets that could not be resolved are at fault themselves, and are
+	// left out once their addresses are too old, until they resolve again.
 	if l.succeeded == 0 {
 		return l.lastErr
 	}
@@ -72,7 +73,8 @@
 	}
 }
 
-// cacheGlue caches the addresses that came with the list, which saves their look-ups.
+// cacheGlue caches the addresses that the answer with the list contains, which saves
+// looking them up.
 func (r *Resolver) cacheGlue(now time.Time, m *dns.Msg, targets map[string]bool) {
 	for i := len(r.cfg.AddressTypes) - 1; i >= 0; i-- { // the first type overwrites the others
 		for name, set := range readGlue(m, targets, r.cfg.AddressTypes[i]) {
@@ -83,8 +85,8 @@
 	}
 }
 
-// targetLookups looks targets up side by side. mu guards its figures and the
-// resolver's addresses while run runs.
+// targetLookups looks targets up concurrently. While run is running, mu guards the counts,
+// lastErr and the resolver's addresses.
 type targetLookups struct {
 	resolver *Resolver
 	slots    chan struct{}
@@ -94,9 +96,9 @@
 	lastErr           error
 }
 
-// run looks targets up and returns once all have ended. It begins no more of them
-// once as many as run at once have failed and nothing was ever answered: the rest
-// need not each wait for servers that do not answer.
+// run looks targets up and returns once all look-ups have ended. It starts no more of them
+// after maxConcurrentQueries failures without any success, so that not every target waits
+// for servers that do not answer.
 func (l *targetLookups) run(ctx context.Context, names []string) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -128,8 +130,8 @@
 	l.resolver.addresses[name] = c
 }
 
-// serveStale keeps the addresses of targets that could not be looked up in use until
-// StaleTTL past their lifetime (RFC 8767), and tries such targets again soon.
+// serveStale keeps the addresses of targets that could not be looked up until StaleTTL
+// past their lifetime (RFC 8767), and schedules an early retry for these targets.
 func (r *Resolver) serveStale(now time.Time, targets map[string]bool) {
 	retryAt := now.Add(r.cfg.MinTTL / 2)
 	for name := range targets {
@@ -145,11 +147,11 @@
 	}
 }
 
-// lookupAddresses looks a target's addresses up, one type after the other.
+// lookupAddresses looks a target's addresses up, one type after another until one has any.
 func (r *Resolver) lookupAddresses(ctx context.Context, name string) (*cachedAddresses, error) {
 	ttl := noTTL
-	for _, kind := range r.cfg.AddressTypes {
-		set, _, err := r.lookup(ctx, dns.Fqdn(name), kind)
+	for _, qtype := range r.cfg.AddressTypes {
+		set, _, err := r.lookup(ctx, dns.Fqdn(name), qtype)
 		if err != nil {
 			return nil, err
 		}
