--- a/internal/discovery/backoff/backoff.go
+++ b/internal/discovery/backoff/backoff.go
@@ -1,63 +1,63 @@
-// Package backoff works out how long a dispatcher waits before a call at the list
-// service, and how long such a call may last, where many dispatchers share the service.
+// Package backoff computes how long a dispatcher waits before a call to the list service,
+// and how long such a call may wait at the service, which many dispatchers share.
 //
 // Dispatchers can't coordinate their calls. The service handles calls in turn and fails
-// those that have waited too long, and a call that fails has taken its turn all the
-// same. Beyond its capacity nearly every call fails: with 80 dispatchers that called at
-// will 393 calls failed in 15 s, and none succeeded in the last 13 s of them. So the
-// delay before a call grows with the number of dispatchers, is drawn over its whole
-// length, and doubles with each failure.
+// those that have waited too long, and a call that fails has used its turn all the same.
+// Above the service's capacity nearly every call fails: with 80 dispatchers that called
+// without delays, 393 calls failed in 15 s, and none succeeded in the last 13 s of them. So
+// the delay before a call grows with the number of dispatchers, is random, and doubles with
+// each failure.
 //
-// A watch that stands is continued at once, without a delay: that is no new call and
-// costs the service only the lines that it sends (80 dispatchers and a list that changes
-// every 0.5 s: 162 answers in a second, none failed). With a pause in between, each
-// change would cost a call from each dispatcher, and changes in the 200 ms after an
-// answer count as notified although nobody was listening.
+// An open watch is continued without a delay: that is not a new call and costs the service
+// only the lines that it sends (80 dispatchers and a list that changes every 0.5 s: 162
+// answers in a second, none failed). With a delay in between, each change would cost one
+// call per dispatcher, and changes in the 200 ms after an answer would count as notified
+// although no dispatcher was listening.
 //
-// Where an update is due by a stated time (what a service that has moved has to report
-// counts as notified some seconds after the move), the delay is drawn over what is left
-// of that time.
+// If an update has a deadline, the delay is drawn from the time left until the deadline.
+// After the service has moved, for example, what it has to report counts as notified some
+// seconds after the move.
 //
-// All functions are pure: the caller passes a draw, uniform in [0, 1), and the time that
-// is left. That is why the backoff library of package srv does not serve here. The
-// decision module has delays of its own; the caller waits for the later of both. Whether
-// to call at all is the module's decision, never this package's.
+// All functions are pure: the caller passes a random draw, uniform in [0, 1), and the time
+// left. That is why the backoff library of package srv is not used here. The decision module
+// has delays of its own; the caller waits for the later of both. The module decides whether
+// to call at all, never this package.
 package backoff
 
 import "time"
 
-// Spreading of calls over the dispatchers.
+// Parameters of the time over which the dispatchers' calls are spread.
 const (
 	// FewDispatchers is the number up to which dispatchers need not spread their calls.
 	FewDispatchers = 6
-	// timePerDispatcher is the time of the service that one dispatcher's first call may
-	// take. Until it is answered the dispatcher has only an old list, so it is short.
+	// timePerDispatcher is the service time reserved for one dispatcher's first call. It is
+	// short because a dispatcher has only an old list until that call is answered.
 	timePerDispatcher = 75 * time.Millisecond
 	// maxSpread bounds the time over which calls are spread.
 	maxSpread = 7 * time.Second
-	// maxFirstSpread bounds it for first calls: nothing new is dispatched until their end.
+	// maxFirstSpread bounds it for first calls, until whose end no new work is dispatched.
 	maxFirstSpread = 3 * time.Second
 )
 
-// spreadTime is the time over which the dispatchers' calls are spread.
+// spreadTime returns the time over which the dispatchers' calls are spread.
 func spreadTime(dispatchers int) time.Duration {
 	return min(time.Duration(max(dispatchers-FewDispatchers, 0))*timePerDispatcher, maxSpread)
 }
 
-// BeforeFirstCall is the delay before the first call after a start, as many dispatchers
-// may have started together: 0 to 3 s; none for few.
+// BeforeFirstCall returns the delay before the first call after a start: 0 to 3 s, as many
+// dispatchers may have started together; none for few dispatchers.
 func BeforeFirstCall(dispatchers int, draw float64) time.Duration {
 	return time.Duration(draw * float64(min(spreadTime(dispatchers), maxFirstSpread)))
 }
 
-// assumedCallTime is what a call is assumed to take while none has been measured, and
-// the least that is left for one before its update is due.
+// assumedCallTime is the minimum time that is reserved for a call before the deadline of its
+// update, also while no call has been measured.
 const assumedCallTime = 1500 * time.Millisecond
 
-// BeforeFirstCallWithin is the delay before the first call whose update is due within
-// left, as after the service has moved. It leaves time for the call itself: twice
-// callTime, which is how long calls have lately taken (0: none was measured), so that a
-// slow service is called sooner.
+// BeforeFirstCallWithin returns the delay before the first call if its update has a deadline
+// in left, for example after the service has moved. It reserves time for the call itself:
+// twice callTime, the duration of a recent call (0 if none was measured), so that a slow
+// service is called sooner.
 func BeforeFirstCallWithin(dispatchers int, left, callTime time.Duration, draw float64) time.Duration {
 	if dispatchers <= FewDispatchers {
 		return 0
@@ -65,67 +65,70 @@
 	return time.Duration(draw * float64(min(spreadTime(dispatchers), max(left-max(assumedCallTime, 2*callTime), 0))))
 }
 
-// MaxDeadlineRetries is how many retries of many dispatchers are made by the time their
-// update is due. Beyond them the service is not slow but overloaded, and BeforeRetry
-// spares it.
+// MaxDeadlineRetries is the number of retries that one of many dispatchers makes by the
+// deadline of its update. After that many failures the service is not slow but overloaded,
+// and the longer delays of BeforeRetry apply.
 const MaxDeadlineRetries = 4
 
-// RetriesWithinDeadline reports whether the n-th retry (1 or more) is made by the time
-// its update is due.
+// RetriesWithinDeadline reports whether the n-th retry (1 or more) is made by the deadline
+// of its update.
 func RetriesWithinDeadline(dispatchers, n int) bool {
 	return dispatchers <= FewDispatchers || n <= MaxDeadlineRetries
 }
 
-// firstRetryStep is half of the mean delay before the first retry of few dispatchers;
-// it doubles up to four times.
+// firstRetryStep is half of the mean delay before the first retry of few dispatchers. It
+// doubles with each retry, up to four times.
 const firstRetryStep = 50 * time.Millisecond
 
-// BeforeRetryWithin is the delay before the n-th retry in a row (1 or more) whose update
-// is due within left. It leaves enough for the retry to fail as well, if it takes as
-// long as the last call, which took took. Few dispatchers wait for 50 ms to 2 s, many
-// draw over all that there is.
-func BeforeRetryWithin(dispatchers, n int, left, took time.Duration, draw float64) time.Duration {
-	limit := max(left-took*5/4, left/8)
+// BeforeRetryWithin returns the delay before the n-th consecutive retry (1 or more) if its
+// update has a deadline in left. It leaves enough time for the retry to fail too, if that
+// takes as long as the last call, lastCallTime. Few dispatchers wait for 50 ms to 1.2 s; for
+// many the delay is drawn from the whole time that remains, up to the spread of their calls.
+func BeforeRetryWithin(dispatchers, n int, left, lastCallTime time.Duration, draw float64) time.Duration {
+	limit := max(left-lastCallTime*5/4, left/8)
 	if dispatchers <= FewDispatchers {
 		return min(time.Duration((0.5+draw)*float64(firstRetryStep<<min(n, 4))), limit)
 	}
 	return time.Duration(draw * float64(min(spreadTime(dispatchers), limit)))
 }
 
-// Bounds of the doubling in BeforeRetry.
+// Bounds of the doubling in BeforeRetry, before jitter.
 const (
-	// earlyRetryLimit bounds it after one and two failures.
+	// earlyRetryLimit is the bound after one and two failures. It doubles with each further
+	// failure.
 	earlyRetryLimit = 15 * time.Second
-	// retryLimit bounds it from the third on. A service that still fails is not slow but
-	// overloaded: with 300 dispatchers and 5 calls a second delays of 15 s kept it so for
-	// good (288 dispatchers without a list after a minute).
+	// retryLimit is the bound after any number of failures. A service that still fails after
+	// two is not slow but overloaded: with 300 dispatchers and a capacity of 5 calls a second,
+	// delays of 15 s kept it overloaded permanently (288 dispatchers without a list after a
+	// minute).
 	retryLimit = 2 * time.Minute
 )
 
-// BeforeRetry is the delay after the given number of failed calls in a row (1 or more)
-// where no update is due by a stated time: 0 to 21 s, from the third on up to 168 s;
-// none for few dispatchers, since the decision module's own delay has passed by then.
-func BeforeRetry(dispatchers, failed int, draw float64) time.Duration {
-	limit := min(earlyRetryLimit<<min(max(failed-2, 0), 8), retryLimit)
-	return time.Duration((0.6 + 0.8*draw) * float64(min(spreadTime(dispatchers)<<min(failed, 8), limit)))
+// BeforeRetry returns the delay after the given number of consecutive failures (1 or more)
+// if no update has a deadline: up to 21 s after one and two failures, up to 168 s after more.
+// Few dispatchers don't wait, since the decision module's own delay has passed by then.
+func BeforeRetry(dispatchers, failures int, draw float64) time.Duration {
+	limit := min(earlyRetryLimit<<min(max(failures-2, 0), 8), retryLimit)
+	return time.Duration((0.6 + 0.8*draw) * float64(min(spreadTime(dispatchers)<<min(failures, 8), limit)))
 }
 
 const (
-	// minPollTimeout is the shortest wait of a long poll. What a lost poll misses counts
-	// as notified 6 s after the change at the soonest, and 2 s after the poll's wait where
-	// that is later, so that a shorter wait would gain no time.
+	// minPollTimeout is the shortest wait of a long poll. A change that a lost poll misses
+	// counts as notified 6 s after the change or 2 s after the poll's wait, whichever is
+	// later, so a shorter wait would gain no time.
 	minPollTimeout = 4 * time.Second
-	// MaxStrain bounds the doubling in LongPollTimeout: 16 s, so that a lost poll is over
+	// MaxStrain bounds the doubling in LongPollTimeout, to 16 s, so that a lost poll has ended
 	// by the time at which everything listed counts as notified in any case.
 	MaxStrain = 2
 )
 
-// LongPollTimeout is how long a watch may wait at the service for a change before the
-// service ends it with nothing. A call lost without a sign is noticed only after that
-// wait, so the shorter the better. For many dispatchers it doubles with strain (0
-// or more: the caller raises it by each call that is lost, and lowers it by each wait that
-// the service ends in time), as a wait that ends costs the service a call; and up to a
-// quarter of it is drawn, so that watches lost together are not replaced together.
+// LongPollTimeout returns how long a watch may wait at the service for a change before the
+// service ends it with an empty answer. A watch that is lost without an error is noticed only
+// after that wait, so a short wait is better. But each wait that ends costs the service a
+// call, so for many dispatchers the wait doubles with strain (0 or more: the caller raises it
+// with each failed call, and lowers it with each wait that the service ends in time). It is
+// shortened by a random part of up to a quarter, so that watches lost together are not
+// replaced together.
 func LongPollTimeout(dispatchers, strain int, draw float64) time.Duration {
 	if dispatchers <= FewDispatchers {
 		return minPollTimeout
@@ -134,9 +137,9 @@
 	return timeout - time.Duration(draw*float64(timeout)/4)
 }
 
-// BeforeReplacingWatch is the delay before the call that replaces a watch which was lost
-// without a sign. left is the time until what it missed is due: the delay is within half
-// of it, since the call has to be answered by then.
+// BeforeReplacingWatch returns the delay before the call that replaces a watch which was
+// lost without an error. left is the time until the deadline of the changes that the watch
+// missed. The delay is at most half of it, since the call must be answered by the deadline.
 func BeforeReplacingWatch(dispatchers int, left time.Duration, draw float64) time.Duration {
 	return time.Duration(draw * float64(min(spreadTime(dispatchers), left/2)))
 }
