--- a/internal/control/server/catchup.go
+++ b/internal/control/server/catchup.go
@@ -7,17 +7,17 @@
 	"yardflow/internal/control/protocol"
 )
 
-// catchUpTimeout is how long a response to a catch-up request is waited for before it is asked for again.
+// catchUpTimeout is how long to wait for the response to a catch-up request before the request is sent again.
 const catchUpTimeout = 200 * time.Millisecond
 
-// catchUpLimit keeps one catch-up request in flight at a time. More would bring the same entries again, and the
-// heartbeats queued behind them would come too late.
+// catchUpLimit allows one catch-up request in flight at a time. Further requests would fetch the same entries again, and
+// delay the heartbeats queued behind the responses for too long.
 type catchUpLimit struct {
 	inFlight    bool
 	requestedAt time.Duration
 }
 
-// tryStart reports whether a request may be sent now, and notes that it is.
+// tryStart reports whether a request may be sent now. If so, it records the request as in flight.
 func (l *catchUpLimit) tryStart(now time.Duration) bool {
 	if l.inFlight && now-l.requestedAt < catchUpTimeout {
 		return false
@@ -26,10 +26,11 @@
 	return true
 }
 
-// done notes that a response has come.
+// done records that a response has arrived.
 func (l *catchUpLimit) done() { l.inFlight = false }
 
-// requestCatchUp asks a member for what this replica, outside the chain, lacks.
+// requestCatchUp asks a member for the entries that this replica lacks, if the replica is outside the chain and no
+// request is in flight.
 func (s *Server) requestCatchUp(member view.MemberID) {
 	request, outside := s.replica.NextCatchUpRequest()
 	if !outside || s.membership.view().Epoch == 0 || s.membership.hasRestartedInView() || !s.catchUp.tryStart(s.now()) {
@@ -38,7 +39,7 @@
 	s.peers.send(member, &protocol.PeerMessage{CatchUpRequest: &request})
 }
 
-// requestCatchUpFromChain asks the last live member of the chain, which has least to do.
+// requestCatchUpFromChain sends the request to the last live member of the chain, which has the least load.
 func (s *Server) requestCatchUpFromChain() {
 	m := &s.membership
 	members := m.view().Chain
--- a/internal/control/server/catchup_test.go
+++ b/internal/control/server/catchup_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A regression test: a catch-up request was sent at every tick though one was in flight; the same entries came many times,
-// and the heartbeats queued behind them came too late.
+// Regression test: a catch-up request was sent at every tick even while one was in flight. The same entries arrived many
+// times, and delayed the heartbeats queued behind them for too long.
 func TestOneCatchUpRequestInFlight(t *testing.T) {
 	limit := catchUpLimit{}
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
@@ -19,7 +19,7 @@
 			limit.done()
 		}
 		if got := limit.tryStart(at(step.at)); got != step.starts {
-			t.Errorf("at %d ms: a request starts: %v", step.at, got)
+			t.Errorf("at %d ms: tryStart returns %v", step.at, got)
 		}
 	}
 }
--- a/internal/control/server/commands.go
+++ b/internal/control/server/commands.go
@@ -13,7 +13,7 @@
 )
 
 // resubmitAfter is how long a command may be without an outcome before it is proposed again: a proposal may get lost on
-// its way to the head, or with a head that fails.
+// its way to the head, or when the head fails.
 const resubmitAfter = 500 * time.Millisecond
 
 // pendingCommand is a command that was proposed and has no outcome yet.
@@ -22,50 +22,55 @@
 	encoded    []byte // the command as CBOR
 	isRead     bool
 	issuer     *dispatcher // nil: this machine itself or an operator
-	headEpoch  uint64      // of the view as whose head this machine made the command; 0: it is no judgement of a head's
+	headEpoch  uint64      // epoch of the view in which this machine made the command as the head; 0: any other command
 	onResult   func(statemachine.Result)
 	proposedAt time.Duration
 }
 
 // commandTable holds the commands that this machine has proposed, by tag, until they have an outcome. It belongs to the
-// engine, which also calls the functions that take outcomes.
+// engine, which also calls the onResult functions.
 type commandTable struct {
 	origin    chain.MemberID
 	now       func() time.Duration
-	maxBytes  int64 // of an encoded command: what the log on disk takes as one record
+	maxBytes  int64 // of an encoded command: the maximum size of one record of the log on disk
 	pending   map[uint64]*pendingCommand
 	lastTag   uint64
-	proposals []chain.Proposal // not handed to the head yet
+	proposals []chain.Proposal // not sent to the head yet
 }
 
-// newCommandTable returns an empty table for proposals of a member. Tags begin at a random number, so that an outcome
-// for a former incarnation, which had the same member ID, meets no command of this one. The upper 8 bits are 0: counting up never overflows.
+// newCommandTable returns an empty table for proposals of a member. Tags start at a random number, so that an outcome for
+// a previous incarnation, which had the same member ID, matches no command of this one. The upper 8 bits of the start are
+// 0, so that the tags never overflow.
 func newCommandTable(origin chain.MemberID, maxBytes int64, now func() time.Duration) *commandTable {
-	return &commandTable{origin: origin, now: now, maxBytes: maxBytes, pending: map[uint64]*pendingCommand{}, lastTag: rand.Uint64() >> 8}
+	return &commandTable{origin: origin, now: now, maxBytes: maxBytes, pending: map[uint64]*pendingCommand{},
+		lastTag: rand.Uint64() >> 8}
 }
 
-// submit proposes a command of this machine or an operator. It is proposed again until it has an outcome, so every
-// command must be idempotent. One that is too long gets a CommandTooLongError and no outcome.
+// submit proposes a command of this machine or of an operator. The command is proposed again until it has an outcome, so
+// every command must be idempotent. For a command that is too long, submit returns a CommandTooLongError, and onResult is
+// never called.
 func (t *commandTable) submit(command *statemachine.Command, onResult func(statemachine.Result)) error {
 	return t.submitFor(nil, command, protocol.Encode(command), onResult)
 }
 
-// submitAsHead proposes what this machine has judged as the head of a view, and has no outcome for anybody. It is given up
-// with the view: a head that was held up and replaced meanwhile has judged by what it had not heard.
+// submitAsHead proposes a command that this machine has decided on as the head of a view. Its outcome is ignored. The
+// command is dropped when the view ends: a head that was paused, and replaced in the meantime, may have decided on
+// outdated information.
 func (t *commandTable) submitAsHead(epoch uint64, command *statemachine.Command) {
-	_ = t.submit(command, func(statemachine.Result) {}) // a judgement is never too long
+	_ = t.submit(command, func(statemachine.Result) {}) // commands of the head are never too long
 	t.pending[t.lastTag].headEpoch = epoch
 }
 
-// giveUpJudgements forgets what was judged as the head of another view than that of an epoch.
-func (t *commandTable) giveUpJudgements(epoch uint64) {
+// dropHeadCommands drops the commands that this machine proposed as the head of a view of another epoch than the given
+// one.
+func (t *commandTable) dropHeadCommands(epoch uint64) {
 	maps.DeleteFunc(t.pending, func(_ uint64, command *pendingCommand) bool {
 		return command.headEpoch != 0 && command.headEpoch != epoch
 	})
 }
 
-// submitFor proposes a dispatcher's command. Once its connection has ended the command is forgotten here: the dispatcher
-// submits it again itself, over another connection.
+// submitFor proposes a dispatcher's command. The command is dropped when the dispatcher's connection ends: the dispatcher
+// submits the command again over another connection.
 func (t *commandTable) submitFor(issuer *dispatcher, command *statemachine.Command, encoded []byte,
 	onResult func(statemachine.Result)) error {
 	if length := int64(len(encoded)); length > t.maxBytes {
@@ -79,23 +84,24 @@
 	return nil
 }
 
-// CommandTooLongError says that a command is longer than a record of the log may be.
+// CommandTooLongError reports that an encoded command is longer than the maximum record of the log.
 type CommandTooLongError struct {
 	Bytes int64 // of the command, encoded
-	Max   int64 // bytes that the log on disk takes as one record
+	Max   int64 // bytes of a record of the log on disk
 }
 
-// Error names both lengths, with the advice.
+// Error returns both lengths and the advice.
 func (e *CommandTooLongError) Error() string {
-	return fmt.Sprintf("too large: %d bytes in the log, %d is the most that the control machines' disks take at once; %s", e.Bytes, e.Max, e.Advice())
+	return fmt.Sprintf("too large: %d bytes in the log, %d is the most that the control machines' disks take at once; %s",
+		e.Bytes, e.Max, e.Advice())
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *CommandTooLongError) Advice() string {
 	return "send less at once, or give the control machines larger disks (Limits.DiskMb)"
 }
 
-// propose appends a proposal to those for the head. A read travels without data: it is answered here.
+// propose queues a proposal for the head. The proposal of a read carries no data, since the read is answered here.
 func (t *commandTable) propose(tag uint64, command *pendingCommand) {
 	proposal := chain.Proposal{Origin: t.origin, Tag: tag, Read: command.isRead}
 	if !command.isRead {
@@ -105,7 +111,8 @@
 	t.proposals = append(t.proposals, proposal)
 }
 
-// repropose proposes again what was proposed at least so long ago and has no outcome, in the order of submission.
+// repropose proposes the commands again that were proposed at least minAge ago and have no outcome, in the order of
+// submission.
 func (t *commandTable) repropose(minAge time.Duration) {
 	for _, tag := range slices.Sorted(maps.Keys(t.pending)) {
 		if command := t.pending[tag]; t.now()-command.proposedAt >= minAge {
@@ -114,14 +121,14 @@
 	}
 }
 
-// takeProposals returns what is to be handed to the head.
+// takeProposals removes and returns the proposals that wait to be sent to the head.
 func (t *commandTable) takeProposals() []chain.Proposal {
 	proposals := t.proposals
 	t.proposals = nil
 	return proposals
 }
 
-// complete reports a command's outcome to whoever submitted it. Of two outcomes the first one counts.
+// complete passes a command's outcome to its submitter. If a command gets two outcomes, the first one counts.
 func (t *commandTable) complete(tag uint64, result statemachine.Result) {
 	if command := t.pending[tag]; command != nil {
 		delete(t.pending, tag)
@@ -129,9 +136,9 @@
 	}
 }
 
-// abandon gives all commands up: this member has lost the majority, or its position in the chain. Operators get the
-// outcome Unknown; dispatchers submit again by themselves. Without this the member would, on its return, propose
-// commands that have become obsolete meanwhile.
+// abandon drops all commands, because this member has lost the quorum or its position in the chain. Operators get the
+// outcome Unknown; dispatchers submit their commands again. Otherwise the member would, after its return, propose
+// commands that have become obsolete.
 func (t *commandTable) abandon() {
 	abandoned := t.pending
 	t.pending, t.proposals = map[uint64]*pendingCommand{}, nil
@@ -142,8 +149,8 @@
 	}
 }
 
-// forgetIssuer forgets the commands of a dispatcher that is not connected here any more.
-func (t *commandTable) forgetIssuer(d *dispatcher) {
+// removeIssuer drops the commands of a dispatcher that is no longer connected here.
+func (t *commandTable) removeIssuer(d *dispatcher) {
 	for tag, command := range t.pending {
 		if command.issuer == d {
 			delete(t.pending, tag)
--- a/internal/control/server/commands_test.go
+++ b/internal/control/server/commands_test.go
@@ -16,30 +16,34 @@
 	"yardflow/internal/platform/settings"
 )
 
-// submit submits a command of a dispatcher or, where issuer is nil, of this machine.
-func submit(t *testing.T, s *Server, issuer *dispatcher, command *statemachine.Command, onResult func(statemachine.Result)) {
+// submit submits a command of a dispatcher, or of this machine if issuer is nil.
+func submit(t *testing.T, s *Server, issuer *dispatcher, command *statemachine.Command,
+	onResult func(statemachine.Result)) {
 	t.Helper()
 	if err := s.commands.submitFor(issuer, command, protocol.Encode(command), onResult); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestMemberWithoutMajorityAbandonsPendingCommands checks that a member on the wrong side of a network partition proposes
-// nothing obsolete on its return: operators get the outcome Unknown, dispatchers submit again by themselves.
+// TestMemberWithoutMajorityAbandonsPendingCommands checks that a member on the minority side of a network partition
+// proposes no obsolete commands after its return: operators get the outcome Unknown, and dispatchers submit their
+// commands again.
 func TestMemberWithoutMajorityAbandonsPendingCommands(t *testing.T) {
 	s := newIdleServer(t)
 	outcome := statemachine.Result{}
-	submit(t, s, nil, &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(result statemachine.Result) { outcome = result })
-	submit(t, s, &dispatcher{}, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, func(statemachine.Result) {
-		t.Error("a dispatcher that is not connected gets an outcome")
+	submit(t, s, nil, &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}},
+		func(result statemachine.Result) { outcome = result })
+	submit(t, s, &dispatcher{}, &statemachine.Command{
+		CancelJob: &statemachine.CancelJob{Job: "a"}}, func(statemachine.Result) {
+		t.Error("a disconnected dispatcher received an outcome")
 	})
 	s.tick()
 	if outcome.Code != statemachine.Unknown {
-		t.Errorf("the operator gets the outcome %d", outcome.Code)
+		t.Errorf("operator received outcome %d, want Unknown", outcome.Code)
 	}
 	s.commands.repropose(0)
 	if len(s.commands.pending) != 0 || len(s.commands.proposals) != 0 {
-		t.Errorf("%d commands are pending, %d are proposed", len(s.commands.pending), len(s.commands.proposals))
+		t.Errorf("%d commands pending and %d proposed, want none", len(s.commands.pending), len(s.commands.proposals))
 	}
 }
 
@@ -48,12 +52,13 @@
 	disconnected, other := &dispatcher{}, &dispatcher{}
 	s.dispatchers.attached[disconnected], s.dispatchers.attached[other] = true, true
 	for range 3 {
-		submit(t, s, disconnected, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, func(statemachine.Result) {})
+		submit(t, s, disconnected, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}},
+			func(statemachine.Result) {})
 	}
 	submit(t, s, other, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "b"}}, func(statemachine.Result) {})
 	s.removeDispatcher(disconnected)
 	if len(s.commands.pending) != 1 {
-		t.Errorf("%d commands are pending, want that of the other dispatcher", len(s.commands.pending))
+		t.Errorf("%d commands pending, want only the other dispatcher's", len(s.commands.pending))
 	}
 }
 
@@ -62,27 +67,29 @@
 func TestPendingCommandsAreReproposedInOrder(t *testing.T) {
 	s := newIdleServer(t)
 	for i := range 50 {
-		submit(t, s, nil, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: fmt.Sprint(i)}}, func(statemachine.Result) {})
+		submit(t, s, nil, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: fmt.Sprint(i)}},
+			func(statemachine.Result) {})
 	}
 	s.commands.proposals = nil
 	s.commands.repropose(0)
 	for i := 1; i < len(s.commands.proposals); i++ {
 		if s.commands.proposals[i-1].Tag >= s.commands.proposals[i].Tag {
-			t.Fatalf("tag %d before %d", s.commands.proposals[i-1].Tag, s.commands.proposals[i].Tag)
+			t.Fatalf("tag %d is proposed before tag %d", s.commands.proposals[i-1].Tag, s.commands.proposals[i].Tag)
 		}
 	}
 	if len(s.commands.proposals) != 50 {
-		t.Errorf("%d of 50 are proposed again", len(s.commands.proposals))
+		t.Errorf("%d of 50 commands proposed again", len(s.commands.proposals))
 	}
 }
 
-// TestAnswerForAnotherIncarnationIsIgnored checks that an answer for a former incarnation of a member, which has the same
-// member ID, completes no command of the present one. The planted fault, both begin at the same tag, shows that the test
-// would find it.
+// TestAnswerForAnotherIncarnationIsIgnored checks that the answer to a command of a previous incarnation of a member,
+// which has the same member ID, completes no command of the present one. To show that the test can fail, it also lets
+// both incarnations start with the same tag, which must complete the command.
 func TestAnswerForAnotherIncarnationIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	newIncarnation := func() *Server {
-		s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"}, Limits: settings.Limits{DiskMb: 16}}
+		s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"},
+			Limits: settings.Limits{DiskMb: 16}}
 		server, err := Open(s, frame.TCP{}, segment.Dir(folder), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
@@ -90,49 +97,53 @@
 		t.Cleanup(server.disk.close)
 		return server
 	}
-	// answered reports whether the present incarnation's read is completed by the former one's.
-	answered := func(sameTags bool) bool {
+	// formerCompletes reports whether the answer to the former incarnation's read completes the read of the present one.
+	formerCompletes := func(sameTags bool) bool {
 		former := newIncarnation()
 		first := former.commands.lastTag
 		submit(t, former, nil, &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) {})
 		present := newIncarnation()
 		if present.membership.self().ID != former.membership.self().ID {
-			t.Fatal("the member has another ID in its next incarnation")
+			t.Fatal("the member ID differs between incarnations")
 		}
 		if sameTags {
 			present.commands.lastTag = first
 		}
-		taken := false
-		submit(t, present, nil, &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}, func(statemachine.Result) { taken = true })
+		completed := false
+		submit(t, present, nil, &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}},
+			func(statemachine.Result) { completed = true })
 		present.completeRead(chain.Read{Origin: present.membership.self().ID, Tag: former.commands.lastTag})
-		return taken
+		return completed
 	}
-	if answered(false) {
-		t.Error("an answer for a former incarnation is taken")
+	if formerCompletes(false) {
+		t.Error("the answer for a former incarnation completes a command of the present one")
 	}
-	if !answered(true) {
-		t.Error("the planted fault, tags that two incarnations share, was not found")
+	if !formerCompletes(true) {
+		t.Error("the answer completes no command although both incarnations use the same tags")
 	}
 }
 
-// A command that is longer than a record of the log may be gets no outcome and is not proposed; its error says what to do.
+// TestTooLongCommandIsNotProposed checks that a command that is longer than the maximum log record gets no outcome and is
+// not proposed, and that its error includes advice.
 func TestTooLongCommandIsNotProposed(t *testing.T) {
 	s := newIdleServer(t)
 	body := make([]byte, s.commands.maxBytes)
-	err := s.commands.submit(&statemachine.Command{Configure: &statemachine.Configure{Version: 1, Body: body}}, func(statemachine.Result) {
-		t.Error("it gets an outcome")
+	err := s.commands.submit(&statemachine.Command{
+		Configure: &statemachine.Configure{Version: 1, Body: body}}, func(statemachine.Result) {
+		t.Error("the command received an outcome")
 	})
 	var tooLong *CommandTooLongError
-	if !errors.As(err, &tooLong) || tooLong.Max != s.commands.maxBytes || tooLong.Bytes <= tooLong.Max || tooLong.Advice() == "" {
-		t.Errorf("error %v", err)
+	if !errors.As(err, &tooLong) || tooLong.Max != s.commands.maxBytes ||
+		tooLong.Bytes <= tooLong.Max || tooLong.Advice() == "" {
+		t.Errorf("submit returns error %v, want a CommandTooLongError with both lengths", err)
 	}
 	if len(s.commands.pending)+len(s.commands.proposals) != 0 {
-		t.Error("it is proposed")
+		t.Error("the command is pending or proposed")
 	}
 	d := &dispatcher{}
 	encoded := protocol.Encode(&statemachine.Command{SubmitJob: &statemachine.SubmitJob{Job: job.Job{ID: string(body)}}})
 	s.receiveCommand(d, &protocol.TaggedCommand{Tag: 7, Command: encoded})
 	if len(d.outcomes) != 1 || d.outcomes[0].Tag != 7 || d.outcomes[0].Result.Code != statemachine.Invalid {
-		t.Errorf("a dispatcher's outcomes: %+v", d.outcomes)
+		t.Errorf("outcomes of the dispatcher: %+v, want Invalid for tag 7", d.outcomes)
 	}
 }
--- a/internal/control/server/config_history.go
+++ b/internal/control/server/config_history.go
@@ -2,18 +2,19 @@
 
 import "yardflow/internal/control/statemachine"
 
-// maxConfigHistory is how many changes of the configuration are kept for dispatchers that reconnect: those of some
-// seconds in which changes come in quick succession. A dispatcher that lacks more is sent the full configuration.
+// maxConfigHistory is the number of configuration changes kept for dispatchers that reconnect. It covers several seconds
+// of changes in quick succession. A dispatcher that lacks more changes gets the full configuration.
 const maxConfigHistory = 64
 
-// configHistory has the newest changes of the configuration, oldest first, each a patch on top of the one before.
+// configHistory holds the newest changes of the configuration, oldest first. Each change is a patch of the version before
+// it.
 type configHistory struct{ changes []statemachine.ConfigUpdate }
 
-// reset forgets all changes.
+// reset removes all changes.
 func (h *configHistory) reset() { h.changes = nil }
 
-// add appends a change that has just come in force. Where it does not follow on the newest one known, as behind a
-// snapshot, the older ones are of no use any more.
+// add appends a change that has just come into force. If it does not build on the newest known change, which happens
+// after a snapshot, the older changes are removed because they no longer lead to the current version.
 func (h *configHistory) add(change *statemachine.ConfigUpdate) {
 	if last := len(h.changes) - 1; last >= 0 && h.changes[last].Version != change.BaseVersion {
 		h.reset()
@@ -24,7 +25,7 @@
 	}
 }
 
-// since returns the changes that lead from a version to the newest one, and nil where they are not all known.
+// since returns the changes from a version to the newest one, or nil if some of them are unknown.
 func (h *configHistory) since(version int64) []statemachine.Update {
 	for first := range h.changes {
 		if h.changes[first].BaseVersion != version {
--- a/internal/control/server/config_history_test.go
+++ b/internal/control/server/config_history_test.go
@@ -21,16 +21,16 @@
 		history.add(&statemachine.ConfigUpdate{Version: version, BaseVersion: base})
 	}
 	if versions(4) != "7 9 " || versions(2) != "4 7 9 " || versions(3) != "" || versions(9) != "" {
-		t.Errorf("since 4: %s; since 2: %s; since 3: %s", versions(4), versions(2), versions(3))
+		t.Errorf("changes since 4: %s; since 2: %s; since 3: %s", versions(4), versions(2), versions(3))
 	}
-	history.add(&statemachine.ConfigUpdate{Version: 20, BaseVersion: 15}) // after a snapshot was installed
+	history.add(&statemachine.ConfigUpdate{Version: 20, BaseVersion: 15}) // gap, as after a snapshot was installed
 	if versions(4) != "" || versions(15) != "20 " {
-		t.Error("changes with a gap between them are returned")
+		t.Error("changes with a gap between them are returned, or the newest change is missing")
 	}
 	for version := int64(20); version < 500; version++ {
 		history.add(&statemachine.ConfigUpdate{Version: version + 1, BaseVersion: version})
 	}
 	if len(history.changes) != maxConfigHistory {
-		t.Errorf("%d changes are kept", len(history.changes))
+		t.Errorf("history has %d changes, want maxConfigHistory", len(history.changes))
 	}
 }
--- a/internal/control/server/delivery.go
+++ b/internal/control/server/delivery.go
@@ -7,8 +7,8 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// deliver sends updates to the dispatchers that they concern, and then outcomes: a dispatcher knows what a command has
-// changed before it learns that the command is carried out.
+// deliver sends updates to the dispatchers that they concern, followed by outcomes, so that a dispatcher has the effects
+// of a command before its outcome.
 func (s *Server) deliver() {
 	s.attachWaiting()
 	s.enqueueUpdates()
@@ -21,11 +21,11 @@
 			d.outbox.addOutcome(outcome)
 		}
 		d.outcomes = nil
-		for message, due := d.outbox.next(); due; message, due = d.outbox.next() {
+		for message, ok := d.outbox.next(); ok; message, ok = d.outbox.next() {
 			d.send(message)
 		}
 		if d.outbox.overflows() {
-			d.conn.Close() // it attaches again, and one snapshot replaces the whole backlog
+			d.conn.Close() // the dispatcher attaches again, and a snapshot replaces the backlog
 		}
 	}
 }
@@ -34,12 +34,12 @@
 func (d *dispatcher) send(message protocol.ControlMessage) {
 	encoded := protocol.Encode(message)
 	d.conn.Send(encoded)
-	d.outbox.sent(len(encoded))
+	d.outbox.recordSent(len(encoded))
 	d.idleTicks = 0
 }
 
 // enqueueUpdates moves updates to the outboxes of the dispatchers that they concern. A dispatcher whose snapshot is due
-// gets none: the snapshot has them. What goes to all is encoded and compressed once.
+// gets none, since the snapshot includes them. Updates for all dispatchers are encoded and compressed only once.
 func (s *Server) enqueueUpdates() {
 	for _, addressed := range s.state.updates {
 		if addressed.To != 0 {
@@ -61,14 +61,14 @@
 	s.state.updates = nil
 }
 
-// sharedSnapshot keeps the parts of snapshots that are the same for all dispatchers that attach at once, as after a change
-// of view, so that they are encoded once.
+// sharedSnapshot caches the encoded parts of snapshots that are the same for all dispatchers, for the case that many of
+// them attach at the same time, for example after a view change.
 type sharedSnapshot struct {
 	state  cbor.RawMessage
 	config cbor.RawMessage
 }
 
-// sendSnapshot sends a dispatcher whose session is open the whole state that concerns it.
+// sendSnapshot sends the whole state that concerns a dispatcher to that dispatcher, whose session is open.
 func (s *Server) sendSnapshot(d *dispatcher, shared *sharedSnapshot) {
 	if shared.state == nil {
 		shared.state = protocol.CompressUpdates(encodeAll(s.state.fsm.SharedSnapshot()))
@@ -83,8 +83,8 @@
 		InstanceListDuty: d.listDuty})
 }
 
-// configUpdatesFor returns what brings a dispatcher from the configuration that it has to the one in force: nothing, the
-// changes since, or the full configuration.
+// configUpdatesFor returns the updates from the configuration that a dispatcher has to the one in force: none, the
+// changes since then, or the full configuration.
 func (s *Server) configUpdatesFor(d *dispatcher, shared *sharedSnapshot) []cbor.RawMessage {
 	full := s.state.fsm.FullConfig()
 	if full == nil || d.request.ConfigVersion == full.Version {
@@ -107,7 +107,7 @@
 	return encoded
 }
 
-// sendIdleHeartbeats sends a heartbeat to the dispatchers that were sent nothing for dispatcherHeartbeatTicks.
+// sendIdleHeartbeats sends a heartbeat to each dispatcher to which nothing was sent for dispatcherHeartbeatTicks.
 func (s *Server) sendIdleHeartbeats() {
 	for d := range s.dispatchers.attached {
 		if d.idleTicks++; d.idleTicks >= dispatcherHeartbeatTicks {
--- a/internal/control/server/disk.go
+++ b/internal/control/server/disk.go
@@ -14,36 +14,36 @@
 	"yardflow/internal/control/protocol"
 )
 
-// diskRetryInterval is how long a rejected write, or opening the disk, waits until it is retried.
+// diskRetryInterval is the delay before a rejected write, or a failed attempt to open the disk, is retried.
 const diskRetryInterval = 200 * time.Millisecond
 
-// Limits beyond which a disk counts as unhealthy: the chain had better do without this member.
+// Limits beyond which a disk counts as unhealthy, so that the chain should exclude this member.
 const (
-	// stallTimeout is how long one batch may take while it is being written.
+	// stallTimeout is the maximum time that a batch in progress may take.
 	stallTimeout = 400 * time.Millisecond
-	// slowBatchThreshold is how long a finished batch without a snapshot may have taken. A healthy disk takes a tenth of
-	// that.
+	// slowBatchThreshold is the maximum time that a finished batch without a snapshot may have taken. A healthy disk
+	// takes a tenth of it.
 	slowBatchThreshold = 200 * time.Millisecond
 	// slowDiskQuarantine is how long a disk counts as unhealthy after a slow batch; probes show whether it is still slow.
 	slowDiskQuarantine = 2 * time.Second
 )
 
-// diskWrite is one thing to make durable: log entries, metadata or a snapshot.
+// diskWrite is one item to persist: log entries, metadata or a snapshot.
 type diskWrite struct {
 	entries     []chain.Entry
-	commitIndex uint64 // up to where entries were known to be committed
+	commitIndex uint64 // newest entry known to be committed
 	metadata    []byte
 	snapshot    *segment.Snapshot
-	replacesLog bool   // the snapshot comes from another member: the log before it is void
-	onDurable   func() // called by the engine once the write is synced; nil: nobody waits for it
+	replacesLog bool   // the snapshot comes from another member and replaces the log
+	onDurable   func() // called by the engine once the write is synced; may be nil
 }
 
-// disk owns the store. One goroutine, which newDisk starts and close ends, takes all writes that wait as one batch, with
-// one sync of the log for all of them.
+// disk owns the store. Its single goroutine, which newDisk starts and close ends, writes all queued writes as one batch,
+// with one sync of the log.
 type disk struct {
 	store      *segment.Store
 	logger     zerolog.Logger
-	onDone     func(writes []diskWrite, freeSegments int) // hands writes that are durable to the engine
+	onDone     func(writes []diskWrite, freeSegments int) // passes durable writes to the engine
 	onRejected func()                                     // called when the disk begins to reject writes
 
 	mu        sync.Mutex
@@ -52,13 +52,13 @@
 	stopped   chan struct{}
 	closeOnce sync.Once
 
-	openedAt       time.Time    // zero of the times below
-	batchStartedAt atomic.Int64 // when the batch that is being written was begun, ns; 0: the disk is idle
-	lastSlowAt     atomic.Int64 // when a batch was last found slow, ns; 0: never
-	rejects        atomic.Bool  // the last write was rejected
+	openedAt       time.Time    // time 0 of batchStartedAt and lastSlowAt
+	batchStartedAt atomic.Int64 // start of the batch in progress, ns; 0: the disk is idle
+	lastSlowAt     atomic.Int64 // end of the last slow batch, ns; 0: never
+	isRejecting    atomic.Bool  // the last write was rejected
 }
 
-// newDisk returns a disk whose goroutine runs until close.
+// newDisk returns a disk whose goroutine runs until close is called.
 func newDisk(store *segment.Store, logger zerolog.Logger, onDone func([]diskWrite, int), onRejected func()) *disk {
 	d := &disk{store: store, logger: logger, onDone: onDone, onRejected: onRejected, wake: make(chan struct{}, 1),
 		stopped: make(chan struct{}), openedAt: time.Now()}
@@ -66,7 +66,8 @@
 	return d
 }
 
-// close lets the disk's goroutine end once the write that it is at is done; what waits is lost. It may be called again.
+// close ends the goroutine of the disk once the write in progress is done; queued writes are lost. It may be called more
+// than once.
 func (d *disk) close() { d.closeOnce.Do(func() { close(d.stopped) }) }
 
 // enqueue adds a write to the next batch.
@@ -82,7 +83,7 @@
 
 // isUnhealthy reports whether the disk rejects writes, hangs or is slow.
 func (d *disk) isUnhealthy() bool {
-	if d.rejects.Load() || d.stalledFor() > stallTimeout {
+	if d.isRejecting.Load() || d.stalledFor() > stallTimeout {
 		return true
 	}
 	slowAt := d.lastSlowAt.Load()
@@ -91,7 +92,7 @@
 
 func (d *disk) isIdle() bool { return d.batchStartedAt.Load() == 0 }
 
-// stalledFor returns how long the present batch has been written; 0: the disk is idle.
+// stalledFor returns how long the batch in progress has taken, or 0 if the disk is idle.
 func (d *disk) stalledFor() time.Duration {
 	startedAt := d.batchStartedAt.Load()
 	if startedAt == 0 {
@@ -100,7 +101,7 @@
 	return time.Since(d.openedAt) - time.Duration(startedAt)
 }
 
-// clock returns the time since the disk was opened, plus 1 ns: it is never 0, which stands for "never".
+// clock returns the time since the disk was opened, plus 1 ns, so that it never returns 0, which stands for "never".
 func (d *disk) clock() int64 { return int64(time.Since(d.openedAt)) + 1 }
 
 // run writes batches until the disk is closed.
@@ -126,7 +127,8 @@
 	return batch
 }
 
-// writeTimed writes a batch and notes whether that was slow. A batch with a snapshot may take long at a healthy disk.
+// writeTimed writes a batch and records whether it was slow. A batch with a snapshot is not counted, since it may take
+// long on a healthy disk.
 func (d *disk) writeTimed(batch []diskWrite) {
 	d.batchStartedAt.Store(d.clock())
 	d.writeBatch(batch)
@@ -140,7 +142,8 @@
 	return slices.ContainsFunc(batch, func(write diskWrite) bool { return write.snapshot != nil })
 }
 
-// writeBatch writes entries and snapshots in their order, and then the newest metadata: that has what all before it have.
+// writeBatch writes entries and snapshots in their order, and then the newest metadata, which supersedes the metadata of
+// earlier writes.
 func (d *disk) writeBatch(batch []diskWrite) {
 	var records []segment.Record
 	for _, write := range batch {
@@ -183,16 +186,16 @@
 	})
 }
 
-// retryUntilWritten retries a write until the disk takes it, or is closed: a full or failing disk keeps this member out
-// of the chain, and nothing is acknowledged meanwhile.
+// retryUntilWritten retries a write until it succeeds or the disk is closed. A full or failing disk keeps this member out
+// of the chain, and nothing is acknowledged in the meantime.
 func (d *disk) retryUntilWritten(what string, write func() error) {
 	for attempt := 0; ; attempt++ {
 		err := write()
 		if err == nil {
-			d.rejects.Store(false)
+			d.isRejecting.Store(false)
 			return
 		}
-		if !d.rejects.Swap(true) {
+		if !d.isRejecting.Swap(true) {
 			d.onRejected()
 		}
 		if attempt == 0 {
@@ -206,7 +209,7 @@
 	}
 }
 
-// writesDone takes in that writes are durable. It is called by the disk's goroutine.
+// writesDone notifies the engine that writes are durable. The disk's goroutine calls it.
 func (s *Server) writesDone(writes []diskWrite, freeSegments int) {
 	s.do(func() {
 		s.snapshots.freeSegments = freeSegments
@@ -218,7 +221,7 @@
 	})
 }
 
-// probeDisk writes to an unhealthy disk that is idle, to see whether it still is slow.
+// probeDisk writes the hard state to an unhealthy disk that is idle, to measure whether the disk is still slow.
 func (s *Server) probeDisk() {
 	if s.disk.isUnhealthy() && s.disk.isIdle() {
 		s.disk.enqueue(diskWrite{metadata: protocol.Encode(s.membership.consensus.HardState())})
--- a/internal/control/server/disk_golden_test.go
+++ b/internal/control/server/disk_golden_test.go
@@ -22,8 +22,8 @@
 	"yardflow/internal/testing/emulator"
 )
 
-// unpackDisk lays the disk of a control machine that b99a1ea wrote in a soak: metadata, a snapshot, and the log behind it
-// with 1,237 jobs, 10 sessions, 40 workers and 178 versions of the configuration.
+// unpackDisk unpacks the disk of a control machine that b99a1ea wrote in a soak test, and returns its folder: metadata, a
+// snapshot and the log since then, with 1,237 jobs, 10 sessions, 40 workers and 178 versions of the configuration.
 func unpackDisk(t *testing.T) string {
 	t.Helper()
 	packed, err := os.Open("testdata/disk.tar.gz")
@@ -58,14 +58,15 @@
 	}
 }
 
-// The golden files hold what the program of b99a1ea answers on this disk: a disk that it wrote is read to the same
-// figures, and operators' scripts find the fields and names that they know.
-func TestDiskWrittenBeforeTheRenamesIsRead(t *testing.T) {
+// TestDiskOfAnEarlierVersionIsRead compares the answers on a disk that b99a1ea wrote with the answers of b99a1ea itself,
+// which the golden files hold: the disk is read to the same figures, and the field and metric names that operators'
+// scripts read are unchanged.
+func TestDiskOfAnEarlierVersionIsRead(t *testing.T) {
 	folder := unpackDisk(t)
 	synctest.Test(t, func(t *testing.T) {
-		s := &settings.Settings{Node: "core-1", Zone: "z0", DataDir: folder, Listen: settings.Listen{Control: "127.29.1.2:8146"},
-			Limits: settings.Limits{DiskMb: 16}, Tolerate: settings.Tolerate{Machines: 1},
-			Bounds: settings.Bounds{StatusRetentionS: 120}}
+		s := &settings.Settings{Node: "core-1", Zone: "z0", DataDir: folder,
+			Listen: settings.Listen{Control: "127.29.1.2:8146"}, Limits: settings.Limits{DiskMb: 16},
+			Tolerate: settings.Tolerate{Machines: 1}, Bounds: settings.Bounds{StatusRetentionS: 120}}
 		process := server.NewProcess(s, emulator.NewNetwork().Machine("127.29.1.2"), segment.Dir(folder), zerolog.Nop())
 		stop, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- process.Run(stop) }()
@@ -79,6 +80,6 @@
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Second) // its connection attempts end
+		time.Sleep(time.Second) // until its connection attempts have ended
 	})
 }
--- a/internal/control/server/dispatchers.go
+++ b/internal/control/server/dispatchers.go
@@ -18,32 +18,33 @@
 	// every 250 ms.
 	dispatcherTimeout = 650 * time.Millisecond
 	// attachTimeout is how long a dispatcher waits for this replica to serve before it is redirected to another control
-	// machine. After a change of view the replica serves sooner than that.
+	// machine. After a view change the replica serves sooner than that.
 	attachTimeout = 500 * time.Millisecond
-	// dispatcherHeartbeatTicks is how many ticks a dispatcher may go without a message before it is sent a heartbeat.
+	// dispatcherHeartbeatTicks is the number of ticks without a message to a dispatcher after which it is sent a
+	// heartbeat.
 	dispatcherHeartbeatTicks = 2
 )
 
-// dispatcher is a connection from a dispatcher. It is made with the connection, attached by the dispatcher's session
+// dispatcher is a connection from a dispatcher. It is created with the connection, attached by the dispatcher's session
 // request, and removed when the connection ends. It belongs to the engine.
 type dispatcher struct {
-	conn        *frame.Conn
-	request     protocol.SessionRequest
-	session     statemachine.SessionID // 0: none is open yet
-	snapshotDue bool                   // the session is open, and the snapshot that it begins with was not sent yet
-	ackedConfig int64                  // newest version of the configuration that the dispatcher has acknowledged
-	outbox      outbox
-	outcomes    []protocol.Outcome        // of commands that were just applied; they follow the updates of the same commands
-	idleTicks   int                       // since it was last sent something
-	isLeaving   bool                      // it has said that it shuts down
-	listDuty    protocol.InstanceListDuty // as it was last told
+	conn           *frame.Conn
+	request        protocol.SessionRequest
+	session        statemachine.SessionID // 0: none is open yet
+	snapshotDue    bool                   // the session is open, and its initial snapshot has not been sent yet
+	ackedConfig    int64                  // newest version of the configuration that the dispatcher has acknowledged
+	outbox         outbox
+	outcomes       []protocol.Outcome        // of commands that were just applied; sent after the updates of these commands
+	idleTicks      int                       // ticks since the last message to it
+	isShuttingDown bool                      // the dispatcher has announced its shutdown
+	listDuty       protocol.InstanceListDuty // last duty sent to the dispatcher
 }
 
-// dispatcherTable knows the dispatchers that are connected to this machine. It belongs to the engine.
+// dispatcherTable holds the dispatchers that are connected to this machine. It belongs to the engine.
 type dispatcherTable struct {
 	attached  map[*dispatcher]bool
 	bySession map[statemachine.SessionID]*dispatcher
-	waiting   map[*dispatcher]time.Duration // connected while this replica did not serve: since when
+	waiting   map[*dispatcher]time.Duration // connected while this replica did not serve, with the time of the request
 }
 
 func newDispatcherTable() *dispatcherTable {
@@ -54,7 +55,7 @@
 	}
 }
 
-// sessions returns the sessions of the dispatchers that are connected here, in no order.
+// sessions returns the sessions of the dispatchers that are connected here, in no particular order.
 func (t *dispatcherTable) sessions() []statemachine.SessionID {
 	ids := []statemachine.SessionID{}
 	for id := range t.bySession {
@@ -63,18 +64,18 @@
 	return ids
 }
 
-// attach enters a dispatcher whose session is about to be opened.
+// attach adds a dispatcher whose session is about to be opened.
 func (t *dispatcherTable) attach(d *dispatcher) {
 	delete(t.waiting, d)
 	t.attached[d] = true
 }
 
-// owns reports whether a dispatcher is attached and its session was not resumed over another connection.
+// owns reports whether a dispatcher is attached and its session has not been resumed over another connection.
 func (t *dispatcherTable) owns(d *dispatcher) bool {
 	return t.attached[d] && t.bySession[d.session] == d
 }
 
-// remove forgets a dispatcher, and reports whether it was attached.
+// remove removes a dispatcher, and reports whether it was attached.
 func (t *dispatcherTable) remove(d *dispatcher) bool {
 	delete(t.waiting, d)
 	if !t.attached[d] {
@@ -91,18 +92,18 @@
 func (s *Server) acceptDispatcher(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Upgrade(w, r)
 	if err != nil {
-		return // the caller was answered by Upgrade
+		return // Upgrade has answered the request
 	}
 	go s.listenDispatcher(conn)
 }
 
-// listenDispatcher hands a dispatcher's messages to the engine until its connection ends, by whichever side, or it is
-// silent for dispatcherTimeout. It owns the connection's end.
+// listenDispatcher passes a dispatcher's messages to the engine until either side closes the connection or the dispatcher
+// is silent for dispatcherTimeout. It then closes the connection and removes the dispatcher.
 func (s *Server) listenDispatcher(conn *frame.Conn) {
 	d := &dispatcher{conn: conn}
 	err := s.receiveDispatcher(d)
 	conn.Close()
-	// An end that the dispatcher's machine has announced mostly means that the process has ended; silence does not.
+	// A connection closed by the dispatcher's machine mostly means that the process has ended; silence does not.
 	disconnected := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	s.do(func() {
 		if disconnected && s.dispatchers.owns(d) {
@@ -112,8 +113,8 @@
 	})
 }
 
-// receiveDispatcher hands messages to the engine. It returns the connection's error, and nil for a message that can't be
-// read.
+// receiveDispatcher passes messages to the engine. It returns the error of the connection, or nil after a message that
+// can't be decoded.
 func (s *Server) receiveDispatcher(d *dispatcher) error {
 	for {
 		data, err := d.conn.Receive(dispatcherTimeout)
@@ -128,22 +129,24 @@
 	}
 }
 
-// reportDisconnected notes that a dispatcher's connection has ended, and notifies the peers, one of which may be the head.
+// reportDisconnected records that a dispatcher's connection has ended, and notifies the peers, one of which may be the
+// head.
 func (s *Server) reportDisconnected(id statemachine.SessionID) {
 	ids := []statemachine.SessionID{id}
-	s.sessions.disconnected(s.now(), ids)
+	s.sessions.recordDisconnected(s.now(), ids)
 	s.peers.broadcast(protocol.Encode(&protocol.PeerMessage{DisconnectedSessions: ids}))
 }
 
-// receiveFromDispatcher takes in a dispatcher's message. Commands of a dispatcher that is not attached are dropped: it
-// submits them again once it is.
+// receiveFromDispatcher handles a dispatcher's message. Commands of a dispatcher that is not attached are dropped; the
+// dispatcher submits them again once it is attached.
 func (s *Server) receiveFromDispatcher(d *dispatcher, message *protocol.DispatcherMessage) {
 	if message.SessionRequest != nil {
 		s.attach(d, message.SessionRequest)
 	}
 	if message.ShuttingDown && d.session != 0 {
-		d.isLeaving = true
-		_ = s.commands.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}}, func(statemachine.Result) {})
+		d.isShuttingDown = true
+		_ = s.commands.submit(&statemachine.Command{CloseSession: &statemachine.CloseSession{Session: d.session}},
+			func(statemachine.Result) {})
 	}
 	if !s.dispatchers.attached[d] {
 		return
@@ -155,7 +158,7 @@
 	}
 }
 
-// receiveCommand submits a dispatcher's command; its outcome goes back under the dispatcher's own tag.
+// receiveCommand submits a dispatcher's command. Its outcome is returned under the dispatcher's own tag.
 func (s *Server) receiveCommand(d *dispatcher, tagged *protocol.TaggedCommand) {
 	tag := tagged.Tag
 	command := &statemachine.Command{}
@@ -172,7 +175,7 @@
 	}
 }
 
-// attach opens a dispatcher's session, or lets the dispatcher wait until this replica serves, or redirects it to another
+// attach opens a dispatcher's session, makes the dispatcher wait until this replica serves, or redirects it to another
 // control machine.
 func (s *Server) attach(d *dispatcher, request *protocol.SessionRequest) {
 	d.request = *request
@@ -188,7 +191,7 @@
 	}
 }
 
-// openSession opens a dispatcher's session, where the latest one of its node is still the expected one.
+// openSession opens a dispatcher's session if expectedLatest is still the latest session of the dispatcher's node.
 func (s *Server) openSession(d *dispatcher, expectedLatest statemachine.SessionID) {
 	request := &d.request
 	open := &statemachine.Command{OpenSession: &statemachine.OpenSession{Node: request.Node, Zone: request.Zone,
@@ -197,7 +200,7 @@
 		switch {
 		case !s.dispatchers.attached[d]:
 		case result.Code == statemachine.Conflict:
-			s.openSession(d, result.Session) // there was a later one, which this replica had not applied
+			s.openSession(d, result.Session) // there is a later session, which this replica had not applied
 		default:
 			d.session, d.snapshotDue = result.Session, true
 			s.dispatchers.bySession[d.session] = d
@@ -205,8 +208,8 @@
 	})
 }
 
-// attachWaiting attaches the dispatchers that connected before this replica served, and redirects those that it makes
-// wait for too long.
+// attachWaiting attaches the dispatchers that connected before this replica served. It redirects those that have waited
+// for too long, or all of them if this machine is outside the chain.
 func (s *Server) attachWaiting() {
 	for d, since := range s.dispatchers.waiting {
 		switch {
@@ -218,37 +221,38 @@
 	}
 }
 
-// redirect asks a dispatcher to try another control machine.
+// redirect asks a dispatcher to connect to another control machine.
 func (s *Server) redirect(d *dispatcher) {
 	delete(s.dispatchers.waiting, d)
 	d.conn.Send(protocol.Encode(protocol.ControlMessage{Rejected: true, ControlAddresses: s.membership.serviceAddresses()}))
 }
 
-// removeDispatcher forgets a dispatcher whose connection has ended, and its commands.
+// removeDispatcher removes a dispatcher whose connection has ended, and its commands.
 func (s *Server) removeDispatcher(d *dispatcher) {
 	if s.dispatchers.remove(d) {
-		s.commands.forgetIssuer(d)
+		s.commands.removeIssuer(d)
 	}
 }
 
-// disconnectWithoutSessions closes the connections of dispatchers whose sessions are over while no session is open at all:
-// an empty list of sessions leaves no trace in an update, so they would not hear of it, and nobody would own anything for
-// good. They open new sessions over other connections.
+// disconnectWithoutSessions closes the connections of dispatchers whose sessions have ended, if no session is open at
+// all. An empty list of sessions is not encoded in an update, so these dispatchers would never learn that their sessions
+// have ended, and jobs and workers would have no owner. They reconnect and open new sessions.
 func (s *Server) disconnectWithoutSessions() {
 	if len(s.state.fsm.Sessions) > 0 {
 		return
 	}
 	for d := range s.dispatchers.attached {
-		if d.session == 0 || d.snapshotDue || d.isLeaving {
+		if d.session == 0 || d.snapshotDue || d.isShuttingDown {
 			continue
 		}
-		s.logger.Warn().Uint64("session", d.session).Str("dispatcher", d.request.Node).Msg("no session is open any more: the dispatcher has to open another one")
+		s.logger.Warn().Uint64("session", d.session).Str("dispatcher", d.request.Node).
+			Msg("no session is open any more: the dispatcher has to open another one")
 		d.conn.Close()
 		s.removeDispatcher(d)
 	}
 }
 
-// disconnectDispatchers closes all connections to dispatchers: they look for a control machine that serves.
+// disconnectDispatchers closes all connections to dispatchers, which then look for a control machine that serves.
 func (s *Server) disconnectDispatchers() {
 	for d := range s.dispatchers.attached {
 		d.conn.Close()
--- a/internal/control/server/engine.go
+++ b/internal/control/server/engine.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Intervals of the engine.
+// Intervals of the engine's periodic work.
 const (
-	// tickInterval is the pace of heartbeats and of all that is checked from time to time.
+	// tickInterval is the interval of heartbeats and of all periodic checks.
 	tickInterval = 100 * time.Millisecond
-	// retransmitTicks is how many ticks the successor in the chain may make no progress before everything that it has
-	// not acknowledged is sent again.
+	// retransmitTicks is the number of ticks without progress of the successor in the chain after which all entries that
+	// the successor has not acknowledged are sent again.
 	retransmitTicks = 4
 )
 
 // now returns the time on the server's monotonic clock, which starts at 0 when the server is opened.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// do hands a function to the engine. It blocks while the inbox is full; once the engine has ended, the function is
-// dropped.
+// do passes a function to the engine. It blocks while the inbox is full. Once the engine has ended, it drops the
+// function.
 func (s *Server) do(f func()) {
 	select {
 	case s.inbox <- f:
@@ -23,9 +23,9 @@
 	}
 }
 
-// Run carries the engine until stop is closed; it must be called once. On its return the goroutine of heartbeats ends,
-// that of the disk as soon as the write in progress is done, and those of connections when their connection does: the owner
-// of the listener and the peers close these.
+// Run runs the engine until stop is closed. It must be called only once. When it returns, the heartbeat goroutine ends,
+// the disk's goroutine ends after the write in progress, and the goroutines of connections end with their connections,
+// which the owner of the listener and the peers close.
 func (s *Server) Run(stop <-chan struct{}) {
 	defer s.disk.close()
 	defer s.instanceList.client.Close()
@@ -42,7 +42,7 @@
 			f()
 			s.drainInbox()
 		case <-ticker.C:
-			s.drainInbox() // before the tick judges who is silent: what has come during a long piece of work counts
+			s.drainInbox() // messages that arrived while the engine was busy count before the tick checks who is silent
 			s.tick()
 		case <-stop:
 			return
@@ -51,7 +51,8 @@
 	}
 }
 
-// drainInbox takes in what else waits, at most one inbox full, so that one flush and one sync of the disk serve all of it.
+// drainInbox calls the functions that wait in the inbox, at most as many as its capacity, so that one flush and one disk
+// sync cover all of them.
 func (s *Server) drainInbox() {
 	for range cap(s.inbox) {
 		select {
@@ -63,7 +64,8 @@
 	}
 }
 
-// flush carries out what the pure parts want done, until they want no more, and then sends dispatchers what is new.
+// flush executes the actions that the view agreement and the replica have requested until there are none left, and then
+// sends pending updates and outcomes to dispatchers.
 func (s *Server) flush() {
 	s.forwardProposals()
 	for s.flushConsensus() || s.flushReplica() {
@@ -72,11 +74,11 @@
 	s.deliver()
 }
 
-// tick does what is due at a steady pace. A member on the wrong side of a network partition lets go of its dispatchers and
-// commands before anything is sent to them.
+// tick does the periodic work. A machine that is not a chain member with a quorum disconnects its dispatchers and
+// abandons its commands before the tick sends dispatchers anything.
 func (s *Server) tick() {
 	now := s.now()
-	s.sessions.ticked(now)
+	s.sessions.recordTick(now)
 	s.membership.consensus.Tick()
 	s.replica.Tick(retransmitTicks)
 	s.peers.redial()
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -9,7 +9,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden file was written at b99a1ea: operators' dashboards read these fields.
+// TestFieldsOfTheStatusDoNotChange compares the fields of the status, which operators' dashboards read, with the golden
+// file written at b99a1ea.
 func TestFieldsOfTheStatusDoNotChange(t *testing.T) {
 	var status Status
 	wiretest.Fill(&status)
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -11,14 +11,14 @@
 
 // Limits of repeated heartbeats.
 const (
-	// heartbeatOverdue is how old the engine's last heartbeat is when it is repeated on the engine's behalf.
+	// heartbeatOverdue is the age of the engine's last heartbeat from which it is repeated on the engine's behalf.
 	heartbeatOverdue = tickInterval * 3 / 2
-	// maxHeartbeatAge is for how long heartbeats are repeated without the engine: longer than it takes to apply a log
-	// that was caught up with, short enough that an engine that is stuck is taken for dead.
+	// maxHeartbeatAge is how long a heartbeat is repeated without the engine: longer than it takes to apply the log after
+	// a catch-up, and short enough that a stuck engine is detected as failed.
 	maxHeartbeatAge = 2 * time.Second
 )
 
-// sentHeartbeat is the engine's last heartbeat and the connections that it went to.
+// sentHeartbeat is the engine's last heartbeat, with the connections on which it was sent.
 type sentHeartbeat struct {
 	sentAt      time.Duration
 	peerMessage []byte
@@ -26,13 +26,13 @@
 	dispatchers []sender
 }
 
-// sender is a connection to which heartbeats go.
+// sender is a connection on which heartbeats are sent.
 type sender interface{ Send(message []byte) bool }
 
 var _ sender = (*frame.Conn)(nil)
 
-// heartbeatRepeater repeats the engine's last heartbeat while the engine is busy with a long piece of work, such as a
-// snapshot or a log that it catches up with: a busy member must not be taken for a dead one.
+// heartbeatRepeater repeats the engine's last heartbeat while the engine is busy with a long operation, such as a
+// snapshot or a log catch-up, so that peers and dispatchers do not take a busy member for a failed one.
 type heartbeatRepeater struct {
 	last              atomic.Pointer[sentHeartbeat]
 	dispatcherMessage []byte
@@ -56,7 +56,7 @@
 	}
 }
 
-// repeatIfOverdue sends the last heartbeat again where the next one is overdue, and reports whether it did.
+// repeatIfOverdue sends the last heartbeat again if the next one is overdue, and reports whether it did.
 func (r *heartbeatRepeater) repeatIfOverdue(now time.Duration) bool {
 	last := r.last.Load()
 	if last == nil || now-last.sentAt < heartbeatOverdue || now-last.sentAt > maxHeartbeatAge {
@@ -71,7 +71,7 @@
 	return true
 }
 
-// sendHeartbeat sends a heartbeat to all peers, and leaves it with the repeater for as long as the engine is busy.
+// sendHeartbeat sends a heartbeat to all peers, and stores it for the repeater.
 func (s *Server) sendHeartbeat() {
 	next := &sentHeartbeat{sentAt: s.now(), peerMessage: protocol.Encode(s.heartbeatMessage())}
 	s.peers.broadcast(next.peerMessage)
@@ -88,10 +88,11 @@
 	s.heartbeats.last.Store(next)
 }
 
-// heartbeatMessage returns what peers learn of this machine by each heartbeat.
+// heartbeatMessage returns the heartbeat of this machine for its peers.
 func (s *Server) heartbeatMessage() *protocol.PeerMessage {
 	m := &s.membership
 	return &protocol.PeerMessage{ConnectedSessions: s.dispatchers.sessions(), Heartbeat: &view.Heartbeat{
 		From: m.self(), Epoch: m.view().Epoch, InitialMember: m.consensus.IsInitialMember(), Unhealthy: s.isUnhealthy(),
-		Restarted: m.hasRestartedInView(), LastIndex: s.replica.LastIndex(), HeardFrom: m.detector.HeardFrom(s.now()), Leaving: m.leaving}}
+		Restarted: m.hasRestartedInView(), LastIndex: s.replica.LastIndex(), HeardFrom: m.detector.HeardFrom(s.now()),
+		Leaving: m.leaving}}
 }
--- a/internal/control/server/instancelist.go
+++ b/internal/control/server/instancelist.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// failuresToHandBack is how many readings in a row fail before the dispatcher that has the duty is asked to read.
+	// failuresToHandBack is the number of consecutive failed readings after which the duty is handed back to the
+	// dispatcher.
 	failuresToHandBack = 2
-	// reportTimeout is how long a report without an outcome holds the next one up. Reports may be applied twice.
+	// reportTimeout is how long a report without an outcome delays the next report. Applying a report twice is harmless.
 	reportTimeout = 500 * time.Millisecond
 )
 
-// instanceListReader reads the platform's list on behalf of the dispatcher whose duty that is, while that one is connected
-// to this machine. A whole list takes seconds over a dispatcher's link, which carries its clients' traffic too, and a worker
-// that drains must be known as such to all within Bounds.DrainMs.
+// instanceListReader reads the platform's instance list on behalf of the dispatcher that has the duty to read it, while
+// that dispatcher is connected to this machine. Over a dispatcher's link, which also carries the traffic of its clients,
+// a whole list takes seconds, but all dispatchers must know that a worker drains within Bounds.DrainMs.
 //
-// The session of the dispatcher fences the readings: a report in its name has no effect once another one has the duty. It
-// belongs to the engine; a reading has a goroutine of its own, at most one at a time.
+// The session of the dispatcher fences the readings: a report in its name has no effect once another session has the
+// duty. The reader belongs to the engine; each reading runs in a goroutine of its own, at most one at a time.
 type instanceListReader struct {
 	client     *instancelist.Client
-	configured bool // the settings name the platform
+	configured bool // whether the settings contain the address of the platform
 	ratePerS   float64
 
-	tracker    instances.Tracker
-	session    statemachine.SessionID // on whose behalf; 0: nobody's
-	reading    bool
-	dueAt      time.Duration
-	failures   int  // readings in a row that failed
-	reporting  bool // a report has no outcome yet
-	reportedAt time.Duration
+	tracker     instances.Tracker
+	session     statemachine.SessionID // session on whose behalf the list is read; 0: none
+	isReading   bool
+	nextReadAt  time.Duration
+	failures    int  // consecutive failed readings
+	isReporting bool // a report has no outcome yet
+	reportedAt  time.Duration
 }
 
 func newInstanceListReader(network frame.Network, cloud settings.Cloud) *instanceListReader {
@@ -43,7 +44,8 @@
 		ratePerS: cloud.RatePerS}
 }
 
-// duty returns who reads the list while a dispatcher that is connected to this machine has the duty.
+// duty returns who reads the list while a dispatcher that is connected to this machine has the duty: this machine, or the
+// dispatcher itself.
 func (r *instanceListReader) duty() protocol.InstanceListDuty {
 	if !r.configured || r.failures >= failuresToHandBack {
 		return protocol.DispatcherReads
@@ -51,41 +53,41 @@
 	return protocol.ControlReads
 }
 
-// serve makes a session the one on whose behalf the list is read, 0 for none.
-func (r *instanceListReader) serve(session statemachine.SessionID) {
+// setSession sets the session on whose behalf the list is read; 0 means none. A new session resets the tracker.
+func (r *instanceListReader) setSession(session statemachine.SessionID) {
 	if session != r.session {
 		r.tracker.Reset()
 		r.session = session
 	}
 }
 
-// instanceReaderHere returns the dispatcher whose duty it is to read the list, where it is connected here and leaves that
-// to its control machine, or nil.
-func (s *Server) instanceReaderHere() *dispatcher {
+// localInstanceReader returns the dispatcher that has the duty to read the list, if it is connected here and delegates
+// the reading to its control machine, or nil.
+func (s *Server) localInstanceReader() *dispatcher {
 	d := s.dispatchers.bySession[s.state.fsm.InstanceReader()]
-	if d == nil || d.isLeaving || !d.request.DelegatesInstanceList || !s.canServe() {
+	if d == nil || d.isShuttingDown || !d.request.DelegatesInstanceList || !s.canServe() {
 		return nil
 	}
 	return d
 }
 
-// readInstanceList begins a reading where one is due.
+// readInstanceList starts a reading if one is due.
 func (s *Server) readInstanceList(now time.Duration) {
 	r := s.instanceList
 	if !r.configured {
 		return
 	}
-	reader := s.instanceReaderHere()
+	reader := s.localInstanceReader()
 	if reader == nil {
-		r.serve(0)
+		r.setSession(0)
 		return
 	}
-	r.serve(reader.session)
+	r.setSession(reader.session)
 	s.assignInstanceListDuty(reader)
-	if r.reading || now < r.dueAt {
+	if r.isReading || now < r.nextReadAt {
 		return
 	}
-	r.reading = true
+	r.isReading = true
 	session := r.session
 	go func() {
 		reading := r.client.Read()
@@ -93,24 +95,25 @@
 	}()
 }
 
-// finishInstanceReading takes in a reading that began at the given time on behalf of a session.
+// finishInstanceReading handles the result of a reading that started at the given time on behalf of a session.
 func (s *Server) finishInstanceReading(session statemachine.SessionID, startedAt time.Duration, reading instances.Reading) {
 	r := s.instanceList
-	r.reading = false
-	r.dueAt = startedAt + instancelist.Interval(reading.Pages, r.ratePerS)
+	r.isReading = false
+	r.nextReadAt = startedAt + instancelist.Interval(reading.Pages, r.ratePerS)
 	instancelist.LogReading(s.logger, &reading, s.now()-startedAt)
 	if reading.Err != nil {
 		r.failures++
 		return
 	}
 	r.failures = 0
-	if reader := s.instanceReaderHere(); reader == nil || reader.session != session || session != r.session {
+	if reader := s.localInstanceReader(); reader == nil || reader.session != session || session != r.session {
 		return
 	}
 	s.reportInstances(&reading)
 }
 
-// assignInstanceListDuty tells the dispatcher with the duty where that has passed to it, or back to this machine.
+// assignInstanceListDuty notifies the dispatcher with the duty if the reading has passed to the dispatcher, or back to
+// this machine.
 func (s *Server) assignInstanceListDuty(reader *dispatcher) {
 	if duty := s.instanceList.duty(); duty != reader.listDuty {
 		reader.listDuty = duty
@@ -118,28 +121,30 @@
 	}
 }
 
-// reportInstances proposes what a reading says that the state does not have. It follows the reports that the state has from
-// the same session, of whichever machine; of two machines that report at once under one number, one is ignored, and the next
-// reading brings what it had.
+// reportInstances proposes the differences between a reading and the state. The report gets the number after the newest
+// report of the same session in the state, from whichever machine. If two machines report under the same number, one
+// report is ignored, and the next reading reports its changes.
 func (s *Server) reportInstances(reading *instances.Reading) {
 	r, fsm := s.instanceList, s.state.fsm
-	if r.reporting && s.now()-r.reportedAt < reportTimeout {
+	if r.isReporting && s.now()-r.reportedAt < reportTimeout {
 		return
 	}
 	report := r.tracker.Observe(reading, fsm.Workers)
 	if report.IsEmpty() {
 		return
 	}
-	command := &statemachine.InstancesChanged{Reader: r.session, Changed: report.Changed, Removed: report.Removed, Sequence: 1}
+	command := &statemachine.InstancesChanged{Reader: r.session, Changed: report.Changed,
+		Removed: report.Removed, Sequence: 1}
 	if fsm.LastReader == r.session {
 		command.Sequence = fsm.LastReport + 1
 	}
 	s.logger.Info().Uint64("reading", command.Sequence).Int("listed", len(reading.Entries)).
 		Strs("changed", report.ChangedIDs()).Strs("removed", report.Removed).Msg("instance list changed")
-	r.reporting, r.reportedAt = true, s.now()
-	err := s.commands.submit(&statemachine.Command{InstancesChanged: command}, func(statemachine.Result) { r.reporting = false })
+	r.isReporting, r.reportedAt = true, s.now()
+	err := s.commands.submit(&statemachine.Command{InstancesChanged: command},
+		func(statemachine.Result) { r.isReporting = false })
 	if err != nil {
-		r.reporting = false
+		r.isReporting = false
 		s.logger.Error().Err(err).Msg("a report of the instance list is refused")
 	}
 }
--- a/internal/control/server/instancelist_test.go
+++ b/internal/control/server/instancelist_test.go
@@ -17,7 +17,7 @@
 	"yardflow/internal/platform/settings"
 )
 
-// testPlatform is a platform whose list names one worker, or which answers another status than 200.
+// testPlatform is a platform whose instance list contains one worker. It answers with a configurable status code.
 type testPlatform struct {
 	address string
 	status  atomic.Int32
@@ -40,7 +40,8 @@
 	fmt.Fprint(w, `{"Instances":[{"Id":"w1","Service":"s","Address":"a:1"}]}`)
 }
 
-// newServingServer returns an idle server that is alone in its chain and serves, with a platform at an address.
+// newServingServer returns an idle server that is the only member of its chain and serves, with a platform at the given
+// address.
 func newServingServer(t *testing.T, platform string) *Server {
 	t.Helper()
 	s := newIdleServer(t)
@@ -52,50 +53,51 @@
 	s.instanceList = newInstanceListReader(frame.TCP{}, settings.Cloud{Address: platform})
 	t.Cleanup(s.instanceList.client.Close)
 	if !s.canServe() {
-		t.Fatal("a server that is alone in its chain does not serve")
+		t.Fatal("the only member of the chain does not serve")
 	}
 	return s
 }
 
-// attachDispatcher enters a dispatcher with an open session that leaves the list to its control machine, and returns the
-// dispatcher's side of the connection too.
+// attachDispatcher adds a dispatcher with an open session that delegates the reading of the list to its control machine.
+// It also returns the dispatcher's end of the connection.
 func attachDispatcher(t *testing.T, s *Server, session statemachine.SessionID) (*dispatcher, *frame.Conn) {
 	t.Helper()
-	here, there := connectPair(t)
-	d := &dispatcher{conn: here, session: session, request: protocol.SessionRequest{DelegatesInstanceList: true}}
+	local, remote := connectPair(t)
+	d := &dispatcher{conn: local, session: session, request: protocol.SessionRequest{DelegatesInstanceList: true}}
 	s.dispatchers.attached[d], s.dispatchers.bySession[session] = true, d
 	s.state.fsm.Sessions[session] = &statemachine.Session{Node: fmt.Sprint("front-", session)}
-	return d, there
+	return d, remote
 }
 
-// pass lets time pass on the server's clock alone.
-func pass(s *Server, time time.Duration) { s.startedAt = s.startedAt.Add(-time) }
+// advanceTime advances the server's clock, without waiting.
+func advanceTime(s *Server, elapsed time.Duration) { s.startedAt = s.startedAt.Add(-elapsed) }
 
-// finishReading does the engine's work until the reading that has begun, if any, has come to its end.
+// finishReading calls the functions in the inbox until the reading in progress, if any, has ended.
 func finishReading(t *testing.T, s *Server) {
 	t.Helper()
-	for s.instanceList.reading {
+	for s.instanceList.isReading {
 		select {
 		case f := <-s.inbox:
 			f()
 		case <-time.After(10 * time.Second):
-			t.Fatal("a reading does not end")
+			t.Fatal("the reading does not end")
 		}
 	}
 }
 
-// dutiesTold returns what a dispatcher was told about the duty since the last call, as it has come on its side.
-func dutiesTold(t *testing.T, d *dispatcher, there *frame.Conn) []protocol.InstanceListDuty {
+// receivedDuties returns the duties that were sent to a dispatcher since the last call, as received at its end of the
+// connection.
+func receivedDuties(t *testing.T, d *dispatcher, remote *frame.Conn) []protocol.InstanceListDuty {
 	t.Helper()
-	const end = "end of what was said"
+	const endMarker = "end marker"
 	duties := []protocol.InstanceListDuty{}
-	for d.send(protocol.ControlMessage{ControlAddresses: []string{end}}); ; {
-		data, err := there.Receive(10 * time.Second)
+	for d.send(protocol.ControlMessage{ControlAddresses: []string{endMarker}}); ; {
+		data, err := remote.Receive(10 * time.Second)
 		message := protocol.ControlMessage{}
 		if err != nil || !protocol.Decode(data, &message) {
-			t.Fatalf("a message does not come: %v", err)
+			t.Fatalf("expected message not received: %v", err)
 		}
-		if slices.Equal(message.ControlAddresses, []string{end}) {
+		if slices.Equal(message.ControlAddresses, []string{endMarker}) {
 			return duties
 		}
 		if message.InstanceListDuty != protocol.DutyUnchanged {
@@ -115,15 +117,15 @@
 	return reports
 }
 
-// answerReports gives all pending commands an outcome.
-func answerReports(s *Server, code statemachine.Code) {
+// completeReports completes all pending commands with an outcome of the given code.
+func completeReports(s *Server, code statemachine.Code) {
 	for tag := range s.commands.pending {
 		s.commands.complete(tag, statemachine.Result{Code: code})
 	}
 }
 
-// soundReading returns a complete reading that names workers.
-func soundReading(ids ...string) instances.Reading {
+// successfulReading returns a complete reading that contains the given workers.
+func successfulReading(ids ...string) instances.Reading {
 	reading := instances.Reading{Pages: 1}
 	for _, id := range ids {
 		reading.Entries = append(reading.Entries, instances.Entry{ID: id, Service: "s", Address: "a:1"})
@@ -131,25 +133,27 @@
 	return reading
 }
 
-// The list is read on behalf of the dispatcher whose duty that is, where that one is here and leaves it to this machine.
-// One of the former version reads by itself, whatever it is told.
-func TestListIsReadOnBehalfOfTheReaderThatIsConnectedHere(t *testing.T) {
+// TestListIsReadForTheLocallyConnectedReader checks that this machine reads the list on behalf of the dispatcher that has
+// the duty, if that dispatcher is connected here and delegates the reading. A dispatcher of an earlier version does not,
+// and reads the list itself.
+func TestListIsReadForTheLocallyConnectedReader(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		arrange func(s *Server, d *dispatcher)
 		reads   bool
 	}{
-		{"the dispatcher with the oldest session is here", func(*Server, *dispatcher) {}, true},
-		{"another one here has a later session", func(s *Server, _ *dispatcher) {
+		{"the dispatcher with the oldest session is connected here", func(*Server, *dispatcher) {}, true},
+		{"another dispatcher connected here has a later session", func(s *Server, _ *dispatcher) {
 			s.state.fsm.Sessions[9] = &statemachine.Session{Node: "front-9"}
 			s.dispatchers.bySession[9] = &dispatcher{session: 9}
 		}, true},
 		{"the oldest session is connected to another machine", func(s *Server, _ *dispatcher) {
 			s.state.fsm.Sessions[1] = &statemachine.Session{Node: "front-1"}
 		}, false},
-		{"the dispatcher is of the former version", func(_ *Server, d *dispatcher) { d.request.DelegatesInstanceList = false }, false},
-		{"the dispatcher shuts down", func(_ *Server, d *dispatcher) { d.isLeaving = true }, false},
-		{"the dispatcher has left", func(s *Server, d *dispatcher) { s.removeDispatcher(d) }, false},
+		{"dispatcher of an earlier version", func(_ *Server, d *dispatcher) { d.request.DelegatesInstanceList = false },
+			false},
+		{"the dispatcher shuts down", func(_ *Server, d *dispatcher) { d.isShuttingDown = true }, false},
+		{"the dispatcher has disconnected", func(s *Server, d *dispatcher) { s.removeDispatcher(d) }, false},
 		{"no session is open", func(s *Server, _ *dispatcher) { clear(s.state.fsm.Sessions) }, false},
 		{"this machine does not serve", func(s *Server, _ *dispatcher) {
 			s.membership.detector = view.NewDetector(view.Member{ID: 99}, 0, 1)
@@ -158,24 +162,25 @@
 	} {
 		platform := newTestPlatform(t)
 		s := newServingServer(t, platform.address)
-		d, there := attachDispatcher(t, s, 3)
+		d, remote := attachDispatcher(t, s, 3)
 		c.arrange(s, d)
 		s.readInstanceList(s.now())
 		finishReading(t, s)
 		if reads := platform.calls.Load() > 0; reads != c.reads {
-			t.Errorf("%s: reads the list: %v", c.name, reads)
+			t.Errorf("%s: server reads the list: %v", c.name, reads)
 		}
-		if told := dutiesTold(t, d, there); (len(told) > 0) != c.reads {
-			t.Errorf("%s: the dispatcher is told %v", c.name, told)
+		if received := receivedDuties(t, d, remote); (len(received) > 0) != c.reads {
+			t.Errorf("%s: duties sent to the dispatcher: %v", c.name, received)
 		}
 		if reports := pendingReports(s); (len(reports) == 1) != c.reads {
-			t.Errorf("%s: %d reports", c.name, len(reports))
+			t.Errorf("%s: %d reports pending", c.name, len(reports))
 		}
 	}
 }
 
-// A dispatcher learns with its snapshot who reads, before it could begin a reading of its own.
-func TestSnapshotSaysWhoReadsTheList(t *testing.T) {
+// TestSnapshotMessageContainsTheListDuty checks that a dispatcher receives with its snapshot who reads the list, before
+// it could start a reading itself.
+func TestSnapshotMessageContainsTheListDuty(t *testing.T) {
 	for name, c := range map[string]struct {
 		platform string
 		failing  bool
@@ -189,140 +194,146 @@
 		if c.failing {
 			s.instanceList.failures = failuresToHandBack
 		}
-		d, there := attachDispatcher(t, s, 3)
+		d, remote := attachDispatcher(t, s, 3)
 		d.snapshotDue = true
 		s.deliver()
-		if told := dutiesTold(t, d, there); !slices.Equal(told, []protocol.InstanceListDuty{c.want}) {
-			t.Errorf("%s: the dispatcher is told %v, want %v", name, told, c.want)
+		if received := receivedDuties(t, d, remote); !slices.Equal(received, []protocol.InstanceListDuty{c.want}) {
+			t.Errorf("%s: duties sent to the dispatcher: %v, want %v", name, received, c.want)
 		}
 	}
 }
 
-// What the snapshot has said is not said again: the tick after it changes nothing.
-func TestDutyIsNotToldTwice(t *testing.T) {
+// TestUnchangedDutyIsSentOnce checks that the ticks after the snapshot do not repeat the duty that the snapshot message
+// contained.
+func TestUnchangedDutyIsSentOnce(t *testing.T) {
 	s := newServingServer(t, newTestPlatform(t).address)
-	d, there := attachDispatcher(t, s, 3)
+	d, remote := attachDispatcher(t, s, 3)
 	d.snapshotDue = true
 	s.deliver()
 	for range 3 {
 		s.readInstanceList(s.now())
 		finishReading(t, s)
-		pass(s, tickInterval)
+		advanceTime(s, tickInterval)
 	}
-	if told := dutiesTold(t, d, there); !slices.Equal(told, []protocol.InstanceListDuty{protocol.ControlReads}) {
-		t.Errorf("the dispatcher is told %v", told)
+	if received := receivedDuties(t, d, remote); !slices.Equal(received,
+		[]protocol.InstanceListDuty{protocol.ControlReads}) {
+		t.Errorf("duties sent to the dispatcher: %v, want ControlReads once", received)
 	}
 }
 
-// Readings that fail, failuresToHandBack in a row, hand the duty to the dispatcher, once; this machine goes on to try, and its
-// first sound reading takes the duty back, once.
+// TestDutyGoesToTheDispatcherWhileReadingsFail checks that failuresToHandBack consecutive failed readings hand the duty
+// to the dispatcher, and that the first successful reading takes it back. Each change is sent once, and this machine
+// continues to read in between.
 func TestDutyGoesToTheDispatcherWhileReadingsFail(t *testing.T) {
 	platform := newTestPlatform(t)
 	s := newServingServer(t, platform.address)
-	d, there := attachDispatcher(t, s, 3)
-	expectDuties(t, "at first", tickUntilTold(t, s, d, there, 1), protocol.ControlReads)
+	d, remote := attachDispatcher(t, s, 3)
+	expectDuties(t, "initially", tickUntilDutySent(t, s, d, remote, 1), protocol.ControlReads)
 	platform.status.Store(http.StatusTooManyRequests)
-	expectHandBack(t, s, d, there)
+	expectHandBack(t, s, d, remote)
 	before := platform.calls.Load()
-	expectDuties(t, "while readings fail", tickUntilTold(t, s, d, there, 50))
+	expectDuties(t, "while readings fail", tickUntilDutySent(t, s, d, remote, 50))
 	if platform.calls.Load() == before {
-		t.Error("this machine does not try any more")
+		t.Error("this machine no longer reads the list")
 	}
 	platform.status.Store(http.StatusOK)
-	expectDuties(t, "once a reading is sound", tickUntilTold(t, s, d, there, 12), protocol.ControlReads)
-	expectDuties(t, "while readings are sound", tickUntilTold(t, s, d, there, 50))
+	expectDuties(t, "after a successful reading", tickUntilDutySent(t, s, d, remote, 12), protocol.ControlReads)
+	expectDuties(t, "while readings succeed", tickUntilDutySent(t, s, d, remote, 50))
 }
 
-// tickInstanceList does what a tick does about the list, up to the end of the reading that it begins, and returns what the
-// dispatcher is told.
-func tickInstanceList(t *testing.T, s *Server, d *dispatcher, there *frame.Conn) []protocol.InstanceListDuty {
+// tickInstanceList does the part of a tick that reads the list, waits for the end of the reading that it starts, and
+// returns the duties sent to the dispatcher.
+func tickInstanceList(t *testing.T, s *Server, d *dispatcher, remote *frame.Conn) []protocol.InstanceListDuty {
 	t.Helper()
 	s.readInstanceList(s.now())
 	finishReading(t, s)
-	return dutiesTold(t, d, there)
+	return receivedDuties(t, d, remote)
 }
 
-// tickUntilTold lets at most so many ticks pass until the dispatcher is told something, and returns that.
-func tickUntilTold(t *testing.T, s *Server, d *dispatcher, there *frame.Conn, ticks int) []protocol.InstanceListDuty {
+// tickUntilDutySent runs ticks, at most the given number, until a duty is sent to the dispatcher, and returns the duties.
+func tickUntilDutySent(t *testing.T, s *Server, d *dispatcher, remote *frame.Conn, ticks int) []protocol.InstanceListDuty {
 	t.Helper()
 	for range ticks {
-		pass(s, tickInterval)
-		if told := tickInstanceList(t, s, d, there); len(told) > 0 {
-			return told
+		advanceTime(s, tickInterval)
+		if received := tickInstanceList(t, s, d, remote); len(received) > 0 {
+			return received
 		}
 	}
 	return nil
 }
 
-func expectDuties(t *testing.T, when string, told []protocol.InstanceListDuty, want ...protocol.InstanceListDuty) {
+func expectDuties(t *testing.T, when string, received []protocol.InstanceListDuty, want ...protocol.InstanceListDuty) {
 	t.Helper()
-	if !slices.Equal(told, want) {
-		t.Fatalf("%s the dispatcher is told %v, want %v", when, told, want)
+	if !slices.Equal(received, want) {
+		t.Fatalf("%s: duties sent to the dispatcher: %v, want %v", when, received, want)
 	}
 }
 
-// expectHandBack lets ticks pass until the dispatcher is told to read: once failuresToHandBack readings in a row have failed,
-// and not before.
-func expectHandBack(t *testing.T, s *Server, d *dispatcher, there *frame.Conn) {
+// expectHandBack runs ticks until the duty is handed back to the dispatcher, which must happen once failuresToHandBack
+// consecutive readings have failed and not before.
+func expectHandBack(t *testing.T, s *Server, d *dispatcher, remote *frame.Conn) {
 	t.Helper()
-	const mostTicks = 50
-	for range mostTicks {
-		pass(s, tickInterval)
+	const maxTicks = 50
+	for range maxTicks {
+		advanceTime(s, tickInterval)
 		failures := s.instanceList.failures
-		told := tickInstanceList(t, s, d, there)
+		received := tickInstanceList(t, s, d, remote)
 		if failures < failuresToHandBack {
-			expectDuties(t, fmt.Sprintf("after %d failed readings", failures), told)
+			expectDuties(t, fmt.Sprintf("after %d failed readings", failures), received)
 			continue
 		}
-		expectDuties(t, fmt.Sprintf("after %d failed readings", failures), told, protocol.DispatcherReads)
+		expectDuties(t, fmt.Sprintf("after %d failed readings", failures), received, protocol.DispatcherReads)
 		return
 	}
-	t.Fatal("the duty is never handed back")
+	t.Fatal("the duty is not handed back")
 }
 
-// Readings that take long, or whose pace is slow, are sound: they hand nothing back, however long ago the last one was.
+// TestSlowReadingsKeepTheDuty checks that the duty is not handed back while readings succeed, however long the interval
+// between them is.
 func TestSlowReadingsKeepTheDuty(t *testing.T) {
 	s := newServingServer(t, newTestPlatform(t).address)
-	s.instanceList.ratePerS = 1 // two seconds from one reading of a page to the next
-	d, there := attachDispatcher(t, s, 3)
-	expectDuties(t, "at first", tickUntilTold(t, s, d, there, 1), protocol.ControlReads)
-	expectDuties(t, "for five seconds", tickUntilTold(t, s, d, there, 50))
+	s.instanceList.ratePerS = 1 // interval of two seconds between readings of one page
+	d, remote := attachDispatcher(t, s, 3)
+	expectDuties(t, "initially", tickUntilDutySent(t, s, d, remote, 1), protocol.ControlReads)
+	expectDuties(t, "for five more seconds", tickUntilDutySent(t, s, d, remote, 50))
 }
 
-// A machine whose readings have failed hands the duty of the next dispatcher back as well, at once.
+// TestFailuresCountForTheNextDispatcherToo checks that a machine whose readings have failed hands back the duty of the
+// next dispatcher at once.
 func TestFailuresCountForTheNextDispatcherToo(t *testing.T) {
 	platform := newTestPlatform(t)
 	platform.status.Store(http.StatusInternalServerError)
 	s := newServingServer(t, platform.address)
-	former, itsSide := attachDispatcher(t, s, 3)
-	expectDuties(t, "at first", tickUntilTold(t, s, former, itsSide, 1), protocol.ControlReads)
-	expectHandBack(t, s, former, itsSide)
+	former, formerRemote := attachDispatcher(t, s, 3)
+	expectDuties(t, "initially", tickUntilDutySent(t, s, former, formerRemote, 1), protocol.ControlReads)
+	expectHandBack(t, s, former, formerRemote)
 	s.removeDispatcher(former)
 	delete(s.state.fsm.Sessions, 3)
-	next, there := attachDispatcher(t, s, 5)
-	expectDuties(t, "at first", tickUntilTold(t, s, next, there, 1), protocol.DispatcherReads)
+	next, remote := attachDispatcher(t, s, 5)
+	expectDuties(t, "initially", tickUntilDutySent(t, s, next, remote, 1), protocol.DispatcherReads)
 	platform.status.Store(http.StatusOK)
-	expectDuties(t, "once a reading is sound", tickUntilTold(t, s, next, there, 12), protocol.ControlReads)
+	expectDuties(t, "after a successful reading", tickUntilDutySent(t, s, next, remote, 12), protocol.ControlReads)
 }
 
-// The state ignores a report whose number is not above that of the newest one of the same session, by whichever process.
-func TestReportFollowsTheNewestOneOfItsSession(t *testing.T) {
+// TestReportNumberFollowsTheNewestReportOfTheSession checks that a report is numbered after the newest report of the same
+// session, from whichever process, since the state ignores reports with lower numbers.
+func TestReportNumberFollowsTheNewestReportOfTheSession(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		lastReader statemachine.SessionID
 		lastReport uint64
 		want       uint64
 	}{
-		{"no report has come yet", 0, 0, 1},
-		{"the newest one is of this session", 3, 41, 42},
-		{"the dispatcher itself has reported, by its milliseconds", 3, 7_200_001, 7_200_002},
-		{"the newest one is of a former session", 2, 41, 1},
+		{"no report so far", 0, 0, 1},
+		{"the newest report is of this session", 3, 41, 42},
+		{"the dispatcher itself has reported, numbered by milliseconds", 3, 7_200_001, 7_200_002},
+		{"the newest report is of a previous session", 2, 41, 1},
 	} {
 		s := newServingServer(t, "cloud:1")
 		attachDispatcher(t, s, 3)
-		s.instanceList.serve(3)
+		s.instanceList.setSession(3)
 		s.state.fsm.LastReader, s.state.fsm.LastReport = c.lastReader, c.lastReport
-		s.finishInstanceReading(3, s.now(), soundReading("w1"))
+		s.finishInstanceReading(3, s.now(), successfulReading("w1"))
 		reports := pendingReports(s)
 		if len(reports) != 1 || reports[0].Reader != 3 || reports[0].Sequence != c.want {
 			t.Errorf("%s: reports %+v, want number %d of session 3", c.name, reports, c.want)
@@ -330,60 +341,64 @@
 		}
 		s.state.fsm.Apply(&statemachine.Command{InstancesChanged: reports[0]})
 		if s.state.fsm.Workers["w1"] == nil {
-			t.Errorf("%s: the state does not take the report", c.name)
+			t.Errorf("%s: the state ignores the report", c.name)
 		}
 	}
 }
 
-// While a report has no outcome the state may have it or not: the next reading would say the same again, under the same
-// number. Whatever the outcome is, the reading after it reports again.
+// TestReportWaitsForTheOutcomeOfTheLastOne checks that no reading is reported while an earlier report has no outcome: the
+// state may lack that report, so the same changes would be reported again under the same number. After any outcome, the
+// next reading is reported.
 func TestReportWaitsForTheOutcomeOfTheLastOne(t *testing.T) {
 	for name, answer := range map[string]func(s *Server){
-		"carried out":                      func(s *Server) { answerReports(s, statemachine.OK) },
-		"of a session that is over":        func(s *Server) { answerReports(s, statemachine.Conflict) },
-		"given up with the chain position": func(s *Server) { s.commands.abandon() },
+		"executed":                          func(s *Server) { completeReports(s, statemachine.OK) },
+		"of a session that has ended":       func(s *Server) { completeReports(s, statemachine.Conflict) },
+		"abandoned with the chain position": func(s *Server) { s.commands.abandon() },
 	} {
 		s := newServingServer(t, "cloud:1")
 		attachDispatcher(t, s, 3)
-		s.instanceList.serve(3)
+		s.instanceList.setSession(3)
 		for range 3 {
-			s.finishInstanceReading(3, s.now(), soundReading("w1"))
+			s.finishInstanceReading(3, s.now(), successfulReading("w1"))
 		}
 		if reports := pendingReports(s); len(reports) != 1 {
-			t.Errorf("%s: %d reports while the first one has no outcome", name, len(reports))
+			t.Errorf("%s: %d reports pending before the first outcome, want 1", name, len(reports))
 		}
 		answer(s)
-		s.finishInstanceReading(3, s.now(), soundReading("w1"))
+		s.finishInstanceReading(3, s.now(), successfulReading("w1"))
 		if reports := pendingReports(s); len(reports) != 1 {
-			t.Errorf("%s: %d reports after the outcome of the first one", name, len(reports))
+			t.Errorf("%s: %d reports pending after the first outcome, want 1", name, len(reports))
 		}
 	}
 }
 
-// A report that the log can't take does not keep later ones back.
-func TestReportThatIsRefusedKeepsNoneBack(t *testing.T) {
+// TestRejectedReportDoesNotBlockLaterReports checks that a report that is too long for the log does not block later
+// reports.
+func TestRejectedReportDoesNotBlockLaterReports(t *testing.T) {
 	s := newServingServer(t, "cloud:1")
 	attachDispatcher(t, s, 3)
-	s.instanceList.serve(3)
+	s.instanceList.setSession(3)
 	longest := s.commands.maxBytes
 	s.commands.maxBytes = 1
-	s.finishInstanceReading(3, s.now(), soundReading("w1"))
+	s.finishInstanceReading(3, s.now(), successfulReading("w1"))
 	s.commands.maxBytes = longest
-	s.finishInstanceReading(3, s.now(), soundReading("w1"))
+	s.finishInstanceReading(3, s.now(), successfulReading("w1"))
 	if reports := pendingReports(s); len(reports) != 1 {
-		t.Errorf("%d reports", len(reports))
+		t.Errorf("%d reports pending, want 1", len(reports))
 	}
 }
 
-// A reading that the state already agrees with, or that failed, reports nothing.
-func TestReadingWithoutNewsReportsNothing(t *testing.T) {
-	failed := soundReading("w1", "w2")
+// TestReadingWithoutChangesReportsNothing checks that a reading that matches the state, or that failed, reports nothing.
+func TestReadingWithoutChangesReportsNothing(t *testing.T) {
+	failed := successfulReading("w1", "w2")
 	failed.Err = fmt.Errorf("the second page is missing")
-	for name, reading := range map[string]instances.Reading{"what is known": soundReading("w1"), "a failed reading": failed} {
+	for name, reading := range map[string]instances.Reading{"a reading that matches the state": successfulReading("w1"),
+		"a failed reading": failed} {
 		s := newServingServer(t, "cloud:1")
 		attachDispatcher(t, s, 3)
-		s.instanceList.serve(3)
-		s.state.fsm.Workers["w1"] = &statemachine.Worker{Instance: statemachine.Instance{ID: "w1", Service: "s", Address: "a:1"}}
+		s.instanceList.setSession(3)
+		s.state.fsm.Workers["w1"] = &statemachine.Worker{
+			Instance: statemachine.Instance{ID: "w1", Service: "s", Address: "a:1"}}
 		s.finishInstanceReading(3, s.now(), reading)
 		if reports := pendingReports(s); len(reports) > 0 {
 			t.Errorf("%s: reports %+v", name, reports[0])
@@ -391,28 +406,29 @@
 	}
 }
 
-// A reading takes seconds. Where the duty has passed on meanwhile, what it brings is nobody's report any more.
-func TestReadingOfAFormerDutyReportsNothing(t *testing.T) {
-	for name, passOn := range map[string]func(s *Server, d *dispatcher){
-		"another session has become the oldest one": func(s *Server, d *dispatcher) {
+// TestReadingReportsNothingOnceTheDutyHasMoved checks that a reading is discarded if the duty has moved while the reading
+// was in progress, which takes seconds.
+func TestReadingReportsNothingOnceTheDutyHasMoved(t *testing.T) {
+	for name, moveDuty := range map[string]func(s *Server, d *dispatcher){
+		"another session has become the oldest": func(s *Server, d *dispatcher) {
 			s.removeDispatcher(d)
 			delete(s.state.fsm.Sessions, d.session)
 			s.state.fsm.Sessions[5] = &statemachine.Session{Node: "front-5"}
 			s.dispatchers.bySession[5] = &dispatcher{session: 5, request: d.request}
 		},
-		"the dispatcher has gone to another machine": func(s *Server, d *dispatcher) { s.removeDispatcher(d) },
-		"the dispatcher shuts down":                  func(_ *Server, d *dispatcher) { d.isLeaving = true },
-		"this machine does not serve any more": func(s *Server, _ *dispatcher) {
+		"the dispatcher has moved to another machine": func(s *Server, d *dispatcher) { s.removeDispatcher(d) },
+		"the dispatcher shuts down":                   func(_ *Server, d *dispatcher) { d.isShuttingDown = true },
+		"this machine no longer serves": func(s *Server, _ *dispatcher) {
 			s.membership.detector = view.NewDetector(view.Member{ID: 99}, 0, 1)
 		},
 	} {
 		s := newServingServer(t, newTestPlatform(t).address)
 		d, _ := attachDispatcher(t, s, 3)
 		s.readInstanceList(s.now())
-		if !s.instanceList.reading {
-			t.Fatal("no reading begins")
+		if !s.instanceList.isReading {
+			t.Fatal("no reading starts")
 		}
-		passOn(s, d)
+		moveDuty(s, d)
 		finishReading(t, s)
 		if reports := pendingReports(s); len(reports) > 0 {
 			t.Errorf("%s: reports %+v", name, reports[0])
@@ -420,15 +436,17 @@
 	}
 }
 
-// A reading that is under way for a former session does not keep the next one's reading back, and neither reading comes
-// before the platform's rate allows it: a dispatcher that attaches again and again does not have the list read each time.
-func TestDutyThatPassesOnIsReadForAtTheSamePace(t *testing.T) {
+// TestReadingRateIsKeptAcrossSessions checks that a reading in progress for a previous session does not delay the reading
+// for the next session, and that the rate limit of the platform holds across sessions, so that a dispatcher that attaches
+// repeatedly does not cause a reading each time.
+func TestReadingRateIsKeptAcrossSessions(t *testing.T) {
 	for name, c := range map[string]struct {
 		readForFormer func(s *Server)
 		wait          time.Duration
 	}{
-		"a reading is under way":                    {func(s *Server) { s.readInstanceList(s.now()) }, time.Second},
-		"the next reading is due in twenty seconds": {func(s *Server) { s.finishInstanceReading(3, s.now(), instances.Reading{Pages: 10}) }, 20 * time.Second},
+		"a reading is in progress": {func(s *Server) { s.readInstanceList(s.now()) }, time.Second},
+		"the next reading is due in twenty seconds": {
+			func(s *Server) { s.finishInstanceReading(3, s.now(), instances.Reading{Pages: 10}) }, 20 * time.Second},
 	} {
 		platform := newTestPlatform(t)
 		s := newServingServer(t, platform.address)
@@ -436,7 +454,7 @@
 			s.instanceList.ratePerS = 1
 		}
 		former, _ := attachDispatcher(t, s, 3)
-		s.instanceList.serve(3)
+		s.instanceList.setSession(3)
 		c.readForFormer(s)
 		s.removeDispatcher(former)
 		delete(s.state.fsm.Sessions, 3)
@@ -444,60 +462,63 @@
 		s.readInstanceList(s.now())
 		finishReading(t, s)
 		calls := platform.calls.Load()
-		pass(s, c.wait-200*time.Millisecond)
+		advanceTime(s, c.wait-200*time.Millisecond)
 		s.readInstanceList(s.now())
-		if s.instanceList.reading || platform.calls.Load() != calls {
-			t.Errorf("%s: a reading begins before it is due", name)
+		if s.instanceList.isReading || platform.calls.Load() != calls {
+			t.Errorf("%s: a reading starts before it is due", name)
 		}
-		pass(s, 300*time.Millisecond)
+		advanceTime(s, 300*time.Millisecond)
 		s.readInstanceList(s.now())
 		finishReading(t, s)
 		if reports := pendingReports(s); len(reports) != 1 || reports[0].Reader != 5 {
-			t.Errorf("%s: the reports are %+v, want one of session 5", name, reports)
+			t.Errorf("%s: reports %+v, want one of session 5", name, reports)
 		}
 	}
 }
 
-// A report whose outcome is long in coming, as while a disk stalls, holds the next one up for reportTimeout and no longer.
-func TestReportWithoutOutcomeHoldsTheNextOneUpForAShortTime(t *testing.T) {
+// TestReportWithoutOutcomeDelaysTheNextForReportTimeout checks that a report whose outcome is late, for example because a
+// disk stalls, delays the next report for no longer than reportTimeout.
+func TestReportWithoutOutcomeDelaysTheNextForReportTimeout(t *testing.T) {
 	s := newServingServer(t, "cloud:1")
 	attachDispatcher(t, s, 3)
-	s.instanceList.serve(3)
-	s.finishInstanceReading(3, s.now(), soundReading("w1"))
-	pass(s, reportTimeout)
-	s.finishInstanceReading(3, s.now(), soundReading("w1", "w2"))
+	s.instanceList.setSession(3)
+	s.finishInstanceReading(3, s.now(), successfulReading("w1"))
+	advanceTime(s, reportTimeout)
+	s.finishInstanceReading(3, s.now(), successfulReading("w1", "w2"))
 	if reports := pendingReports(s); len(reports) != 2 {
-		t.Errorf("%d reports", len(reports))
+		t.Errorf("%d reports pending, want 2", len(reports))
 	}
 }
 
-// A worker counts as removed by three readings of one term: those on behalf of a former session show nothing.
+// TestAbsencesAreNotCountedAcrossSessions checks that a worker counts as removed only if it is missing in three readings
+// on behalf of the same session.
 func TestAbsencesAreNotCountedAcrossSessions(t *testing.T) {
 	s := newServingServer(t, "cloud:1")
 	s.state.fsm.Workers["w1"] = &statemachine.Worker{Instance: statemachine.Instance{ID: "w1"}}
 	former, _ := attachDispatcher(t, s, 3)
-	s.instanceList.serve(3)
+	s.instanceList.setSession(3)
 	for range 2 {
-		s.finishInstanceReading(3, s.now(), soundReading())
+		s.finishInstanceReading(3, s.now(), successfulReading())
 	}
 	s.removeDispatcher(former)
 	delete(s.state.fsm.Sessions, 3)
 	attachDispatcher(t, s, 5)
-	s.instanceList.serve(5)
+	s.instanceList.setSession(5)
 	for range 2 {
-		s.finishInstanceReading(5, s.now(), soundReading())
+		s.finishInstanceReading(5, s.now(), successfulReading())
 	}
 	if reports := pendingReports(s); len(reports) > 0 {
-		t.Fatalf("two readings of each of two terms report %+v", reports[0])
+		t.Fatalf("two readings for each of two sessions report %+v", reports[0])
 	}
-	s.finishInstanceReading(5, s.now(), soundReading())
+	s.finishInstanceReading(5, s.now(), successfulReading())
 	if reports := pendingReports(s); len(reports) != 1 || !slices.Equal(reports[0].Removed, []string{"w1"}) {
-		t.Errorf("three readings of one term: %d reports", len(reports))
+		t.Errorf("three readings for one session: %d reports pending, want one that removes w1", len(reports))
 	}
 }
 
-// One reading at a time, a second apart; long lists further apart, as instancelist.Interval says.
-func TestReadingsFollowThePaceOfThePlatform(t *testing.T) {
+// TestReadingIntervalFollowsThePlatformRate checks that readings start a second apart, or further apart for long lists,
+// as determined by instancelist.Interval.
+func TestReadingIntervalFollowsThePlatformRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		pages int
@@ -512,58 +533,60 @@
 		s := newServingServer(t, newTestPlatform(t).address)
 		s.instanceList.ratePerS = 90
 		attachDispatcher(t, s, 3)
-		begun := s.now()
-		s.instanceList.serve(3)
-		s.finishInstanceReading(3, begun, instances.Reading{Pages: c.pages})
-		s.readInstanceList(begun + c.after)
-		if s.instanceList.reading != c.reads {
-			t.Errorf("%s: reads: %v", c.name, s.instanceList.reading)
+		startedAt := s.now()
+		s.instanceList.setSession(3)
+		s.finishInstanceReading(3, startedAt, instances.Reading{Pages: c.pages})
+		s.readInstanceList(startedAt + c.after)
+		if s.instanceList.isReading != c.reads {
+			t.Errorf("%s: reading in progress: %v", c.name, s.instanceList.isReading)
 		}
 		finishReading(t, s)
 	}
 }
 
-// A reading that is under way is not joined by another one, however long it takes.
-func TestOneReadingIsUnderWayAtATime(t *testing.T) {
+// TestOneReadingInFlight checks that no reading starts while another one is in progress, however long that takes.
+func TestOneReadingInFlight(t *testing.T) {
 	platform := newTestPlatform(t)
 	s := newServingServer(t, platform.address)
 	attachDispatcher(t, s, 3)
 	s.readInstanceList(s.now())
 	for range 5 {
-		pass(s, time.Second)
+		advanceTime(s, time.Second)
 		s.readInstanceList(s.now())
 	}
 	finishReading(t, s)
 	if calls := platform.calls.Load(); calls != 1 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("%d calls of the platform, want 1", calls)
 	}
 }
 
-// From a dispatcher's first message to the worker in the state: the engine's own ticks and flushes read and report, and leave
-// the list to a dispatcher of the former version, whose request lacks the field.
-func TestEngineReadsTheListOnceADispatcherLeavesThatToIt(t *testing.T) {
+// TestEngineReadsTheListForADelegatingDispatcher covers the path from a dispatcher's session request to the worker in the
+// state: the engine's ticks and flushes read and report the list. For a dispatcher of an earlier version, whose request
+// lacks the field, the engine does not read it.
+func TestEngineReadsTheListForADelegatingDispatcher(t *testing.T) {
 	for name, c := range map[string]struct {
 		request protocol.SessionRequest
 		reads   bool
 	}{
-		"a dispatcher that leaves it": {protocol.SessionRequest{Node: "front-1", Incarnation: 7, DelegatesInstanceList: true}, true},
-		"one of the former version":   {protocol.SessionRequest{Node: "front-1", Incarnation: 7}, false},
+		"a dispatcher that delegates the reading": {
+			protocol.SessionRequest{Node: "front-1", Incarnation: 7, DelegatesInstanceList: true}, true},
+		"a dispatcher of an earlier version": {protocol.SessionRequest{Node: "front-1", Incarnation: 7}, false},
 	} {
 		platform := newTestPlatform(t)
 		s := newServingServer(t, platform.address)
-		here, _ := connectPair(t)
-		d := &dispatcher{conn: here}
+		local, _ := connectPair(t)
+		d := &dispatcher{conn: local}
 		s.receiveFromDispatcher(d, &protocol.DispatcherMessage{SessionRequest: &c.request})
 		runEngine(t, s, func() bool { return d.session != 0 && !d.snapshotDue })
 		s.tick()
-		runEngine(t, s, func() bool { return !s.instanceList.reading && !s.instanceList.reporting })
+		runEngine(t, s, func() bool { return !s.instanceList.isReading && !s.instanceList.isReporting })
 		if reads := platform.calls.Load() > 0; reads != c.reads || (s.state.fsm.LastReader == d.session) != c.reads {
-			t.Errorf("%s: reads the list: %v; the last report is of session %d", name, reads, s.state.fsm.LastReader)
+			t.Errorf("%s: server reads the list: %v; the last report is of session %d", name, reads, s.state.fsm.LastReader)
 		}
 	}
 }
 
-// runEngine does the engine's work until a condition holds.
+// runEngine calls the functions in the inbox and flushes until a condition holds.
 func runEngine(t *testing.T, s *Server, holds func() bool) {
 	t.Helper()
 	for s.flush(); !holds(); s.flush() {
@@ -571,7 +594,7 @@
 		case f := <-s.inbox:
 			f()
 		case <-time.After(10 * time.Second):
-			t.Fatal("what is waited for does not come")
+			t.Fatal("the condition does not hold in time")
 		}
 	}
 }
--- a/internal/control/server/leave.go
+++ b/internal/control/server/leave.go
@@ -5,17 +5,17 @@
 // Intervals of a graceful shutdown.
 const (
 	leavePollInterval = 20 * time.Millisecond
-	// leaveGraceMargin is what is left of the time between SIGTERM and SIGKILL (settings key Bounds.GraceS) for open
-	// requests to end.
+	// leaveGraceMargin is the part of the time between SIGTERM and SIGKILL (settings key Bounds.GraceS) that is reserved
+	// for open requests to end.
 	leaveGraceMargin = 2 * time.Second
-	// defaultLeaveTimeout serves where the settings don't name that time, or no more than the margin.
+	// defaultLeaveTimeout applies if that time is not set, or not longer than the margin.
 	defaultLeaveTimeout = 4 * time.Second
 )
 
-// LeaveChain hands this member's chain position over before the process stops: the others agree on a chain without it,
-// and on a newcomer in its position where one waits. A member without which the chain is too short stays until another
-// one has the whole log, or its time is over. It returns once the position is handed over or can't be, and may be called
-// by any goroutine but the engine.
+// LeaveChain hands over this member's chain position before the process stops: the other members agree on a chain without
+// it, with a newcomer in its position if one is available. If the chain would be too short without this member, the
+// member stays until another machine has the whole log or the timeout has passed. LeaveChain returns once the position is
+// handed over, the timeout has passed or the engine has ended. It may be called by any goroutine except the engine.
 func (s *Server) LeaveChain() {
 	s.do(func() {
 		s.membership.leaving = true
@@ -51,7 +51,7 @@
 	return grace - leaveGraceMargin
 }
 
-// hasLeftChain reports whether the view in force has this member not in its chain, or the engine has ended.
+// hasLeftChain reports whether this member is not in the chain of the view in force, or the engine has ended.
 func (s *Server) hasLeftChain() bool {
 	answer := make(chan bool, 1)
 	s.do(func() { answer <- !s.replica.IsMember() })
--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -7,14 +7,14 @@
 	"yardflow/coordination/view"
 )
 
-// membership is this machine's part in agreeing on views: which control machines are electors, and which of them form
-// the chain.
+// membership is this machine's part in the agreement on views: which control machines are electors, and which of them
+// form the chain.
 type membership struct {
 	consensus       *view.Consensus
 	detector        *view.Detector
-	epochAtStart    uint64        // epoch of the view that the disk held when this incarnation began
+	epochAtStart    uint64        // epoch of the view on disk when this incarnation started
 	leaving         bool          // this machine has announced a graceful shutdown
-	viewInstalledAt time.Duration // when the view in force was installed; 0: none was in this incarnation
+	viewInstalledAt time.Duration // when the view in force was installed; 0: no view was installed in this incarnation
 }
 
 // self returns this machine as a member.
@@ -23,15 +23,15 @@
 // view returns the view in force.
 func (m *membership) view() *view.View { return m.consensus.View() }
 
-// isOutsideChain reports whether the newest view known here has this machine not in its chain, so that no dispatcher can
-// be served before another view. One that has its position, but takes no part in the view since it was restarted, is not
-// outside: a view with it may follow at once. Nor is one that waits for the very first view.
+// isOutsideChain reports whether this machine is not in the chain of the newest known view, so that it can serve no
+// dispatcher until another view. A member that has a position, but takes no part in the view since its restart, is not
+// outside, since a view with it may follow at once. Neither is a machine that waits for the very first view.
 func (m *membership) isOutsideChain() bool {
 	return !m.consensus.IsInitialMember() && m.view().ChainPosition(m.self().ID) < 0
 }
 
-// hasRestartedInView reports whether this incarnation takes no part in the view in force though the former one did: a
-// replica starts outside every view, and joins by the next one.
+// hasRestartedInView reports whether the previous incarnation of this machine was a member of the view in force, in which
+// this incarnation takes no part: a replica starts outside every view, and joins with the next one.
 func (m *membership) hasRestartedInView() bool {
 	epoch := m.view().Epoch
 	return epoch > 0 && epoch == m.epochAtStart && m.view().ChainPosition(m.self().ID) >= 0
@@ -42,8 +42,8 @@
 	return m.detector.HasQuorum(now, m.view())
 }
 
-// serviceAddresses returns the addresses at which dispatchers are served: those of the chain, and before the first view
-// those of the electors.
+// serviceAddresses returns the addresses at which dispatchers are served: those of the chain, or those of the electors
+// before the first view.
 func (m *membership) serviceAddresses() []string {
 	members := m.view().Chain
 	if len(members) == 0 {
@@ -60,8 +60,8 @@
 	return addresses
 }
 
-// exclusionReason returns why a desired view leaves a member out of the chain: a fault or a graceful shutdown, which the
-// detector knows, or a newcomer with an empty disk that has taken over the member's address. It is never empty.
+// exclusionReason returns why a desired view excludes a member from the chain: a fault or a graceful shutdown, which the
+// detector reports, or a newcomer with an empty disk at the member's address. The reason is never empty.
 func (m *membership) exclusionReason(now time.Duration, desired *view.View, member view.Member) string {
 	if reason := m.detector.ExclusionReason(now, member.ID); reason != "" {
 		return reason
@@ -74,25 +74,25 @@
 	return "not in the desired view"
 }
 
-// canServe reports whether this replica follows what is committed and is in touch with a quorum, so that what it answers
-// is up to date.
+// canServe reports whether this replica follows the committed log and is in contact with a quorum, so that its answers
+// are up to date.
 func (s *Server) canServe() bool {
 	return s.replica.IsServing() && s.membership.hasQuorum(s.now())
 }
 
-// isMemberWithQuorum reports whether this replica is a member of the chain on the quorum's side of a network partition.
-// Commands may have to wait for a new member of the chain, but they come through.
+// isMemberWithQuorum reports whether this replica is a member of the chain, has not diverged, and is on the quorum's side
+// of a network partition. Its commands may have to wait for a new member of the chain, but they will be committed.
 func (s *Server) isMemberWithQuorum() bool {
 	return s.replica.IsMember() && s.replica.Divergence() == nil && s.membership.hasQuorum(s.now())
 }
 
-// isUnhealthy reports whether the chain had better do without this member.
+// isUnhealthy reports whether the chain should exclude this member.
 func (s *Server) isUnhealthy() bool {
 	return s.disk.isUnhealthy() || s.snapshots.receivedUnreadable || s.replica.Divergence() != nil
 }
 
-// installView puts a view in force at this replica, and proposes all pending commands to its head. A view that another
-// one has replaced since it was agreed on is ignored.
+// installView installs a view at this replica, and proposes all pending commands to the head of the view. A view that has
+// been superseded since it was agreed on is ignored.
 func (s *Server) installView(v view.View) {
 	if v.Epoch != s.membership.view().Epoch || v.Epoch <= s.replica.Epoch() {
 		return
@@ -102,18 +102,18 @@
 	for i, member := range v.Chain {
 		members[i], names[i] = member.ID, member.Node
 	}
-	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).Int("copies", v.ReplicationFactor).
-		Msg("view installed")
+	s.logger.Info().Uint64("epoch", v.Epoch).Strs("chain", names).Int("electors", len(v.Electors)).
+		Int("copies", v.ReplicationFactor).Msg("view installed")
 	s.membership.viewInstalledAt = s.now()
 	s.replica.SetView(chain.View{Epoch: v.Epoch, Members: members, WriterCount: v.ReplicationFactor})
 	s.peers.add(addressesOf(v.Chain))
 	s.peers.add(addressesOf(v.Electors))
-	s.commands.giveUpJudgements(v.Epoch)
+	s.commands.dropHeadCommands(v.Epoch)
 	s.commands.repropose(0)
 }
 
-// proposeView proposes another view where the detector desires one. Before the very first view it first names the
-// electors, once all seeds are heard.
+// proposeView proposes another view if the detector desires one. Before the very first view, it first passes the electors
+// to the consensus, once all seeds have been heard.
 func (s *Server) proposeView() {
 	now := s.now()
 	m := &s.membership
@@ -125,7 +125,8 @@
 	if m.consensus.IsProposing() {
 		return
 	}
-	desired, expected := m.detector.DesiredView(now, m.view(), m.hasRestartedInView(), s.isUnhealthy(), s.replica.CommitIndex())
+	desired, expected := m.detector.DesiredView(now, m.view(), m.hasRestartedInView(), s.isUnhealthy(),
+		s.replica.CommitIndex())
 	if desired == nil {
 		return
 	}
@@ -133,7 +134,7 @@
 	m.consensus.Propose(*desired, expected, s.settings.Tolerate.Machines+1)
 }
 
-// logExcluded logs which members a proposal leaves out of the chain, and why.
+// logExcluded logs which members a proposed view excludes from the chain, and why.
 func (s *Server) logExcluded(now time.Duration, desired *view.View) {
 	for _, member := range s.membership.view().Chain {
 		if desired.ChainPosition(member.ID) < 0 {
--- a/internal/control/server/membership_test.go
+++ b/internal/control/server/membership_test.go
@@ -7,8 +7,8 @@
 	"yardflow/coordination/view"
 )
 
-// serverInView returns an idle server that has learned of a view with three other electors and, as wanted, itself in the
-// chain and among the electors.
+// serverInView returns an idle server that has received a view with three other members, which are all electors. If
+// requested, the server itself is in the chain or an elector.
 func serverInView(t *testing.T, member, elector bool) *Server {
 	t.Helper()
 	s := newIdleServer(t)
@@ -27,8 +27,9 @@
 	return s
 }
 
-// A machine outside the chain redirects dispatchers at once to where they are served; one that has its position lets them
-// wait, since a view with it may follow within milliseconds.
+// TestMachineOutsideTheChainRedirectsDispatchers checks that a machine outside the chain redirects dispatchers to the
+// chain at once. A machine with a position in the chain lets them wait, since a view with it may follow within
+// milliseconds.
 func TestMachineOutsideTheChainRedirectsDispatchers(t *testing.T) {
 	for name, c := range map[string]struct {
 		member, elector bool
@@ -41,16 +42,17 @@
 	} {
 		s := serverInView(t, c.member, c.elector)
 		if got := s.membership.isOutsideChain(); got != c.outside {
-			t.Errorf("%s: outside the chain: %v", name, got)
+			t.Errorf("%s: isOutsideChain returns %v", name, got)
 		}
 		want := []string{"core-other:1", "core-other:2", "core-other:3"}
 		if addresses := s.membership.serviceAddresses(); c.outside && !slices.Equal(addresses, want) {
-			t.Errorf("%s: dispatchers are redirected to %v", name, addresses)
+			t.Errorf("%s: service addresses are %v, want those of the chain", name, addresses)
 		}
 	}
 }
 
-// Before the first view everybody waits for it, except at a machine with an empty disk that joins a running system.
+// TestDispatchersWaitForTheFirstView checks that dispatchers wait for the first view at a machine of the initial start,
+// but not at a machine with an empty disk that joins a running system.
 func TestDispatchersWaitForTheFirstView(t *testing.T) {
 	s := newIdleServer(t)
 	if !s.membership.isOutsideChain() {
@@ -58,11 +60,11 @@
 	}
 	s.membership.consensus = view.NewConsensus(view.HardState{Self: s.membership.self(), InitialMember: true})
 	if s.membership.isOutsideChain() {
-		t.Error("a machine of the first start counts as outside the chain")
+		t.Error("an initial member counts as outside the chain")
 	}
 }
 
-// The log of a view that leaves a member out always names a reason.
+// TestExclusionReason checks that a reason is logged for each member that a view excludes.
 func TestExclusionReason(t *testing.T) {
 	member := view.Member{ID: 1, Address: "core-other:1"}
 	newcomer := view.Member{ID: 9, Address: member.Address}
@@ -72,10 +74,14 @@
 		desired view.View
 		want    string
 	}{
-		"a member that was never heard":                   {false, false, view.View{Electors: []view.Member{member}}, "never heard"},
-		"a member that has announced a graceful shutdown": {true, true, view.View{Electors: []view.Member{member}}, "is shutting down"},
-		"a member whose disk was replaced":                {true, false, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
-		"a member left out for no reason of its own":      {true, false, view.View{Electors: []view.Member{member}}, "not in the desired view"},
+		"a member that was never heard": {
+			false, false, view.View{Electors: []view.Member{member}}, "never heard"},
+		"a member that has announced a graceful shutdown": {
+			true, true, view.View{Electors: []view.Member{member}}, "is shutting down"},
+		"a member whose disk was replaced": {
+			true, false, view.View{Electors: []view.Member{newcomer}}, "replaced by a newcomer at its address"},
+		"a member excluded without a fault of its own": {
+			true, false, view.View{Electors: []view.Member{member}}, "not in the desired view"},
 	} {
 		s := serverInView(t, true, true)
 		if c.heard {
--- a/internal/control/server/notices.go
+++ b/internal/control/server/notices.go
@@ -6,8 +6,8 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// logNotices logs the decisions of the state machine that operators look for. All replicas take the same decisions; the
-// head alone logs them.
+// logNotices logs the decisions of the state machine that operators search for. All replicas make the same decisions;
+// only the head logs them.
 func (s *Server) logNotices() {
 	notices := s.state.fsm.DequeueNotices()
 	if !s.replica.IsHead() {
@@ -16,7 +16,8 @@
 	for i := range notices {
 		line := s.logger.Info()
 		if notices[i].Kind == statemachine.NoticeEndIgnored {
-			line = s.logger.Debug() // owners report ends again until they have an outcome: there may be a thousand a day
+			// Owners repeat the report of an end until it has an outcome, so there may be a thousand a day.
+			line = s.logger.Debug()
 		}
 		logNotice(line, &notices[i])
 	}
--- a/internal/control/server/operator_config.go
+++ b/internal/control/server/operator_config.go
@@ -12,26 +12,26 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// Limits of the operators' requests.
+// Limits of operators' requests.
 const (
-	// maxConfigBytes is the largest configuration that is taken, 32 MiB; a larger one is answered 413.
+	// maxConfigBytes is the maximum size of a configuration, 32 MiB. A larger one is answered 413.
 	maxConfigBytes = 32 << 20
-	// operatorTimeout is how long an operator's request waits for its outcome, beyond which it is answered 503.
+	// operatorTimeout is how long an operator's request waits for its outcome before it is answered 503.
 	operatorTimeout = 3 * time.Second
 )
 
-// operatorAPI answers the operators' requests. Its methods run in goroutines of the HTTP server.
+// operatorAPI serves the operators' requests. Its methods run in goroutines of the HTTP server.
 type operatorAPI struct{ server *Server }
 
-// commandOutcome is what became of an operator's command: its result, or the reason why it was not proposed.
+// commandOutcome is the result of an operator's command, or the error because of which it was not proposed.
 type commandOutcome struct {
 	result statemachine.Result
-	err    error // a CommandTooLongError; nil: there is none
+	err    error // a CommandTooLongError or nil
 }
 
-// execute sends a command through the chain and waits for its outcome, which is Unknown where none comes in time, this
-// replica does not serve, or the engine ends. The engine calls the function that makes the command, which may read the
-// state.
+// execute submits a command to the chain and waits for its outcome. The outcome is Unknown if it does not arrive in time,
+// this replica does not serve, or the engine ends. The engine calls the function that creates the command, so that
+// function may read the state.
 func (a *operatorAPI) execute(command func() *statemachine.Command) (statemachine.Result, error) {
 	s := a.server
 	outcomes := make(chan commandOutcome, 1)
@@ -54,27 +54,27 @@
 	case <-s.ended:
 	}
 	select {
-	case outcome := <-outcomes: // it came in the same instant
+	case outcome := <-outcomes: // the outcome arrived at the same time
 		return outcome.result, outcome.err
 	default:
 		return statemachine.Result{Code: statemachine.Unknown}, nil
 	}
 }
 
-// configChange is what an operator asks for by PUT /-/config.
+// configChange is the content of an operator's PUT /-/config.
 type configChange struct {
 	version     int64
-	baseVersion int64 // the version that it builds on, from If-Match
+	baseVersion int64 // the version that the change builds on, from If-Match
 	body        []byte
 }
 
-// badRequest is an operator's request that is rejected as it stands.
+// badRequest is the response to an invalid operator's request.
 type badRequest struct {
 	status int
 	text   string
 }
 
-// readConfigChange reads and checks a request; badRequest is nil where it is sound.
+// readConfigChange reads and validates a request. The badRequest is nil if the request is valid.
 func readConfigChange(r *http.Request) (configChange, *badRequest) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigBytes+1))
 	if err != nil {
@@ -120,15 +120,15 @@
 		s.logger.Info().Int64("version", change.version).Msg("configuration acknowledged")
 		w.WriteHeader(http.StatusOK)
 	default:
-		s.logger.Error().Uint8("code", uint8(result.Code)).Msg("a configuration has an outcome of another command")
+		s.logger.Error().Uint8("code", uint8(result.Code)).Msg("unexpected outcome of a configuration command")
 		http.Error(w, "no outcome yet; send the same again", http.StatusServiceUnavailable)
 	}
 }
 
-// getConfig answers the configuration in force, with its version as ETag. The read passes the chain, so the answer is not
-// older than the request.
+// getConfig answers with the configuration in force and its version as ETag. The read passes through the chain, so the
+// answer is not older than the request.
 func (a *operatorAPI) getConfig(w http.ResponseWriter, _ *http.Request) {
-	result, _ := a.execute(func() *statemachine.Command { // a read is never too long
+	result, _ := a.execute(func() *statemachine.Command { // a read is never too long, so there is no error
 		return &statemachine.Command{ReadConfig: &statemachine.ReadConfig{}}
 	})
 	switch result.Code {
@@ -143,11 +143,11 @@
 	}
 }
 
-// configVersion returns the version that a configuration names; 0: it names none.
+// configVersion returns the version in a configuration, or 0 if there is none.
 func configVersion(body []byte) int64 {
-	head := struct{ Version int64 }{}
-	if json.Unmarshal(body, &head) != nil {
+	header := struct{ Version int64 }{}
+	if json.Unmarshal(body, &header) != nil {
 		return 0
 	}
-	return head.Version
+	return header.Version
 }
--- a/internal/control/server/operator_status.go
+++ b/internal/control/server/operator_status.go
@@ -11,29 +11,28 @@
 
 const statusPath = "/-/status"
 
-// Status is what operators see of a control process by GET /-/status. The JSON names are read by operators' scripts and
-// must not change.
+// Status is the response to GET /-/status. Operators' scripts read the JSON names, which must not change.
 type Status struct {
 	Node                 string
 	StartupBlockedBy     string   `json:"Waiting,omitempty"` // why the process has not read its disk yet
 	Epoch                uint64   // of the view in force
 	Chain                []string // machines in the order of the chain
-	ReplicationFactor    int      `json:"Copies"` // of each committed entry: the first members of Chain, as many as this, have it
+	ReplicationFactor    int      `json:"Copies"` // copies of each committed entry, at the first members of Chain
 	Electors             []string
-	Serves               bool   // this machine serves dispatchers and operators
+	Serves               bool   // whether this machine serves dispatchers and operators
 	LastIndex            uint64 `json:"Last"`      // newest entry here
 	CommitIndex          uint64 `json:"Committed"` // newest committed entry known here
 	PendingCommands      int    `json:"Pending"`   // commands without an outcome
 	ConfigVersion        int64  `json:"Version"`
 	Sessions             int    // open sessions of dispatchers
 	Workers              int
-	Jobs                 int   // jobs known, those that are over included
+	Jobs                 int   // known jobs, including finished ones
 	UnfinishedJobs       int   `json:"Open"`
-	DiskStalledMs        int64 `json:"StalledMs"`  // how long the present batch of writes has taken
+	DiskStalledMs        int64 `json:"StalledMs"`  // duration of the batch of disk writes in progress
 	ConnectedDispatchers int   `json:"Dispatched"` // dispatchers connected here
-	DispatchersBehind    int   `json:"Behind"`     // of these, dispatchers that have not acknowledged the configuration in force
+	DispatchersBehind    int   `json:"Behind"`     // of these, without acknowledgement of the configuration in force
 
-	LogDiverged bool `json:"Diverged,omitempty"` // another member's log contradicts what is committed here
+	LogDiverged bool `json:"Diverged,omitempty"` // whether another member's log contradicts an entry committed here
 }
 
 // currentStatus returns the server's status. The engine calls it.
@@ -70,7 +69,7 @@
 	return status
 }
 
-// nodesOf returns the members' machine names, and nil where there are no members.
+// nodesOf returns the node names of members, or nil if there are no members.
 func nodesOf(members []view.Member) []string {
 	var nodes []string
 	for _, member := range members {
@@ -79,7 +78,7 @@
 	return nodes
 }
 
-// status asks the engine for its status; the empty one is returned where the engine has ended.
+// status asks the engine for its status. It returns an empty status if the engine has ended.
 func (a *operatorAPI) status() Status {
 	s := a.server
 	answer := make(chan Status, 1)
@@ -92,15 +91,15 @@
 	}
 }
 
-// getStatus answers the status as JSON.
+// getStatus answers with the status as JSON.
 func (a *operatorAPI) getStatus(w http.ResponseWriter, _ *http.Request) { writeStatus(w, a.status()) }
 
 func writeStatus(w http.ResponseWriter, status Status) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // it fails only where the client has gone
+	_ = json.NewEncoder(w).Encode(status) // fails only if the client has disconnected
 }
 
-// getMetrics answers the figures of the status, one a line. Operators' dashboards read the names.
+// getMetrics answers with the figures of the status, one per line. Operators' dashboards read the metric names.
 func (a *operatorAPI) getMetrics(w http.ResponseWriter, _ *http.Request) {
 	status := a.status()
 	metrics := []struct {
--- a/internal/control/server/operator_test.go
+++ b/internal/control/server/operator_test.go
@@ -13,21 +13,22 @@
 
 const testConfig = `{"Version":1,"Routes":[{"Host":"h.example","PathPrefix":"/q/","Service":"s","TimeoutMs":3000}],"Services":[{"Name":"s"}],"Limits":{"MaxBodyBytes":2000}}`
 
-// serveOperator sends a request to an operator's path, and returns the answer and how long it took.
+// serveOperator sends a request to an operator's path, and returns the response and the duration.
 func serveOperator(s *Server, method, path, ifMatch, body string) (*httptest.ResponseRecorder, time.Duration) {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("If-Match", ifMatch)
-	answer := httptest.NewRecorder()
-	began := time.Now()
-	s.Handler().ServeHTTP(answer, request)
-	return answer, time.Since(began)
+	response := httptest.NewRecorder()
+	startedAt := time.Now()
+	s.Handler().ServeHTTP(response, request)
+	return response, time.Since(startedAt)
 }
 
-// An operator's request that meets the end of the engine is answered at once, not after operatorTimeout.
+// TestOperatorRequestEndsWithTheEngine checks that a request that is pending when the engine ends is answered at once
+// rather than after operatorTimeout.
 func TestOperatorRequestEndsWithTheEngine(t *testing.T) {
 	s := newIdleServer(t)
 	go func() {
-		time.Sleep(20 * time.Millisecond) // the request's function waits in the inbox by then
+		time.Sleep(20 * time.Millisecond) // until the function of the request is in the inbox
 		close(s.ended)
 	}()
 	for _, c := range []struct {
@@ -38,15 +39,16 @@
 		{http.MethodPut, "/-/config", http.StatusServiceUnavailable},
 		{http.MethodGet, statusPath, http.StatusOK},
 	} {
-		answer, took := serveOperator(s, c.method, c.path, "0", testConfig)
-		if answer.Code != c.status || took > operatorTimeout/2 {
-			t.Errorf("%s %s: answered %d after %v, want %d at once", c.method, c.path, answer.Code, took, c.status)
+		response, took := serveOperator(s, c.method, c.path, "0", testConfig)
+		if response.Code != c.status || took > operatorTimeout/2 {
+			t.Errorf("%s %s: answered %d after %v, want %d at once", c.method, c.path, response.Code, took, c.status)
 		}
 	}
 }
 
-// A configuration that the log can't hold as one record is answered 413 with what to do, and is not proposed.
-func TestConfigurationThatNoDiskTakesIsTooLarge(t *testing.T) {
+// TestConfigurationLongerThanALogRecordIsRejected checks that a configuration that exceeds the maximum log record is
+// answered 413 with advice, and is not proposed.
+func TestConfigurationLongerThanALogRecordIsRejected(t *testing.T) {
 	s := newIdleServer(t)
 	self := s.membership.self()
 	s.membership.consensus = view.NewConsensus(view.HardState{Self: self,
@@ -66,11 +68,11 @@
 	}()
 	defer close(s.ended)
 	if !s.canServe() {
-		t.Fatal("the machine does not serve")
+		t.Fatal("the server does not serve")
 	}
 	padding := strings.Repeat(" ", int(s.commands.maxBytes))
-	answer, _ := serveOperator(s, http.MethodPut, "/-/config", "0", testConfig+padding)
-	if answer.Code != http.StatusRequestEntityTooLarge || !strings.Contains(answer.Body.String(), "Limits.DiskMb") {
-		t.Errorf("answered %d: %s", answer.Code, answer.Body)
+	response, _ := serveOperator(s, http.MethodPut, "/-/config", "0", testConfig+padding)
+	if response.Code != http.StatusRequestEntityTooLarge || !strings.Contains(response.Body.String(), "Limits.DiskMb") {
+		t.Errorf("answered %d: %s; want 413 with the setting to change", response.Code, response.Body)
 	}
 }
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -7,47 +7,48 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// Limits of what is on its way to one dispatcher, in bytes.
+// Limits of the data in transit to one dispatcher, in bytes.
 const (
-	// maxMessageBytes bounds one message, so that heartbeats and configurations need not wait long behind it. A snapshot
-	// and a single update may be larger.
+	// maxMessageBytes limits one message, so that heartbeats and configurations need not wait long behind it. A snapshot
+	// or a single update may be larger.
 	maxMessageBytes = 32 << 10
-	// sendWindowBytes is how much may be in flight, beyond which the backlog waits: 0.4 s of a link of 2 Mbit/s.
+	// sendWindowBytes is the number of bytes in flight from which the backlog waits: 0.4 s of a link of 2 Mbit/s.
 	sendWindowBytes = 96 << 10
-	// urgentWindowBytes is how much may be in flight, beyond which urgent updates wait too.
+	// urgentWindowBytes is the number of bytes in flight from which urgent updates wait too.
 	urgentWindowBytes = 1 << 20
-	// maxBacklogBytes is how large the backlog may grow, beyond which the connection is closed: the dispatcher attaches
-	// again, and a snapshot takes the backlog's place.
+	// maxBacklogBytes is the size of the backlog beyond which the connection is closed: the dispatcher attaches again,
+	// and a snapshot replaces the backlog.
 	maxBacklogBytes = 32 << 20
-	// outcomeOverheadBytes is what an outcome takes beside its body.
+	// outcomeOverheadBytes is the encoded size of an outcome without its body.
 	outcomeOverheadBytes = 24
 )
 
-// outbox has what one dispatcher is to be sent, in the order in which that goes out. A change of the configuration, and that
-// a worker has begun to drain, go out at once: how late they may take effect is bounded. All else goes in order, in messages of bounded size, while the dispatcher acknowledges the bytes that it
-// has received: the backlog for a slow link waits here, where a configuration can overtake it and newer usage can replace
-// older usage.
+// outbox holds the updates and outcomes to be sent to one dispatcher, in the order of sending. Changes of the
+// configuration, and notices that a worker has begun to drain, are urgent and sent at once, since the delay until they
+// take effect is bounded. Everything else is sent in order, in messages of bounded size, while the dispatcher
+// acknowledges the bytes that it has received. The backlog for a slow link waits here rather than in the connection, so
+// that a configuration can overtake it and newer usage can replace older usage.
 type outbox struct {
-	acknowledges bool // whether the dispatcher acknowledges; former versions don't, and are sent all at once
+	acknowledges bool // whether the dispatcher acknowledges; earlier versions don't, and are sent everything at once
 	sentBytes    uint64
 	ackedBytes   uint64
 
-	urgent         []cbor.RawMessage // changes of the configuration, and workers that have begun to drain
+	urgent         []cbor.RawMessage // changes of the configuration and notices of draining workers
 	backlog        []outboxEntry
-	firstPosition  uint64            // of backlog[0] among all that was ever in the backlog
-	backlogBytes   int               // size of the backlog
-	newestUsage    map[string]uint64 // positions of the newest usage of each worker in the backlog
-	newestSessions uint64            // position of the newest list of sessions, plus 1; at most firstPosition: none waits
+	firstPosition  uint64            // position of backlog[0], counted over all entries ever added
+	backlogBytes   int               // total size of the entries in the backlog
+	newestUsage    map[string]uint64 // position of the newest usage of each worker in the backlog
+	newestSessions uint64            // position of the newest list of sessions, plus 1; none waits if at most firstPosition
 }
 
-// outboxEntry is an update or an outcome. One that a newer entry has replaced is empty.
+// outboxEntry is an update or an outcome. An entry that a newer one has replaced is empty.
 type outboxEntry struct {
 	update  cbor.RawMessage
 	outcome *protocol.Outcome
-	worker  string // whose usage the update has; "": it has none
+	worker  string // worker of a usage update; "": any other entry
 }
 
-// size returns about how many bytes the entry takes in a message.
+// size returns the approximate number of bytes of the entry in a message.
 func (e *outboxEntry) size() int {
 	if e.outcome != nil {
 		return outcomeOverheadBytes + len(e.outcome.Result.Body)
@@ -55,7 +56,7 @@
 	return len(e.update)
 }
 
-// addUpdate appends an update, given with its encoding.
+// addUpdate appends an update, given with its encoding, to the urgent updates or the backlog.
 func (o *outbox) addUpdate(update *statemachine.Update, encoded cbor.RawMessage) {
 	position := o.firstPosition + uint64(len(o.backlog))
 	added := outboxEntry{update: encoded}
@@ -65,8 +66,8 @@
 		return
 	case update.Usage != nil:
 		added.worker = update.Usage.Worker
-		if former, waits := o.newestUsage[added.worker]; waits {
-			o.drop(former)
+		if older, isQueued := o.newestUsage[added.worker]; isQueued {
+			o.drop(older)
 		}
 		if o.newestUsage == nil {
 			o.newestUsage = map[string]uint64{}
@@ -89,20 +90,20 @@
 	o.backlogBytes += added.size()
 }
 
-// drop empties the entry at a position: a newer one replaces it.
+// drop empties the entry at a position, because a newer one replaces it.
 func (o *outbox) drop(position uint64) {
-	former := &o.backlog[position-o.firstPosition]
-	o.backlogBytes -= former.size()
-	*former = outboxEntry{}
+	dropped := &o.backlog[position-o.firstPosition]
+	o.backlogBytes -= dropped.size()
+	*dropped = outboxEntry{}
 }
 
-// sent notes that a message was handed to the connection.
-func (o *outbox) sent(bytes int) { o.sentBytes += uint64(bytes) }
+// recordSent records that a message was passed to the connection.
+func (o *outbox) recordSent(bytes int) { o.sentBytes += uint64(bytes) }
 
-// acknowledge notes how many bytes the dispatcher has received on this connection.
+// acknowledge records how many bytes the dispatcher has received on this connection.
 func (o *outbox) acknowledge(bytes uint64) { o.ackedBytes = max(o.ackedBytes, bytes) }
 
-// inFlightBytes returns how many bytes the dispatcher has not acknowledged.
+// inFlightBytes returns the number of bytes sent that the dispatcher has not acknowledged.
 func (o *outbox) inFlightBytes() uint64 {
 	if !o.acknowledges || o.ackedBytes > o.sentBytes {
 		return 0
@@ -110,10 +111,10 @@
 	return o.sentBytes - o.ackedBytes
 }
 
-// overflows reports whether the backlog is so large that a snapshot would take less.
+// overflows reports whether the backlog exceeds maxBacklogBytes, so that a snapshot would be smaller.
 func (o *outbox) overflows() bool { return o.backlogBytes > maxBacklogBytes }
 
-// next returns the next message that may go out now, and false while there is none.
+// next removes and returns the next message that may be sent now. It returns false if there is none.
 func (o *outbox) next() (protocol.ControlMessage, bool) {
 	message, size := protocol.ControlMessage{}, 0
 	if o.inFlightBytes() < urgentWindowBytes {
@@ -128,11 +129,11 @@
 	return message, len(message.Updates)+len(message.Outcomes) > 0
 }
 
-// fill moves entries from the backlog to a message of the given size until that has maxMessageBytes.
+// fill moves entries from the backlog to a message of the given size until the message has maxMessageBytes.
 func (o *outbox) fill(message *protocol.ControlMessage, size int) {
-	taken := 0
-	for ; taken < len(o.backlog); taken++ {
-		entry := &o.backlog[taken]
+	moved := 0
+	for ; moved < len(o.backlog); moved++ {
+		entry := &o.backlog[moved]
 		if size > 0 && size+entry.size() > maxMessageBytes {
 			break
 		}
@@ -148,9 +149,9 @@
 			delete(o.newestUsage, entry.worker)
 		}
 	}
-	o.firstPosition += uint64(taken)
-	if taken < len(o.backlog) {
-		o.backlog = o.backlog[taken:]
+	o.firstPosition += uint64(moved)
+	if moved < len(o.backlog) {
+		o.backlog = o.backlog[moved:]
 		return
 	}
 	clear(o.backlog)
--- a/internal/control/server/peer_messages.go
+++ b/internal/control/server/peer_messages.go
@@ -9,13 +9,14 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// receivePeer takes in a message of another control machine that arrived at the given time. Each message has one part.
+// receivePeer handles a message from another control machine that arrived at the given time. Each message has exactly one
+// part.
 func (s *Server) receivePeer(arrivedAt time.Duration, from view.Member, message *protocol.PeerMessage) {
 	switch {
 	case message.Heartbeat != nil:
 		s.receiveHeartbeat(arrivedAt, message.Heartbeat, message.ConnectedSessions)
 	case message.DisconnectedSessions != nil:
-		s.sessions.disconnected(arrivedAt, message.DisconnectedSessions)
+		s.sessions.recordDisconnected(arrivedAt, message.DisconnectedSessions)
 	case message.View != nil:
 		s.membership.consensus.Receive(from.ID, message.View)
 	case message.Chain != nil:
@@ -31,25 +32,25 @@
 	}
 }
 
-// receiveHeartbeat takes in a peer's heartbeat and the sessions of the dispatchers that are connected to it.
+// receiveHeartbeat handles a peer's heartbeat, with the sessions of the dispatchers that are connected to that peer.
 func (s *Server) receiveHeartbeat(arrivedAt time.Duration, heartbeat *view.Heartbeat, connected []statemachine.SessionID) {
 	m := &s.membership
 	now, from := s.now(), heartbeat.From.ID
 	wasAlive := m.detector.IsAlive(now, from)
 	m.detector.ReceiveHeartbeat(arrivedAt, *heartbeat)
 	if wasAlive != m.detector.IsAlive(now, from) {
-		s.peers.send(from, s.heartbeatMessage()) // so that both sides agree at once that they hear each other
+		s.peers.send(from, s.heartbeatMessage()) // so that both sides notice at once that they hear each other
 		s.proposeView()
 	}
 	if heartbeat.Epoch < m.view().Epoch {
 		decided := m.consensus.DecidedMessage()
 		s.peers.send(from, &protocol.PeerMessage{View: &decided})
 	}
-	s.sessions.connected(arrivedAt, connected)
+	s.sessions.recordConnected(arrivedAt, connected)
 }
 
-// receiveCatchUp takes in entries that this replica, outside the chain, had asked for. Where they brought it forward it
-// asks for more at once; otherwise the next tick does, so that a response that brings nothing does not cause a loop.
+// receiveCatchUp applies entries that this replica requested while outside the chain. If they have advanced the commit
+// index, it requests more at once; otherwise the next tick does, so that empty responses do not cause a loop.
 func (s *Server) receiveCatchUp(from view.MemberID, response *chain.CatchUpResponse) {
 	before := s.replica.CommitIndex()
 	s.replica.ApplyCatchUp(response)
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -12,15 +12,15 @@
 	"yardflow/internal/control/protocol"
 )
 
-// Time-outs of connections between control machines.
+// Timeouts of connections between control machines.
 const (
 	dialTimeout = 300 * time.Millisecond
-	// redialInterval is the least time between two dials of an address that does not answer.
+	// redialInterval is the minimum time between two dials of an address that does not answer.
 	redialInterval = 150 * time.Millisecond
 	// peerTimeout is how long a peer may be silent before connections from it and to it are closed: twelve heartbeats,
-	// well behind the failure detector, which goes by the heartbeats themselves.
+	// which is well after the failure detector, which relies on the heartbeats themselves, has reported the peer.
 	peerTimeout = 1200 * time.Millisecond
-	// idleReadTimeout bounds one read of a connection on which nothing is expected.
+	// idleReadTimeout limits one read of a connection on which no messages are expected.
 	idleReadTimeout = time.Hour
 )
 
@@ -28,14 +28,14 @@
 // dialled.
 type peer struct {
 	address   string
-	conn      *frame.Conn // nil: there is none
+	conn      *frame.Conn // nil: not connected
 	dialling  bool
 	dialledAt time.Duration
-	heardAt   time.Duration // when it last sent something, on its own connection
+	heardAt   time.Duration // when the last heartbeat from the peer arrived, on the connection that the peer dialled
 }
 
-// peers keeps a connection to every control machine that is known. It belongs to the engine; its goroutines, one for each
-// connection in either direction, end with their connection.
+// peers maintains a connection to every known control machine. It belongs to the engine; its goroutines, one for each
+// connection in either direction, end with their connections.
 type peers struct {
 	server    *Server
 	byAddress map[string]*peer
@@ -46,7 +46,7 @@
 	return &peers{server: s, byAddress: map[string]*peer{}, addresses: map[view.MemberID]string{}}
 }
 
-// add adds addresses that are to be dialled from now on.
+// add adds addresses to dial, and updates the addresses of the members of the view in force.
 func (p *peers) add(addresses []string) {
 	for _, address := range addresses {
 		if address != p.server.settings.Listen.Control && p.byAddress[address] == nil {
@@ -61,12 +61,12 @@
 	}
 }
 
-// redial closes connections to silent peers, and dials peers to which there is none.
+// redial closes connections to silent peers, and dials the peers that are not connected.
 func (p *peers) redial() {
 	now := p.server.now()
 	for _, other := range p.byAddress {
 		if other.conn != nil && now-max(other.heardAt, other.dialledAt) > peerTimeout {
-			// After a network partition, what is queued in the old connection would come too late to be of use.
+			// After a network partition, the messages queued in the old connection would arrive too late to be useful.
 			other.conn.Close()
 			other.conn = nil
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// startDial dials a peer in a goroutine, which then watches the connection until that ends.
+// startDial dials a peer in a goroutine, which then waits until the connection ends.
 func (p *peers) startDial(other *peer, now time.Duration) {
 	other.dialling, other.dialledAt = true, now
 	go p.dial(other)
@@ -85,17 +85,18 @@
 
 func (p *peers) dial(other *peer) {
 	conn, err := frame.Dial(p.server.network, other.address, protocol.PeerPath, dialTimeout)
-	p.server.do(func() { p.dialled(other, conn, err) })
+	p.server.do(func() { p.dialFinished(other, conn, err) })
 	if err != nil {
 		return
 	}
-	waitForEnd(conn)
+	waitUntilClosed(conn)
 	conn.Close()
 	p.server.do(func() { p.connectionEnded(other, conn) })
 }
 
-// waitForEnd returns once a connection has ended. The peer sends nothing on it; a read fails when it ends.
-func waitForEnd(conn *frame.Conn) {
+// waitUntilClosed returns once a connection has ended, which makes the read fail. The peer sends nothing on this
+// connection.
+func waitUntilClosed(conn *frame.Conn) {
 	for {
 		if _, err := conn.Receive(idleReadTimeout); err != nil {
 			return
@@ -103,8 +104,8 @@
 	}
 }
 
-// dialled takes in the result of a dial.
-func (p *peers) dialled(other *peer, conn *frame.Conn, err error) {
+// dialFinished handles the result of a dial.
+func (p *peers) dialFinished(other *peer, conn *frame.Conn, err error) {
 	other.dialling = false
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -121,8 +122,8 @@
 	}
 }
 
-// connectionEnded dials again at once: a refused connection shows that the peer's process has ended, sooner than its
-// silence would.
+// connectionEnded redials immediately: if the peer's process has ended, the refused connection shows that sooner than the
+// missing heartbeats would.
 func (p *peers) connectionEnded(other *peer, conn *frame.Conn) {
 	if other.conn == conn {
 		other.conn = nil
@@ -132,7 +133,7 @@
 	}
 }
 
-// connectionRefused notifies the detector that no process listens at an address.
+// connectionRefused notifies the failure detector that no process is listening at the address of a peer.
 func (p *peers) connectionRefused(other *peer) {
 	for id, address := range p.addresses {
 		if address == other.address {
@@ -145,13 +146,13 @@
 func (p *peers) accept(w http.ResponseWriter, r *http.Request) {
 	conn, err := frame.Upgrade(w, r)
 	if err != nil {
-		return // the caller was answered by Upgrade
+		return // Upgrade has answered the request
 	}
 	go p.listen(conn)
 }
 
-// listen hands a peer's messages to the engine until its connection ends or is silent for peerTimeout. Who sends them is
-// known from the first heartbeat on; what comes before that is dropped.
+// listen passes a peer's messages to the engine until the connection ends or is silent for peerTimeout. The first
+// heartbeat identifies the sender; messages before it are dropped.
 func (p *peers) listen(conn *frame.Conn) {
 	defer conn.Close()
 	var from view.Member
@@ -173,24 +174,24 @@
 		sender, arrivedAt := from, p.server.now()
 		p.server.do(func() {
 			if message.Heartbeat != nil {
-				p.heard(sender, arrivedAt)
+				p.recordHeartbeat(sender, arrivedAt)
 			}
 			p.server.receivePeer(arrivedAt, sender, message)
 		})
 	}
 }
 
-// heard notes a heartbeat, and where its sender can be dialled.
-func (p *peers) heard(sender view.Member, at time.Duration) {
+// recordHeartbeat records a heartbeat and the address of its sender.
+func (p *peers) recordHeartbeat(sender view.Member, arrivedAt time.Duration) {
 	p.addresses[sender.ID] = sender.Address
 	p.add([]string{sender.Address})
 	if other := p.byAddress[sender.Address]; other != nil {
-		other.heardAt = at
+		other.heardAt = arrivedAt
 	}
 }
 
-// send sends a message to a member. Where there is no connection to it, the message is lost; whoever sends it has to send
-// it again.
+// send sends a message to a member. If there is no connection to the member, the message is lost, and the caller has to
+// send it again.
 func (p *peers) send(to view.MemberID, message *protocol.PeerMessage) {
 	other := p.byAddress[p.addresses[to]]
 	if other == nil || other.conn == nil {
@@ -201,7 +202,7 @@
 	}
 }
 
-// broadcast sends an encoded message to all peers that are connected.
+// broadcast sends an encoded message to all connected peers.
 func (p *peers) broadcast(data []byte) {
 	for _, other := range p.byAddress {
 		if other.conn != nil && !other.conn.Send(data) {
--- a/internal/control/server/process.go
+++ b/internal/control/server/process.go
@@ -13,8 +13,8 @@
 	"yardflow/internal/platform/settings"
 )
 
-// Process is a control process from its start on. While its disk rejects reads or writes, as a full one does, the process
-// waits outside the chain and answers requests for its status; then it opens a Server.
+// Process is a control process, from its start on. While the disk rejects reads or writes (if it is full, for example),
+// the process waits outside the chain and answers status requests. Once the disk can be read, it opens a Server.
 type Process struct {
 	settings      *settings.Settings
 	network       frame.Network
@@ -22,20 +22,20 @@
 	logger        zerolog.Logger
 	server        atomic.Pointer[Server] // nil until the disk is read
 	handler       atomic.Pointer[http.Handler]
-	diskRejection atomic.Pointer[string] // text of the error by which the disk last rejected something; nil: none yet
+	diskRejection atomic.Pointer[string] // text of the disk's most recent error; nil: none yet
 }
 
-// NewProcess returns a process that has not opened its disk.
+// NewProcess returns a process that has not opened its disk yet.
 func NewProcess(s *settings.Settings, network frame.Network, folder segment.Folder, logger zerolog.Logger) *Process {
 	return &Process{settings: s, network: network, folder: folder, logger: logger}
 }
 
-// Run opens the disk and runs the server until stop is closed. It fails, as Open does, where the disk's content can't be
-// used.
+// Run opens the disk and runs the server until stop is closed. Like Open, it returns an error if the content of the disk
+// can't be used.
 func (p *Process) Run(stop <-chan struct{}) error {
 	folder := segment.NewRetryingFolder(p.folder, func(err error) bool { return p.waitForDisk(err, stop) })
 	server, err := Open(p.settings, p.network, folder, p.logger)
-	folder.StopRetrying() // from here on the server's own disk retries
+	folder.StopRetrying() // from now on the server's disk goroutine retries
 	if err != nil {
 		if isClosed(stop) {
 			return nil
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// LeaveChain hands this machine's chain position over, before Run is stopped; see Server.LeaveChain.
+// LeaveChain hands over this machine's chain position. It is called before Run is stopped; see Server.LeaveChain.
 func (p *Process) LeaveChain() {
 	if server := p.server.Load(); server != nil {
 		server.LeaveChain()
@@ -65,11 +65,11 @@
 	}
 }
 
-// waitForDisk waits for diskRetryInterval, and reports whether the disk is to be tried again rather than stop closed. An
-// error is logged once for each text.
+// waitForDisk waits for diskRetryInterval and returns true to retry the disk, or false if stop was closed first.
+// Consecutive errors with the same text are logged once.
 func (p *Process) waitForDisk(err error, stop <-chan struct{}) bool {
 	text := err.Error()
-	if former := p.diskRejection.Swap(&text); former == nil || *former != text {
+	if previous := p.diskRejection.Swap(&text); previous == nil || *previous != text {
 		p.logger.Error().Err(err).Msg("the disk refuses at the start; waiting outside the chain: free space or replace it")
 	}
 	timer := time.NewTimer(diskRetryInterval)
@@ -82,8 +82,8 @@
 	}
 }
 
-// ServeHTTP serves all requests to a control process. Before its disk is read that is the status alone; all else is
-// answered 503.
+// ServeHTTP serves all requests to a control process. Until the disk has been read, it serves only the status and answers
+// 503 to all other requests.
 func (p *Process) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if handler := p.handler.Load(); handler != nil {
 		(*handler).ServeHTTP(w, r)
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -17,8 +17,8 @@
 	"yardflow/internal/testing/emulator"
 )
 
-// ask sends a GET request, and returns the answer's code and, of one that is a status, the status.
-func ask(t *testing.T, handler http.Handler, path string) (int, server.Status) {
+// get sends a GET request, and returns the status code of the response and, if it is 200, the decoded Status.
+func get(t *testing.T, handler http.Handler, path string) (int, server.Status) {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
@@ -31,26 +31,28 @@
 	return answer.Code, status
 }
 
-// A regression test: a control process whose disk was full at its start ended with code 1.
-func TestFullDiskAtTheStart(t *testing.T) {
+// Regression test: a control process whose disk was full at its start ended with code 1.
+func TestProcessWaitsWhileTheDiskIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(time.Millisecond, rand.New(rand.NewPCG(1, 1)))
 		disk.Fill(true)
-		s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"}, Limits: settings.Limits{DiskMb: 16}}
+		s := &settings.Settings{Node: "core-1", Listen: settings.Listen{Control: "core-1:1"},
+			Limits: settings.Limits{DiskMb: 16}}
 		process := server.NewProcess(s, emulator.NewNetwork().Machine("core-1"), disk, zerolog.Nop())
 		stop, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- process.Run(stop) }()
 		time.Sleep(5 * time.Second)
-		if code, status := ask(t, process, "/-/status"); code != http.StatusOK || !strings.Contains(status.StartupBlockedBy, "no space") {
-			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
+		if code, status := get(t, process, "/-/status"); code != http.StatusOK ||
+			!strings.Contains(status.StartupBlockedBy, "no space") {
+			t.Errorf("the status is answered %d, startup blocked by %q", code, status.StartupBlockedBy)
 		}
-		if code, _ := ask(t, process, "/-/config"); code != http.StatusServiceUnavailable {
-			t.Errorf("a read of the configuration is answered %d", code)
+		if code, _ := get(t, process, "/-/config"); code != http.StatusServiceUnavailable {
+			t.Errorf("a read of the configuration is answered %d, want 503", code)
 		}
 		disk.Fill(false)
 		time.Sleep(time.Second)
-		if code, status := ask(t, process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
-			t.Errorf("the status answers %d, waiting for %q", code, status.StartupBlockedBy)
+		if code, status := get(t, process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
+			t.Errorf("the status is answered %d, startup blocked by %q", code, status.StartupBlockedBy)
 		}
 		close(stop)
 		if err := <-ended; err != nil {
@@ -59,12 +61,13 @@
 	})
 }
 
-// TestStopWhileTheDiskIsFull checks that a process that waits for its disk ends when it is stopped.
+// TestStopWhileTheDiskIsFull checks that a process that is waiting for its disk can be stopped.
 func TestStopWhileTheDiskIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := emulator.NewDisk(time.Millisecond, rand.New(rand.NewPCG(1, 1)))
 		disk.Fill(true)
-		process := server.NewProcess(&settings.Settings{Node: "core-1"}, emulator.NewNetwork().Machine("core-1"), disk, zerolog.Nop())
+		process := server.NewProcess(&settings.Settings{Node: "core-1"}, emulator.NewNetwork().Machine("core-1"),
+			disk, zerolog.Nop())
 		stop, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- process.Run(stop) }()
 		time.Sleep(time.Second)
--- a/internal/control/server/replication.go
+++ b/internal/control/server/replication.go
@@ -8,21 +8,21 @@
 	"yardflow/internal/control/protocol"
 )
 
-// flushConsensus carries out what the agreement on views wants done, and reports whether there was anything. Messages
-// leave only once the hard state that they promise is on disk, as in Paxos.
+// flushConsensus executes the actions that the view agreement has requested, and reports whether there were any. As in
+// Paxos, messages are sent only once the hard state that they promise is on disk.
 func (s *Server) flushConsensus() bool {
 	ready := s.membership.consensus.Ready()
 	if ready.HardState == nil && len(ready.Messages) == 0 {
 		return false
 	}
-	s.carryOut(ready, func() {})
+	s.processConsensusReady(ready, func() {})
 	return true
 }
 
-// carryOut makes the hard state durable where it has changed, then sends the messages, installs a decided view, and calls
-// then.
-func (s *Server) carryOut(ready view.Ready, then func()) {
-	act := func() {
+// processConsensusReady persists the hard state if it has changed, then sends the messages, installs a decided view and
+// calls then.
+func (s *Server) processConsensusReady(ready view.Ready, then func()) {
+	finish := func() {
 		for _, envelope := range ready.Messages {
 			s.sendConsensus(envelope)
 		}
@@ -32,13 +32,14 @@
 		then()
 	}
 	if ready.HardState == nil {
-		act()
+		finish()
 		return
 	}
-	s.disk.enqueue(diskWrite{metadata: protocol.Encode(ready.HardState), onDurable: act})
+	s.disk.enqueue(diskWrite{metadata: protocol.Encode(ready.HardState), onDurable: finish})
 }
 
-// sendConsensus sends a message of the agreement on views to a peer, or hands it to this member's own part in it.
+// sendConsensus sends a message of the view agreement to a peer, or passes it to the consensus of this member if it is
+// addressed to itself.
 func (s *Server) sendConsensus(envelope view.Envelope) {
 	if envelope.To == s.membership.self().ID {
 		s.membership.consensus.Receive(envelope.To, &envelope.Message)
@@ -47,8 +48,8 @@
 	s.peers.send(envelope.To, &protocol.PeerMessage{View: &envelope.Message})
 }
 
-// flushReplica carries out what chain replication wants done, in the order that chain.Ready asks for, and reports whether
-// there was anything.
+// flushReplica executes the actions that chain replication has requested, in the order that chain.Ready requires, and
+// reports whether there were any.
 func (s *Server) flushReplica() bool {
 	ready := s.replica.Ready()
 	if isIdle(&ready) {
@@ -82,7 +83,7 @@
 }
 
 // persistEntries writes entries to the log. The generation lets the replica ignore the acknowledgement of entries that
-// were truncated meanwhile.
+// were truncated in the meantime.
 func (s *Server) persistEntries(write chain.Write) {
 	last := write.Entries[len(write.Entries)-1].Index
 	generation := write.Generation
@@ -91,12 +92,12 @@
 	}})
 }
 
-// persistCompleteness records on disk that this member has the whole log of the view in force, and tells the replica
-// once it is durable. From then on this member may become the head of a later view.
+// persistCompleteness records on disk that this member has the whole log of the view in force, and notifies the replica
+// once the record is durable. From then on this member may become the head of a later view.
 func (s *Server) persistCompleteness() {
 	epoch := s.replica.Epoch()
 	s.membership.consensus.MarkComplete(epoch)
-	s.carryOut(s.membership.consensus.Ready(), func() { s.replica.CompletenessPersisted(epoch) })
+	s.processConsensusReady(s.membership.consensus.Ready(), func() { s.replica.CompletenessPersisted(epoch) })
 }
 
 // apply applies a committed entry, and completes its command if it was proposed here.
@@ -108,15 +109,16 @@
 	}
 }
 
-// completeRead answers a read of this machine's. It passed the chain, so what is applied here is not older than the read.
+// completeRead completes a read that this machine has proposed. The read has passed through the chain, so the state
+// applied here is at least as new as the read.
 func (s *Server) completeRead(read chain.Read) {
 	if command := s.commands.pending[read.Tag]; command != nil {
 		s.commands.complete(read.Tag, s.state.fsm.Apply(command.command))
 	}
 }
 
-// forwardProposals hands commands that wait to the head of the chain, which is this machine or a peer. What gets lost on
-// the way is proposed again after resubmitAfter.
+// forwardProposals passes the waiting proposals to the head of the chain, which is this machine or a peer. Proposals that
+// get lost on the way are proposed again after resubmitAfter.
 func (s *Server) forwardProposals() {
 	proposals := s.commands.takeProposals()
 	if len(proposals) == 0 || s.orderProposals(proposals) {
@@ -127,24 +129,28 @@
 	}
 }
 
-// orderProposals has the replica order proposals, and reports whether it is the head. One that no disk of this size could
-// hold is left out: an earlier version of the program may forward it, and would stop the chain for good.
+// orderProposals passes proposals to the replica to be ordered, and reports whether this replica is the head. Proposals
+// that are too long for a log record are left out: an earlier version of the program may forward one, and it would block
+// the chain permanently.
 func (s *Server) orderProposals(proposals []chain.Proposal) bool {
 	tooLong := func(p chain.Proposal) bool { return int64(len(p.Data)) > s.commands.maxBytes }
 	if slices.ContainsFunc(proposals, tooLong) {
 		proposals = slices.DeleteFunc(slices.Clone(proposals), tooLong)
-		s.logger.Error().Int64("max_bytes", s.commands.maxBytes).Msg("a command is longer than a disk's segment and is not ordered; give the control machines larger disks (Limits.DiskMb)")
+		s.logger.Error().Int64("max_bytes", s.commands.maxBytes).
+			Msg("a command is longer than a disk's segment and is not ordered; give the control machines larger disks (Limits.DiskMb)")
 	}
 	return s.replica.Propose(proposals)
 }
 
-// logDivergence logs once that another member's log contradicts what is committed here: an operator has to see to it.
+// logDivergence logs, once, that another member's log contradicts an entry that is committed here. An operator has to
+// resolve this.
 func (s *Server) logDivergence() {
 	divergence := s.replica.Divergence()
 	if divergence == nil || s.divergenceLogged {
 		return
 	}
 	s.divergenceLogged = true
-	s.logger.Error().Uint64("index", divergence.Index).Uint64("own_epoch", divergence.OwnEpoch).Uint64("other_epoch", divergence.OtherEpoch).
+	s.logger.Error().Uint64("index", divergence.Index).Uint64("own_epoch", divergence.OwnEpoch).
+		Uint64("other_epoch", divergence.OtherEpoch).
 		Msg("another member's log contradicts what is committed here; staying out of the chain: a disk has lost what it had synced")
 }
--- a/internal/control/server/replication_test.go
+++ b/internal/control/server/replication_test.go
@@ -11,9 +11,9 @@
 	"yardflow/coordination/chain"
 )
 
-// TestDivergedMemberStaysOut checks that a member whose log is contradicted reports itself as unhealthy, serves nobody, and
-// logs that once.
-func TestDivergedMemberStaysOut(t *testing.T) {
+// TestDivergedMemberIsUnhealthy checks that a member whose committed log is contradicted reports itself as unhealthy,
+// does not serve, and logs the divergence once.
+func TestDivergedMemberIsUnhealthy(t *testing.T) {
 	s := newIdleServer(t)
 	logs := bytes.Buffer{}
 	s.logger = zerolog.New(&logs)
@@ -22,22 +22,23 @@
 	s.replica.SetView(chain.View{Epoch: 3, Members: []chain.MemberID{other, me}})
 	s.tick()
 	if s.isUnhealthy() || logs.Len() > 0 {
-		t.Fatalf("unhealthy before anything came; logged: %s", logs.String())
+		t.Fatalf("unhealthy or logged before any message arrived: %s", logs.String())
 	}
 	s.replica.Receive(other, &chain.Message{Append: &chain.Append{Epoch: 3, PrevIndex: 1, PrevEpoch: 2}})
 	s.tick()
 	s.tick()
 	if !s.isUnhealthy() || s.isMemberWithQuorum() || s.canServe() {
-		t.Errorf("unhealthy %v, member with quorum %v, can serve %v", s.isUnhealthy(), s.isMemberWithQuorum(), s.canServe())
+		t.Errorf("unhealthy %v, member with quorum %v, can serve %v; want only unhealthy",
+			s.isUnhealthy(), s.isMemberWithQuorum(), s.canServe())
 	}
 	if count := strings.Count(logs.String(), "contradicts"); count != 1 {
-		t.Errorf("logged %d times: %s", count, logs.String())
+		t.Errorf("divergence logged %d times, want once: %s", count, logs.String())
 	}
 }
 
-// What agreement on views wants done when this member asks for its completeness to be persisted is done, and none of it
-// before the disk has synced.
-func TestMessagesBesideCompletenessLeaveOnceItIsDurable(t *testing.T) {
+// TestConsensusMessagesWaitForTheHardState checks that the messages that are ready when this member persists its
+// completeness are not dropped, and are sent only once the disk has synced.
+func TestConsensusMessagesWaitForTheHardState(t *testing.T) {
 	s := newIdleServer(t)
 	self := s.membership.self()
 	s.membership.consensus = view.NewConsensus(view.HardState{Self: self,
@@ -45,27 +46,29 @@
 	s.membership.consensus.Propose(view.View{Chain: []view.Member{self}, Electors: []view.Member{self}}, nil, 1)
 	s.persistCompleteness()
 	if promised := s.membership.consensus.HardState().PromisedBallot; promised.Round != 0 {
-		t.Fatalf("a message left before the disk had synced: promised %v", promised)
+		t.Fatalf("a message was sent before the disk has synced: promised %v", promised)
 	}
-	(<-s.inbox)() // the disk's goroutine says that the write is durable
+	(<-s.inbox)() // the disk's goroutine reports that the write is durable
 	if promised := s.membership.consensus.HardState().PromisedBallot; promised.Round == 0 {
-		t.Error("the message of the agreement on views was dropped")
+		t.Error("the consensus message was dropped")
 	}
 }
 
-// A head leaves a forwarded command out that no disk could hold, and orders the rest.
+// TestTooLongProposalIsNotOrdered checks that a head leaves out a forwarded command that is too long for a log record,
+// and orders the other proposals.
 func TestTooLongProposalIsNotOrdered(t *testing.T) {
 	s := newIdleServer(t)
 	s.replica.SetView(chain.View{Epoch: 1, Members: []chain.MemberID{s.membership.self().ID}})
-	s.orderProposals([]chain.Proposal{{Tag: 1, Data: make([]byte, s.commands.maxBytes+1)}, {Tag: 2, Data: make([]byte, s.commands.maxBytes)}})
+	s.orderProposals([]chain.Proposal{{Tag: 1, Data: make([]byte, s.commands.maxBytes+1)},
+		{Tag: 2, Data: make([]byte, s.commands.maxBytes)}})
 	if last := s.replica.LastIndex(); last != 1 {
-		t.Errorf("%d entries are ordered, want the shorter one alone", last)
+		t.Errorf("%d entries ordered, want only the shorter one", last)
 	}
 }
 
-// Nothing counts as durable before the disk's goroutine has said so: not that this member is complete, not a snapshot, and
-// not an entry.
-func TestNothingCountsBeforeTheDiskHasSynced(t *testing.T) {
+// TestNothingIsPersistedBeforeTheDiskHasSynced checks that neither completeness nor an entry counts as durable before the
+// disk's goroutine has reported the sync.
+func TestNothingIsPersistedBeforeTheDiskHasSynced(t *testing.T) {
 	s := newIdleServer(t)
 	self := s.membership.self()
 	s.membership.consensus = view.NewConsensus(view.HardState{Self: self,
@@ -74,11 +77,11 @@
 	s.replica.SetView(chain.View{Epoch: 4, Members: []chain.MemberID{self.ID}})
 	s.flushReplica()
 	if s.replica.IsComplete() {
-		t.Fatal("complete before the disk has synced")
+		t.Fatal("the replica is complete before the disk has synced")
 	}
 	(<-s.inbox)()
 	if !s.replica.IsComplete() {
-		t.Fatal("not complete though the disk has synced")
+		t.Fatal("the replica is not complete although the disk has synced")
 	}
 	s.orderProposals([]chain.Proposal{{Tag: 1}})
 	s.flushReplica()
@@ -87,6 +90,6 @@
 	}
 	(<-s.inbox)()
 	if s.replica.CommitIndex() != 1 {
-		t.Error("not committed though the disk has synced")
+		t.Error("the entry is not committed although the disk has synced")
 	}
 }
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,18 +1,18 @@
-// Package server runs one control process. It agrees with its peers on views (who is in the chain and in which order),
-// replicates the log of commands along the chain, applies committed commands to the cluster's state machine, keeps log
-// and snapshots on disk, and serves dispatchers, operators and the other control machines.
+// Package server runs one control process. The process agrees with its peers on views (which members form the chain, and
+// in which order), replicates the command log along the chain, applies committed commands to the cluster's state machine,
+// stores the log and snapshots on disk, and serves dispatchers, operators and the other control machines.
 //
-// It decides nothing itself: who should be in a view is up to coordination/view, when an entry is committed to
-// coordination/chain, and what a command does to jobs, workers and sessions to statemachine. These packages are pure;
-// this one has the sockets, the disk and the clock, and carries out what they return.
+// The package makes no decisions itself: coordination/view decides who belongs to a view, coordination/chain decides when
+// an entry is committed, and statemachine decides what a command does to jobs, workers and sessions. Those packages do no
+// I/O and read no clock; this one owns the sockets, the disk and the clock, and executes what they return.
 //
 // Invariants:
 //
 //   - The mutable state of a Server belongs to its engine, the goroutine that calls Server.Run. Goroutines of
-//     connections, of the disk and of HTTP requests never touch it; they hand functions to the engine by Server.do.
+//     connections, of the disk and of HTTP requests never access it; they pass functions to the engine by Server.do.
 //   - No entry, view or snapshot is reported as persisted before the disk has synced it.
-//   - A command has an outcome only once its entry is committed and applied here. One that gets none may have been
-//     carried out all the same, so every command must be idempotent.
+//   - A command has an outcome only once its entry is committed and applied here. A command without an outcome may have
+//     been executed nevertheless, so every command must be idempotent.
 package server
 
 import (
@@ -31,19 +31,19 @@
 	"yardflow/internal/platform/settings"
 )
 
-// inboxCapacity is how many functions may wait for the engine. Beyond it, whoever hands over another one blocks, and the
-// connection that it reads from is not read meanwhile.
+// inboxCapacity is the number of functions that may wait for the engine. When the inbox is full, senders block, and their
+// connections are not read until there is space.
 const inboxCapacity = 4096
 
-// Server is one control process: the engine and the parts that it drives, each with a file of its own. Settings, logger,
-// network and the clock's zero never change; channels, disk and heartbeats may be used by every goroutine; all else belongs
-// to the engine once Run has begun.
+// Server is one control process: the engine and its components, each in a file of its own. The settings, logger, network
+// and startedAt never change; any goroutine may use the channels, disk and heartbeats; everything else belongs to the
+// engine once Run has begun.
 type Server struct {
 	settings  *settings.Settings
 	logger    zerolog.Logger
 	network   frame.Network
-	startedAt time.Time     // zero of the clock that now returns
-	inbox     chan func()   // work for the engine
+	startedAt time.Time     // time 0 of the clock that now reads
+	inbox     chan func()   // functions for the engine to call
 	ended     chan struct{} // closed when the engine has ended
 
 	disk             *disk
@@ -63,8 +63,8 @@
 	instanceList *instanceListReader
 }
 
-// Open reads the disk and returns a server that is not running yet. It fails where the disk can't be read, with a
-// segment.CorruptionError or an UnreadableDiskError where its content is damaged or of another version.
+// Open reads the disk and returns a server that is not running yet. It returns an error if the disk can't be read, which
+// is a segment.CorruptionError or an UnreadableDiskError if the content is damaged or was written by another version.
 func Open(s *settings.Settings, network frame.Network, folder segment.Folder, logger zerolog.Logger) (*Server, error) {
 	store, recovered, err := segment.Open(folder, segment.LayoutFor(s.Limits.DiskMb))
 	if err != nil {
@@ -87,8 +87,8 @@
 	return server, nil
 }
 
-// loadHardState returns what this member must never forget: from the disk or, where that is empty, that of a new
-// member, which it saves.
+// loadHardState returns the hard state of this member from the disk. If the disk is empty, it creates and saves the hard
+// state of a new member.
 func loadHardState(s *settings.Settings, store *segment.Store, recovered *segment.Recovered) (view.HardState, error) {
 	hardState := view.HardState{}
 	if !recovered.Fresh {
@@ -121,9 +121,9 @@
 	return server
 }
 
-// restoreFromDisk restores the replica and the state from what the disk held: the newest snapshot, and behind it the
-// entries that are known to be committed. Their updates and notices went out in a former incarnation, and no command of
-// theirs is pending: what the disk holds names no origin.
+// restoreFromDisk restores the replica and the state from the disk: the newest snapshot, followed by the log entries that
+// are known to be committed. Their updates and notices are discarded because the previous incarnation has sent them, and
+// no command is completed because entries on disk have no origin.
 func (s *Server) restoreFromDisk(recovered *segment.Recovered) error {
 	snapshot := &recovered.Snapshot
 	if snapshot.Index > 0 && !s.state.restore(snapshot.Index, snapshot.Data) {
@@ -135,7 +135,8 @@
 		entries[i] = chain.Entry{Index: record.Index, Epoch: record.Epoch, Data: record.Data}
 	}
 	s.replica = chain.New(s.membership.self().ID, s.settings.Tolerate.Machines+1,
-		chain.Snapshot{Index: snapshot.Index, IndexEpoch: snapshot.Epoch, Data: snapshot.Data}, entries, recovered.CommitIndex)
+		chain.Snapshot{Index: snapshot.Index, IndexEpoch: snapshot.Epoch, Data: snapshot.Data},
+		entries, recovered.CommitIndex)
 	for i := range entries {
 		if entries[i].Index > s.replica.CommitIndex() {
 			break
@@ -146,24 +147,24 @@
 	return nil
 }
 
-// UnreadableDiskError says that a part of what the disk holds can't be decoded: it is damaged, or another version of
+// UnreadableDiskError reports that a part of the disk's content can't be decoded: it is damaged, or another version of
 // the program wrote it.
 type UnreadableDiskError struct {
 	Folder string // settings key DataDir
 	Part   string // "metadata" or "snapshot"
 }
 
-// Error names the folder and the part, with the advice.
+// Error returns the folder, the unreadable part and the advice.
 func (e *UnreadableDiskError) Error() string {
 	return e.Folder + ": the " + e.Part + " can't be read; " + e.Advice()
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do about the error.
 func (e *UnreadableDiskError) Advice() string {
 	return "replace this disk, or empty the folder so that this machine joins anew"
 }
 
-// Handler serves all paths of a control process: those of peers, dispatchers and operators.
+// Handler returns the handler of all paths of a control process: those for peers, dispatchers and operators.
 func (s *Server) Handler() http.Handler {
 	operator := &operatorAPI{server: s}
 	mux := http.NewServeMux()
--- a/internal/control/server/sessions.go
+++ b/internal/control/server/sessions.go
@@ -6,71 +6,74 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// Time-outs by which the head closes sessions of dispatchers.
+// Timeouts after which the head closes sessions of dispatchers.
 const (
-	// sessionTimeout is how long a dispatcher may be connected to no control machine before its session is closed, and
-	// its jobs and workers get other owners. It is longer than dispatcherTimeout, so that a session outlives the loss
+	// sessionTimeout is how long a dispatcher may be disconnected from all control machines before its session is closed
+	// and its jobs and workers get other owners. It is longer than dispatcherTimeout, so that a session survives the loss
 	// of one connection.
 	sessionTimeout = 1100 * time.Millisecond
-	// disconnectTimeout is how long a dispatcher whose connection was closed, rather than silent, has to come back.
+	// disconnectTimeout is how long a dispatcher has to reconnect if its connection was closed rather than silent.
 	disconnectTimeout = 300 * time.Millisecond
-	// viewChangeGrace is how long dispatchers have to come back after a change of view, which may have taken their control
-	// machine away from them.
+	// viewChangeGrace is how long dispatchers have to reconnect after a view change, which may have removed the control
+	// machine that they were connected to.
 	viewChangeGrace = 3 * time.Second
-	// heldUpThreshold is by how much a tick comes late when the engine counts as held up: the process was stopped, or its
-	// machine was. The head then judges as after a change of view, since it has heard nobody meanwhile.
-	heldUpThreshold = 300 * time.Millisecond
+	// pauseThreshold is the delay of a tick beyond which the engine counts as paused: its process or its machine was
+	// stopped. The head then applies the same grace period as after a view change, since it has received nothing during
+	// the pause.
+	pauseThreshold = 300 * time.Millisecond
 )
 
-// sessionMonitor is what the head knows of the dispatchers' connections, from its own and from heartbeats of its peers.
-// Every member keeps one, since any of them may become the head. It belongs to the engine.
+// sessionMonitor tracks the dispatchers' connections for the head, from this machine's own connections and from the
+// heartbeats of its peers. Every member keeps one, since any member may become the head. It belongs to the engine.
 type sessionMonitor struct {
-	lastSeen        map[statemachine.SessionID]time.Duration // when the session was last known to be connected somewhere
+	lastSeen        map[statemachine.SessionID]time.Duration // when it was last connected to a control machine
 	disconnectedAt  map[statemachine.SessionID]time.Duration // when its connection was closed
 	clockAdvancedAt time.Duration
-	tickedAt        time.Duration // the last tick
-	heldUpAt        time.Duration // when the engine last went on after it was held up
+	tickedAt        time.Duration // time of the last tick
+	resumedAt       time.Duration // when the engine last resumed after a pause
 }
 
 func newSessionMonitor() *sessionMonitor {
-	return &sessionMonitor{lastSeen: map[statemachine.SessionID]time.Duration{}, disconnectedAt: map[statemachine.SessionID]time.Duration{}}
+	return &sessionMonitor{lastSeen: map[statemachine.SessionID]time.Duration{},
+		disconnectedAt: map[statemachine.SessionID]time.Duration{}}
 }
 
-// ticked notes a tick, and whether the engine was held up before it.
-func (m *sessionMonitor) ticked(now time.Duration) {
-	if now-m.tickedAt > tickInterval+heldUpThreshold {
-		m.heldUpAt = now
+// recordTick records a tick and detects whether the engine was paused before it.
+func (m *sessionMonitor) recordTick(now time.Duration) {
+	if now-m.tickedAt > tickInterval+pauseThreshold {
+		m.resumedAt = now
 	}
 	m.tickedAt = now
 }
 
-// connected notes that sessions were connected to a peer at a time.
-func (m *sessionMonitor) connected(at time.Duration, ids []statemachine.SessionID) {
+// recordConnected records that sessions were connected to a peer at the given time.
+func (m *sessionMonitor) recordConnected(at time.Duration, ids []statemachine.SessionID) {
 	for _, id := range ids {
 		m.lastSeen[id] = max(m.lastSeen[id], at)
 	}
 }
 
-// disconnected notes that the connections of sessions were closed.
-func (m *sessionMonitor) disconnected(at time.Duration, ids []statemachine.SessionID) {
+// recordDisconnected records that the connections of sessions were closed at the given time.
+func (m *sessionMonitor) recordDisconnected(at time.Duration, ids []statemachine.SessionID) {
 	for _, id := range ids {
 		m.disconnectedAt[id] = at
 	}
 }
 
-// isExpired reports whether a session that was not seen lately is to be closed. For viewChangeGrace after a view was
-// installed, or the engine was held up, none is for being silent, and for sessionTimeout none for having been disconnected.
+// isExpired reports whether a session must be closed because it has been silent or disconnected for too long. After a
+// view was installed or the engine was paused, no session expires because of silence for viewChangeGrace, and none
+// because its connection was closed for sessionTimeout.
 func (m *sessionMonitor) isExpired(id statemachine.SessionID, now, viewInstalledAt time.Duration) bool {
-	hearsSince := max(viewInstalledAt, m.heldUpAt)
+	listeningSince := max(viewInstalledAt, m.resumedAt)
 	lastSeen := m.lastSeen[id]
 	closedAt, isClosed := m.disconnectedAt[id]
-	if isClosed && lastSeen <= closedAt && now-closedAt > disconnectTimeout && now-hearsSince > sessionTimeout {
+	if isClosed && lastSeen <= closedAt && now-closedAt > disconnectTimeout && now-listeningSince > sessionTimeout {
 		return true
 	}
-	return now-max(lastSeen, hearsSince+viewChangeGrace-sessionTimeout) > sessionTimeout
+	return now-max(lastSeen, listeningSince+viewChangeGrace-sessionTimeout) > sessionTimeout
 }
 
-// forgetClosed drops what is known of sessions that are not open any more.
+// forgetClosed deletes the records of sessions that are no longer open and were not seen for sessionTimeout.
 func (m *sessionMonitor) forgetClosed(now time.Duration, open map[statemachine.SessionID]*statemachine.Session) {
 	for id := range m.lastSeen {
 		if open[id] == nil && now-m.lastSeen[id] > sessionTimeout {
@@ -80,14 +83,14 @@
 	}
 }
 
-// headTick does what the head alone does, at each tick.
+// headTick does the periodic work that only the head does.
 func (s *Server) headTick(now time.Duration) {
 	s.closeExpiredSessions(now)
 	s.sessions.forgetClosed(now, s.state.fsm.Sessions)
 	s.advanceClock(now)
 }
 
-// closeExpiredSessions closes the sessions of dispatchers that are connected to no control machine any more.
+// closeExpiredSessions closes the sessions of dispatchers that are no longer connected to any control machine.
 func (s *Server) closeExpiredSessions(now time.Duration) {
 	m := s.sessions
 	for id := range s.dispatchers.bySession {
@@ -101,13 +104,15 @@
 			continue
 		}
 		delete(m.disconnectedAt, id)
-		m.lastSeen[id] = now // so that it is closed again only after another sessionTimeout
+		m.lastSeen[id] = now // so that the close command is submitted again only after another sessionTimeout
 		s.logger.Info().Uint64("session", id).Str("dispatcher", session.Node).Msg("session expired: dispatcher silent")
-		s.commands.submitAsHead(s.replica.Epoch(), &statemachine.Command{CloseSession: &statemachine.CloseSession{Session: id}})
+		s.commands.submitAsHead(s.replica.Epoch(), &statemachine.Command{
+			CloseSession: &statemachine.CloseSession{Session: id}})
 	}
 }
 
-// advanceClock advances the state machine's clock, by which it forgets old jobs and sessions, every clockInterval.
+// advanceClock advances the state machine's clock every clockInterval. The state machine uses the clock to forget old
+// jobs and sessions.
 func (s *Server) advanceClock(now time.Duration) {
 	if now-s.sessions.clockAdvancedAt < clockInterval {
 		return
--- a/internal/control/server/sessions_test.go
+++ b/internal/control/server/sessions_test.go
@@ -11,15 +11,16 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// What a head has judged is proposed to nobody once another view is in force: it may have been held up, and replaced
-// meanwhile, and have judged by what it had not heard. Commands of operators and dispatchers outlive the view.
-func TestJudgementsOfAHeadEndWithItsView(t *testing.T) {
+// TestHeadCommandsAreDroppedWithTheirView checks that commands that a head has decided on are not proposed once another
+// view is in force: the head may have been paused, replaced in the meantime, and have decided on outdated information.
+// Commands of operators and dispatchers survive the view change.
+func TestHeadCommandsAreDroppedWithTheirView(t *testing.T) {
 	s := newIdleServer(t)
 	s.commands.submitAsHead(7, &statemachine.Command{CloseSession: &statemachine.CloseSession{Session: 1}})
 	submit(t, s, nil, &statemachine.Command{CancelJob: &statemachine.CancelJob{Job: "a"}}, func(statemachine.Result) {})
-	s.commands.giveUpJudgements(7)
+	s.commands.dropHeadCommands(7)
 	if len(s.commands.pending) != 2 {
-		t.Fatalf("%d commands are pending in the view of the judgement", len(s.commands.pending))
+		t.Fatalf("%d commands pending while the view is in force, want 2", len(s.commands.pending))
 	}
 	self := s.membership.self()
 	next := view.View{Epoch: 8, Chain: []view.Member{self}, Electors: []view.Member{self}}
@@ -27,48 +28,50 @@
 	s.commands.proposals = nil
 	s.installView(next)
 	if len(s.commands.pending) != 1 || len(s.commands.proposals) != 1 {
-		t.Errorf("%d commands are pending and %d proposed in the next view, want the operator's alone", len(s.commands.pending), len(s.commands.proposals))
+		t.Errorf("%d commands pending and %d proposed in the next view, want only the operator's",
+			len(s.commands.pending), len(s.commands.proposals))
 	}
 }
 
-// A head that was held up hears of sessions only from then on: it closes none as silent before viewChangeGrace is over.
-func TestHeldUpHeadClosesNoSessionAtOnce(t *testing.T) {
+// TestPausedHeadClosesNoSessionDuringTheGracePeriod checks that a head that was paused, and thus received nothing, closes
+// no session as silent until viewChangeGrace has passed.
+func TestPausedHeadClosesNoSessionDuringTheGracePeriod(t *testing.T) {
 	const session = statemachine.SessionID(1)
 	m := newSessionMonitor()
 	now := time.Minute
 	tick := func(after time.Duration) {
 		now += after
-		m.ticked(now)
+		m.recordTick(now)
 	}
 	tick(0)
-	tick(sessionTimeout * 3) // the first one comes long after the start
+	tick(sessionTimeout * 3) // the first tick after the start is late
 	for range 100 {
 		tick(tickInterval)
 	}
-	m.connected(now, []statemachine.SessionID{session})
+	m.recordConnected(now, []statemachine.SessionID{session})
 	tick(sessionTimeout + tickInterval)
 	if m.isExpired(session, now, 0) {
-		t.Error("closed as silent right after the engine was held up")
+		t.Error("session expired right after the engine was paused")
 	}
-	for held := now; now-held <= viewChangeGrace; {
-		if tick(tickInterval); now-held < viewChangeGrace && m.isExpired(session, now, 0) {
-			t.Fatalf("closed %v after the engine was held up", now-held)
+	for resumedAt := now; now-resumedAt <= viewChangeGrace; {
+		if tick(tickInterval); now-resumedAt < viewChangeGrace && m.isExpired(session, now, 0) {
+			t.Fatalf("session expired %v after the engine was paused", now-resumedAt)
 		}
 	}
 	if tick(tickInterval); !m.isExpired(session, now, 0) {
-		t.Error("never closed, though it was silent ever since")
+		t.Error("session did not expire although it was silent for viewChangeGrace")
 	}
 }
 
-// connect returns a connection to a peer that says nothing.
+// connect returns a connection to a peer that sends nothing.
 func connect(t *testing.T) *frame.Conn {
 	t.Helper()
 	conn, _ := connectPair(t)
 	return conn
 }
 
-// connectPair returns both sides of a connection.
-func connectPair(t *testing.T) (here, there *frame.Conn) {
+// connectPair returns both ends of a connection.
+func connectPair(t *testing.T) (local, remote *frame.Conn) {
 	t.Helper()
 	accepted := make(chan *frame.Conn, 1)
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,34 +81,34 @@
 		}
 	}))
 	t.Cleanup(peer.Close)
-	here, err := frame.Dial(frame.TCP{}, peer.Listener.Addr().String(), "/", time.Second)
+	local, err := frame.Dial(frame.TCP{}, peer.Listener.Addr().String(), "/", time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(here.Close)
-	return here, <-accepted
+	t.Cleanup(local.Close)
+	return local, <-accepted
 }
 
-// Where the last session is over, the dispatchers' connections are closed, so that they open new sessions: the update that
-// names no session at all does not reach them.
-func TestDispatchersAreDisconnectedWhereNoSessionIsOpen(t *testing.T) {
+// TestDispatchersAreDisconnectedWhenNoSessionIsOpen checks that the connections of dispatchers are closed when the last
+// session has ended, so that they open new sessions: an update with an empty list of sessions does not reach them.
+func TestDispatchersAreDisconnectedWhenNoSessionIsOpen(t *testing.T) {
 	s := newIdleServer(t)
 	attach := func(session statemachine.SessionID) *dispatcher {
 		d := &dispatcher{conn: connect(t), session: session}
 		s.dispatchers.attached[d], s.dispatchers.bySession[session] = true, d
 		return d
 	}
-	stays, leaves, opening := attach(1), attach(2), attach(0)
-	leaves.isLeaving = true
+	expired, shuttingDown, opening := attach(1), attach(2), attach(0)
+	shuttingDown.isShuttingDown = true
 	s.state.fsm.Sessions[1] = &statemachine.Session{Node: "front-1"}
 	s.disconnectWithoutSessions()
 	if len(s.dispatchers.attached) != 3 {
-		t.Fatal("disconnected though a session is open")
+		t.Fatal("a dispatcher was disconnected although a session is open")
 	}
 	delete(s.state.fsm.Sessions, 1)
 	s.disconnectWithoutSessions()
-	if s.dispatchers.attached[stays] || !s.dispatchers.attached[leaves] || !s.dispatchers.attached[opening] {
-		t.Errorf("attached: the one whose session is over %v, the one that leaves %v, the one that has none yet %v",
-			s.dispatchers.attached[stays], s.dispatchers.attached[leaves], s.dispatchers.attached[opening])
+	if s.dispatchers.attached[expired] || !s.dispatchers.attached[shuttingDown] || !s.dispatchers.attached[opening] {
+		t.Errorf("dispatchers attached: with an expired session %v, shutting down %v, without a session yet %v",
+			s.dispatchers.attached[expired], s.dispatchers.attached[shuttingDown], s.dispatchers.attached[opening])
 	}
 }
--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -6,41 +6,42 @@
 	"yardflow/internal/control/protocol"
 )
 
-// Limits of the log behind the newest snapshot. A restart reads and applies that log before the process takes part, so
-// it is kept short: to a few times the size of a snapshot. Below minLogBytes snapshots would cost more than they save.
+// Limits of the log since the newest snapshot. A restart reads and applies that log before the process takes part, so the
+// log is kept to a few times the size of a snapshot. Below minLogBytes, snapshots would cost more than they save.
 const (
 	minLogBytes        = 2 << 20 // bytes of log; 2 MiB
 	logToSnapshotRatio = 3       // log bytes per byte of the newest snapshot
-	minFreeSegments    = 4       // segments of the ring; with no more left a snapshot is due, however short the log
+	minFreeSegments    = 4       // segments of the ring; when no more are free, a snapshot is due regardless of the log size
 )
 
-// snapshots knows how long the log behind the newest snapshot is, and what became of the last one from another member.
+// snapshots tracks the size of the log since the newest snapshot, and whether the last snapshot from another member was
+// readable.
 type snapshots struct {
-	saving             bool // a snapshot is on its way to the disk
-	logBytes           int  // entries applied since the newest snapshot
-	newestBytes        int  // size of the newest snapshot
-	freeSegments       int  // of the ring of log files
+	saving             bool // a snapshot is being written to the disk
+	logBytes           int  // bytes of the entries applied since the newest snapshot
+	newestBytes        int  // bytes of the newest snapshot
+	freeSegments       int  // free segments in the ring of log files
 	receivedUnreadable bool // the last snapshot from another member could not be decoded
 }
 
-// due reports whether the log behind the newest snapshot has grown long.
-func (s *snapshots) due() bool {
+// isDue reports whether the log since the newest snapshot has exceeded its limits.
+func (s *snapshots) isDue() bool {
 	return s.logBytes > max(minLogBytes, logToSnapshotRatio*s.newestBytes) || s.freeSegments <= minFreeSegments
 }
 
-// began notes that the log counts from a snapshot of so many bytes on.
-func (s *snapshots) began(bytes int) { s.logBytes, s.newestBytes = 0, bytes }
+// resetLogSize restarts the log size at a new snapshot of the given size.
+func (s *snapshots) resetLogSize(snapshotBytes int) { s.logBytes, s.newestBytes = 0, snapshotBytes }
 
-// saveSnapshotIfDue saves a snapshot of the state once the log is long, one at a time. It waits until all that is
-// committed is applied, so that the snapshot's index is the commit index.
+// saveSnapshotIfDue saves a snapshot of the state if one is due and none is being saved. It waits until all committed
+// entries are applied, so that the snapshot's index is the commit index.
 func (s *Server) saveSnapshotIfDue() {
-	if s.snapshots.saving || !s.snapshots.due() || s.replica.CommitIndex() != s.state.appliedIndex {
+	if s.snapshots.saving || !s.snapshots.isDue() || s.replica.CommitIndex() != s.state.appliedIndex {
 		return
 	}
 	s.snapshots.saving = true
 	data := protocol.Encode(&s.state.fsm.State)
 	index := s.state.appliedIndex
-	s.snapshots.began(len(data))
+	s.snapshots.resetLogSize(len(data))
 	snapshot := &segment.Snapshot{Index: index, Epoch: s.replica.EpochAt(index), Data: data}
 	s.disk.enqueue(diskWrite{snapshot: snapshot, onDurable: func() {
 		s.snapshots.saving = false
@@ -49,8 +50,8 @@
 	}})
 }
 
-// installSnapshot replaces the state by a snapshot from another member. One that can't be decoded is never made durable
-// here, so this member stays incomplete; it reports itself as unhealthy, and the chain goes on without it.
+// installSnapshot replaces the state with a snapshot from another member. If the snapshot can't be decoded, it is not
+// persisted and this member stays incomplete: the member reports itself as unhealthy, and the chain continues without it.
 func (s *Server) installSnapshot(snapshot *chain.Snapshot) {
 	index := snapshot.Index
 	s.snapshots.receivedUnreadable = !s.state.restore(index, snapshot.Data)
@@ -59,9 +60,9 @@
 			Msg("a snapshot of another member can't be read; staying out of the chain: are all machines of one version?")
 		return
 	}
-	s.snapshots.began(len(snapshot.Data))
+	s.snapshots.resetLogSize(len(snapshot.Data))
 	s.disk.enqueue(diskWrite{replacesLog: true,
 		snapshot:  &segment.Snapshot{Index: index, Epoch: snapshot.IndexEpoch, Data: snapshot.Data},
 		onDurable: func() { s.replica.SnapshotPersisted(index) }})
-	s.disconnectDispatchers() // what they know may be behind the snapshot: a session's own snapshot brings them up to it
+	s.disconnectDispatchers() // their state may be older than the snapshot; they get a current one when they reconnect
 }
--- a/internal/control/server/snapshots_test.go
+++ b/internal/control/server/snapshots_test.go
@@ -6,7 +6,8 @@
 	"yardflow/coordination/chain"
 )
 
-// The log behind the newest snapshot stays short, however much space the ring has; a short log is not worth a snapshot.
+// TestSnapshotIsDue checks that a snapshot is due when the log since the newest one is long, or the ring is nearly full,
+// but not for a short log.
 func TestSnapshotIsDue(t *testing.T) {
 	const manySegments = 7
 	for name, c := range map[string]struct {
@@ -21,19 +22,20 @@
 		"a short log where the ring has space": {0, 0, minFreeSegments + 1, false},
 	} {
 		s := &snapshots{logBytes: c.log, newestBytes: c.snapshot, freeSegments: c.segments}
-		if got := s.due(); got != c.due {
-			t.Errorf("%s: due %v", name, got)
+		if got := s.isDue(); got != c.due {
+			t.Errorf("%s: isDue returns %v", name, got)
 		}
 	}
 }
 
-// A regression test: a member that could not decode a snapshot counted as complete with the state that it had before.
-func TestUnreadableSnapshotKeepsTheMemberOut(t *testing.T) {
+// Regression test: a member that could not decode a snapshot counted as complete with the state that it had before.
+func TestUnreadableSnapshotMakesTheMemberUnhealthy(t *testing.T) {
 	s := newIdleServer(t)
 	s.state.fsm.ClockTicks = 7
 	s.installSnapshot(snapshotOf(9, []byte("no state")))
 	if s.state.appliedIndex == 9 || s.state.fsm.ClockTicks != 7 || !s.isUnhealthy() {
-		t.Errorf("applied %d, unhealthy %v", s.state.appliedIndex, s.isUnhealthy())
+		t.Errorf("applied index %d, unhealthy %v; want an unchanged state and an unhealthy member",
+			s.state.appliedIndex, s.isUnhealthy())
 	}
 }
 
--- a/internal/control/server/state.go
+++ b/internal/control/server/state.go
@@ -8,30 +8,31 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// clockInterval is how often the head advances the state machine's clock. It is the resolution at which finished jobs
-// are forgotten.
+// clockInterval is the interval at which the head advances the state machine's clock, and thus the resolution at which
+// finished jobs are forgotten.
 const clockInterval = 5 * time.Second
 
-// jobRetentionMargin is how long jobs are known beyond what clients were promised (settings key Bounds.status_s): four
-// clockIntervals, since the clock is that coarse.
+// jobRetentionMargin is how long jobs are kept beyond the retention that clients were promised (settings key
+// Bounds.status_s): four clockIntervals, since the clock advances only in steps of clockInterval.
 const jobRetentionMargin = 20 * time.Second
 
-// replicatedState is the cluster's state as of the newest log entry that was applied here, and what follows from those
-// entries for dispatchers.
+// replicatedState is the cluster's state as of the newest log entry applied here, with the updates for dispatchers that
+// result from these entries.
 type replicatedState struct {
 	fsm          *statemachine.FSM
 	appliedIndex uint64
-	updates      []statemachine.AddressedUpdate // not in outboxes yet
+	updates      []statemachine.AddressedUpdate // not added to outboxes yet
 	configs      configHistory
 }
 
-// newReplicatedState returns an empty state that remembers jobs for the given time, in seconds, after their end.
+// newReplicatedState returns an empty state that keeps jobs for the given time after their end, in seconds.
 func newReplicatedState(retentionS float64) replicatedState {
 	ticks := uint64((retentionS + jobRetentionMargin.Seconds()) / clockInterval.Seconds())
 	return replicatedState{fsm: statemachine.New(ticks)}
 }
 
-// restore replaces the state by that of a snapshot, and reports whether it can be read. If not, nothing changes.
+// restore replaces the state with that of a snapshot. If the snapshot can't be decoded, it returns false and changes
+// nothing.
 func (r *replicatedState) restore(index uint64, data []byte) bool {
 	state := statemachine.State{}
 	if !protocol.Decode(data, &state) {
@@ -43,8 +44,8 @@
 	return true
 }
 
-// apply applies a committed entry and returns its command's outcome, and false where the entry holds no command that
-// this version can read: such an entry changes nothing at any member.
+// apply applies a committed entry and returns the outcome of its command. It returns false if the entry holds no command
+// that this version can decode; such an entry changes nothing at any member.
 func (r *replicatedState) apply(entry *chain.Entry) (statemachine.Result, bool) {
 	command := &statemachine.Command{}
 	r.appliedIndex = entry.Index
@@ -62,7 +63,7 @@
 	return result, true
 }
 
-// discardOutput drops the updates and notices of what was applied.
+// discardOutput discards the pending updates and notices.
 func (r *replicatedState) discardOutput() {
 	r.updates = nil
 	r.fsm.DequeueNotices()
