--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -1,6 +1,7 @@
 package view
 
-// receivePrepare promises to accept nothing under a lower ballot, or says which ballot is promised already.
+// receivePrepare answers with a promise to accept nothing under a lower ballot, or with a rejection that names the higher
+// ballot already promised.
 func (c *Consensus) receivePrepare(from MemberID, m *Prepare) {
 	if !c.adopt(from, &m.BaseView) || !c.View().IsElector(c.hardState.Self.ID) {
 		return
@@ -16,8 +17,8 @@
 	c.send(from, Message{Promise: answer})
 }
 
-// adopt takes over a newer view that a message brings, sends the view in force to a sender that has an older one, and
-// reports whether the sender's view is the one in force here.
+// adopt puts the base view of a message in force if it is newer, sends the view in force to a sender with an older one, and
+// reports whether both sides have the same view in force.
 func (c *Consensus) adopt(from MemberID, base *View) bool {
 	if base.Epoch > c.hardState.View.Epoch {
 		c.decide(base)
@@ -31,7 +32,7 @@
 	return base.Epoch == c.hardState.View.Epoch
 }
 
-// receiveAccept accepts a view unless a higher ballot is promised.
+// receiveAccept accepts the view of a message unless a higher ballot is promised.
 func (c *Consensus) receiveAccept(from MemberID, m *Accept) {
 	if m.BaseEpoch != c.hardState.View.Epoch || m.Ballot.less(c.hardState.PromisedBallot) ||
 		!c.View().IsElector(c.hardState.Self.ID) {
--- a/coordination/view/consensus.go
+++ b/coordination/view/consensus.go
@@ -1,66 +1,66 @@
 package view
 
-// HardState is what a member must never forget. Whoever has lost it is another member. The host makes it durable
-// before it sends any message that Ready returns with it.
+// HardState is the state that a member must have on its disk. A machine that loses it starts again as another member. The
+// host makes it durable before it sends any message that Ready returns with it.
 type HardState struct {
 	Self Member `cbor:"1,keyasint"`
-	// InitialMember: the disk was formatted at the first start of the whole system, and its machine has not been an
-	// elector yet.
+	// InitialMember is true if the disk was formatted at the first start of the whole system and the member has not been
+	// an elector yet.
 	InitialMember  bool   `cbor:"2,keyasint,omitempty"`
-	View           View   `cbor:"3,keyasint"` // in force
+	View           View   `cbor:"3,keyasint"` // the view in force
 	PromisedBallot Ballot `cbor:"4,keyasint"` // for the epoch after View
 	AcceptedBallot Ballot `cbor:"5,keyasint"`
 	AcceptedView   *View  `cbor:"6,keyasint,omitempty"`
 	CompleteEpoch  uint64 `cbor:"7,keyasint,omitempty"` // last epoch in which this member had the chain's complete log
-	// LastRound is the newest round of an own ballot. It is durable before the ballot leaves, so that no later
-	// incarnation of the member uses the ballot for another view.
+	// LastRound is the highest round of this member's own ballots. It is durable before the ballot is sent, so that no
+	// later incarnation of the member uses the same ballot for another view.
 	LastRound uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Ready is what the host has to do: make HardState durable where it is set, then send.
+// Ready lists the host's pending work: it makes HardState durable if that is set, and then sends Messages.
 type Ready struct {
 	HardState *HardState
 	Messages  []Envelope
-	Decided   bool // HardState.View is new; it is in force once HardState is durable
+	Decided   bool // HardState.View is new and comes into force once HardState is durable
 }
 
-// Consensus is one member's part in agreeing on views: acceptor, proposer and learner of Paxos. It is not safe for
-// concurrent use.
+// Consensus implements the Paxos acceptor, proposer and learner of one member. It is not safe for concurrent use.
 type Consensus struct {
 	hardState HardState
-	proposal  *proposal // own, in progress; nil: none
-	// rejectedRound is the highest round that an answer has named as promised to somebody else. A new ballot is above
-	// it, so that a member that has missed rounds does not climb to them one by one.
+	proposal  *proposal // this member's proposal in progress, or nil
+	// rejectedRound is the highest round that a rejection has named. The next ballot uses a higher one, so that a member
+	// that has missed rounds does not retry them one by one.
 	rejectedRound uint64
 	ready         Ready
 	changed       bool // hardState has changed since the last Ready
 }
 
-// NewConsensus returns a member's part in agreeing on views, with what its disk held.
+// NewConsensus returns the Paxos state of a member whose disk holds the given hard state.
 func NewConsensus(hardState HardState) *Consensus { return &Consensus{hardState: hardState} }
 
 // View returns the view in force.
 func (c *Consensus) View() *View { return &c.hardState.View }
 
-// HardState returns what this member must never forget.
+// HardState returns the state that this member must have on its disk.
 func (c *Consensus) HardState() HardState { return c.hardState }
 
-// Self returns this member.
+// Self returns the member that this Consensus belongs to.
 func (c *Consensus) Self() Member { return c.hardState.Self }
 
 // IsInitialMember reports whether this member was formatted at the system's first start and has not been an elector
 // yet.
 func (c *Consensus) IsInitialMember() bool { return c.hardState.InitialMember }
 
-// EligibleAsHead reports whether this member has everything that was ever acknowledged: it is a writer, and has been
-// complete in an epoch since it became one.
+// EligibleAsHead reports whether this member certainly has every acknowledged entry: it is a writer, and had the complete
+// log in some epoch since it became one.
 func (c *Consensus) EligibleAsHead() bool {
 	view := c.View()
 	position := view.ChainPosition(c.hardState.Self.ID)
 	return position >= 0 && position < view.WriterCount() && c.hardState.CompleteEpoch >= view.Chain[position].WriterSince
 }
 
-// MarkComplete enters that this member has the complete log of the view in force.
+// MarkComplete records that this member has the complete log of the view of the given epoch. It has no effect if another
+// view is in force.
 func (c *Consensus) MarkComplete(epoch uint64) {
 	if epoch == c.hardState.View.Epoch && epoch > c.hardState.CompleteEpoch {
 		c.hardState.CompleteEpoch = epoch
@@ -68,9 +68,9 @@
 	}
 }
 
-// Bootstrap sets the electors of the very first view. It has no effect once there is a view or there are electors, or
-// on a disk that was not formatted at the system's first start: a machine with an empty disk must not make a second
-// system.
+// Bootstrap sets the electors that decide the first view. It has no effect once a view has been decided or electors are
+// set, nor on a disk that was not formatted at the system's first start: a machine with an empty disk must not found a
+// second system.
 func (c *Consensus) Bootstrap(electors []Member) {
 	if c.hardState.InitialMember && c.hardState.View.Epoch == 0 && len(c.hardState.View.Electors) == 0 {
 		c.hardState.View.Electors = electors
@@ -78,7 +78,7 @@
 	}
 }
 
-// Tick is called at a steady pace; a proposal is given up after proposalTicks of them.
+// Tick must be called at a regular interval. It abandons a proposal after proposalTicks calls.
 func (c *Consensus) Tick() {
 	if c.proposal == nil {
 		return
@@ -91,7 +91,7 @@
 	c.maybeAccept()
 }
 
-// Receive takes in a message, also one from this member itself.
+// Receive handles a message from another member or from this member itself.
 func (c *Consensus) Receive(from MemberID, message *Message) {
 	switch {
 	case message.Prepare != nil:
@@ -107,13 +107,13 @@
 	}
 }
 
-// DecidedMessage returns the message that brings another member to the view in force.
+// DecidedMessage returns the message that informs another member of the view in force.
 func (c *Consensus) DecidedMessage() Message {
 	view := c.hardState.View
 	return Message{Decided: &view}
 }
 
-// Ready returns what is to be done since the last call.
+// Ready returns the work that has become pending since the last call.
 func (c *Consensus) Ready() Ready {
 	ready := c.ready
 	c.ready = Ready{}
@@ -125,7 +125,7 @@
 	return ready
 }
 
-// decide puts a decided view in force, unless it is older than the present one.
+// decide puts a decided view in force unless the present one is the same or newer.
 func (c *Consensus) decide(view *View) {
 	if view.Epoch <= c.hardState.View.Epoch {
 		return
@@ -133,7 +133,7 @@
 	c.hardState.View = *view
 	c.hardState.PromisedBallot, c.hardState.AcceptedBallot, c.hardState.AcceptedView = Ballot{}, Ballot{}, nil
 	if view.Epoch == 1 && view.ChainPosition(c.hardState.Self.ID) >= 0 {
-		c.hardState.CompleteEpoch = 1 // nothing was written yet, so nothing is missing
+		c.hardState.CompleteEpoch = 1 // the first view starts with an empty log, which is complete
 	}
 	if view.IsElector(c.hardState.Self.ID) {
 		c.hardState.InitialMember = false
--- a/coordination/view/consensus_test.go
+++ b/coordination/view/consensus_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// machine is one member with a disk; messages wait for its sync.
+// machine is a member with a disk. Its messages are sent once the hard state returned with them is synced.
 type machine struct {
 	consensus *Consensus
 	disk      HardState
@@ -14,14 +14,14 @@
 	up        bool
 }
 
-// cluster is a set of machines under one test's control.
+// cluster is a set of machines. The test decides the order of messages, syncs and restarts.
 type cluster struct {
 	machines        map[MemberID]*machine
 	order           []MemberID
 	inFlight        []delivery
-	decided         map[uint64]string // what was ever in force, by epoch
+	decided         map[uint64]string // every view that was ever in force, by epoch
 	violations      []string
-	sendsBeforeSync bool // planted fault: nothing is synced before it is sent
+	sendsBeforeSync bool // injected fault: messages are sent although no hard state is ever synced
 }
 
 type delivery struct {
@@ -56,7 +56,7 @@
 	m.unsynced = append(m.unsynced, ready)
 }
 
-// sync makes the oldest hard state durable, and sends what waited for it.
+// sync makes the oldest unsynced hard state durable, and sends the messages that wait for it.
 func (c *cluster) sync(id MemberID) {
 	m := c.machines[id]
 	if len(m.unsynced) == 0 {
@@ -73,7 +73,7 @@
 		view := ready.HardState.View
 		text := fmt.Sprint(view)
 		if known, exists := c.decided[view.Epoch]; exists && known != text {
-			c.violations = append(c.violations, fmt.Sprintf("epoch %d: %s and %s", view.Epoch, known, text))
+			c.violations = append(c.violations, fmt.Sprintf("two views in epoch %d: %s and %s", view.Epoch, known, text))
 		}
 		c.decided[view.Epoch] = text
 	}
@@ -91,14 +91,14 @@
 	}
 }
 
-// restart loses what was not synced.
+// restart starts a new incarnation of a member from its disk. Unsynced hard states and their messages are lost.
 func (c *cluster) restart(id MemberID) {
 	m := c.machines[id]
 	m.unsynced = nil
 	m.consensus = NewConsensus(m.disk)
 }
 
-// propose asks for a random part of the electors as the chain.
+// propose lets a member propose a chain of random electors.
 func (c *cluster) propose(random *rand.Rand, id MemberID) {
 	m := c.machines[id]
 	desired := View{Electors: m.consensus.View().Electors}
@@ -114,7 +114,7 @@
 	c.handleReady(id)
 }
 
-// simulate plays a seeded schedule of proposals, deliveries, losses, duplicates, syncs and restarts.
+// simulate runs a random schedule of proposals, deliveries, losses, duplicates, syncs and restarts.
 func simulate(seed uint64, sendsBeforeSync bool) *cluster {
 	random := rand.New(rand.NewPCG(seed, 9))
 	c := newCluster(3 + 2*int(seed%2))
@@ -162,21 +162,21 @@
 		decided += len(c.decided)
 	}
 	if decided < 3*seeds {
-		t.Errorf("only %d views in %d simulations: they show little", decided, seeds)
+		t.Errorf("only %d views decided in %d simulations, too few for a meaningful test", decided, seeds)
 	}
 }
 
-// TestPlantedSendBeforeSync shows that the simulations find promises that were sent before they were synced.
-func TestPlantedSendBeforeSync(t *testing.T) {
+// TestSimulationDetectsSendBeforeSync checks that the simulations detect promises that are sent before they are synced.
+func TestSimulationDetectsSendBeforeSync(t *testing.T) {
 	for seed := range 2000 {
 		if c := simulate(uint64(seed), true); len(c.violations) > 0 {
 			return
 		}
 	}
-	t.Error("promises sent before their sync were not found")
+	t.Error("no simulation detects promises that are sent before they are synced")
 }
 
-// threeMembers returns three members and the view that all of them form.
+// threeMembers returns three members and a view of which all three are chain members and electors.
 func threeMembers() ([]Member, *View) {
 	members := []Member{}
 	for id := MemberID(1); id <= 3; id++ {
@@ -185,15 +185,15 @@
 	return members, &View{Epoch: 4, Chain: members, Electors: members}
 }
 
-// TestHeadIsEligible keeps that a newcomer that lacks entries never becomes the head.
+// TestHeadIsEligible checks that a newcomer that lacks entries never becomes the head.
 func TestHeadIsEligible(t *testing.T) {
 	members, view := threeMembers()
-	members[0].WriterSince = 4 // joined in the present view, and is not complete
+	members[0].WriterSince = 4 // joined in the present view and is not complete in it
 	view.Chain = members
 	durable := HardState{Self: members[0], View: *view, CompleteEpoch: 3}
 	r := NewConsensus(durable)
 	if r.EligibleAsHead() {
-		t.Error("a newcomer counts as complete")
+		t.Error("an incomplete newcomer is eligible as head")
 	}
 	r.Propose(View{Chain: members, Electors: members}, nil, 2)
 	ballot := r.proposal.ballot
@@ -201,7 +201,7 @@
 	r.Receive(2, &Message{Promise: &Promise{BaseEpoch: 4, Ballot: ballot, EligibleAsHead: true}})
 	r.Receive(3, &Message{Promise: &Promise{BaseEpoch: 4, Ballot: ballot, EligibleAsHead: true}})
 	if next := r.proposal.view; next == nil || next.Chain[0].ID == 1 {
-		t.Errorf("next view %v", next)
+		t.Errorf("next view %v, want one headed by an eligible member", next)
 	}
 }
 
@@ -214,12 +214,12 @@
 		r.Receive(id, &Message{Promise: &Promise{BaseEpoch: 4, Ballot: ballot}})
 	}
 	if r.proposal.view != nil {
-		t.Errorf("view %v without anybody who has everything", r.proposal.view)
+		t.Errorf("view %v proposed without an eligible head", r.proposal.view)
 	}
 }
 
-// TestChainIsNotCutBelowItsMinimum keeps a fault of the first sitting: the desired view left a slow member out, another
-// one did not answer in time, and a chain of one was made, which acknowledges nothing.
+// TestChainIsNotCutBelowItsMinimum guards against a chain too short to acknowledge anything. It came about when the desired
+// view left out a slow member and another member did not answer in time, so that a chain of one was proposed.
 func TestChainIsNotCutBelowItsMinimum(t *testing.T) {
 	members, view := threeMembers()
 	r := NewConsensus(HardState{Self: members[0], View: *view, CompleteEpoch: 4})
@@ -228,17 +228,18 @@
 	r.Receive(1, &Message{Promise: &Promise{BaseEpoch: 4, Ballot: ballot, EligibleAsHead: true}})
 	r.Receive(3, &Message{Promise: &Promise{BaseEpoch: 4, Ballot: ballot, EligibleAsHead: true}})
 	if next := r.proposal.view; next == nil || len(next.Chain) != 2 {
-		t.Errorf("next view %v", next)
+		t.Errorf("next view %v, want a chain of 2", next)
 	}
 }
 
-// A proposal that leaves nobody out waits for a busy member; one that drops a silent member is urgent.
-func TestPatienceForBusyMembers(t *testing.T) {
+// TestWaitForExpectedPromises checks that a proposal that removes no member waits longer for a busy member than an urgent
+// one, which removes a silent member.
+func TestWaitForExpectedPromises(t *testing.T) {
 	members, view := threeMembers()
 	for name, c := range map[string]struct {
 		desired []Member
 		ticks   int
-	}{"all stay": {members, calmPatience}, "one is dropped": {members[:2], urgentPatience}} {
+	}{"all stay": {members, regularPromiseWaitTicks}, "one is removed": {members[:2], urgentPromiseWaitTicks}} {
 		r := NewConsensus(HardState{Self: members[0], View: *view, CompleteEpoch: 4})
 		r.Propose(View{Chain: c.desired, Electors: members}, []MemberID{1, 2, 3}, 2)
 		ballot := r.proposal.ballot
@@ -247,30 +248,30 @@
 		}
 		for tick := 1; tick <= c.ticks; tick++ {
 			if r.proposal.view != nil {
-				t.Errorf("%s: goes on after %d ticks of %d without the third answer", name, tick-1, c.ticks)
+				t.Errorf("%s: phase 2 starts after %d ticks without the third promise, want %d", name, tick-1, c.ticks)
 			}
 			r.Tick()
 		}
 		if r.proposal == nil || r.proposal.view == nil {
-			t.Errorf("%s: still waits after %d ticks", name, c.ticks)
+			t.Errorf("%s: still waits for promises after %d ticks", name, c.ticks)
 		}
 	}
 }
 
-// That this member is complete is handed out to be made durable, once, before anything may rest on it.
+// TestCompletenessIsMadeDurable checks that Ready returns a new CompleteEpoch to be made durable, exactly once.
 func TestCompletenessIsMadeDurable(t *testing.T) {
 	members, view := threeMembers()
 	c := NewConsensus(HardState{Self: members[0], View: *view})
-	c.MarkComplete(view.Epoch + 1) // of a view that is not in force
+	c.MarkComplete(view.Epoch + 1) // not the view in force
 	if ready := c.Ready(); ready.HardState != nil {
-		t.Errorf("complete in another view: %+v", ready.HardState)
+		t.Errorf("marked complete in a view that is not in force: %+v", ready.HardState)
 	}
 	c.MarkComplete(view.Epoch)
 	if ready := c.Ready(); ready.HardState == nil || ready.HardState.CompleteEpoch != view.Epoch {
-		t.Errorf("nothing to be made durable: %+v", ready.HardState)
+		t.Errorf("the complete epoch is not to be made durable: %+v", ready.HardState)
 	}
 	c.MarkComplete(view.Epoch)
 	if ready := c.Ready(); ready.HardState != nil {
-		t.Error("to be made durable again")
+		t.Error("the same complete epoch is to be made durable again")
 	}
 }
--- a/coordination/view/desired.go
+++ b/coordination/view/desired.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// Bounds of which view the detector asks for.
+// Limits for the choice of the desired view.
 const (
-	// replacementTimeout is how long an elector must be silent before a newcomer takes its place: longer than a
-	// restart takes, since a replaced elector that comes back has no vote any more.
+	// replacementTimeout is the time that an elector must be silent before a newcomer replaces it. It is longer than a
+	// restart takes, since a replaced elector has no vote when it comes back.
 	replacementTimeout = 2500 * time.Millisecond
-	// maxLag is how many entries a member may lack that joins the chain: they are sent in some milliseconds. Nothing
-	// is committed while a member of the chain lacks entries.
+	// maxLag is the number of entries that a member may lack when it joins the chain. Sending them takes a few
+	// milliseconds. Nothing is committed while a member of the chain lacks entries.
 	maxLag = 400
-	// proposerStagger keeps proposers from outbidding each other: each waits this much longer than the live one
-	// before it.
+	// proposerStagger is the additional delay of each proposer after the live one ranked before it. It keeps proposers
+	// from preempting each other with higher ballots.
 	proposerStagger = 150 * time.Millisecond
 )
 
-// DesiredView returns the view that should follow, and whose promises are expected. It is nil while the present one
-// is as it should be, or while another member is to propose first.
+// DesiredView returns the next view to propose, and the electors whose promises are expected. The view is nil if the
+// present one needs no change, if this member may not propose, or while members of lower rank have time to propose first.
 //
-// Restarted and unhealthy are this member's own state, as in its Heartbeat. CommitIndex is the newest committed entry
-// known here: others join the chain once they have nearly all up to it.
+// Restarted and unhealthy are this member's own state, as in its Heartbeat. CommitIndex is the index of the newest entry
+// known to be committed: other members join the chain once they lack at most maxLag entries up to it.
 func (d *Detector) DesiredView(now time.Duration, view *View, restarted, unhealthy bool, commitIndex uint64) (*View, []MemberID) {
 	expected := d.aliveElectors(now, view)
 	if !view.IsElector(d.self.ID) || unhealthy || !view.isMajority(len(expected)) {
-		d.wantedSince = notWanted
+		d.desiredSince = noTime
 		return nil, nil
 	}
 	desired := newViewPlan(d, now, view, commitIndex).build()
 	unchanged := sameMembers(desired.Chain, view.Chain) && sameMembers(desired.Electors, view.Electors)
-	// A member that has restarted takes no part in the view it was in, so even the same members need another one.
+	// A restarted member takes no part in the view in which it restarted, so a new view is needed even if the members stay
+	// the same.
 	if unchanged && !restarted && !d.anyRestarted(now, view) {
-		d.wantedSince = notWanted
+		d.desiredSince = noTime
 		return nil, nil
 	}
-	if d.wantedSince == notWanted {
-		d.wantedSince = now
+	if d.desiredSince == noTime {
+		d.desiredSince = now
 	}
-	if now-d.wantedSince < proposerStagger*time.Duration(d.proposerRank(now, view)) {
+	if now-d.desiredSince < proposerStagger*time.Duration(d.proposerRank(now, view)) {
 		return nil, nil
 	}
 	return desired, expected
 }
 
-// proposerRank counts the live members that propose before this one: the chain in order, then other electors.
+// proposerRank counts the live members that propose before this one: the chain in order, then the other electors.
 func (d *Detector) proposerRank(now time.Duration, view *View) int {
 	rank := 0
 	for _, members := range [][]Member{view.Chain, view.Electors} {
@@ -61,7 +62,7 @@
 	return rank
 }
 
-// anyRestarted reports whether a live member of the chain has restarted within the view.
+// anyRestarted reports whether a live member of the chain has restarted in the present view.
 func (d *Detector) anyRestarted(now time.Duration, view *View) bool {
 	for _, member := range view.Chain {
 		if p := d.peers[member.ID]; p != nil && d.IsAlive(now, member.ID) && p.heartbeat.Restarted &&
@@ -72,7 +73,7 @@
 	return false
 }
 
-// viewPlan makes one desired view, from the present one and what the detector knows at one moment.
+// viewPlan builds a desired view from the present view and the state of the detector at one moment.
 type viewPlan struct {
 	*Detector
 	now         time.Duration
@@ -99,8 +100,8 @@
 	return &View{Chain: p.chain, Electors: p.electors}
 }
 
-// keepPresentMembers keeps the live members of the present chain, and others that are heard where these are too few to
-// commit anything.
+// keepPresentMembers keeps the live members of the present chain. If these are too few to commit anything, it also keeps
+// members that are heard but unhealthy or unable to hear this one.
 func (p *viewPlan) keepPresentMembers() {
 	for _, member := range p.present.Chain {
 		if p.IsAlive(p.now, member.ID) {
@@ -109,11 +110,11 @@
 	}
 	for _, member := range p.present.Chain {
 		if len(p.chain) < p.minimum && !p.inChain(member.ID) && p.silentFor(p.now, member.ID) <= heartbeatTimeout {
-			p.chain = append(p.chain, member) // a slow disk is better than none
+			p.chain = append(p.chain, member) // a member with a slow disk is better than too short a chain
 		}
 	}
 	if len(p.chain) == 0 {
-		p.chain = slices.Clone(p.present.Chain) // none of them may be heard yet; those who answer stay
+		p.chain = slices.Clone(p.present.Chain) // perhaps none is heard yet; the proposal drops members that don't answer
 	}
 }
 
@@ -121,10 +122,10 @@
 	return slices.ContainsFunc(p.chain, func(m Member) bool { return m.ID == id })
 }
 
-// replaceElectors takes newcomers in as electors. One at the address of an elector is that machine with an empty
-// disk, and takes its place at once. One from the first start extends the electors. Any other takes the place of an
-// elector that is leaving, or that has been silent for replacementTimeout, one in its own zone first. Electors are
-// swapped one for one and never only added, so that a majority stays in reach.
+// replaceElectors makes newcomers electors. A newcomer at the address of an elector is the same machine with an empty disk
+// and replaces that elector at once. An initial member is added to the electors. Any other newcomer replaces an elector
+// that is leaving or has been silent for replacementTimeout, preferably in its own zone. Except for initial members,
+// electors are replaced one for one and never added, so that a majority stays reachable.
 func (p *viewPlan) replaceElectors() {
 	for _, id := range sortedIDs(p.peers) {
 		newcomer := &p.peers[id].heartbeat
@@ -141,7 +142,7 @@
 	}
 }
 
-// electorToReplace returns which elector a newcomer takes the place of, or -1.
+// electorToReplace returns the index of the elector that a newcomer replaces, or -1.
 func (p *viewPlan) electorToReplace(newcomer *Heartbeat) int {
 	best := -1
 	for i, elector := range p.electors {
@@ -159,8 +160,8 @@
 	return best
 }
 
-// mayHandOver reports whether a leaving elector may give its place to a newcomer now: only once the chain is long
-// enough without it, since a member of the chain that is no elector falls out of the next view.
+// mayHandOver reports whether a newcomer may replace a leaving elector now: only once the chain is long enough without the
+// elector, since a replaced elector is also removed from the chain.
 func (p *viewPlan) mayHandOver(id MemberID, newcomer *Heartbeat) bool {
 	if !p.isLeaving(id) {
 		return false
@@ -172,7 +173,7 @@
 	return staying >= p.minimum
 }
 
-// addElectorsToChain appends electors that have nearly all of the log, or any while the chain is too short.
+// addElectorsToChain appends electors that are caught up, or any elector while the chain is too short.
 func (p *viewPlan) addElectorsToChain() {
 	for _, elector := range p.electors {
 		if p.isSteady(p.now, elector.ID) && !p.inChain(elector.ID) && !p.isLeaving(elector.ID) &&
@@ -182,13 +183,13 @@
 	}
 }
 
-// isCaughtUp reports whether a member outside the chain lacks few entries.
+// isCaughtUp reports whether a member outside the chain lacks at most maxLag entries.
 func (p *viewPlan) isCaughtUp(id MemberID) bool {
 	peer := p.peers[id]
 	return peer != nil && peer.heartbeat.LastIndex+maxLag >= p.commitIndex
 }
 
-// releaseLeaving takes leaving members out of a chain that is long enough without them.
+// releaseLeaving removes leaving members from a chain that is long enough without them.
 func (p *viewPlan) releaseLeaving() {
 	if p.stayingInChain() >= p.minimum {
 		p.chain = slices.DeleteFunc(p.chain, func(m Member) bool { return p.isLeaving(m.ID) })
--- a/coordination/view/detector.go
+++ b/coordination/view/detector.go
@@ -5,60 +5,61 @@
 	"time"
 )
 
-// Heartbeat is what members send to each other at a steady pace, 100 ms.
+// Heartbeat is the message that members send to each other every 100 ms.
 type Heartbeat struct {
 	From  Member `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"` // of the view in force at the sender
-	// InitialMember: formatted at the system's first start, and no elector yet.
+	// InitialMember is true if the sender was formatted at the system's first start and has not been an elector yet.
 	InitialMember bool       `cbor:"3,keyasint,omitempty"`
-	Unhealthy     bool       `cbor:"4,keyasint,omitempty"` // the chain had better do without the sender, as with a slow disk
+	Unhealthy     bool       `cbor:"4,keyasint,omitempty"` // the chain should exclude the sender, as with a slow disk
 	Restarted     bool       `cbor:"5,keyasint,omitempty"` // this incarnation has not taken part in the view of Epoch
-	LastIndex     uint64     `cbor:"7,keyasint,omitempty"` // newest entry of the sender's log
-	HeardFrom     []MemberID `cbor:"6,keyasint,omitempty"` // lately
-	Leaving       bool       `cbor:"8,keyasint,omitempty"` // a graceful shutdown: the sender hands its position over
+	LastIndex     uint64     `cbor:"7,keyasint,omitempty"` // index of the newest entry of the sender's log
+	HeardFrom     []MemberID `cbor:"6,keyasint,omitempty"` // within heartbeatTimeout
+	Leaving       bool       `cbor:"8,keyasint,omitempty"` // the sender is shutting down and hands its position over
 }
 
-// Times of the failure detector.
+// Timeouts of the failure detector.
 const (
-	// heartbeatTimeout is how long a member may be silent before the chain goes on without it: four heartbeats. A
-	// member that was only slow is taken in again at the cost of one more view.
+	// heartbeatTimeout is the time that a member may be silent before the chain excludes it: four heartbeats. A member
+	// that was only slow is added again at the cost of one more view.
 	heartbeatTimeout = 450 * time.Millisecond
-	// steadyAfter is how long a member must have been heard without a break before it is taken in, so that a
-	// flapping connection does not cost a view each time.
+	// steadyAfter is the time that a member must have been heard without a break before it is added, so that a flapping
+	// connection does not cost a view each time.
 	steadyAfter = 300 * time.Millisecond
 )
 
-// notWanted stands for a time: the present view is as it should be. Times of the clock are never negative.
-const notWanted = time.Duration(-1)
+// noTime is the value of desiredSince while no change of the view is desired. Times of the clock are never negative.
+const noTime = time.Duration(-1)
 
-// peerState is what is known of another member.
+// peerState is the detector's state of another member.
 type peerState struct {
-	heartbeat  Heartbeat     // the latest
-	heardAt    time.Duration // when it came
-	heardSince time.Duration // heard without a break since
+	heartbeat  Heartbeat     // the latest one received
+	heardAt    time.Duration // time of the latest heartbeat
+	heardSince time.Duration // start of the current period without a break longer than heartbeatTimeout
 }
 
-// Detector knows which members are alive, and which view they would make. Times are handed in, on any steady clock.
-// It is not safe for concurrent use.
+// Detector tracks which members are alive and derives the desired view from it. Callers pass the time, on any monotonic
+// clock. It is not safe for concurrent use.
 type Detector struct {
 	self      Member
 	leaving   bool // this member is shutting down gracefully
 	peers     map[MemberID]*peerState
 	minimum   int // members that a chain needs to commit anything
 	startedAt time.Duration
-	// wantedSince is since when another view has been wanted without a break, or notWanted.
-	wantedSince time.Duration
+	// desiredSince is the time since which a change of the view has been desired without a break, or noTime.
+	desiredSince time.Duration
 }
 
-// NewDetector returns a detector that has heard from nobody, for chains of at least minimum members.
+// NewDetector returns a detector without any heartbeats, for chains of at least minimum members.
 func NewDetector(self Member, now time.Duration, minimum int) *Detector {
-	return &Detector{self: self, minimum: minimum, peers: map[MemberID]*peerState{}, wantedSince: notWanted, startedAt: now}
+	return &Detector{self: self, minimum: minimum, peers: map[MemberID]*peerState{}, desiredSince: noTime, startedAt: now}
 }
 
-// Leave notes that this member is shutting down gracefully: the others go on without it as soon as they can.
+// Leave records that this member is shutting down gracefully: the chain excludes it as soon as it is long enough without
+// it.
 func (d *Detector) Leave() { d.leaving = true }
 
-// ReceiveHeartbeat takes in a heartbeat.
+// ReceiveHeartbeat handles a heartbeat from another member.
 func (d *Detector) ReceiveHeartbeat(now time.Duration, heartbeat Heartbeat) {
 	p := d.peers[heartbeat.From.ID]
 	if p == nil {
@@ -70,15 +71,15 @@
 	p.heartbeat, p.heardAt = heartbeat, max(p.heardAt, now)
 }
 
-// ConnectionRefused notes that nothing listens at a member's address: its process is gone, and counts as silent at
-// once.
+// ConnectionRefused records that no process listens at a member's address: its process has ended, so the member counts as
+// silent at once.
 func (d *Detector) ConnectionRefused(now time.Duration, id MemberID) {
 	if p := d.peers[id]; p != nil {
 		p.heardAt = min(p.heardAt, now-heartbeatTimeout-1)
 	}
 }
 
-// HeardFrom lists the members that were heard within heartbeatTimeout, by rising ID.
+// HeardFrom lists the members heard within heartbeatTimeout, in ascending order of ID.
 func (d *Detector) HeardFrom(now time.Duration) []MemberID {
 	ids := []MemberID{}
 	for _, id := range sortedIDs(d.peers) {
@@ -93,10 +94,10 @@
 	return now-d.peers[id].heardAt <= heartbeatTimeout
 }
 
-// IsAlive reports whether both sides hear each other and the member is healthy.
+// IsAlive reports whether a member and this one hear each other and the member is healthy.
 func (d *Detector) IsAlive(now time.Duration, id MemberID) bool { return d.suspicion(now, id) == "" }
 
-// ExclusionReason returns why the chain goes on without a member, for the log, or "".
+// ExclusionReason returns the reason, for the log, why the chain excludes a member, or "" if there is none.
 func (d *Detector) ExclusionReason(now time.Duration, id MemberID) string {
 	if suspicion := d.suspicion(now, id); suspicion != "" {
 		return suspicion
@@ -107,7 +108,7 @@
 	return ""
 }
 
-// suspicion returns why a member doesn't count as alive, or "".
+// suspicion returns the reason why a member doesn't count as alive, or "" if it does.
 func (d *Detector) suspicion(now time.Duration, id MemberID) string {
 	p := d.peers[id]
 	switch {
@@ -125,12 +126,12 @@
 	return ""
 }
 
-// isSteady reports whether a member has been heard long enough to be taken in.
+// isSteady reports whether a member has been alive and heard long enough to be added.
 func (d *Detector) isSteady(now time.Duration, id MemberID) bool {
 	return id == d.self.ID || d.IsAlive(now, id) && now-d.peers[id].heardSince >= steadyAfter
 }
 
-// silentFor returns how long a member has been silent; one that was never heard, since this detector began.
+// silentFor returns the time since a member's last heartbeat or, if there was none, since the detector started.
 func (d *Detector) silentFor(now time.Duration, id MemberID) time.Duration {
 	if id == d.self.ID {
 		return 0
@@ -141,7 +142,7 @@
 	return now - d.startedAt
 }
 
-// isLeaving reports whether a member has said that it is shutting down.
+// isLeaving reports whether a member has announced that it is shutting down.
 func (d *Detector) isLeaving(id MemberID) bool {
 	if id == d.self.ID {
 		return d.leaving
@@ -165,8 +166,8 @@
 	return alive
 }
 
-// InitialElectors returns the electors of the very first view once the machines at all seed addresses are heard, or
-// nil. They are in the order of the seeds.
+// InitialElectors returns the electors that decide the first view, in the order of the seeds, or nil until the members
+// at all seed addresses are known.
 func (d *Detector) InitialElectors(now time.Duration, seeds []string) []Member {
 	electors := []Member{}
 	for _, seed := range seeds {
@@ -182,7 +183,8 @@
 	return electors
 }
 
-// initialMembers lists this member and those heard that were formatted at the system's first start.
+// initialMembers lists this member and the members it hears that were formatted at the system's first start and have no
+// view yet.
 func (d *Detector) initialMembers(now time.Duration) []Member {
 	members := []Member{d.self}
 	for _, id := range d.HeardFrom(now) {
--- a/coordination/view/detector_test.go
+++ b/coordination/view/detector_test.go
@@ -22,26 +22,26 @@
 		desired, _ := d.DesiredView(at, view, false, false, 0)
 		silent := at - 900*time.Millisecond
 		if (desired != nil) != (silent > heartbeatTimeout) && at > 200*time.Millisecond {
-			t.Fatalf("at %v the view %v is asked for", at, desired)
+			t.Fatalf("at %v: desired view %v, want a change only after heartbeatTimeout of silence", at, desired)
 		}
 		if desired != nil && len(desired.Chain) != 2 {
-			t.Fatalf("chain %v", desired.Chain)
+			t.Fatalf("desired chain %v, want one without the silent member", desired.Chain)
 		}
 	}
 }
 
-func TestRefusedConnectionCountsAtOnce(t *testing.T) {
+func TestRefusedConnectionCountsAsSilence(t *testing.T) {
 	members, view := threeMembers()
 	d := NewDetector(members[0], 0, 2)
 	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 1, 3))
 	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[2], 4, 1, 2))
 	d.ConnectionRefused(time.Second, 3)
 	if desired, _ := d.DesiredView(time.Second, view, false, false, 0); desired == nil || len(desired.Chain) != 2 {
-		t.Errorf("desired %v", desired)
+		t.Errorf("desired view %v, want one without the member that refused the connection", desired)
 	}
 }
 
-func TestOneWayDeafMemberIsNotAlive(t *testing.T) {
+func TestMemberThatDoesNotHearIsNotAlive(t *testing.T) {
 	members, _ := threeMembers()
 	d := NewDetector(members[0], 0, 2)
 	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 3))
@@ -50,8 +50,9 @@
 	}
 }
 
-// newcomer returns the view asked for while a stranger and both other electors are heard, but for the silent one.
-func newcomer(stranger Heartbeat, silent MemberID) *View {
+// desiredWithNewcomer returns the desired view after 4 s in which a newcomer and the other electors are heard, except that
+// the silent one falls silent after 0.5 s.
+func desiredWithNewcomer(newcomer Heartbeat, silent MemberID) *View {
 	members, view := threeMembers()
 	d := NewDetector(members[0], 0, 2)
 	var desired *View
@@ -61,7 +62,7 @@
 				d.ReceiveHeartbeat(at, heartbeatOf(member, 4, 1, 2, 3))
 			}
 		}
-		d.ReceiveHeartbeat(at, stranger)
+		d.ReceiveHeartbeat(at, newcomer)
 		desired, _ = d.DesiredView(at, view, false, false, 0)
 	}
 	return desired
@@ -78,30 +79,30 @@
 func TestNewcomersBecomeElectors(t *testing.T) {
 	cases := []struct {
 		name     string
-		stranger Heartbeat
+		newcomer Heartbeat
 		silent   MemberID
-		want     string // electors asked for; "" where no view is
+		want     string // IDs of the desired electors, or "" if no view is desired
 	}{
-		{"a wiped machine takes its own place", heartbeatOf(Member{ID: 9, Address: "a3", Zone: "z3"}, 0, 1, 2), 3, "1 2 9 "},
-		{"one at another address takes the silent one's place", heartbeatOf(Member{ID: 9, Address: "a9", Zone: "z9"}, 0, 1, 2), 2, "1 9 3 "},
+		{"an empty disk replaces the elector at its address", heartbeatOf(Member{ID: 9, Address: "a3", Zone: "z3"}, 0, 1, 2), 3, "1 2 9 "},
+		{"one at another address replaces the silent elector", heartbeatOf(Member{ID: 9, Address: "a9", Zone: "z9"}, 0, 1, 2), 2, "1 9 3 "},
 		{"one at another address waits while all are heard", heartbeatOf(Member{ID: 9, Address: "a9", Zone: "z9"}, 0, 1, 2), 0, ""},
-		{"one of the first start extends the electors",
+		{"an initial member is added to the electors",
 			Heartbeat{From: Member{ID: 9, Address: "a9", Zone: "z9"}, InitialMember: true, HeardFrom: []MemberID{1, 2}}, 0, "1 2 3 9 "},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			desired := newcomer(c.stranger, c.silent)
+			desired := desiredWithNewcomer(c.newcomer, c.silent)
 			switch {
 			case c.want == "" && desired != nil:
-				t.Errorf("desired %v", desired)
+				t.Errorf("desired view %v, want none", desired)
 			case c.want != "" && (desired == nil || electorIDs(desired) != c.want):
-				t.Errorf("desired %v, want electors %s", desired, c.want)
+				t.Errorf("desired view %v, want electors %s", desired, c.want)
 			}
 		})
 	}
 }
 
-func TestExclusionReasonIsNamed(t *testing.T) {
+func TestExclusionReason(t *testing.T) {
 	members, _ := threeMembers()
 	d := NewDetector(members[0], 0, 2)
 	d.ReceiveHeartbeat(time.Second, heartbeatOf(members[1], 4, 1, 2))
@@ -118,7 +119,7 @@
 	}
 }
 
-// A member that shuts down gracefully is alive, and the log still says why the chain goes on without it.
+// TestLeavingIsAnExclusionReason checks that a member that shuts down gracefully is alive but has an exclusion reason.
 func TestLeavingIsAnExclusionReason(t *testing.T) {
 	members, _ := threeMembers()
 	d := NewDetector(members[0], 0, 2)
--- a/coordination/view/explore_test.go
+++ b/coordination/view/explore_test.go
@@ -9,40 +9,40 @@
 	"testing"
 )
 
-// state is one state of three members, their disks and the messages in flight. Messages stay in flight over the
-// incarnations of their senders, and may never arrive.
+// state is a state of three members, their disks and the messages in flight. Messages stay in flight when their sender
+// restarts, and may never arrive.
 type state struct {
 	members       map[MemberID]*Consensus
-	disks         map[MemberID]HardState // what Ready has asked to make durable
+	disks         map[MemberID]HardState // hard states that Ready returned, all durable
 	inFlight      []namedDelivery
 	decided       map[uint64]string
-	proposalsLeft int // still to be made
-	restartsLeft  int // still to come
+	proposalsLeft int // number of further proposals
+	restartsLeft  int // number of further restarts
 
-	askedToAccept map[string]string // the view asked to be accepted, by base and ballot
+	proposedViews map[string]string // the view of the Accept messages, by base epoch and ballot
 	ballotReused  bool
-	leftTooEarly  bool // a message has left before what it promises was durable
+	sentTooEarly  bool // a message was sent before the state that it promises was durable
 }
 
-// namedDelivery is a message in flight, with the text that identifies it.
+// namedDelivery is a message in flight with a text that identifies it.
 type namedDelivery struct {
 	delivery
 	text string
 }
 
-// bounds bounds what is tried, and plants faults.
-type bounds struct {
+// exploration limits an exploration and injects faults into it.
+type exploration struct {
 	proposals, restarts int
 	maxStates           int
-	reuseBallots        bool // the round of an own ballot is not on the disk
-	forgetPromises      bool // promises and accepted views are not on the disk
-	prepareBeforeSync   bool // a Prepare leaves before the round of its ballot is durable
+	reuseBallots        bool // injected fault: a restart loses the round of the member's own ballots
+	forgetPromises      bool // injected fault: a restart loses promises and accepted views
+	prepareBeforeSync   bool // injected fault: a Prepare is sent before the round of its ballot is durable
 }
 
-func newState(b *bounds) *state {
+func newState(b *exploration) *state {
 	members, _ := threeMembers()
 	s := &state{members: map[MemberID]*Consensus{}, disks: map[MemberID]HardState{}, decided: map[uint64]string{}, proposalsLeft: b.proposals, restartsLeft: b.restarts,
-		askedToAccept: map[string]string{}}
+		proposedViews: map[string]string{}}
 	for _, member := range members {
 		s.disks[member.ID] = HardState{Self: member, View: View{Epoch: 4, Chain: members, Electors: members}, CompleteEpoch: 4}
 		s.members[member.ID] = NewConsensus(s.disks[member.ID])
@@ -52,8 +52,8 @@
 
 func (s *state) clone() *state {
 	copied := &state{members: map[MemberID]*Consensus{}, disks: maps.Clone(s.disks), inFlight: slices.Clone(s.inFlight), decided: maps.Clone(s.decided),
-		proposalsLeft: s.proposalsLeft, restartsLeft: s.restartsLeft, askedToAccept: maps.Clone(s.askedToAccept), ballotReused: s.ballotReused,
-		leftTooEarly: s.leftTooEarly}
+		proposalsLeft: s.proposalsLeft, restartsLeft: s.restartsLeft, proposedViews: maps.Clone(s.proposedViews), ballotReused: s.ballotReused,
+		sentTooEarly: s.sentTooEarly}
 	for id, member := range s.members {
 		consensus := *member
 		if member.proposal != nil {
@@ -66,7 +66,7 @@
 	return copied
 }
 
-// key identifies a state. The order of messages in flight doesn't matter.
+// key returns a hash that identifies a state regardless of the order of the messages in flight.
 func (s *state) key() uint64 {
 	sum := fnv.New64a()
 	for id := MemberID(1); id <= 3; id++ {
@@ -117,8 +117,8 @@
 	return fmt.Sprint(d.from, d.to, "decided", viewText(d.message.Decided))
 }
 
-// handleReady carries out what a member wants: its disk is synced at once, then its messages are in flight. That a
-// machine ends before is the same as that its messages never arrive.
+// handleReady makes a member's hard state durable at once and then puts its messages in flight. A crash between the two
+// needs no step of its own: it has the same effect as messages that never arrive.
 func (s *state) handleReady(id MemberID) {
 	ready := s.members[id].Ready()
 	if ready.HardState != nil {
@@ -127,7 +127,7 @@
 	for _, envelope := range ready.Messages {
 		s.recordAccept(envelope.Message.Accept)
 		disk := s.disks[id]
-		s.leftTooEarly = s.leftTooEarly || !keepsPromise(&disk, &envelope.Message)
+		s.sentTooEarly = s.sentTooEarly || !holdsPromise(&disk, &envelope.Message)
 		d := delivery{id, envelope.To, envelope.Message}
 		text := deliveryText(&d)
 		if !slices.ContainsFunc(s.inFlight, func(o namedDelivery) bool { return o.text == text }) {
@@ -142,9 +142,9 @@
 	}
 }
 
-// keepsPromise reports whether a disk holds what a message of its member promises: an incarnation that starts from it will
-// not contradict the message.
-func keepsPromise(disk *HardState, m *Message) bool {
+// holdsPromise reports whether a disk holds the state that a message of its member promises, so that an incarnation that
+// starts from the disk does not contradict the message.
+func holdsPromise(disk *HardState, m *Message) bool {
 	switch {
 	case m.Prepare != nil:
 		return disk.LastRound >= m.Prepare.Ballot.Round
@@ -158,19 +158,19 @@
 	return true
 }
 
-// recordAccept keeps which view is asked to be accepted under a ballot.
+// recordAccept records the view of an Accept message, and whether its ballot was used for another view before.
 func (s *state) recordAccept(accept *Accept) {
 	if accept == nil {
 		return
 	}
 	ballot := fmt.Sprint(accept.BaseEpoch, accept.Ballot)
-	if known, asked := s.askedToAccept[ballot]; asked && known != viewText(&accept.View) {
+	if known, exists := s.proposedViews[ballot]; exists && known != viewText(&accept.View) {
 		s.ballotReused = true
 	}
-	s.askedToAccept[ballot] = viewText(&accept.View)
+	s.proposedViews[ballot] = viewText(&accept.View)
 }
 
-// oneViewPerEpoch is an invariant: no two members put different views in force under one epoch.
+// oneViewPerEpoch is an invariant: no two members have different views in force for one epoch.
 func (s *state) oneViewPerEpoch() bool {
 	for _, member := range s.members {
 		if known, decided := s.decided[member.View().Epoch]; decided && known != viewText(member.View()) {
@@ -180,21 +180,21 @@
 	return true
 }
 
-// oneViewPerBallot is an invariant: no two views are ever asked to be accepted under one ballot of an epoch.
+// oneViewPerBallot is an invariant: no two different views are proposed in Accept messages under one ballot of an epoch.
 func (s *state) oneViewPerBallot() bool { return !s.ballotReused }
 
-// promisesAreDurable is an invariant: no message leaves before what it promises is on its sender's disk.
-func (s *state) promisesAreDurable() bool { return !s.leftTooEarly }
+// promisesAreDurable is an invariant: no message is sent before the state that it promises is on its sender's disk.
+func (s *state) promisesAreDurable() bool { return !s.sentTooEarly }
 
 func (s *state) holdsInvariants() bool {
 	return s.oneViewPerEpoch() && s.oneViewPerBallot() && s.promisesAreDurable()
 }
 
-// step is something that may happen in a state.
+// step is a transition from a state to the next.
 type step func(s *state)
 
-// steps returns all that may happen next.
-func (s *state) steps(b *bounds) []step {
+// steps returns all transitions that are possible in a state.
+func (s *state) steps(b *exploration) []step {
 	var list []step
 	for i := range s.inFlight {
 		list = append(list, func(s *state) { s.deliver(i) })
@@ -215,9 +215,9 @@
 	s.handleReady(d.to)
 }
 
-// propose lets a member ask for a chain without one of the others. The first two proposals come from one member,
-// one in each of its incarnations where it restarts between them; a third comes from another one.
-func (s *state) propose(b *bounds) {
+// propose lets a member propose a chain without one of the members. The first two proposals come from member 1, so from two
+// incarnations if it restarts in between; the next two come from member 2.
+func (s *state) propose(b *exploration) {
 	made := b.proposals - s.proposalsLeft
 	s.proposalsLeft--
 	proposer := MemberID(1 + made/2)
@@ -236,8 +236,8 @@
 	s.handleReady(proposer)
 }
 
-// restart begins another incarnation of a member with what is on its disk, less what is planted to be forgotten.
-func (s *state) restart(id MemberID, b *bounds) {
+// restart starts a new incarnation of a member from its disk, without the state that an injected fault removes.
+func (s *state) restart(id MemberID, b *exploration) {
 	s.restartsLeft--
 	durable := s.disks[id]
 	if b.reuseBallots {
@@ -249,9 +249,9 @@
 	s.members[id] = NewConsensus(durable)
 }
 
-// explore tries all orders, depth first, and returns how many states there are, whether these are all, and whether
-// the invariants hold in each.
-func explore(b *bounds) (states int, all, holds bool) {
+// explore visits the reachable states, depth first. It returns the number of states visited, whether these are all, and
+// whether the invariants hold in each.
+func explore(b *exploration) (states int, complete, holds bool) {
 	seen := map[uint64]bool{}
 	stack := []*state{newState(b)}
 	for len(stack) > 0 {
@@ -269,16 +269,16 @@
 			return len(seen), false, true
 		}
 		for _, next := range s.steps(b) {
-			follower := s.clone()
-			next(follower)
-			stack = append(stack, follower)
+			successor := s.clone()
+			next(successor)
+			stack = append(stack, successor)
 		}
 	}
 	return len(seen), true, true
 }
 
-// randomWalk takes steps at random until none is left, and reports whether the invariants hold.
-func randomWalk(b *bounds, seed uint64) bool {
+// randomWalk takes random steps until none is left, and reports whether the invariants hold after each.
+func randomWalk(b *exploration, seed uint64) bool {
 	random := rand.New(rand.NewPCG(seed, 11))
 	s := newState(b)
 	for {
@@ -293,49 +293,49 @@
 	}
 }
 
-// TestEveryOrderOfOneProposal tries every order of one proposal's messages, each of which may be lost, with a
-// restart of the proposer or of another member at any moment.
+// TestEveryOrderOfOneProposal checks the invariants for every order of one proposal's messages, each of which may be lost,
+// with a restart of the proposer or of another member at any moment.
 func TestEveryOrderOfOneProposal(t *testing.T) {
-	states, all, holds := explore(&bounds{proposals: 1, restarts: 1, maxStates: 50_000})
-	if !holds || !all {
-		t.Errorf("%d states, all of them: %v, invariants hold: %v", states, all, holds)
+	states, complete, holds := explore(&exploration{proposals: 1, restarts: 1, maxStates: 50_000})
+	if !holds || !complete {
+		t.Errorf("%d states, exploration complete: %v, invariants hold: %v", states, complete, holds)
 	}
 	t.Logf("%d states", states)
 }
 
-// threeIncarnations are proposals of two incarnations of one member and of another member, with late messages of all of
-// them.
-var threeIncarnations = bounds{proposals: 4, restarts: 2, maxStates: 4_000}
+// threeIncarnations allows proposals by two incarnations of one member and by another member, with late messages of all
+// three.
+var threeIncarnations = exploration{proposals: 4, restarts: 2, maxStates: 4_000}
 
-// randomWalks is how many orders are tried at random.
+// randomWalks is the number of random walks of a test.
 const randomWalks = 9_000
 
 func TestRandomOrdersOfThreeIncarnations(t *testing.T) {
 	b := threeIncarnations
 	if _, _, holds := explore(&b); !holds {
-		t.Error("broken, depth first")
+		t.Error("the depth-first exploration violates an invariant")
 	}
 	for seed := range uint64(randomWalks) {
 		if !randomWalk(&b, seed) {
-			t.Fatalf("broken in walk %d", seed)
+			t.Fatalf("the random walk with seed %d violates an invariant", seed)
 		}
 	}
 }
 
-// TestPlantedBallotFaults shows that the walks find a ballot that two incarnations use, promises that are forgotten, and a
-// Prepare that leaves before the round of its ballot is durable.
-func TestPlantedBallotFaults(t *testing.T) {
+// TestRandomWalksDetectInjectedFaults checks that the walks detect a ballot that two incarnations use, promises that are
+// lost at a restart, and a Prepare that is sent before the round of its ballot is durable.
+func TestRandomWalksDetectInjectedFaults(t *testing.T) {
 	reused, forgotten, early := threeIncarnations, threeIncarnations, threeIncarnations
 	reused.reuseBallots, forgotten.forgetPromises, forgotten.restarts, early.prepareBeforeSync = true, true, 6, true
-	for name, b := range map[string]*bounds{"reused ballot": &reused, "forgotten votes": &forgotten, "prepare before its sync": &early} {
+	for name, b := range map[string]*exploration{"reused ballot": &reused, "forgotten promises": &forgotten, "Prepare before sync": &early} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(randomWalks) {
 				if !randomWalk(b, seed) {
-					t.Logf("found in walk %d", seed)
+					t.Logf("detected by the walk with seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("not found in %d walks", randomWalks)
+			t.Errorf("not detected in %d walks", randomWalks)
 		})
 	}
 }
--- a/coordination/view/golden_test.go
+++ b/coordination/view/golden_test.go
@@ -8,7 +8,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// The golden files were written at b99a1ea: what is stored and sent keeps its bytes whatever the Go names are.
+// TestEncodingsOfStoredAndSentValuesDoNotChange compares the encodings with golden files written at commit b99a1ea, so that
+// a rename in Go changes no stored or sent byte.
 func TestEncodingsOfStoredAndSentValuesDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "durable", encode[HardState], decode[HardState])
 	wiretest.AssertEncoding(t, "message", encode[Message], decode[Message])
--- a/coordination/view/leaving_test.go
+++ b/coordination/view/leaving_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// TestLeavingMemberHandsItsReplicaOver lets one of the two last replicas shut down gracefully while an empty machine has
-// just come: it stays until the newcomer is in the chain. Planted: it stops at once, and the other one is lost right
-// after; then nobody has the log any more.
+// TestLeavingMemberHandsItsReplicaOver checks that one of the last two replicas, when it shuts down gracefully just after an
+// empty machine has started, stays until the newcomer is in the chain. With the injected fault it stops at once and the test
+// must notice: if the other replica were lost then, no machine would have the log.
 func TestLeavingMemberHandsItsReplicaOver(t *testing.T) {
-	const graceful, planted = 4 * time.Second, 0
-	play := func(within time.Duration) bool {
+	const gracePeriod, immediate = 4 * time.Second, 0
+	survives := func(timeout time.Duration) bool {
 		c := newTimedCluster(3, 1)
 		c.lose(1)
 		c.run(time.Second)
 		c.newcomer("")
-		c.leave(within)
+		c.leave(timeout)
 		c.run(2 * heartbeatInterval)
-		keeps := c.canAcknowledge() || c.newestView().ChainPosition(4) >= 0
+		keepsReplica := c.canAcknowledge() || c.newestView().ChainPosition(4) >= 0
 		c.run(recoveryTime)
-		return keeps && c.canAcknowledge()
+		return keepsReplica && c.canAcknowledge()
 	}
-	if !play(graceful) {
-		t.Error("a member that shuts down gracefully takes its replica with it")
+	if !survives(gracePeriod) {
+		t.Error("a member that shuts down gracefully stops before its replica is handed over")
 	}
-	if play(planted) {
-		t.Error("a member that stops at once was not found")
+	if survives(immediate) {
+		t.Error("a member that stops at once is not detected")
 	}
 }
 
@@ -34,15 +34,15 @@
 	view := &View{Epoch: 4, Chain: members[:2], Electors: members}
 	newcomer := Heartbeat{From: Member{ID: 9, Address: "a9", Zone: "z9"}, Epoch: 4, HeardFrom: []MemberID{2, 1}}
 	const committed = 10 * maxLag
-	desiredWith := func(newcomers bool, last uint64) *View {
+	desiredWith := func(hasNewcomer bool, lastIndex uint64) *View {
 		d := NewDetector(members[1], 0, 2)
 		var desired *View
 		for at := time.Duration(0); at < time.Second; at += heartbeatInterval {
 			leaving := heartbeatOf(members[0], 4, 2)
 			leaving.Leaving, leaving.LastIndex = true, committed
 			d.ReceiveHeartbeat(at, leaving)
-			if newcomers {
-				newcomer.LastIndex = last
+			if hasNewcomer {
+				newcomer.LastIndex = lastIndex
 				d.ReceiveHeartbeat(at, newcomer)
 			}
 			desired, _ = d.DesiredView(at, view, false, false, committed)
@@ -50,20 +50,20 @@
 		return desired
 	}
 	if got := desiredWith(false, 0); got != nil {
-		t.Errorf("without anybody else, the view %v is asked for", got)
+		t.Errorf("desired view %v without a newcomer, want none", got)
 	}
 	if got := desiredWith(true, 0); got != nil && (got.ChainPosition(1) < 0 || !got.IsElector(1)) {
-		t.Errorf("a newcomer without the log takes the leaving member's place: %v", got)
+		t.Errorf("a newcomer without the log replaces the leaving member: %v", got)
 	}
 	got := desiredWith(true, committed)
 	if got == nil || got.ChainPosition(1) >= 0 || got.IsElector(1) || got.ChainPosition(9) < 0 {
-		t.Errorf("a newcomer with the log does not take the leaving member's place: %v", got)
+		t.Errorf("a newcomer with the log does not replace the leaving member: %v", got)
 	}
 }
 
-// TestLeavingMemberIsNoNewcomer keeps that a member that is to stop and has given its place away does not take that of
-// another one that stops.
-func TestLeavingMemberIsNoNewcomer(t *testing.T) {
+// TestLeavingMemberDoesNotBecomeElector checks that a leaving member that has been replaced does not itself replace another
+// leaving member.
+func TestLeavingMemberDoesNotBecomeElector(t *testing.T) {
 	members, view := threeMembers()
 	d := NewDetector(members[1], 0, 2)
 	former := Heartbeat{From: Member{ID: 9, Address: "a9", Zone: "z1"}, Epoch: 4, HeardFrom: []MemberID{2}, Leaving: true, LastIndex: 100}
@@ -74,7 +74,7 @@
 		d.ReceiveHeartbeat(at, heartbeatOf(members[2], 4, 2))
 		d.ReceiveHeartbeat(at, former)
 		if desired, _ := d.DesiredView(at, view, false, false, 0); desired != nil && desired.IsElector(9) {
-			t.Fatalf("a member that stops takes the place of another one: %v", desired)
+			t.Fatalf("a leaving member replaces another leaving member: %v", desired)
 		}
 	}
 }
--- a/coordination/view/losses_test.go
+++ b/coordination/view/losses_test.go
@@ -9,23 +9,23 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// recoveryTime is after how long service has to go on.
+// recoveryTime is the time within which the cluster must recover from losses.
 const recoveryTime = 12 * time.Second
 
-// maxSurvived returns how many times something can be done in a row with service going on afterwards, up to a bound.
-func maxSurvived(bound int, do func(count int) bool) string {
+// maxSurvived returns the greatest count, up to a bound, such that survives returns true for it and all lower counts.
+func maxSurvived(bound int, survives func(count int) bool) string {
 	for count := 1; count <= bound; count++ {
-		if !do(count) {
+		if !survives(count) {
 			return fmt.Sprint(count - 1)
 		}
 	}
 	return fmt.Sprint(bound, " or more")
 }
 
-// lossScenario is a way in which so many machines or disks are lost.
+// lossScenario is a way in which a number of machines or disks is lost.
 type lossScenario struct {
-	what string
-	play func(c *timedCluster, count int)
+	description string
+	apply       func(c *timedCluster, count int)
 }
 
 var lossScenarios = []lossScenario{
@@ -85,18 +85,18 @@
 	{"all dark at once, so many of their disks lost, all back", func(c *timedCluster, count int) { c.powerOutage(count) }},
 }
 
-// TestLosses makes the table of losses that are survived, for 3, 5 and 9 control machines.
+// TestLosses compares the number of losses that 3, 5 and 9 control machines survive in each scenario with a golden table.
 func TestLosses(t *testing.T) {
 	lines := []string{fmt.Sprintf("%-70s %10s %10s %10s", "", "3, bear 1", "5, bear 2", "9, bear 2")}
 	for _, row := range lossScenarios {
-		line := fmt.Sprintf("%-70s", row.what)
-		for _, shape := range [][2]int{{3, 1}, {5, 2}, {9, 2}} {
+		line := fmt.Sprintf("%-70s", row.description)
+		for _, size := range [][2]int{{3, 1}, {5, 2}, {9, 2}} {
 			survived := maxSurvived(6, func(count int) bool {
-				if count > shape[0] && strings.Contains(row.what, "so many") || count >= shape[0] && strings.Contains(row.what, "at once") {
+				if count > size[0] && strings.Contains(row.description, "so many") || count >= size[0] && strings.Contains(row.description, "at once") {
 					return false
 				}
-				c := newTimedCluster(shape[0], shape[1])
-				row.play(c, count)
+				c := newTimedCluster(size[0], size[1])
+				row.apply(c, count)
 				c.run(recoveryTime)
 				return c.canAcknowledge()
 			})
--- a/coordination/view/message.go
+++ b/coordination/view/message.go
@@ -1,29 +1,29 @@
 package view
 
-// Ballot is Paxos' proposal number: it orders the proposals of one epoch.
+// Ballot is the proposal number of Paxos. It orders the proposals of one epoch.
 type Ballot struct {
 	Round    uint64   `cbor:"1,keyasint,omitempty"`
-	Proposer MemberID `cbor:"2,keyasint,omitempty"` // makes ballots of different proposers differ
+	Proposer MemberID `cbor:"2,keyasint,omitempty"` // makes the ballots of different proposers distinct
 }
 
 func (b Ballot) less(other Ballot) bool {
 	return b.Round < other.Round || b.Round == other.Round && b.Proposer < other.Proposer
 }
 
-// Prepare asks an elector for a promise: phase 1a of Paxos. It brings the view that it builds on.
+// Prepare asks an elector for a promise: phase 1a of Paxos. It carries the view that the proposal is to follow.
 type Prepare struct {
 	BaseView View   `cbor:"1,keyasint"`
 	Ballot   Ballot `cbor:"2,keyasint"`
 }
 
-// Promise answers a Prepare: phase 1b. Its sender accepts nothing under a lower ballot any more.
+// Promise answers a Prepare: phase 1b. Unless it is a rejection, its sender no longer accepts views under lower ballots.
 type Promise struct {
 	BaseEpoch      uint64 `cbor:"1,keyasint"`
 	Ballot         Ballot `cbor:"2,keyasint"`
 	AcceptedBallot Ballot `cbor:"3,keyasint,omitempty"`
-	AcceptedView   *View  `cbor:"4,keyasint,omitempty"` // under AcceptedBallot; nil: none
-	EligibleAsHead bool   `cbor:"5,keyasint,omitempty"` // the sender has everything that was ever acknowledged
-	Rejected       bool   `cbor:"6,keyasint,omitempty"` // no promise: Ballot is the one promised to somebody else
+	AcceptedView   *View  `cbor:"4,keyasint,omitempty"` // accepted under AcceptedBallot, or nil
+	EligibleAsHead bool   `cbor:"5,keyasint,omitempty"` // see Consensus.EligibleAsHead
+	Rejected       bool   `cbor:"6,keyasint,omitempty"` // no promise: Ballot is the higher one already promised
 }
 
 // Accept asks an elector to accept a view: phase 2a.
@@ -33,13 +33,13 @@
 	View      View   `cbor:"3,keyasint"`
 }
 
-// Accepted answers an Accept: phase 2b.
+// Accepted answers an Accept that was accepted: phase 2b.
 type Accepted struct {
 	BaseEpoch uint64 `cbor:"1,keyasint"`
 	Ballot    Ballot `cbor:"2,keyasint"`
 }
 
-// Message is exactly one of the messages of Paxos. Decided is a view in force.
+// Message holds exactly one of the messages of Paxos. Decided informs a learner of a decided view.
 type Message struct {
 	Prepare  *Prepare  `cbor:"1,keyasint,omitempty"`
 	Promise  *Promise  `cbor:"2,keyasint,omitempty"`
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -2,36 +2,39 @@
 
 import "slices"
 
-// Bounds of a proposal, in ticks of the host (100 ms).
+// Time limits of a proposal, in ticks of the host (100 ms).
 const (
-	// proposalTicks is after how many ticks a proposal is given up; the detector then asks for another one.
+	// proposalTicks is the number of ticks after which a proposal is abandoned. If the detector still desires a change, the
+	// host proposes again.
 	proposalTicks = 8
-	// urgentPatience is how many ticks a proposal that drops a member of the chain waits for expected promises beyond
-	// a majority: nothing is committed until the silent member is out.
-	urgentPatience = 1
-	// calmPatience is so for a proposal that drops nobody. It is not urgent, and a member that is only busy must not
-	// fall out by it.
-	calmPatience = 4
+	// urgentPromiseWaitTicks is the number of ticks that a proposal waits for expected promises beyond a majority if it
+	// removes a member of the chain. It is short since nothing is committed until the silent member is removed.
+	urgentPromiseWaitTicks = 1
+	// regularPromiseWaitTicks is that number for a proposal that removes no member. It is longer since the proposal is
+	// not urgent and must not exclude a member that is only busy.
+	regularPromiseWaitTicks = 4
 )
 
-// proposal is an own proposal in progress. It ends with a decided view, with a higher ballot, or after proposalTicks.
+// proposal is this member's proposal in progress. It ends with a decided view, with a rejection that names a higher ballot,
+// or after proposalTicks.
 type proposal struct {
 	ballot   Ballot
 	desired  View
-	minimum  int        // members that a chain needs to commit anything
-	expected []MemberID // whose promises are worth waiting for
+	minimum  int        // number of members that a chain needs to commit anything
+	expected []MemberID // electors that are expected to promise
 	promises map[MemberID]*Promise
 	accepted map[MemberID]bool
-	view     *View // chosen, and asked to be accepted; nil: phase 1 is not over
+	view     *View // the view of phase 2, or nil in phase 1
 	ticks    int
 }
 
-// IsProposing reports whether an own proposal is in progress.
+// IsProposing reports whether this member's proposal is in progress.
 func (c *Consensus) IsProposing() bool { return c.proposal != nil }
 
-// Propose begins to agree on a next view. Desired names the chain and the electors; members of the present chain that
-// do not answer are left out, and expected are those whose answers are worth waiting for. Where fewer than minimum
-// are left, members of the present chain that answer are kept though desired lacks them.
+// Propose starts a proposal for the next view, and abandons an earlier one. Desired holds the chain and the electors to
+// propose; members of the present chain that don't promise are left out of it. The proposal waits for the promises of the
+// expected electors up to a time limit. If the chain would have fewer than minimum members, members of the present chain
+// that promise are kept even if they are not in desired.
 func (c *Consensus) Propose(desired View, expected []MemberID, minimum int) {
 	c.hardState.LastRound = max(c.hardState.LastRound, c.rejectedRound, c.hardState.PromisedBallot.Round) + 1
 	c.changed = true
@@ -64,15 +67,16 @@
 	c.maybeAccept()
 }
 
-// maybeAccept goes on to phase 2 once a majority has promised, and all expected ones have or patience is over.
+// maybeAccept starts phase 2 once a majority has promised and either all expected electors have or the time limit for
+// their promises has passed.
 func (c *Consensus) maybeAccept() {
 	p := c.proposal
 	if p == nil || p.view != nil || !c.View().isMajority(len(p.promises)) {
 		return
 	}
-	patience := p.patience(c.View())
+	waitTicks := p.promiseWaitTicks(c.View())
 	for _, id := range p.expected {
-		if p.promises[id] == nil && c.View().IsElector(id) && p.ticks < patience {
+		if p.promises[id] == nil && c.View().IsElector(id) && p.ticks < waitTicks {
 			return
 		}
 	}
@@ -84,18 +88,18 @@
 	c.sendToElectors(Message{Accept: &Accept{c.hardState.View.Epoch, p.ballot, *view}})
 }
 
-// patience returns how many ticks the proposal waits for expected promises.
-func (p *proposal) patience(base *View) int {
+// promiseWaitTicks returns the number of ticks that the proposal waits for expected promises.
+func (p *proposal) promiseWaitTicks(base *View) int {
 	for _, member := range base.Chain {
 		if p.desired.ChainPosition(member.ID) < 0 {
-			return urgentPatience
+			return urgentPromiseWaitTicks
 		}
 	}
-	return calmPatience
+	return regularPromiseWaitTicks
 }
 
-// choose returns the view to be accepted. One that may have been decided already has to be taken, as Paxos asks for:
-// that with the highest ballot that any promise names. It is nil where no view can be made.
+// choose returns the view for phase 2, or nil if none can be built. If any promise contains an accepted view, that view may
+// have been decided already, so Paxos requires the one accepted under the highest ballot.
 func (p *proposal) choose(base *View) *View {
 	if accepted := p.highestAccepted(); accepted != nil {
 		return accepted
@@ -103,7 +107,7 @@
 	return p.nextView(base)
 }
 
-// highestAccepted returns the view that a promise names under the highest ballot, or nil.
+// highestAccepted returns the view accepted under the highest ballot among the promises, or nil if there is none.
 func (p *proposal) highestAccepted() *View {
 	var highest *Promise
 	for _, id := range sortedIDs(p.promises) {
@@ -118,8 +122,8 @@
 	return highest.AcceptedView
 }
 
-// nextView returns the desired view with whoever answered, headed by a member that has everything that was ever
-// acknowledged. It is nil where no such member answered: a chain without one could lose what was acknowledged.
+// nextView returns the desired view without members of the present chain that haven't promised, headed by a member that has
+// every acknowledged entry. It is nil if no such member has promised: a chain without one could lose acknowledged entries.
 func (p *proposal) nextView(base *View) *View {
 	next := &View{Epoch: base.Epoch + 1, Electors: p.desired.Electors,
 		ReplicationFactor: replicationFactor(p.minimum, len(p.desired.Electors))}
@@ -139,7 +143,7 @@
 	return next
 }
 
-// keepMinimum keeps members of the present chain that answered, while the next chain is too short to commit anything.
+// keepMinimum adds members of the present chain that have promised while the next chain is too short to commit anything.
 func (p *proposal) keepMinimum(next, base *View) {
 	for _, member := range base.Chain {
 		if len(next.Chain) < p.minimum && next.ChainPosition(member.ID) < 0 && p.promises[member.ID] != nil {
@@ -148,7 +152,7 @@
 	}
 }
 
-// moveEligibleToHead moves the first member that has everything to the head, and reports whether there is one.
+// moveEligibleToHead moves the first eligible member to the head, and reports whether there is one.
 func (p *proposal) moveEligibleToHead(next *View) bool {
 	position := slices.IndexFunc(next.Chain, func(m Member) bool {
 		return p.promises[m.ID] != nil && p.promises[m.ID].EligibleAsHead
@@ -161,8 +165,8 @@
 	return true
 }
 
-// receiveAccepted decides the proposed view once a majority has accepted it, and notifies all members of the old and
-// the new view.
+// receiveAccepted decides the proposed view once a majority has accepted it, and sends it to the electors of
+// the present and the new view and to the new chain.
 func (c *Consensus) receiveAccepted(from MemberID, m *Accepted) {
 	p := c.proposal
 	if p == nil || p.view == nil || m.BaseEpoch != c.hardState.View.Epoch || m.Ballot != p.ballot ||
--- a/coordination/view/replication_test.go
+++ b/coordination/view/replication_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// viewOf returns a view of some members in which so many at the front are writers since epoch 2.
+// viewOf returns a view of count members of which the given number at the front have been writers since epoch 2.
 func viewOf(count, writers int) *View {
 	v := &View{Epoch: 7, ReplicationFactor: writers}
 	for id := MemberID(1); id <= MemberID(count); id++ {
@@ -12,22 +12,23 @@
 	return v
 }
 
-// Every majority of the electors has a replica of each entry, and there are as many as losses ask for.
+// TestReplicationFactor checks that every majority of the electors contains a writer, and that there are at least as many
+// writers as a chain needs.
 func TestReplicationFactor(t *testing.T) {
-	for _, c := range []struct{ least, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5}, {1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
-		got := replicationFactor(c.least, c.electors)
+	for _, c := range []struct{ minimum, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5}, {1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
+		got := replicationFactor(c.minimum, c.electors)
 		if got != c.want {
-			t.Errorf("%d electors, %d replicas at least: %d, want %d", c.electors, c.least, got, c.want)
+			t.Errorf("%d electors, at least %d replicas: replication factor %d, want %d", c.electors, c.minimum, got, c.want)
 		}
 		if majority := c.electors/2 + 1; got+majority <= c.electors {
-			t.Errorf("%d electors: a majority may have none of %d replicas", c.electors, got)
+			t.Errorf("%d electors: a majority may contain none of %d writers", c.electors, got)
 		}
 	}
 }
 
-// nextOf returns the view that follows where all but some members answer. Followers promise, too, and so do members
-// that say they have everything though they don't write.
-func nextOf(t *testing.T, base *View, desired View, silent ...MemberID) *View {
+// nextViewOf returns the view proposed after base when all electors but the silent ones promise, or nil if there is none.
+// All are complete in base, so exactly its writers are eligible as head.
+func nextViewOf(t *testing.T, base *View, desired View, silent ...MemberID) *View {
 	t.Helper()
 	r := NewConsensus(HardState{Self: base.Chain[len(base.Chain)-1], View: *base, CompleteEpoch: base.Epoch})
 	var expected []MemberID
@@ -36,16 +37,16 @@
 	}
 	r.Propose(desired, expected, 3)
 	for _, member := range base.Electors {
-		answers := true
+		promises := true
 		for _, id := range silent {
-			answers = answers && id != member.ID
+			promises = promises && id != member.ID
 		}
-		if answers {
-			valid := NewConsensus(HardState{Self: member, View: *base, CompleteEpoch: base.Epoch}).EligibleAsHead()
-			r.Receive(member.ID, &Message{Promise: &Promise{BaseEpoch: base.Epoch, Ballot: r.proposal.ballot, EligibleAsHead: valid}})
+		if promises {
+			eligible := NewConsensus(HardState{Self: member, View: *base, CompleteEpoch: base.Epoch}).EligibleAsHead()
+			r.Receive(member.ID, &Message{Promise: &Promise{BaseEpoch: base.Epoch, Ballot: r.proposal.ballot, EligibleAsHead: eligible}})
 		}
 	}
-	for range urgentPatience {
+	for range urgentPromiseWaitTicks {
 		r.Tick()
 	}
 	if r.proposal == nil {
@@ -58,17 +59,18 @@
 	base := viewOf(5, 3)
 	for i, member := range base.Chain {
 		if got := NewConsensus(HardState{Self: member, View: *base, CompleteEpoch: 7}).EligibleAsHead(); got != (i < 3) {
-			t.Errorf("member %d counts as complete: %v", member.ID, got)
+			t.Errorf("member %d is eligible as head: %v", member.ID, got)
 		}
 	}
 }
 
-// A follower that becomes a writer has everything only once it is complete in the view that made it one.
+// TestFollowerBecomesAWriter checks that a follower that becomes a writer is eligible as head only once it is complete in
+// the view that made it a writer.
 func TestFollowerBecomesAWriter(t *testing.T) {
 	base := viewOf(5, 3)
-	next := nextOf(t, base, View{Chain: base.Chain[1:], Electors: base.Electors}, 1)
+	next := nextViewOf(t, base, View{Chain: base.Chain[1:], Electors: base.Electors}, 1)
 	if next == nil || next.ReplicationFactor != 3 {
-		t.Fatalf("next view %v", next)
+		t.Fatalf("next view %v, want replication factor 3", next)
 	}
 	for i, want := range []uint64{2, 2, 8, 8} {
 		if next.Chain[i].WriterSince != want {
@@ -77,22 +79,23 @@
 	}
 	promoted := NewConsensus(HardState{Self: next.Chain[2], View: *next, CompleteEpoch: 7})
 	if promoted.EligibleAsHead() {
-		t.Error("a follower of the view before counts as complete at once")
+		t.Error("a follower of the previous view is eligible as head before it is complete")
 	}
 	promoted.MarkComplete(8)
 	if !promoted.EligibleAsHead() {
-		t.Error("a writer that is complete does not count as such")
+		t.Error("a complete writer is not eligible as head")
 	}
 }
 
-// Where all writers are gone, nobody heads another view, though a majority of the electors is there.
+// TestNoViewWithoutAWriter checks that there is no next view once all writers are lost, even if a majority of the electors
+// promises.
 func TestNoViewWithoutAWriter(t *testing.T) {
-	base := viewOf(9, 4) // too few replicas for a majority to have one for certain
+	base := viewOf(9, 4) // too few writers for every majority to contain one
 	desired := View{Chain: base.Chain[4:], Electors: base.Electors}
-	if next := nextOf(t, base, desired, 1, 2, 3, 4); next != nil {
-		t.Errorf("a view without any writer: %v", next)
+	if next := nextViewOf(t, base, desired, 1, 2, 3, 4); next != nil {
+		t.Errorf("next view %v without a writer of the previous one", next)
 	}
-	if next := nextOf(t, base, View{Chain: base.Chain[3:], Electors: base.Electors}, 1, 2, 3); next == nil || next.Chain[0].ID != 4 {
+	if next := nextViewOf(t, base, View{Chain: base.Chain[3:], Electors: base.Electors}, 1, 2, 3); next == nil || next.Chain[0].ID != 4 {
 		t.Errorf("the last writer does not head the next view: %v", next)
 	}
 }
--- a/coordination/view/timedcluster_test.go
+++ b/coordination/view/timedcluster_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// heartbeatInterval is the pace of heartbeats and ticks.
+// heartbeatInterval is the interval of heartbeats and ticks.
 const heartbeatInterval = 100 * time.Millisecond
 
 // timedMachine is a machine with its consensus and detector. Messages and syncs take no time.
@@ -14,10 +14,10 @@
 	detector     *Detector
 	up           bool
 	leaving      bool
-	epochAtStart uint64 // epoch of the view with which this incarnation began, in which it takes no part
+	epochAtStart uint64 // epoch of the view on disk when this incarnation started; it takes no part in that view
 }
 
-// timedCluster is a set of machines in time; only the newest machine has an address.
+// timedCluster is a set of machines with a simulated clock. At most one machine at an address is up.
 type timedCluster struct {
 	now      time.Duration
 	minimum  int
@@ -46,7 +46,7 @@
 	c.machines[id] = &timedMachine{consensus: NewConsensus(hardState), detector: NewDetector(hardState.Self, c.now, c.minimum), up: true, epochAtStart: epochAtStart}
 }
 
-// newcomer starts a machine with an empty disk, at the address of another one or at its own.
+// newcomer starts a machine with an empty disk, at the given address or, if that is empty, at a new one.
 func (c *timedCluster) newcomer(address string) MemberID {
 	id := MemberID(len(c.order) + 1)
 	if address == "" {
@@ -93,14 +93,14 @@
 	c.markComplete()
 }
 
-// deliver carries all messages until there are none.
+// deliver delivers messages until none is left.
 func (c *timedCluster) deliver() {
-	for moved := true; moved; {
-		moved = false
+	for delivered := true; delivered; {
+		delivered = false
 		for _, id := range c.order {
 			m := c.machines[id]
 			for _, envelope := range m.consensus.Ready().Messages {
-				moved = true
+				delivered = true
 				if other := c.machines[envelope.To]; other != nil && other.up {
 					other.consensus.Receive(id, &envelope.Message)
 				}
@@ -109,11 +109,11 @@
 	}
 }
 
-// markComplete gives the members of the newest view the log of its head, where all of them are up.
+// markComplete gives all members of the newest view the log of its head, if they all take part and the head is eligible.
 func (c *timedCluster) markComplete() {
 	view := c.newestView()
 	head := c.machines[view.Chain[0].ID]
-	if !c.isWhole(view) || !head.consensus.EligibleAsHead() {
+	if !c.allTakePart(view) || !head.consensus.EligibleAsHead() {
 		return
 	}
 	for _, member := range view.Chain {
@@ -132,8 +132,8 @@
 	return newest
 }
 
-// isWhole reports whether all members of a view are up, know it and take part in it.
-func (c *timedCluster) isWhole(view *View) bool {
+// allTakePart reports whether all members of a view's chain are up, have it in force and take part in it.
+func (c *timedCluster) allTakePart(view *View) bool {
 	for _, member := range view.Chain {
 		m := c.machines[member.ID]
 		if !m.up || m.consensus.View().Epoch != view.Epoch || c.hasRestarted(m) {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// canAcknowledge reports whether something can be acknowledged.
+// canAcknowledge reports whether the newest view can acknowledge entries.
 func (c *timedCluster) canAcknowledge() bool {
 	up := false
 	for _, m := range c.machines {
@@ -153,7 +153,7 @@
 		return false
 	}
 	view := c.newestView()
-	return len(view.Chain) >= c.minimum && c.isWhole(view) && c.machines[view.Chain[0].ID].consensus.EligibleAsHead()
+	return len(view.Chain) >= c.minimum && c.allTakePart(view) && c.machines[view.Chain[0].ID].consensus.EligibleAsHead()
 }
 
 func (c *timedCluster) run(span time.Duration) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// lose takes machines away for good, the oldest &.
+// lose stops machines for good, in the order of the newest chain.
 func (c *timedCluster) lose(count int) {
 	for _, member := range append([]Member{}, c.newestView().Chain...) {
 		if count == 0 {
@@ -175,25 +175,25 @@
 	}
 }
 
-// leave stops the oldest member in order, and takes it away once it is out of the chain or its time is over.
-func (c *timedCluster) leave(within time.Duration) {
+// leave shuts the head down gracefully, and stops it once it is out of the chain or the time limit has passed.
+func (c *timedCluster) leave(timeout time.Duration) {
 	id := c.newestView().Chain[0].ID
 	m := c.machines[id]
 	m.leaving = true
 	m.detector.Leave()
-	for end := c.now + within; c.now < end && m.consensus.View().ChainPosition(id) >= 0; {
+	for end := c.now + timeout; c.now < end && m.consensus.View().ChainPosition(id) >= 0; {
 		c.step()
 	}
 	m.up = false
 }
 
-// powerOutage takes all power away, loses some disks and brings all machines back at their addresses.
-func (c *timedCluster) powerOutage(disks int) {
+// powerOutage restarts all machines at their addresses, the first ones with new disks in place of lost ones.
+func (c *timedCluster) powerOutage(lostDisks int) {
 	c.run(heartbeatInterval)
 	for _, id := range append([]MemberID{}, c.order...) {
 		m := c.machines[id]
-		if disks > 0 {
-			disks--
+		if lostDisks > 0 {
+			lostDisks--
 			m.up = false
 			c.newcomer(m.consensus.Self().Address)
 			continue
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -1,25 +1,26 @@
-// Package view keeps the agreed membership view of a cluster: which machines form the chain, in which order, and
-// which machines may agree on the next view. Views are numbered by epoch. Each is decided by a majority of the
-// electors that the view before names, by one instance of Paxos (Lamport, "The Part-Time Parliament", 1998) for each
-// epoch: the electors are its acceptors, and any elector may propose.
+// Package view agrees on the membership view of a cluster: the machines that form the chain, in order, and the electors,
+// which decide the next view. Views are numbered by epoch. Each is decided by a majority of the electors of the previous
+// view, with one instance of Paxos (Lamport, "The Part-Time Parliament", 1998) for each epoch: the electors are its
+// acceptors, and any elector may propose.
 //
-// Consensus is a member's part in Paxos; Detector is its failure detector, which says which view to propose.
+// Consensus implements Paxos for one member. Detector is its failure detector, which derives the view to propose.
 //
-// Invariants, which the tests check over every order of a small case and in random walks:
+// The tests check the following invariants over every order of messages of a small case and in random walks:
 //
 //   - No two members put different views in force under one epoch.
-//   - No two views are ever asked to be accepted under one ballot of an epoch, also by two incarnations of a member.
-//   - Each view after the first is headed by a writer of the view before that had its complete log. So the head has all
-//     that was ever acknowledged.
+//   - No two different views are proposed in Accept messages under one ballot of an epoch, not even by two incarnations of
+//     a member.
+//   - The head of each view after the first was a writer of the previous view and has had the complete log in some epoch
+//     since it became a writer. So it has every acknowledged entry.
 //
-// Safety rests on Paxos and on what HardState makes durable, never on the detector: a wrong suspicion costs a view.
-// The package has no I/O, clock or randomness, and it never moves log entries; package chain does.
-// docs/CONTROL-SAFETY.md has the argument.
+// Safety rests on Paxos and on the durability of HardState, never on the detector: a wrong suspicion costs only a change of
+// view. The package has no I/O, clock or randomness. It never moves log entries; package chain does. The safety argument is
+// in docs/CONTROL-SAFETY.md.
 package view
 
 import "slices"
 
-// MemberID names a machine's disk. A machine that has lost its disk is another member. 0 is nobody.
+// MemberID identifies a machine's disk. A machine that has lost its disk is another member. No member has the ID 0.
 type MemberID = uint64
 
 // Member is one machine with its disk.
@@ -28,21 +29,22 @@
 	Node    string   `cbor:"2,keyasint"` // the machine's name
 	Address string   `cbor:"3,keyasint"`
 	Zone    string   `cbor:"4,keyasint"` // its failure domain
-	// WriterSince is the epoch since which the member has been among the chain's writers without a break.
+	// WriterSince is the epoch since which the member has been one of the chain's writers without a break.
 	WriterSince uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// View is one membership view. A decided view never changes.
+// View is a membership view. A decided view never changes.
 type View struct {
 	Epoch    uint64   `cbor:"1,keyasint"`
 	Chain    []Member `cbor:"2,keyasint,omitempty"` // head first
 	Electors []Member `cbor:"3,keyasint,omitempty"` // the acceptors that decide the next view
-	// ReplicationFactor is how many members at the front of the chain, its writers, must have an entry durable before
-	// it is committed. Those behind them follow: they take part in everything else. 0 stands for all.
+	// ReplicationFactor is the number of writers: members at the front of the chain that must have an entry durable before
+	// it is committed. The members behind them are followers, which take part in everything else. 0 means all.
 	ReplicationFactor int `cbor:"4,keyasint,omitempty"`
 }
 
-// WriterCount returns how many members at the front of the chain must have an entry before it is committed.
+// WriterCount returns the number of members at the front of the chain that must have an entry durable before it is
+// committed.
 func (v *View) WriterCount() int {
 	if v.ReplicationFactor == 0 {
 		return len(v.Chain)
@@ -66,14 +68,15 @@
 	return slices.ContainsFunc(v.Electors, func(m Member) bool { return m.ID == id })
 }
 
-// isMajority reports whether so many electors are more than half of them.
+// isMajority reports whether the given number of electors is more than half of them.
 func (v *View) isMajority(electors int) bool { return 2*electors > len(v.Electors) }
 
-// replicationFactor returns how many writers a chain has: as many as a chain needs at least, and so many that every
-// majority of the electors has one of them, since only a writer may head the next view.
+// replicationFactor returns the number of writers of a chain: at least minimum, and enough that every majority of the
+// electors contains a writer, since only a writer may become the head of the next view.
 func replicationFactor(minimum, electors int) int { return max(minimum, electors-electors/2) }
 
-// setWriterSince enters for each member since when it has been a writer without a break, which the view before shows.
+// setWriterSince sets WriterSince of each member: a writer that was also one in the previous view keeps its value, any other
+// member gets the epoch of this view.
 func (v *View) setWriterSince(previous *View) {
 	for position := range v.Chain {
 		member := &v.Chain[position]
@@ -88,7 +91,7 @@
 	return slices.EqualFunc(a, b, func(x, y Member) bool { return x.ID == y.ID })
 }
 
-// sortedIDs returns a map's keys in rising order, so that no decision depends on the order of a map.
+// sortedIDs returns the keys of a map in ascending order, so that no decision depends on the iteration order.
 func sortedIDs[V any](m map[MemberID]V) []MemberID {
 	ids := make([]MemberID, 0, len(m))
 	for id := range m {
