--- a/coordination/frame/frame.go
+++ b/coordination/frame/frame.go
@@ -1,8 +1,10 @@
-// Package frame carries messages over long-lived connections that begin as HTTP/1.1 requests and are upgraded (RFC
-// 9110, 7.8): each message is its length, 4 bytes big-endian, and its bytes. Messages that wait are written together.
+// Package frame carries length-prefixed messages over long-lived connections that start as HTTP/1.1 requests and are
+// upgraded (RFC 9110, section 7.8). Each message is preceded by its length, 4 bytes big-endian. Queued messages are written
+// in one batch.
 //
-// A side that takes or sends nothing for a while is given up: its connection is closed. Messages keep their order, and
-// each comes once or not at all. The package never reconnects and knows nothing of what a message says.
+// A connection is closed when the peer accepts no data for writeTimeout; Receive fails when the peer sends none for the
+// timeout that its caller sets. Messages arrive in order, each at most once. The package never reconnects, and it does not
+// interpret messages.
 package frame
 
 import (
@@ -16,55 +18,58 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	// headerBytes are those of a message's length.
+	// headerBytes is the size of the length that precedes a message.
 	headerBytes = 4
-	// maxMessageBytes bounds what one message makes the receiver allocate; a longer one ends the connection. The
-	// longest is the snapshot of a state.
+	// maxMessageBytes is the longest message that Receive accepts. It bounds the memory allocated for one message. The
+	// longest messages are snapshots of a state.
 	maxMessageBytes = 64 << 20
-	// maxQueuedBytes is how many bytes may wait for a side that does not read; beyond it the connection is closed.
-	// The longest message fits in with some to spare.
+	// maxQueuedBytes is the number of bytes that may be queued for a peer that does not read. Beyond it the connection
+	// is closed. It leaves room for the longest message and more.
 	maxQueuedBytes = 96 << 20
-	// writeTimeout is how long a side may take nothing before it is given up.
+	// writeTimeout is the time timeout which the peer must accept a chunk; otherwise the connection is closed.
 	writeTimeout = 2 * time.Second
-	// chunkBytes is what is written under one writeTimeout: so much that a slow link carries it in a fraction of it.
+	// chunkBytes is the number of bytes written under one writeTimeout. A slow link carries them in a fraction of it.
 	chunkBytes = 16 << 10
-	// maxSpareBytes is the largest buffer that is kept for the next batch: one grown by a snapshot is given back.
+	// maxSpareBytes is the capacity from which a buffer is not reused for a later batch, so that a buffer that a snapshot
+	// has grown is freed.
 	maxSpareBytes = 1 << 20
 )
 
-// MessageTooLongError says that the other side announced a message beyond maxMessageBytes: it is not one of ours, or
-// the connection's bytes are garbled.
+// MessageTooLongError reports that the peer announced a message longer than maxMessageBytes: the peer is another program or
+// the received bytes are corrupt.
 type MessageTooLongError struct {
 	Bytes uint32
 }
 
-// Error names the length.
-func (e *MessageTooLongError) Error() string { return fmt.Sprintf("a message of %d bytes", e.Bytes) }
+// Error includes the announced length.
+func (e *MessageTooLongError) Error() string {
+	return fmt.Sprintf("message of %d bytes is too long", e.Bytes)
+}
 
-// Conn is one connection. Send and Close may be called by any goroutine, Receive by one. It has one goroutine of its
-// own, which writes and ends with Close; whoever got the Conn has to close it.
+// Conn is a connection. Send and Close are safe for concurrent use; only one goroutine may call Receive. A Conn starts a
+// goroutine that writes and that ends with Close, so the caller of Dial or Upgrade must close the Conn.
 type Conn struct {
 	raw    net.Conn
 	reader *bufio.Reader
 
-	mu      sync.Mutex
-	wake    chan struct{} // holds a token while something may be queued
-	queue   []byte        // encoded messages that wait
-	spare   []byte        // a buffer for the next queue
-	closed  bool
-	onClose chan struct{}
+	mu     sync.Mutex
+	wake   chan struct{} // holds a token while something may be queued
+	queue  []byte        // encoded messages to be written
+	spare  []byte        // reusable buffer for the next queue
+	closed bool
+	done   chan struct{}
 }
 
 func newConn(raw net.Conn, reader *bufio.Reader) *Conn {
-	c := &Conn{raw: raw, reader: reader, wake: make(chan struct{}, 1), onClose: make(chan struct{})}
+	c := &Conn{raw: raw, reader: reader, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go c.writeQueued()
 	return c
 }
 
-// Send queues a message and reports whether the connection still stands. It never waits for the other side; a queue
-// beyond maxQueuedBytes closes the connection.
+// Send queues a message and reports whether the connection is still open. It never blocks on the peer; if the queue exceeds
+// maxQueuedBytes, it closes the connection.
 func (c *Conn) Send(message []byte) bool {
 	queued, closed := c.enqueue(message)
 	if closed {
@@ -81,7 +86,7 @@
 	return true
 }
 
-// enqueue appends a message to the queue, and returns how many bytes are queued then.
+// enqueue appends a message to the queue unless the connection is closed, and returns the number of bytes queued.
 func (c *Conn) enqueue(message []byte) (queued int, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,12 +98,12 @@
 	return len(c.queue), false
 }
 
-// writeQueued writes what is queued until the connection is closed. It closes it where the other side takes nothing.
+// writeQueued writes queued messages until the connection is closed. It closes the connection if a write fails.
 func (c *Conn) writeQueued() {
 	for {
 		select {
 		case <-c.wake:
-		case <-c.onClose:
+		case <-c.done:
 			return
 		}
 		batch := c.takeQueue()
@@ -127,8 +132,8 @@
 	c.spare = batch
 }
 
-// writeBatch writes what was queued, and reports whether the other side has taken all of it. A large batch may take
-// long on a slow link: what counts is that each chunk of it goes out in time.
+// writeBatch writes a batch of queued messages, and reports whether all of it was written. A large batch may take long on a
+// slow link, so writeTimeout applies to each chunk of it.
 func (c *Conn) writeBatch(batch []byte) bool {
 	for len(batch) > 0 {
 		size := min(len(batch), chunkBytes)
@@ -141,11 +146,11 @@
 	return true
 }
 
-// Receive returns the next message. It fails once no byte has come for the given time: a large message on a slow link
-// is no silence. It fails with a MessageTooLongError where the message would be one.
-func (c *Conn) Receive(within time.Duration) ([]byte, error) {
+// Receive returns the next message. It fails if no byte arrives for the timeout; a large message on a slow link may take
+// longer than that in total. It fails with a MessageTooLongError if the message exceeds maxMessageBytes.
+func (c *Conn) Receive(timeout time.Duration) ([]byte, error) {
 	header := [headerBytes]byte{}
-	if err := c.readFull(header[:], within); err != nil {
+	if err := c.readFull(header[:], timeout); err != nil {
 		return nil, errors.Trace(err)
 	}
 	length := binary.BigEndian.Uint32(header[:])
@@ -153,16 +158,16 @@
 		return nil, errors.Trace(&MessageTooLongError{length})
 	}
 	message := make([]byte, length)
-	if err := c.readFull(message, within); err != nil {
+	if err := c.readFull(message, timeout); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return message, nil
 }
 
-// readFull fills p. Each read that brings something gives the next one the whole time again.
-func (c *Conn) readFull(p []byte, within time.Duration) error {
+// readFull fills p. Each read restarts the timeout.
+func (c *Conn) readFull(p []byte, timeout time.Duration) error {
 	for len(p) > 0 {
-		c.raw.SetReadDeadline(time.Now().Add(within))
+		c.raw.SetReadDeadline(time.Now().Add(timeout))
 		n, err := c.reader.Read(p)
 		p = p[n:]
 		if err != nil && len(p) > 0 {
@@ -172,7 +177,7 @@
 	return nil
 }
 
-// Close ends the connection; what is queued is lost. It may be called more than once.
+// Close closes the connection and discards queued messages. It may be called more than once.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	if c.closed {
@@ -181,9 +186,9 @@
 	}
 	c.closed = true
 	c.mu.Unlock()
-	close(c.onClose)
+	close(c.done)
 	c.raw.Close()
 }
 
-// Closed returns a channel that is closed once the connection is.
-func (c *Conn) Closed() <-chan struct{} { return c.onClose }
+// Closed returns a channel that is closed when the connection is closed.
+func (c *Conn) Closed() <-chan struct{} { return c.done }
--- a/coordination/frame/frame_test.go
+++ b/coordination/frame/frame_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// serve upgrades every request and hands the connection over.
+// serve starts a server that upgrades every request and sends the connection on the channel.
 func serve(t *testing.T) (address string, conns <-chan *Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	return listener.Addr().String(), accepted
 }
 
-// serveUntilCleanup serves until the test ends, which must be what ends it.
+// serveUntilCleanup runs the server until the test ends, and fails the test if the server ends for another reason.
 func serveUntilCleanup(t *testing.T, server *http.Server, listener net.Listener) {
 	t.Helper()
 	served := make(chan error, 1)
@@ -72,7 +72,7 @@
 		for _, want := range []string{"a", "", large, "b"} {
 			got, err := side.Receive(5 * time.Second)
 			if err != nil || string(got) != want {
-				t.Fatalf("%d bytes, %v; want %d", len(got), err, len(want))
+				t.Fatalf("received %d bytes and error %v, want %d bytes", len(got), err, len(want))
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	server := <-conns
 	server.Close()
 	if _, err := client.Receive(5 * time.Second); err == nil {
-		t.Error("a message from a closed connection")
+		t.Error("received a message from a closed connection")
 	}
 	client.Close()
 	client.Close()
@@ -99,7 +99,7 @@
 	client := dial(t, address)
 	t.Cleanup((<-conns).Close)
 	if _, err := client.Receive(time.Millisecond); err == nil {
-		t.Error("received from a silent side")
+		t.Error("received a message from a silent peer")
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusUpgradeRequired {
-		t.Errorf("answered %s", response.Status)
+		t.Errorf("a request without an upgrade is answered with %s", response.Status)
 	}
 	plain := &http.Server{Handler: http.NotFoundHandler()}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +121,7 @@
 	serveUntilCleanup(t, plain, listener)
 	var refused *UpgradeRefusedError
 	if _, err := Dial(TCP{}, listener.Addr().String(), "/x", time.Second); !errors.As(err, &refused) {
-		t.Errorf("a server that does not upgrade was taken for one that does: %v", err)
+		t.Errorf("a server that does not upgrade: error %v, want an UpgradeRefusedError", err)
 	}
 }
 
@@ -135,6 +135,6 @@
 	}
 	var tooLong *MessageTooLongError
 	if _, err := server.Receive(5 * time.Second); !errors.As(err, &tooLong) {
-		t.Errorf("a message of 4 GB was begun: %v", err)
+		t.Errorf("announced message of 4 GB: error %v, want a MessageTooLongError", err)
 	}
 }
--- a/coordination/frame/handshake.go
+++ b/coordination/frame/handshake.go
@@ -14,48 +14,47 @@
 // protocol is the value of the Upgrade header.
 const protocol = "yardflow-frames"
 
-// What Upgrade fails with before it has taken a connection over.
+// Errors that Upgrade returns before it has taken over the connection.
 const (
-	ErrUpgradeNotRequested = errors.ConstError("no upgrade to " + protocol + " was asked for")
-	ErrUpgradeUnsupported  = errors.ConstError("the HTTP server can't give its connection up")
+	ErrUpgradeNotRequested = errors.ConstError("the upgrade to " + protocol + " was not requested")
+	ErrUpgradeUnsupported  = errors.ConstError("the HTTP server does not support taking over connections")
 )
 
-// UpgradeRefusedError says that an HTTP server answered, and did not upgrade: it is not of this program, or the path
-// is another one.
+// UpgradeRefusedError reports that an HTTP server answered without an upgrade: it is another program, or the path is wrong.
 type UpgradeRefusedError struct {
 	Address string
-	Status  string // of the HTTP answer, with its number
+	Status  string // of the HTTP response, with the code
 }
 
-// Error names the address and the answer.
+// Error includes the address and the status.
 func (e *UpgradeRefusedError) Error() string {
-	return fmt.Sprintf("%s answers %s", e.Address, e.Status)
+	return fmt.Sprintf("%s refused the upgrade: %s", e.Address, e.Status)
 }
 
-// Dial opens a connection to the path at the address. It fails with an UpgradeRefusedError where another program
-// answers, and with the network's errors. Connecting and the exchange of headers may each take within.
-func Dial(network Network, address, path string, within time.Duration) (*Conn, error) {
-	raw, err := network.Dial(address, within)
+// Dial opens a connection to the path at the address. It fails with an UpgradeRefusedError if the server does not upgrade,
+// and with the errors of the network. Connecting and the exchange of headers have the timeout each.
+func Dial(network Network, address, path string, timeout time.Duration) (*Conn, error) {
+	raw, err := network.Dial(address, timeout)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	reader := bufio.NewReader(raw)
-	if err := requestUpgrade(raw, reader, address, path, within); err != nil {
+	if err := requestUpgrade(raw, reader, address, path, timeout); err != nil {
 		raw.Close()
 		return nil, errors.Trace(err)
 	}
 	return newConn(raw, reader), nil
 }
 
-// requestUpgrade sends the request for an upgrade and reads the answer.
-func requestUpgrade(raw net.Conn, reader *bufio.Reader, address, path string, within time.Duration) error {
+// requestUpgrade sends an upgrade request and reads the response.
+func requestUpgrade(raw net.Conn, reader *bufio.Reader, address, path string, timeout time.Duration) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, nil)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	request.Header.Set("Connection", "Upgrade")
 	request.Header.Set("Upgrade", protocol)
-	raw.SetDeadline(time.Now().Add(within))
+	raw.SetDeadline(time.Now().Add(timeout))
 	if err := request.Write(raw); err != nil {
 		return errors.Trace(err)
 	}
@@ -70,15 +69,15 @@
 	return nil
 }
 
-// Upgrade takes a connection over from an HTTP server. Where it fails before that, it has answered the request, and
-// returns ErrUpgradeNotRequested or ErrUpgradeUnsupported.
+// Upgrade takes over the connection of a request from an HTTP server. If the request or the server does not allow that, it
+// answers the request with an error and returns ErrUpgradeNotRequested or ErrUpgradeUnsupported.
 func Upgrade(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	if r.Header.Get("Upgrade") != protocol {
 		http.Error(w, "upgrade to "+protocol+" expected", http.StatusUpgradeRequired)
 		return nil, errors.Trace(ErrUpgradeNotRequested)
 	}
-	hijacker, able := w.(http.Hijacker)
-	if !able {
+	hijacker, supported := w.(http.Hijacker)
+	if !supported {
 		http.Error(w, "no upgrade here", http.StatusInternalServerError)
 		return nil, errors.Trace(ErrUpgradeUnsupported)
 	}
--- a/coordination/frame/network.go
+++ b/coordination/frame/network.go
@@ -7,18 +7,18 @@
 	"github.com/juju/errors"
 )
 
-// Network opens connections and listens for them. The emulator has one of its own.
+// Network opens connections and listens for them. The emulator has its own implementation.
 type Network interface {
-	Dial(address string, within time.Duration) (net.Conn, error)
+	Dial(address string, timeout time.Duration) (net.Conn, error)
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the machine's own network.
+// TCP is the TCP network of the machine.
 type TCP struct{}
 
 // Dial opens a TCP connection.
-func (TCP) Dial(address string, within time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", address, within)
+func (TCP) Dial(address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	return conn, errors.Trace(err)
 }
 
--- a/coordination/frame/slowlink_test.go
+++ b/coordination/frame/slowlink_test.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// TestLargeMessageOnASlowLinkIsNoSilence keeps a fault that a configuration of 1,480 routes showed: it took longer
-// on a link of 2 Mbit/s than a side may be silent, and every dispatcher gave its control machine up.
+// TestLargeMessageOnASlowLinkIsNoSilence guards against a timeout that covers a whole message. A configuration of 1,480
+// routes took longer than the timeout on a link of 2 Mbit/s, so every dispatcher closed its connection to its control
+// machine.
 func TestLargeMessageOnASlowLinkIsNoSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		conn := newConn(near, bufio.NewReader(near))
 		defer conn.Close()
-		const parts, part = 20, 1000
+		const partCount, partBytes = 20, 1000
 		go func() {
 			write := func(data []byte) {
 				if _, err := far.Write(data); err != nil {
 					t.Error(err)
 				}
 			}
-			write(binary.BigEndian.AppendUint32(nil, parts*part))
-			for range parts {
+			write(binary.BigEndian.AppendUint32(nil, partCount*partBytes))
+			for range partCount {
 				time.Sleep(100 * time.Millisecond)
-				write(make([]byte, part))
+				write(make([]byte, partBytes))
 			}
 			time.Sleep(time.Second)
 			far.SetDeadline(time.Now().Add(time.Millisecond))
-			if _, err := far.Write([]byte{0}); err == nil { // a part of a header, too late
-				t.Error("a byte was taken after the silence")
+			if _, err := far.Write([]byte{0}); err == nil { // part of a header, after the timeout
+				t.Error("a byte was read after the timeout")
 			}
 		}()
 		message, err := conn.Receive(150 * time.Millisecond)
-		if err != nil || len(message) != parts*part {
-			t.Fatalf("%d bytes, %v", len(message), err)
+		if err != nil || len(message) != partCount*partBytes {
+			t.Fatalf("received %d bytes and error %v", len(message), err)
 		}
 		if _, err := conn.Receive(150 * time.Millisecond); err == nil {
-			t.Error("silence between messages is not noticed")
+			t.Error("no timeout between messages")
 		}
-		time.Sleep(2 * time.Second) // until the other side has written its last byte
+		time.Sleep(2 * time.Second) // until the goroutine has tried to write its last byte
 		far.Close()
 	})
 }
 
-// TestSlowReaderGetsALargeBatch keeps that a batch which takes longer than a write may is written on while the
-// other side takes bytes, and is given up once it takes none.
+// TestSlowReaderGetsALargeBatch checks that a batch that takes longer than writeTimeout is written as long as the peer
+// reads, and that the connection is closed once the peer stops reading.
 func TestSlowReaderGetsALargeBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -59,7 +60,7 @@
 			time.Sleep(100 * time.Millisecond)
 			n, err := far.Read(buffer)
 			if err != nil {
-				t.Fatalf("given up after %d bytes: %v", read, err)
+				t.Fatalf("connection failed after %d bytes: %v", read, err)
 			}
 			read += n
 		}
@@ -67,7 +68,7 @@
 		select {
 		case <-conn.Closed():
 		default:
-			t.Error("a side that takes nothing is not given up")
+			t.Error("the connection to a peer that reads nothing is not closed")
 		}
 		far.Close()
 	})
