--- a/Makefile
+++ b/Makefile
@@ -45,7 +45,7 @@
 FUZZTIME = 10s
 fuzz:
 	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME) ./internal/discovery/srv
-	go test -run '^$$' -fuzz FuzzHear -fuzztime $(FUZZTIME) ./coordination/gossip
+	go test -run '^$$' -fuzz FuzzReceive -fuzztime $(FUZZTIME) ./coordination/gossip
 	go test -run '^$$' -fuzz FuzzCommand -fuzztime $(FUZZTIME) ./internal/fleet/statemachine
 	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) ./internal/control/configuration
 	go test -run '^$$' -fuzz FuzzRequest -fuzztime $(FUZZTIME) ./scheduling/job
--- a/coordination/gossip/message.go
+++ b/coordination/gossip/message.go
@@ -6,37 +6,37 @@
 	"math"
 )
 
-// Form of a message; all numbers are little-endian. The header is version and flags (4 bits each), the sender's
-// dispatcher, incarnation and sequence (2 bytes each) and the number of usages (1 byte). Usages of 5 bytes follow:
-// the worker's hash (3), slots and memory (1 each). The checksum is the last. Bytes between usages and checksum are a
-// newer sender's, and are not read.
+// Format of a message. All numbers are little-endian. The header consists of version and flags (4 bits each), the sender's
+// dispatcher number, incarnation and sequence number (2 bytes each) and the number of usages (1 byte). It is followed by the
+// usages of 5 bytes: the worker's hash (3 bytes), slots and memory (1 byte each). The last 2 bytes are the checksum. Bytes
+// between usages and checksum come from senders of a newer version and are ignored.
 const (
-	// MaxMessageBytes is the longest message, in bytes: the platform's protocol.
+	// MaxMessageBytes is the longest message that the platform's protocol allows.
 	MaxMessageBytes = 256
 
-	version       = 1 // of the form; a message of another one is dropped
+	version       = 1 // of the format; messages of other versions are dropped
 	headerBytes   = 8
 	usageBytes    = 5
 	checksumBytes = 2
-	// maxUsages is how many workers one message can speak of.
+	// maxUsages is the number of usages that fit into one message.
 	maxUsages = (MaxMessageBytes - headerBytes - checksumBytes) / usageBytes
 
-	// flagComplete: workers that are not named are not in use by the sender.
+	// flagComplete means that the sender has nothing in use at workers that are not in the message.
 	flagComplete = 1
 
-	slotsUnit      = 4  // steps a slot
-	memoryUnit     = 16 // steps a memory unit
-	workerHashMask = 1<<24 - 1
+	stepsPerSlot       = 4  // encoded steps in a slot
+	stepsPerMemoryUnit = 16 // encoded steps in a memory unit
+	workerHashMask     = 1<<24 - 1
 )
 
-// Usage is what a dispatcher has in use at one worker.
+// Usage is the capacity that a dispatcher has in use at one worker.
 type Usage struct {
-	WorkerHash uint32  // low 24 bits of a hash that all dispatchers compute alike
-	Slots      float64 // slots of its jobs there, 0 to 63.75 in quarters
-	Memory     float64 // memory units of these, 0 to 15.9 in sixteenths
+	WorkerHash uint32  // low 24 bits of a hash that all dispatchers compute in the same way
+	Slots      float64 // slots of the dispatcher's jobs at the worker, 0 to 63.75 in quarters
+	Memory     float64 // memory units of these jobs, 0 to 15.9 in sixteenths
 }
 
-// header is all of a message but its usages.
+// header holds the fields of a message other than its usages.
 type header struct {
 	isComplete bool
 	sender     process
@@ -56,12 +56,13 @@
 	datagram = append(datagram, byte(len(usages)))
 	for _, u := range usages {
 		datagram = append(datagram, byte(u.WorkerHash), byte(u.WorkerHash>>8), byte(u.WorkerHash>>16),
-			scaled(u.Slots, slotsUnit), scaled(u.Memory, memoryUnit))
+			scaled(u.Slots, stepsPerSlot), scaled(u.Memory, stepsPerMemoryUnit))
 	}
 	return binary.LittleEndian.AppendUint16(datagram, checksum(datagram))
 }
 
-// decode returns a message's header and its encoded usages, and false where it is garbled or of another version.
+// decode returns the header and the encoded usages of a message. It returns false if the message is corrupt or of another
+// version.
 func decode(datagram []byte) (h header, usages []byte, ok bool) {
 	if len(datagram) < headerBytes+checksumBytes || len(datagram) > MaxMessageBytes || datagram[0]>>4 != version {
 		return header{}, nil, false
@@ -78,12 +79,12 @@
 	}, body[headerBytes:end], true
 }
 
-// decodeUsage decodes the usage with which encoded begins.
+// decodeUsage decodes the first usage in encoded.
 func decodeUsage(encoded []byte) Usage {
 	return Usage{
 		WorkerHash: uint32(encoded[0]) | uint32(encoded[1])<<8 | uint32(encoded[2])<<16,
-		Slots:      float64(encoded[3]) / slotsUnit,
-		Memory:     float64(encoded[4]) / memoryUnit,
+		Slots:      float64(encoded[3]) / stepsPerSlot,
+		Memory:     float64(encoded[4]) / stepsPerMemoryUnit,
 	}
 }
 
@@ -93,5 +94,7 @@
 	return uint16(sum ^ sum>>16)
 }
 
-// scaled rounds up, so that a little is never reported as nothing.
-func scaled(value, unit float64) byte { return byte(min(math.Ceil(max(value, 0)*unit), 255)) }
+// scaled returns a value in encoded steps. It rounds up so that a small value is never reported as 0.
+func scaled(value, stepsPerUnit float64) byte {
+	return byte(min(math.Ceil(max(value, 0)*stepsPerUnit), 255))
+}
--- a/coordination/gossip/peer.go
+++ b/coordination/gossip/peer.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Bounds of what is remembered, so that garbled or forged messages can't fill the memory.
+// Limits of the state kept of other processes, so that corrupt or forged messages can't exhaust memory.
 const (
-	// maxPeers is how many processes are remembered at once; messages of further ones are dropped.
+	// maxPeers is the number of processes whose state is kept at once. Messages of further ones are dropped.
 	maxPeers = 256
-	// maxUsagesOfPeer is of how many workers one process is remembered to speak.
+	// maxUsagesOfPeer is the number of workers for which the usage of one process is kept.
 	maxUsagesOfPeer = 4096
-	// usageTimesToLive is how many times TimeToLive a single usage counts that was not said again, where a sender has
-	// more of them than one message holds and says them in turn.
+	// usageTimesToLive is the multiple of TimeToLive for which a single usage counts without being reported again. It is
+	// more than 1 since a sender with more usages than one message holds reports them in turn.
 	usageTimesToLive = 4
 )
 
-// peer is what one other process has said.
+// peer is the state of another process.
 type peer struct {
 	process
-	sequence uint16 // of the latest message
-	heard    bool   // there was one
-	heardAt  time.Duration
+	sequence uint16                   // of the latest message
+	heard    bool                     // whether there was one
+	heardAt  time.Duration            // time of the latest message, or when the peer was added
 	usages   map[uint32]reportedUsage // by worker hash
 }
 
@@ -30,22 +30,23 @@
 	at time.Duration
 }
 
-// PeerUsage is what all other processes have in use at one worker, added up.
+// PeerUsage is the total capacity that all other processes have in use at one worker.
 type PeerUsage struct{ Slots, Memory float64 }
 
-// Receive takes in a message and reports whether it was one of another process. One that is garbled, of another
-// version, of a process that a later one has replaced, or this process's own is dropped.
+// Receive handles a message and reports whether it came from another process. It drops messages that are corrupt, of another
+// version, from this process itself, from an unknown or expired process of which a later incarnation is known, or from a
+// process beyond maxPeers.
 func (p *Participant) Receive(now time.Duration, datagram []byte) bool {
 	header, usages, ok := decode(datagram)
 	if !ok || header.sender == p.self {
 		return false
 	}
-	sender := p.peerOf(now, header.sender)
+	sender := p.findOrAddPeer(now, header.sender)
 	if sender == nil {
 		return false
 	}
 	if sender.heard && isNotAfter(header.sequence, sender.sequence) {
-		return true // duplicated, or overtaken by one that says as much
+		return true // a duplicate, or superseded by a later message
 	}
 	sender.sequence, sender.heard, sender.heardAt = header.sequence, true, now
 	if header.isComplete {
@@ -57,7 +58,7 @@
 	return true
 }
 
-// isNotAfter compares numbers that wrap around.
+// isNotAfter reports whether sequence number a is not after b. Sequence numbers wrap around.
 func isNotAfter(a, b uint16) bool { return int16(a-b) <= 0 }
 
 func (p *peer) record(now time.Duration, usage Usage) {
@@ -66,10 +67,10 @@
 	}
 }
 
-// peerOf finds the process that speaks, or makes it known. It is nil where a later incarnation of it is known and it
-// was forgotten, since what it had in use is not known any more, or where there are too many.
-func (p *Participant) peerOf(now time.Duration, sender process) *peer {
-	p.forgetSilent(now)
+// findOrAddPeer returns the state of a sender, and adds it if it is unknown. It returns nil for an unknown sender if a later
+// incarnation is known, since usage that has expired must not come back, or if there are maxPeers already.
+func (p *Participant) findOrAddPeer(now time.Duration, sender process) *peer {
+	p.removeExpired(now)
 	for _, other := range p.peers {
 		if other.process == sender {
 			return other
@@ -88,11 +89,11 @@
 	return added
 }
 
-func (p *Participant) forgetSilent(now time.Duration) {
+func (p *Participant) removeExpired(now time.Duration) {
 	p.peers = slices.DeleteFunc(p.peers, func(other *peer) bool { return now-other.heardAt > p.TimeToLive() })
 }
 
-// PeerUsage returns what all other processes have in use at a worker now, by the worker's hash.
+// PeerUsage returns the total usage of all other processes at the worker with the given hash.
 func (p *Participant) PeerUsage(now time.Duration, workerHash uint32) (total PeerUsage) {
 	for _, other := range p.peers {
 		usage, ok := other.usages[workerHash&workerHashMask]
