--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -23,7 +23,8 @@
 	randomStream = 0x6c696e6e65746c69
 )
 
-// dispatcher implements Dispatcher.
+// dispatcher implements Dispatcher. Each field covers one concern, whose type is declared in the file named
+// for that concern.
 type dispatcher struct {
 	Settings
 	random    *rand.Rand
--- a/scheduling/dispatch/events.go
+++ b/scheduling/dispatch/events.go
@@ -51,7 +51,7 @@
 	ListDelta    ListForm = iota // only the changed entries
 	ListFailed                   // no entries: the call failed or the subscription broke
 	ListFull                     // the complete list
-	ListCached                   // the cached list of the previous process, passed at start
+	ListCached                   // the last list that this dispatcher held before its restart, passed at start
 	ListOverride                 // entries that the host itself changed; the list service sent nothing
 )
 
--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -36,7 +36,7 @@
 	lateStartFactor       = 3
 	lateStartSlackSeconds = 0.01
 	// overdueRuns is the number of expected run times after which an attempt is overdue. Job sizes are
-	// long-tailed: with less, workers are penalized for long jobs.
+	// long-tailed: with less, workers are penalised for long jobs.
 	overdueRuns = 3.0
 	// lostRuns is the multiple of overdueRuns after which a running attempt is presumed lost if later ones
 	// have succeeded: twelve expected run times. At six, long jobs were presumed lost too, and their slots
@@ -52,7 +52,7 @@
 
 // recordFailure records a failed attempt at w. The worker loses rank. Unless the failure is a single lost
 // connection, it also loses slots for a backoff that grows with further failures and ends in a trial. When
-// all workers fail, all of them are penalized alike, so their order stays.
+// all workers fail, all of them are penalised alike, so their order stays.
 func (d *dispatcher) recordFailure(w *worker, weight float64, out Actions) {
 	w.errorShare = min(errorShareGrowth*w.errorShare+weight, 1)
 	if w.errorShare > suspectErrorShare {
--- a/scheduling/dispatch/lottery.go
+++ b/scheduling/dispatch/lottery.go
@@ -31,7 +31,7 @@
 // drawWorker returns the worker for r in a sparse fleet, or nil if no worker is eligible or r is shed because
 // the wait is too long. It picks the worker with the shortest expected wait according to the latest jobs
 // there, preferably a home worker, so that the few dispatchers of a worker know its queue. Ties are broken
-// at random, weighted by slots and speed. It does not minimize the time at which r ends, since all
+// at random, weighted by slots and speed. It does not minimise the time at which r ends, since all
 // dispatchers would then send to the fastest workers first.
 func (d *dispatcher) drawWorker(r *request) *worker {
 	var best *worker
