--- a/scheduling/dispatch/attempts.go
+++ b/scheduling/dispatch/attempts.go
@@ -20,7 +20,7 @@
 	lastNotifiedAt time.Duration // time of the latest notification, or of the send if there was none
 	startLate      bool
 	overdue        bool // running for much longer than expected
-	overcommitted  bool // sent without known capacity, and outcome not yet recorded in the overcommit pacer
+	overcommitted  bool // sent by sendOvercommitted, and outcome not yet recorded in the overcommit pacer
 	lost           bool // presumed lost; its capacity has been released
 }
 
@@ -46,6 +46,7 @@
 // attemptAllowed reports whether the semantics of r allow another attempt at w. After an attempt that may
 // have run, an AtMostOnce request gets no other attempt. A Deduplicated one may go only to workers that drop
 // its repeats, and only in the first nine tenths of the window; the last tenth covers the time to reach w.
+// Without hedging, no attempt is allowed while another one is outstanding.
 func (d *dispatcher) attemptAllowed(r *request, w *worker) bool {
 	if r.mayHaveRun.worker == nil {
 		return true
@@ -236,8 +237,9 @@
 	}
 }
 
-// spreadRetries sets r.holdUntil after w has rejected r, so that the remaining attempts are spread evenly
-// over the time until the latest start, or until the deadline if the latest start has passed.
+// spreadRetries excludes w from the next attempts of r after one there that did not run. It sets r.holdUntil
+// so that the remaining attempts are spread evenly over the time until the latest start, or until the
+// deadline if the latest start has passed.
 func (d *dispatcher) spreadRetries(r *request, w *worker) {
 	r.rejectedBy = append(r.rejectedBy, w)
 	end := r.latestStart
--- a/scheduling/dispatch/dispatch.go
+++ b/scheduling/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 //	reclaim.go       cancelling attempts that do not start, to retry them elsewhere
 //	queue.go         the queue of waiting requests and its deadlines
 //	selection.go     choosing the worker for a request; capacity checks
-//	overcommit.go    sends beyond known capacity and their pacing
+//	overcommit.go    sends without known free capacity and their pacing
 //	actorcritic.go   ACHQ's learner of the soft thresholds
 //	lottery.go       weighted random choice where dispatchers outnumber workers
 //	shares.go        each dispatcher's home share of the workers; pools of classes
--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -40,7 +40,7 @@
 	fleet      fleetState
 	list       listSubscription
 	speeds     speedModel
-	fleetWait  waitestimate.FleetWait // usual wait of a job at a worker
+	fleetWait  waitestimate.FleetWait // mean wait of the latest jobs at all workers
 	learner    actorCritic
 	poolShares []float64 // relative sizes of the classes' worker pools
 	overcommit overcommitPacer
--- a/scheduling/dispatch/events.go
+++ b/scheduling/dispatch/events.go
@@ -22,7 +22,7 @@
 	Removed
 )
 
-// Health is the fleet's verdict on a worker, which its dispatchers reach together.
+// Health is the state of a worker on which the fleet's dispatchers have agreed.
 type Health uint8
 
 // The states of outlier ejection.
@@ -51,7 +51,7 @@
 	ListDelta    ListForm = iota // only the changed entries
 	ListFailed                   // no entries: the call failed or the subscription broke
 	ListFull                     // the complete list
-	ListCached                   // the last list that this dispatcher held before its restart, passed at start
+	ListCached                   // the last list held by this dispatcher before its restart, passed at start
 	ListOverride                 // entries that the host itself changed; the list service sent nothing
 )
 
--- a/scheduling/dispatch/fleet.go
+++ b/scheduling/dispatch/fleet.go
@@ -74,7 +74,7 @@
 
 func newWorkerKind() workerKind { return workerKind{slots: kindSlots{seen: 1}} }
 
-// kindSlots is the largest number of slots that workers of w's kind were seen to use at the same time.
+// kindSlots returns the observed slot count of one worker of w's kind.
 func (f *fleetState) kindSlots(w *worker) float64 { return f.kindOf(w).slots.seen }
 
 // findOrAddWorker returns the worker with the id, and adds it as an unlisted worker if it is unknown.
--- a/scheduling/dispatch/health.go
+++ b/scheduling/dispatch/health.go
@@ -97,7 +97,8 @@
 // presumedLost reports whether a is presumed lost without a fault of its worker. At a first-in, first-out
 // worker, an attempt that has not started is presumed lost if a job sent well after it has started, or, in a
 // sparse fleet, if it has waited for reclaimAfter and may be reclaimed. A running attempt is presumed lost
-// if it takes far longer than expected while later ones succeed; its response stream has then stopped.
+// if it takes far longer than expected, without progress notifications, while later ones succeed: its
+// response stream has probably stopped.
 func (d *dispatcher) presumedLost(a *attempt) bool {
 	if a.startedAt == 0 {
 		if !d.Workers.FIFO || !d.Workers.StartNotifications {
--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -17,8 +17,9 @@
 }
 
 const (
-	// meanFreeStep is the weight of one report in the mean of free slots, which covers some ten reports. With
-	// more, the mean is no more reliable than the latest report, whose estimate fades into the mean.
+	// meanFreeStep is the weight of one report in the mean of free slots, which covers some ten reports. A
+	// report fades to this mean with age (estimatedWait). With more weight, the mean is no more reliable than
+	// the report.
 	meanFreeStep = 0.1
 	// maxLoadFigure bounds the absolute values in a report; a report with a larger value is ignored.
 	maxLoadFigure = 1e6
--- a/scheduling/dispatch/lottery.go
+++ b/scheduling/dispatch/lottery.go
@@ -22,8 +22,9 @@
 	lotteryOtherPoolWait = 0.4
 )
 
-// sparse reports whether this dispatcher's share of the fleet is less than one worker. It then sends too few
-// jobs to each worker to know which ones have capacity, so workers are drawn at random by expected wait.
+// sparse reports whether this dispatcher's share of the fleet is less than one worker and the usage of the
+// other dispatchers is unknown. It then sends too few jobs to each worker to know which ones have capacity,
+// so workers are drawn at random by expected wait.
 func (d *dispatcher) sparse() bool {
 	return d.Fleet.Count > len(d.fleet.ranked) && !d.usageKnown()
 }
--- a/scheduling/dispatch/overcommit.go
+++ b/scheduling/dispatch/overcommit.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Pacing of overcommitted sends, that is, sends to workers without known free capacity.
+// Pacing of overcommitted sends. A request whose hold time has passed is sent to the worker where it is
+// expected to end first, even if no free capacity is known there.
 const (
 	// overcommitGrowth multiplies the gap after an overcommitted send that found no capacity. With a larger
 	// factor, a few rejections in a row stop all such sends while some workers still have capacity.
@@ -48,20 +49,21 @@
 	a.overcommitted = false
 }
 
-// mayOvercommit reports whether r may be sent now to a worker without known free capacity. While slots are
-// scarce, only a job of one slot may, as a larger one would make a queue wait there; and no job may while a
-// large job waits.
+// mayOvercommit reports whether r may be sent now without known free capacity. While slots are scarce, only a
+// job of one slot may, as a larger one would make a queue wait at its worker; and no job may while a large
+// job waits.
 func (d *dispatcher) mayOvercommit(r *request) bool {
 	return d.now >= r.holdUntil && d.now >= d.overcommit.nextAt &&
 		(!d.slotsScarce() || r.Slots == 1 && !d.large.waiting)
 }
 
-// sendOvercommitted sends r to the worker where it is expected to end first, with known capacity or not.
+// sendOvercommitted sends r to the worker where it is expected to end first, with known capacity or not. If
+// the usage of all dispatchers is known, it sends r only to a worker with capacity.
 func (d *dispatcher) sendOvercommitted(r *request, out Actions) bool {
 	r.rejectedBy = r.rejectedBy[:0]
 	w := d.earliestEndWorker(r)
 	if d.usageKnown() {
-		w, _ = d.pickWorker(r) // with all usage known, r could only wait at a worker without capacity
+		w, _ = d.pickWorker(r) // with all usage known, a worker without capacity is certain to make r wait
 	}
 	if w == nil || !d.send(r, w, out) {
 		return false
--- a/scheduling/dispatch/peers.go
+++ b/scheduling/dispatch/peers.go
@@ -11,7 +11,7 @@
 	// maxBroadcasters is the largest number of dispatchers that broadcast to each other.
 	maxBroadcasters = 64
 	// maxBroadcastCost is the most that broadcasts may cost per request, in values of a request. With 6 to 48
-	// dispatchers on 8 workers, broadcasts cost 0.008 to 0.056 and gain 0.08 to 0.33, by measurement.
+	// dispatchers on 8 workers, broadcasts cost 0.008 to 0.056 and gained 0.08 to 0.33.
 	maxBroadcastCost = 0.08
 	// broadcastBytesPerJob is the assumed number of bytes per request that one dispatcher broadcasts to each
 	// other one. The cost of broadcasts is computed from it.
--- a/scheduling/dispatch/queue.go
+++ b/scheduling/dispatch/queue.go
@@ -45,7 +45,7 @@
 }
 
 // sweepQueue answers the requests that can no longer be served, demotes those that can no longer be on time,
-// and sends those whose hold time has passed beyond known capacity.
+// and sends those whose hold time has passed, even without known capacity.
 func (d *dispatcher) sweepQueue(out Actions) {
 	unplaced := 0
 	for i := 0; i < len(d.queue); {
--- a/scheduling/dispatch/reclaim.go
+++ b/scheduling/dispatch/reclaim.go
@@ -6,9 +6,9 @@
 // filled only when its own job waits in it. An attempt that has not started and may be retried is then
 // reclaimed: it is cancelled and its request is sent to another worker.
 const (
-	// reclaimAfter is the time after which an attempt that has not started is reclaimed. On 8 days of 80
-	// dispatchers, 0.752 of the value was served on time with 200 ms, 0.739 with 500 ms and 0.730 without
-	// reclaiming.
+	// reclaimAfter is the time after which an attempt that has not started is reclaimed. On 8 simulated days
+	// of 80 dispatchers, 0.752 of the value was served on time with 200 ms, 0.739 with 500 ms and 0.730
+	// without reclaiming.
 	reclaimAfter = 200 * time.Millisecond
 	// reclaimShare is the number of attempts that may be reclaimed per first send. A cancelled job that stays
 	// in its worker's queue is wasted work and makes other jobs late: without a budget, a fleet reclaimed a
--- a/scheduling/dispatch/requests.go
+++ b/scheduling/dispatch/requests.go
@@ -6,8 +6,8 @@
 )
 
 // holdShare is the part of a request's slack (the time until its latestStart) for which the request may be
-// held for a faster worker or for known capacity. After that it may be sent beyond known capacity, as far as
-// the overcommit pacer allows. With a larger part, too little time is left for a second attempt.
+// held for a faster worker or for known capacity. After that it may be sent without known capacity, at the
+// rate of the overcommit pacer. With a larger part, too little time is left for a second attempt.
 const holdShare = 0.25
 
 // request is one job from its arrival until it is answered and no attempt of it is outstanding.
@@ -25,7 +25,7 @@
 	attemptCount int        // attempts sent so far
 	outstanding  []*attempt // ordered by number
 	mayHaveRun   priorRun
-	rejectedBy   []*worker // workers that rejected it since it was last sent beyond known capacity
+	rejectedBy   []*worker // workers where an attempt did not run; cleared by sendOvercommitted
 }
 
 // priorRun is the first attempt of a request that may have run. The zero value means that there is none.
@@ -64,7 +64,7 @@
 	r.latestStart = d.now + min(max(d.slack(r, work), 0), q.TimeLeft)
 	r.holdUntil = d.now + time.Duration(holdShare*float64(r.latestStart-d.now))
 	r.valueDensity = d.valueDensity(r, work)
-	if q.BestEffort { // queued behind all other requests and never sent beyond known capacity
+	if q.BestEffort { // queued behind all other requests and never sent without known capacity
 		r.latestStart, r.holdUntil, r.valueDensity = r.deadline, r.deadline, 0
 	}
 	if q.EarlierWorker != nil {
@@ -85,7 +85,8 @@
 	return seconds(slack)
 }
 
-// valueDensity is the value of a request per slot, or per slot-second if value counts per request.
+// valueDensity counts r against its tenant's quota and returns the value of r per slot, or per slot-second if
+// value counts per request. A request over quota has ValueSettings.OverQuotaShare of its value.
 func (d *dispatcher) valueDensity(r *request, work float64) float64 {
 	density := r.class.Value / r.Slots
 	if !d.Values.PerWork {
--- a/scheduling/dispatch/reservations.go
+++ b/scheduling/dispatch/reservations.go
@@ -17,7 +17,7 @@
 	// more takes processor time for workers where the job would end later.
 	reservationCandidates = 8
 	// reservationLead is the time before the latest start of a large job at which slots are reserved for it.
-	// By measurement, earlier reservations gave no benefit; they leave more slots idle.
+	// Earlier reservations gave no benefit and left more slots idle.
 	reservationLead = 2 * time.Second
 	// scarceUsedShare is the share of the fleet's slots in use from which slots count as scarce and
 	// reservations are made.
@@ -158,7 +158,7 @@
 	}
 }
 
-// runTime returns the estimated distribution of the run time of r at w, for a w that is warm.
+// runTime returns the estimated distribution of the run time of r at w when w is warm.
 func (d *dispatcher) runTime(r *request, w *worker) backfill.RunTime {
 	return backfill.RunTime{LogMean: math.Log(d.expectedRun(r, w)), LogStdDev: math.Sqrt(r.stats.logVariance)}
 }
--- a/scheduling/dispatch/settings.go
+++ b/scheduling/dispatch/settings.go
@@ -51,7 +51,8 @@
 // LoadField identifies a value in a load report.
 type LoadField uint8
 
-// The fields of a load report. A dispatcher ignores LoadOther.
+// The fields of a load report. A dispatcher uses only LoadActive, LoadErrorRate, LoadFreeSlots and
+// LoadFreeMemory.
 const (
 	LoadOther LoadField = iota
 	LoadActive
@@ -98,9 +99,9 @@
 type WorkerSettings struct {
 	FIFO               bool          // workers serve their queues strictly first in, first out
 	StartNotifications bool          // workers notify the dispatcher when a job starts
-	ProgressInterval   time.Duration // between progress notifications; 0: none
+	ProgressInterval   time.Duration // time between progress notifications; 0: none
 	LoadFields         []LoadField   // order of the values in load reports
-	DrainGrace         time.Duration // for which jobs may go to a draining worker; bounds the list's age
+	DrainGrace         time.Duration // time for which a draining worker may get jobs; bounds the list's age
 }
 
 // ListSettings describes how the worker list is obtained.
--- a/scheduling/dispatch/slotlimit.go
+++ b/scheduling/dispatch/slotlimit.go
@@ -24,7 +24,7 @@
 	unusedSlotsReturned = 0.5
 )
 
-// slotLimit bounds the slots in use at one worker that does not report its free slots.
+// slotLimit bounds the slots in use at one worker, unless a fresh load report shows more free slots.
 type slotLimit struct {
 	slots        float64
 	backoffUntil time.Duration // no trial above slots before this time
@@ -33,8 +33,8 @@
 
 // kindSlots is the observed slot count of a worker kind.
 type kindSlots struct {
-	seen         float64       // most slots observed in use at once at one worker
-	observations float64       // of a larger count than seen; decays
+	seen         float64       // slots of one worker, as seen in use or reported free; starts at 1
+	observations float64       // number of observations of a larger count than seen; decays
 	growAt       time.Duration // no trial above seen before this time
 	growBackoffs int           // failed trials above seen
 }
@@ -60,8 +60,9 @@
 	}
 }
 
-// shrinkLimit lowers the limit of w to the slots in use there. The limit can rise again by one trial after a
-// jittered backoff, which doubles with each reduction, up to the given number of doublings.
+// shrinkLimit lowers the limit of w to the slots in use there and stops the use of its last load report. The
+// limit can rise again by one trial after a jittered backoff, which doubles with each reduction, up to the
+// given number of doublings.
 func (d *dispatcher) shrinkLimit(w *worker, doublings int) {
 	pause := d.speeds.meanRun.Seconds() * (0.5 + d.random.Float64())
 	if k := &d.fleet.kindOf(w).slots; w.limit.slots > k.seen {
@@ -85,7 +86,7 @@
 	observationDecay = 0.9
 	// certainObservationFactor is the multiple of the known slot count from which a load report is accepted
 	// at once, as it is well above any noise. Without it half of the slots were unused in the first seconds
-	// of a day.
+	// of a simulated day.
 	certainObservationFactor = 1.5
 )
 
--- a/scheduling/dispatch/slowstart.go
+++ b/scheduling/dispatch/slowstart.go
@@ -28,7 +28,7 @@
 // slowStartBudget is a token bucket of slot-seconds at one worker.
 type slowStartBudget struct {
 	tokens      float64       // if negative, nothing may be sent
-	at          time.Duration // of the last refill
+	at          time.Duration // time of the last refill
 	incarnation time.Duration // start time of the worker incarnation that the budget is for
 }
 
@@ -44,7 +44,8 @@
 
 // slowStartAllows reports whether the slow-start budget of w allows r now. The budget is this dispatcher's
 // share of the load that a warming worker can bear. It is divided by home shares: with equal shares for all,
-// the few dispatchers with a home share could hardly use the worker. It starts at a random phase.
+// the few dispatchers with a home share could hardly use the worker. The budget starts with a random debt of
+// at most the cost of one job.
 func (d *dispatcher) slowStartAllows(w *worker, r *request) bool {
 	if d.warmUpShare(w) == 1 {
 		return true
--- a/scheduling/dispatch/speed.go
+++ b/scheduling/dispatch/speed.go
@@ -72,7 +72,7 @@
 type workerSpeed struct {
 	logSlowness float64 // ln of its slowness relative to its kind
 	evidence    float64 // number of runs seen, up to evidenceWeight.maxRuns
-	logLateness float64 // ln of the ratio of its most overdue attempt's age to the age limit
+	logLateness float64 // ln of its most overdue attempt's age over the overdueAge of checkRun; decays
 }
 
 func newSpeedModel() speedModel {
@@ -109,7 +109,7 @@
 	return math.Exp(d.speeds.logMeanRun)
 }
 
-// expectedRun returns the expected run time of r at w, for a w that is warm, in seconds.
+// expectedRun returns the expected run time of r at w when w is warm, in seconds.
 func (d *dispatcher) expectedRun(r *request, w *worker) float64 {
 	return d.expectedWork(r) * math.Exp(d.fleet.kindOf(w).logSlowness+w.speed.logSlowness)
 }
