--- a/scheduling/dispatch/dispatcher.go
+++ b/scheduling/dispatch/dispatcher.go
@@ -23,7 +23,8 @@
 	randomStream = 0x6c696e6e65746c69
 )
 
-// dispatcher implements Dispatcher.
+// dispatcher implements Dispatcher. Each field covers one concern, whose type is declared in the file named
+// for that concern.
 type dispatcher struct {
 	Settings
 	random    *rand.Rand
@@ -39,7 +40,7 @@
 	fleet      fleetState
 	list       listSubscription
 	speeds     speedModel
-	fleetWait  waitestimate.FleetWait // usual wait of a job at a worker
+	fleetWait  waitestimate.FleetWait // mean wait of the latest jobs at all workers
 	learner    actorCritic
 	poolShares []float64 // relative sizes of the classes' worker pools
 	overcommit overcommitPacer
--- a/scheduling/dispatch/lottery.go
+++ b/scheduling/dispatch/lottery.go
@@ -22,8 +22,9 @@
 	lotteryOtherPoolWait = 0.4
 )
 
-// sparse reports whether this dispatcher's share of the fleet is less than one worker. It then sends too few
-// jobs to each worker to know which ones have capacity, so workers are drawn at random by expected wait.
+// sparse reports whether this dispatcher's share of the fleet is less than one worker and the usage of the
+// other dispatchers is unknown. It then sends too few jobs to each worker to know which ones have capacity,
+// so workers are drawn at random by expected wait.
 func (d *dispatcher) sparse() bool {
 	return d.Fleet.Count > len(d.fleet.ranked) && !d.usageKnown()
 }
@@ -31,7 +32,7 @@
 // drawWorker returns the worker for r in a sparse fleet, or nil if no worker is eligible or r is shed because
 // the wait is too long. It picks the worker with the shortest expected wait according to the latest jobs
 // there, preferably a home worker, so that the few dispatchers of a worker know its queue. Ties are broken
-// at random, weighted by slots and speed. It does not minimize the time at which r ends, since all
+// at random, weighted by slots and speed. It does not minimise the time at which r ends, since all
 // dispatchers would then send to the fastest workers first.
 func (d *dispatcher) drawWorker(r *request) *worker {
 	var best *worker
