--- a/scheduling/dispatch/attempts_test.go
+++ b/scheduling/dispatch/attempts_test.go
@@ -12,14 +12,14 @@
 	out.take()
 	d.Arrive(ms, Request{ID: 7, TimeLeft: 5 * time.Second}, out)
 	first := out.take()
-	if len(first) != 1 || first[0].what != "send" {
+	if len(first) != 1 || first[0].kind != "send" {
 		t.Fatalf("got %v, want one send", first)
 	}
 	d.AttemptEnded(2*ms, Outcome{ID: 7, Worker: first[0].worker, Code: Rejected}, out)
 	now := 2 * ms
 	for range 100 {
 		if got := out.take(); len(got) > 0 {
-			if got[0].what != "send" || got[0].worker == first[0].worker {
+			if got[0].kind != "send" || got[0].worker == first[0].worker {
 				t.Fatalf("after a rejection got %v, want a send to another worker", got)
 			}
 			return
@@ -46,7 +46,7 @@
 	for n := range s.Attempts.Max {
 		var sent *action
 		for _, a := range out.take() {
-			switch a.what {
+			switch a.kind {
 			case "send":
 				sent = &a
 			case "fail":
@@ -60,7 +60,7 @@
 		now += 20 * ms
 		d.AttemptEnded(now, Outcome{ID: 1, Attempt: n, Worker: sent.worker, Code: ConnectFailed}, out)
 	}
-	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+	if got := out.take(); len(got) != 1 || got[0].kind != "reject" {
 		t.Errorf("after the last attempt: %+v, want a rejection", got)
 	}
 }
--- a/scheduling/dispatch/example_test.go
+++ b/scheduling/dispatch/example_test.go
@@ -15,7 +15,7 @@
 	h.sent = append(h.sent, w)
 	fmt.Printf("send job %d, attempt %d\n", id, len(h.sent))
 }
-func (h *host) Reject(id dispatch.RequestID, _ time.Duration) { fmt.Println("refuse job", id) }
+func (h *host) Reject(id dispatch.RequestID, _ time.Duration) { fmt.Println("reject job", id) }
 func (h *host) Fail(id dispatch.RequestID)                    { fmt.Println("fail job", id) }
 func (h *host) Cancel(dispatch.RequestID, int)                {}
 func (h *host) Wake(time.Duration, uint64)                    {}
--- a/scheduling/dispatch/fleet.go
+++ b/scheduling/dispatch/fleet.go
@@ -205,7 +205,7 @@
 	w := d.fleet.findOrAddWorker(entry.ID, d.Fleet.Index)
 	restarted := w.Launched != entry.Launched
 	if restarted { // forget the failures, the estimates and the queue of the previous incarnation
-		w.speed, w.errorShare, w.limit, w.report.at = workerSpeed{}, 0, slotLimit{}, 0
+		w.speed, w.errorShare, w.limit, w.report.receivedAt = workerSpeed{}, 0, slotLimit{}, 0
 		w.wait.Observe(d.now, 0)
 	}
 	if w.Worker = entry; w.Health == OnProbation {
--- a/scheduling/dispatch/fleet_test.go
+++ b/scheduling/dispatch/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A draining worker gets no new job; once it is ready again, jobs are sent to it.
+// A draining worker gets no new job. Once it is ready again, the job that has waited is sent to it or rejected.
 func TestDrainingWorkerIsSentNothingNew(t *testing.T) {
 	d, out := mustNew(t, testSettings(), 1), &recorder{}
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
@@ -22,8 +22,8 @@
 	for now := 925 * ms; now < 1100*ms; now += 25 * ms {
 		d.Timer(now, 0, out)
 	}
-	if got := out.take(); len(got) != 1 || (got[0].what != "send" && got[0].what != "reject") {
-		t.Fatalf("got %v, want the job sent or rejected", got)
+	if got := out.take(); len(got) != 1 || (got[0].kind != "send" && got[0].kind != "reject") {
+		t.Fatalf("after the worker became ready again got %v, want one send or one rejection", got)
 	}
 }
 
@@ -33,7 +33,7 @@
 	s.List.MustSubscribe = true
 	d, out := mustNew(t, s, 3), &recorder{}
 	d.UpdateWorkers(0, ListCached, nil, out)
-	if got := out.take(); len(got) != 1 || got[0].what != "subscribe" {
+	if got := out.take(); len(got) != 1 || got[0].kind != "subscribe" {
 		t.Fatalf("got %v, want a subscription at once", got)
 	}
 	now := time.Duration(0)
@@ -60,7 +60,7 @@
 	d.UpdateWorkers(0, ListCached, list, out)
 	for i, w := range d.fleet.ranked {
 		if w.rankTime <= 0 || w.rankIndex != i || i > 0 && d.fleet.ranked[i-1].rankTime > w.rankTime {
-			t.Fatalf("worker at index %d has rank time %v and rank index %d", i, w.rankTime, w.rankIndex)
+			t.Fatalf("worker at index %d has rank time %v and rank index %d; want rank times above 0 in ascending order and equal indexes", i, w.rankTime, w.rankIndex)
 		}
 	}
 }
--- a/scheduling/dispatch/health_test.go
+++ b/scheduling/dispatch/health_test.go
@@ -21,12 +21,12 @@
 		for now := 50 * ms; now < 2*time.Second; now += 50 * ms {
 			d.Arrive(now, Request{ID: RequestID(now), TimeLeft: 5 * time.Second}, out)
 			for _, a := range out.take() {
-				if a.what == "send" && a.id != 1 {
+				if a.kind == "send" && a.id != 1 {
 					d.Notify(now+ms, Notification{ID: a.id, Worker: 1, Kind: NotificationStarted}, out)
 					d.AttemptEnded(now+40*ms, Outcome{ID: a.id, Worker: 1, Code: OK, Answered: true}, out)
 					served++
 				}
-				cancelled = cancelled || a == action{what: "cancel", id: 1}
+				cancelled = cancelled || a == action{kind: "cancel", id: 1}
 			}
 			d.Timer(now+45*ms, 0, out)
 		}
@@ -39,9 +39,9 @@
 	}
 }
 
-// The time for which AtMostOnce requests avoid a worker depends on how it lost jobs: no time after stale
-// connections or one connection lost in use, up to 20 s after two of the latter, and up to 8 s after one
-// failure.
+// A single lost connection must not keep AtMostOnce requests away from a worker. They avoid it for no time after
+// stale connections or one connection lost in use, for up to 20 s after two of the latter, and for up to 8 s
+// after one failure.
 func TestSingleLossDoesNotMakeWorkerUnhealthy(t *testing.T) {
 	for _, c := range []struct {
 		code     Code
@@ -80,7 +80,7 @@
 	c.out.take()
 	c.d.Arrive(now, Request{ID: c.last, Class: class, TimeLeft: 5 * time.Second}, &c.out)
 	for _, a := range c.out.take() {
-		if a.what == "send" && a.id == c.last {
+		if a.kind == "send" && a.id == c.last {
 			to = a.worker
 		}
 	}
@@ -130,7 +130,7 @@
 	c = &client{d: mustNew(t, testSettings(), 1), last: c.last}
 	c.d.UpdateWorkers(ms, ListFull, []Worker{{ID: 2, State: Ready, Weight: 1}, {ID: 3, State: Ready, Weight: 1}}, &c.out)
 	c.submit(100*ms, 0)
-	if acts := c.endAttempt(200*ms, Failed, true); len(acts) != 1 || acts[0].what != "reject" {
+	if acts := c.endAttempt(200*ms, Failed, true); len(acts) != 1 || acts[0].kind != "reject" {
 		t.Errorf("after the final attempt got %+v, want one rejection", acts)
 	}
 }
--- a/scheduling/dispatch/helpers_test.go
+++ b/scheduling/dispatch/helpers_test.go
@@ -8,50 +8,50 @@
 
 const ms = time.Millisecond
 
-// action is one recorded call of the Actions sink.
+// action is one recorded call of Actions.
 type action struct {
-	what    string
+	kind    string // name of the call in lower case; for Log, with the line appended
 	id      RequestID
 	worker  WorkerID
 	attempt int
 	tag     uint64
-	in      time.Duration
+	in      time.Duration // timeout of a send, retry delay of a rejection, delay of a wake
 }
 
-// recorder is an Actions sink that records all calls.
+// recorder implements Actions and records all calls.
 type recorder struct{ actions []action }
 
-func (r *recorder) Send(id RequestID, w WorkerID, within time.Duration) {
-	r.actions = append(r.actions, action{what: "send", id: id, worker: w, in: within})
+func (r *recorder) Send(id RequestID, w WorkerID, timeout time.Duration) {
+	r.actions = append(r.actions, action{kind: "send", id: id, worker: w, in: timeout})
 }
 
-func (r *recorder) Reject(id RequestID, d time.Duration) {
-	r.actions = append(r.actions, action{what: "reject", id: id, in: d})
+func (r *recorder) Reject(id RequestID, retryAfter time.Duration) {
+	r.actions = append(r.actions, action{kind: "reject", id: id, in: retryAfter})
 }
 
-func (r *recorder) Fail(id RequestID) { r.actions = append(r.actions, action{what: "fail", id: id}) }
+func (r *recorder) Fail(id RequestID) { r.actions = append(r.actions, action{kind: "fail", id: id}) }
 
 func (r *recorder) Cancel(id RequestID, n int) {
-	r.actions = append(r.actions, action{what: "cancel", id: id, attempt: n})
+	r.actions = append(r.actions, action{kind: "cancel", id: id, attempt: n})
 }
 
 func (r *recorder) Wake(in time.Duration, tag uint64) {
-	r.actions = append(r.actions, action{what: "wake", in: in, tag: tag})
+	r.actions = append(r.actions, action{kind: "wake", in: in, tag: tag})
 }
 
-func (r *recorder) Subscribe() { r.actions = append(r.actions, action{what: "subscribe"}) }
+func (r *recorder) Subscribe() { r.actions = append(r.actions, action{kind: "subscribe"}) }
 
-func (r *recorder) Probe(w WorkerID) { r.actions = append(r.actions, action{what: "probe", worker: w}) }
+func (r *recorder) Probe(w WorkerID) { r.actions = append(r.actions, action{kind: "probe", worker: w}) }
 
-func (r *recorder) Broadcast(msg []byte) { r.actions = append(r.actions, action{what: "broadcast"}) }
+func (r *recorder) Broadcast(msg []byte) { r.actions = append(r.actions, action{kind: "broadcast"}) }
 
-func (r *recorder) Log(line string) { r.actions = append(r.actions, action{what: "log " + line}) }
+func (r *recorder) Log(line string) { r.actions = append(r.actions, action{kind: "log " + line}) }
 
 // take returns the recorded actions, without wakes, broadcasts and logs, and clears the record.
 func (r *recorder) take() []action {
 	var got []action
 	for _, a := range r.actions {
-		if a.what != "wake" && a.what != "broadcast" && !strings.HasPrefix(a.what, "log") {
+		if a.kind != "wake" && a.kind != "broadcast" && !strings.HasPrefix(a.kind, "log") {
 			got = append(got, a)
 		}
 	}
@@ -89,7 +89,7 @@
 // sends returns the recorded sends and clears the record.
 func (r *recorder) sends() (out []action) {
 	for _, a := range r.take() {
-		if a.what == "send" {
+		if a.kind == "send" {
 			out = append(out, a)
 		}
 	}
--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -9,7 +9,7 @@
 // the report count as free in it: own attempts outstanding now are known exactly and are subtracted by the
 // code that uses the report.
 type loadReport struct {
-	at         time.Duration // time of the report; 0: there is none, or it no longer applies
+	receivedAt time.Duration // 0: there is no report, or it no longer applies
 	known      bool          // a report was received since the worker was first listed
 	free       float64       // in slots
 	freeMemory float64       // below 0: not stated
@@ -57,7 +57,7 @@
 
 func (d *dispatcher) recordFreeSlots(w *worker, f loadFigures) {
 	r := &w.report
-	r.free, r.freeMemory, r.at = f.freeSlots+w.usage.slots, -1, d.now
+	r.free, r.freeMemory, r.receivedAt = f.freeSlots+w.usage.slots, -1, d.now
 	if !r.known {
 		r.meanFree, r.known = r.free, true
 	}
--- a/scheduling/dispatch/loadreport_test.go
+++ b/scheduling/dispatch/loadreport_test.go
@@ -53,6 +53,6 @@
 	}
 	w := d.fleet.workers[1]
 	if w.report.free != 3 || w.report.meanFree != 3 || w.errorShare != 0 || !w.report.known {
-		t.Errorf("after impossible reports: free %v and mean %v, want 3; error share %v, want 0", w.report.free, w.report.meanFree, w.errorShare)
+		t.Errorf("after impossible reports: free %v and mean %v, want 3; error share %v, want 0; a report must be known", w.report.free, w.report.meanFree, w.errorShare)
 	}
 }
--- a/scheduling/dispatch/lottery_test.go
+++ b/scheduling/dispatch/lottery_test.go
@@ -20,7 +20,7 @@
 		id++
 		d.Arrive(now, Request{ID: id, TimeLeft: 5 * time.Second, Slots: 1}, out)
 		for _, a := range out.take() {
-			if a.what == "send" {
+			if a.kind == "send" {
 				to = append(to, a.worker)
 				d.Notify(now+wait, Notification{ID: id, Worker: a.worker, Kind: NotificationStarted}, out)
 				d.AttemptEnded(now+wait+100*ms, Outcome{ID: id, Worker: a.worker, Answered: true}, out)
--- a/scheduling/dispatch/overcommit.go
+++ b/scheduling/dispatch/overcommit.go
@@ -106,7 +106,7 @@
 	run := d.speeds.meanRun.Seconds()
 	free := max(w.limit.slots, 1) - w.usage.busy()
 	if w.report.known {
-		fade := max(1-(d.now-w.report.at).Seconds()/(2*run), 0)
+		fade := max(1-(d.now-w.report.receivedAt).Seconds()/(2*run), 0)
 		free = w.report.meanFree - w.usage.slots + (w.report.free-w.report.meanFree)*fade
 	}
 	if d.now < w.limit.backoffUntil {
--- a/scheduling/dispatch/overload.go
+++ b/scheduling/dispatch/overload.go
@@ -7,12 +7,12 @@
 // much of the fleet warms up, the times are spread over the warm-up, so that the clients do not all retry at
 // once.
 func (d *dispatcher) retryAfter() time.Duration {
-	at := max(d.speeds.meanRun, seconds(d.overcommit.gapSeconds))
-	spread := min(seconds(d.fleet.warmingShare*d.SlowStart.Time.Seconds()), d.Attempts.MaxRetryAfter-at)
+	delay := max(d.speeds.meanRun, seconds(d.overcommit.gapSeconds))
+	spread := min(seconds(d.fleet.warmingShare*d.SlowStart.Time.Seconds()), d.Attempts.MaxRetryAfter-delay)
 	if spread > 0 {
-		at += time.Duration(d.random.Float64() * float64(spread))
+		delay += time.Duration(d.random.Float64() * float64(spread))
 	}
-	return min(d.Attempts.MaxRetryAfter, at)
+	return min(d.Attempts.MaxRetryAfter, delay)
 }
 
 // admissionFactor sets how much load is shed when the mean wait is longer than a request's slack. The request
--- a/scheduling/dispatch/overload_test.go
+++ b/scheduling/dispatch/overload_test.go
@@ -20,10 +20,10 @@
 		for id := RequestID(1); id <= 120; id++ {
 			d.Arrive(now, Request{ID: id, TimeLeft: 8 * time.Second, Slots: 1}, out)
 			for _, a := range out.take() {
-				if a.what == "send" {
+				if a.kind == "send" {
 					d.Notify(now+c.wait, Notification{ID: id, Worker: a.worker, Kind: NotificationStarted}, out)
 					d.AttemptEnded(now+c.wait+300*ms, Outcome{ID: id, Worker: a.worker, Answered: true}, out)
-				} else if a.what == "reject" && id > 60 {
+				} else if a.kind == "reject" && id > 60 {
 					rejected++
 				}
 			}
@@ -52,13 +52,13 @@
 		for i := range 60 {
 			d.Arrive(at+ms, Request{ID: RequestID(i + 1), TimeLeft: 20 * ms}, out)
 			for _, a := range out.take() {
-				if a.what == "reject" {
+				if a.kind == "reject" {
 					least, most, n = min(least, a.in), max(most, a.in), n+1
 				}
 			}
 		}
 		if n < 30 || most > s.Attempts.MaxRetryAfter || warming != (most-least > 2*time.Second) {
-			t.Errorf("fleet warming up %t: %d rejected, with retry times from %v to %v", warming, n, least, most)
+			t.Errorf("fleet warming up %t: %d of 60 rejected, want 30 or more; retry times from %v to %v, want at most 4s, and a spread of over 2s only while warming up", warming, n, least, most)
 		}
 	}
 }
--- a/scheduling/dispatch/quota.go
+++ b/scheduling/dispatch/quota.go
@@ -4,8 +4,8 @@
 
 // tokenBucket enforces a tenant's quota at this dispatcher.
 type tokenBucket struct {
-	tokens float64
-	at     time.Duration // time of the latest refill
+	tokens     float64
+	refilledAt time.Duration // time of the latest refill
 }
 
 // quotaBurstRequests is the minimum size of a tenant's bucket, in requests; a bucket holds one second of its
@@ -20,8 +20,8 @@
 		return true
 	}
 	b, rate := &d.quotas[tenant], d.Tenants[tenant].Quota/float64(d.Fleet.Count)
-	b.tokens = min(b.tokens+rate*(d.now-b.at).Seconds(), max(rate, quotaBurstRequests))
-	b.at = d.now
+	b.tokens = min(b.tokens+rate*(d.now-b.refilledAt).Seconds(), max(rate, quotaBurstRequests))
+	b.refilledAt = d.now
 	if b.tokens < 1 {
 		return false
 	}
--- a/scheduling/dispatch/reclaim_test.go
+++ b/scheduling/dispatch/reclaim_test.go
@@ -26,7 +26,7 @@
 		}
 		d.Timer(now, 0, out)
 		for _, a := range out.take() {
-			switch a.what {
+			switch a.kind {
 			case "send":
 				sends[a.id]++
 			case "cancel":
@@ -53,7 +53,7 @@
 		for ; now < 500*ms && got == ""; now += 25 * ms {
 			d.Timer(now, 0, out)
 			for _, a := range out.take() {
-				got = a.what
+				got = a.kind
 			}
 		}
 		if got != want {
@@ -66,7 +66,7 @@
 		var to WorkerID
 		for range 200 { // the request is queued until a worker of the cell may be used
 			for _, a := range out.take() {
-				if a.what == "send" {
+				if a.kind == "send" {
 					to = a.worker
 				}
 			}
--- a/scheduling/dispatch/requests_test.go
+++ b/scheduling/dispatch/requests_test.go
@@ -12,7 +12,7 @@
 	d.UpdateWorkers(0, ListCached, nil, out)
 	out.take()
 	d.Arrive(ms, Request{ID: 7, TimeLeft: 20 * ms}, out)
-	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+	if got := out.take(); len(got) != 1 || got[0].kind != "reject" {
 		t.Fatalf("got %v, want a rejection", got)
 	}
 }
@@ -44,7 +44,7 @@
 			now += 25 * ms
 			d.Timer(now, 0, out)
 		}
-		if len(got) != 1 || got[0].what != "reject" || now < c.from || now > c.end || got[0].in <= 0 || got[0].in > s.Attempts.MaxRetryAfter {
+		if len(got) != 1 || got[0].kind != "reject" || now < c.from || now > c.end || got[0].in <= 0 || got[0].in > s.Attempts.MaxRetryAfter {
 			t.Errorf("%s: at %v got %+v, want one rejection with a retry delay, between %v and %v", c.name, now, got, c.from, c.end)
 		}
 	}
@@ -58,11 +58,11 @@
 	d.UpdateWorkers(0, ListCached, []Worker{{ID: 1, Weight: 1}}, out)
 	out.take()
 	d.Arrive(ms, Request{ID: 7, Class: 2, TimeLeft: 5 * time.Second}, out)
-	if got := out.take(); len(got) != 1 || got[0].what != "send" {
+	if got := out.take(); len(got) != 1 || got[0].kind != "send" {
 		t.Fatalf("got %v, want one send", got)
 	}
 	d.AttemptEnded(3*time.Second, Outcome{ID: 7, Worker: 1, Code: Rejected}, out)
-	if got := out.take(); len(got) != 1 || got[0].what != "reject" {
+	if got := out.take(); len(got) != 1 || got[0].kind != "reject" {
 		t.Errorf("got %v, want one rejection", got)
 	}
 }
--- a/scheduling/dispatch/selection.go
+++ b/scheduling/dispatch/selection.go
@@ -52,7 +52,7 @@
 	}
 	for _, c := range d.fleet.ranked {
 		// A cheap test that skips workers without capacity for this dispatcher.
-		noCapacity := c.limit.slots < 1 && c.home.share == 0 && d.now-c.report.at >= d.speeds.meanRun
+		noCapacity := c.limit.slots < 1 && c.home.share == 0 && d.now-c.report.receivedAt >= d.speeds.meanRun
 		if fastest != nil && noCapacity || !d.eligible(c, r) {
 			continue
 		}
@@ -91,7 +91,7 @@
 // report leaves one more slot free, for another dispatcher that got the same report. This does not apply
 // while slots are scarce, since a report may be older than the latest sends.
 func (d *dispatcher) hasCapacity(w *worker, r *request) bool {
-	if w.report.at != 0 && d.now-w.report.at < d.speeds.meanRun && !d.usageKnown() {
+	if w.report.receivedAt != 0 && d.now-w.report.receivedAt < d.speeds.meanRun && !d.usageKnown() {
 		spare := w.report.free - w.usage.slots - r.Slots
 		if spare < 0 || w.report.freeMemory >= 0 && w.report.freeMemory-w.usage.memory < r.Memory {
 			return false
--- a/scheduling/dispatch/slotlimit.go
+++ b/scheduling/dispatch/slotlimit.go
@@ -71,7 +71,7 @@
 		k.growBackoffs++
 	}
 	w.limit.slots = min(w.limit.slots, w.usage.busy())
-	w.report.at = 0
+	w.report.receivedAt = 0
 	w.limit.backoffUntil = d.now + seconds(pause*math.Exp2(float64(min(w.limit.backoffs, doublings))))
 	w.limit.backoffs++
 }
--- a/scheduling/dispatch/slowstart.go
+++ b/scheduling/dispatch/slowstart.go
@@ -28,7 +28,7 @@
 // slowStartBudget is a token bucket of slot-seconds at one worker.
 type slowStartBudget struct {
 	tokens      float64       // if negative, nothing may be sent
-	at          time.Duration // time of the last refill
+	refilledAt  time.Duration // time of the latest refill
 	incarnation time.Duration // start time of the worker incarnation that the budget is for
 }
 
@@ -59,11 +59,11 @@
 	rate := slowStartSafety * maxLoad * share
 	b := &w.slowStart
 	if b.incarnation != w.Launched {
-		b.incarnation, b.at = w.Launched, d.now
+		b.incarnation, b.refilledAt = w.Launched, d.now
 		b.tokens = -d.random.Float64() * cost
 	}
-	b.tokens = min(b.tokens+rate*(d.now-b.at).Seconds(), cost/2)
-	b.at = d.now
+	b.tokens = min(b.tokens+rate*(d.now-b.refilledAt).Seconds(), cost/2)
+	b.refilledAt = d.now
 	return b.tokens >= 0
 }
 
--- a/scheduling/dispatch/slowstart_test.go
+++ b/scheduling/dispatch/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A dispatcher with a home share of a warming worker may use that share of the budget, others nothing. An
-// equal split among all dispatchers left new workers idle during their warm-up.
+// A dispatcher with a home share of a warming worker may use that share of the worker's slow-start budget,
+// others nothing. An equal split among all dispatchers left new workers idle during their warm-up.
 func TestWarmingWorkerIsUsedByHomeDispatchers(t *testing.T) {
 	const n = 20
 	users := 0
@@ -73,7 +73,7 @@
 						}
 						d.Timer(now, 0, out)
 						for _, a := range out.take() {
-							if a.what == "send" {
+							if a.kind == "send" {
 								sent++
 								d.AttemptEnded(now, Outcome{ID: a.id, Worker: a.worker, Code: OK, Answered: true}, out)
 							}
@@ -112,7 +112,7 @@
 				d.Arrive(now, Request{ID: id, TimeLeft: 2 * time.Second, WorkHint: 100 * ms}, out)
 				d.Timer(now, 0, out)
 				for _, a := range out.take() {
-					if a.what == "send" {
+					if a.kind == "send" {
 						sent = append(sent, now-start)
 						d.Notify(now, Notification{ID: a.id, Worker: a.worker, Kind: NotificationStarted}, out)
 						running[now+100*ms] = a
@@ -168,7 +168,7 @@
 			id++
 			d.Arrive(now, Request{ID: id, TimeLeft: 30 * ms}, out)
 			for _, a := range out.take() {
-				if a.what != "send" {
+				if a.kind != "send" {
 					continue
 				}
 				if sent = append(sent, now); me == 0 {
--- a/scheduling/dispatch/snapshot.go
+++ b/scheduling/dispatch/snapshot.go
@@ -80,7 +80,7 @@
 
 func (w *worker) snapshot() workerSnapshot {
 	return workerSnapshot{
-		Launched: w.Launched, BackoffUntil: w.limit.backoffUntil, ReportAt: w.report.at,
+		Launched: w.Launched, BackoffUntil: w.limit.backoffUntil, ReportAt: w.report.receivedAt,
 		LogSlowness: w.speed.logSlowness, Evidence: w.speed.evidence, LogLateness: w.speed.logLateness,
 		ErrorShare: w.errorShare, SlotLimit: w.limit.slots,
 		Theta: w.threshold.theta, Omega: w.threshold.omega,
@@ -93,7 +93,8 @@
 	w.Launched = s.Launched
 	w.limit = slotLimit{slots: s.SlotLimit, backoffUntil: s.BackoffUntil, backoffs: s.Backoffs}
 	w.report = loadReport{
-		at: s.ReportAt, known: s.ReportKnown, free: s.Free, freeMemory: s.FreeMemory, meanFree: s.MeanFree,
+		receivedAt: s.ReportAt, known: s.ReportKnown,
+		free: s.Free, freeMemory: s.FreeMemory, meanFree: s.MeanFree,
 	}
 	w.speed = workerSpeed{logSlowness: s.LogSlowness, evidence: s.Evidence, logLateness: s.LogLateness}
 	w.threshold = softThreshold{theta: s.Theta, omega: s.Omega, updates: s.Updates}
--- a/scheduling/dispatch/speed_test.go
+++ b/scheduling/dispatch/speed_test.go
@@ -18,7 +18,7 @@
 			delay = 25 * ms // waits at the worker
 		}
 		for _, a := range out.take() {
-			if a.what == "send" {
+			if a.kind == "send" {
 				d.Notify(now+delay, Notification{ID: a.id, Worker: a.worker, Kind: NotificationStarted}, out)
 				d.AttemptEnded(now+100*ms, Outcome{ID: a.id, Worker: a.worker, Code: OK, Answered: true}, out)
 			}
