--- a/scheduling/dispatch/overcommit.go
+++ b/scheduling/dispatch/overcommit.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Pacing of overcommitted sends, that is, sends to workers without known free capacity.
+// Pacing of overcommitted sends. A request whose hold time has passed is sent to the worker where it is
+// expected to end first, even if no free capacity is known there.
 const (
 	// overcommitGrowth multiplies the gap after an overcommitted send that found no capacity. With a larger
 	// factor, a few rejections in a row stop all such sends while some workers still have capacity.
@@ -14,7 +15,7 @@
 	// successes bring the rate back to normal.
 	overcommitDecay = 2.0
 	// overcommitMinGapRuns is the gap after the first wasted send, in mean run times. It is well below the
-	// time between two jobs of one busy worker.
+	// interval at which even one worker could take jobs.
 	overcommitMinGapRuns = 1.0 / 256
 	// overcommitMaxGapRuns is the largest gap, in mean run times. Without a bound a dispatcher would not
 	// notice the end of an overload.
@@ -48,19 +49,21 @@
 	a.overcommitted = false
 }
 
-// mayOvercommit reports whether r may be sent now to a worker without known free capacity. While slots are
-// scarce, a large job may not, as it would make a queue wait there; nor may any job while a large one waits.
+// mayOvercommit reports whether r may be sent now without known free capacity. While slots are scarce, only a
+// job of one slot may, as a larger one would make a queue wait at its worker; and no job may while a large
+// job waits.
 func (d *dispatcher) mayOvercommit(r *request) bool {
 	return d.now >= r.holdUntil && d.now >= d.overcommit.nextAt &&
 		(!d.slotsScarce() || r.Slots == 1 && !d.large.waiting)
 }
 
-// sendOvercommitted sends r to the worker where it is expected to end first, with known capacity or not.
+// sendOvercommitted sends r to the worker where it is expected to end first, with known capacity or not. If
+// the usage of all dispatchers is known, it sends r only to a worker with capacity.
 func (d *dispatcher) sendOvercommitted(r *request, out Actions) bool {
 	r.rejectedBy = r.rejectedBy[:0]
 	w := d.earliestEndWorker(r)
 	if d.usageKnown() {
-		w, _ = d.pickWorker(r) // with all usage known, r could only wait at a worker without capacity
+		w, _ = d.pickWorker(r) // with all usage known, a worker without capacity is certain to make r wait
 	}
 	if w == nil || !d.send(r, w, out) {
 		return false
@@ -74,14 +77,14 @@
 // With a smaller weight, jobs join the queues of fast workers on the basis of old load reports.
 const estimatedWaitWeight = 8.0
 
-// earliestEndWorker returns the worker where r is expected to end first, with free capacity or not; nil if r
-// may be sent to no worker. It serves requests that can be held no longer.
+// earliestEndWorker returns the worker where r is expected to end first, with free capacity or not, for a
+// request that can be held no longer. It returns nil if r may not be sent to any worker.
 func (d *dispatcher) earliestEndWorker(r *request) *worker {
 	var best *worker
 	least := math.Inf(1)
 	for _, w := range d.fleet.ranked {
 		if w.rankTime >= least {
-			break // at no later worker can it end sooner
+			break // r cannot end sooner at any later worker
 		}
 		if !d.eligible(w, r) || !d.slowStartAllows(w, r) || !d.mayBackfill(w, r) {
 			continue
@@ -103,7 +106,7 @@
 	run := d.speeds.meanRun.Seconds()
 	free := max(w.limit.slots, 1) - w.usage.busy()
 	if w.report.known {
-		fade := max(1-(d.now-w.report.at).Seconds()/(2*run), 0)
+		fade := max(1-(d.now-w.report.receivedAt).Seconds()/(2*run), 0)
 		free = w.report.meanFree - w.usage.slots + (w.report.free-w.report.meanFree)*fade
 	}
 	if d.now < w.limit.backoffUntil {
