--- a/internal/dispatcher/configuration.go
+++ b/internal/dispatcher/configuration.go
@@ -39,7 +39,7 @@
 		if update.BaseVersion != d.config.bodyVersion || !applies {
 			d.logger.Warn().Int64("version", update.Version).Int64("base", update.BaseVersion).
 				Int64("here", d.config.bodyVersion).
-				Msg("configuration patch does not apply to the version here; requesting the whole configuration")
+				Msg("configuration patch has another base; requesting the whole configuration")
 			d.config.forgetBody()
 			d.uplink.reconnect()
 			return
@@ -57,7 +57,7 @@
 	parsed, invalid := configuration.Parse(d.config.body)
 	if invalid != nil {
 		d.logger.Error().Str("fault", invalid.Error()).
-			Msg("received configuration cannot be parsed and is ignored")
+			Msg("a configuration in force cannot be parsed")
 		d.config.forgetBody()
 		return
 	}
