--- a/scheduling/dispatch/loadreport.go
+++ b/scheduling/dispatch/loadreport.go
@@ -9,7 +9,7 @@
 // the report count as free in it: own attempts outstanding now are known exactly and are subtracted by the
 // code that uses the report.
 type loadReport struct {
-	at         time.Duration // time of the report; 0: there is none, or it no longer applies
+	receivedAt time.Duration // 0: there is no report, or it no longer applies
 	known      bool          // a report was received since the worker was first listed
 	free       float64       // in slots
 	freeMemory float64       // below 0: not stated
@@ -17,8 +17,9 @@
 }
 
 const (
-	// meanFreeStep is the weight of one report in the mean of free slots, which covers some ten reports. With
-	// more, the mean is no more reliable than the latest report, whose estimate fades into the mean.
+	// meanFreeStep is the weight of one report in the mean of free slots, which covers some ten reports. A
+	// report fades to this mean with age (estimatedWait). With more weight, the mean is no more reliable than
+	// the report.
 	meanFreeStep = 0.1
 	// maxLoadFigure bounds the absolute values in a report; a report with a larger value is ignored.
 	maxLoadFigure = 1e6
@@ -56,7 +57,7 @@
 
 func (d *dispatcher) recordFreeSlots(w *worker, f loadFigures) {
 	r := &w.report
-	r.free, r.freeMemory, r.at = f.freeSlots+w.usage.slots, -1, d.now
+	r.free, r.freeMemory, r.receivedAt = f.freeSlots+w.usage.slots, -1, d.now
 	if !r.known {
 		r.meanFree, r.known = r.free, true
 	}
