--- a/internal/control/protocol/encoding.go
+++ b/internal/control/protocol/encoding.go
@@ -12,7 +12,7 @@
 	return mode
 }()
 
-// Encode returns a message as CBOR. It panics if the type can't be encoded, which no type of this program's messages does.
+// Encode returns a message as CBOR. It panics if the type can't be encoded; all message types of this program can.
 func Encode(message any) []byte {
 	data, err := cbor.Marshal(message)
 	if err != nil {
--- a/internal/control/protocol/versions_test.go
+++ b/internal/control/protocol/versions_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-func expectEqual[T any](t *testing.T, what string, want, got T) {
+func expectEqual[T any](t *testing.T, name string, want, got T) {
 	t.Helper()
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Errorf("%s differs (- want, + got):\n%s", what, difference)
+		t.Errorf("%s differs (- want, + got):\n%s", name, difference)
 	}
 }
--- a/internal/control/statemachine/commands.go
+++ b/internal/control/statemachine/commands.go
@@ -48,7 +48,7 @@
 	// already, the command returns that session.
 	Incarnation uint64 `cbor:"3,keyasint"`
 	// ExpectedLatest is the node's latest session when the command was sent, or 0 if there was none. If the state has
-	// another latest session, the command is delayed and must not close the session of a later incarnation.
+	// another latest session, the command was delivered late and must not close the session of a later incarnation.
 	ExpectedLatest SessionID `cbor:"4,keyasint,omitempty"`
 }
 
