--- a/scheduling/achq/achq.go
+++ b/scheduling/achq/achq.go
@@ -46,9 +46,9 @@
 // Features appends the features of the present state to a slice.
 type Features func(into []Feature) []Feature
 
-// Learner learns the thresholds of one dispatcher. A step lasts from one decision to the next. For each step the caller
-// calls BeginStep, then RecordDecision if the decision was drawn by a threshold, then EndStep. The zero value is ready for
-// use.
+// Learner learns the thresholds of one dispatcher. A step lasts from one decision to the next. The caller calls
+// BeginStep and EndStep for each step and, if a threshold drew its decision, RecordDecision before EndStep. The zero value
+// is ready for use.
 type Learner struct {
 	meanStepSeconds float64
 	averageCost     float64 // of one step
@@ -69,7 +69,8 @@
 	return 1 / (1 + math.Exp(-ThresholdSharpness*(float64(queueLength)-parameters.Threshold)))
 }
 
-// RecordDecision records that the open step's decision was drawn at a probability, and its result.
+// RecordDecision records that a decision was drawn at a probability, and its result. The next EndStep that closes a step
+// learns from it; of several decisions before it, from the last one.
 func (l *Learner) RecordDecision(parameters *Parameters, probability float64, accepted bool) {
 	l.decidedBy, l.logGradient = parameters, -ThresholdSharpness*(1-probability)
 	if !accepted {
--- a/scheduling/backfill/plan_test.go
+++ b/scheduling/backfill/plan_test.go
@@ -37,7 +37,8 @@
 	p.Start(0, 1, 12, 1, exactly(3*time.Second))
 	for slots, want := range map[float64]time.Duration{1: 500 * ms, 2: time.Second, 3: 3 * time.Second} {
 		if at, extra, ok := p.ShadowTime(500*ms, 1, 99, slots, 3, SlowStart{}); !ok || !near(at, want, ms) || extra != 0 {
-			t.Errorf("%v slots: shadow time %v, %v extra slots, ok %v; want shadow time %v, no extra slots", slots, at, extra, ok, want)
+			t.Errorf("%v slots: shadow time %v, %v extra slots, ok %v; want shadow time %v, no extra slots",
+				slots, at, extra, ok, want)
 		}
 	}
 	if _, _, ok := p.ShadowTime(0, 1, 99, 4, 3, SlowStart{}); ok {
@@ -68,7 +69,8 @@
 		t.Error("a job that delays the reservation may start")
 	}
 	// On a warming worker, the job takes longer, and so does the run that the reservation waits for.
-	if warming := (SlowStart{Launched: now, Share: 0.3, Time: 8 * time.Second}); mayBackfill(25, 2, 1100*ms, warming) || !mayBackfill(26, 2, 900*ms, warming) {
+	if warming := (SlowStart{Launched: now, Share: 0.3, Time: 8 * time.Second}); mayBackfill(25, 2, 1100*ms, warming) ||
+		!mayBackfill(26, 2, 900*ms, warming) {
 		t.Error("the warm-up is not applied to both the job and the run that the reservation waits for")
 	}
 	if !mayBackfill(99, 4, time.Minute, SlowStart{}) {
@@ -126,7 +128,8 @@
 	for job := range uint64(3) {
 		p.Reserve(now, job%2, 90+job, 1, 4, now)
 	}
-	if got := p.RemoveWorker(now, 0); !cmp.Equal(got, []uint64{90, 92}) || p.ReservationOf(90) != nil || p.ReservationOf(91) == nil {
+	if got := p.RemoveWorker(now, 0); !cmp.Equal(got, []uint64{90, 92}) || p.ReservationOf(90) != nil ||
+		p.ReservationOf(91) == nil {
 		t.Error(got)
 	}
 	p.Forget(now, 91)
@@ -184,7 +187,8 @@
 
 func TestValidateNamesTheInvalidSetting(t *testing.T) {
 	for want, invalidate := range map[string]func(*Settings){
-		"mode": func(s *Settings) { s.Mode = "hard" }, "quantile": func(s *Settings) { s.Quantile = 1 }, "most": func(s *Settings) { s.MaxReservations = 0 },
+		"mode": func(s *Settings) { s.Mode = "hard" }, "quantile": func(s *Settings) { s.Quantile = 1 },
+		"most":    func(s *Settings) { s.MaxReservations = 0 },
 		"longest": func(s *Settings) { s.ReservationTTL = 0 }, "budget": func(s *Settings) { s.IdleBudget = 0.6 },
 		"small_wait": func(s *Settings) { s.MaxJobDelay = -1 }, "large": func(s *Settings) { s.LargeRuns = 1 },
 	} {
@@ -218,86 +222,87 @@
 
 const workerSlots = 4
 
-func (w *simulation) tick() {
-	w.plan.Tick(w.now, 1e6)
-	w.twin.Tick(w.now, 1e6)
+func (s *simulation) tick() {
+	s.plan.Tick(s.now, 1e6)
+	s.twin.Tick(s.now, 1e6)
 }
 
-func (w *simulation) used() (n float64) {
-	for _, r := range w.runs {
+func (s *simulation) used() (n float64) {
+	for _, r := range s.runs {
 		n += r.slots
 	}
 	return n
 }
 
-func (w *simulation) start(job uint64, slots float64, run time.Duration, r RunTime) {
-	w.plan.Start(w.now, 1, job, slots, r)
-	w.twin.Start(w.now, 1, job, slots, r)
-	w.runs[job] = simulatedRun{slots, w.now + run}
+func (s *simulation) start(job uint64, slots float64, run time.Duration, r RunTime) {
+	s.plan.Start(s.now, 1, job, slots, r)
+	s.twin.Start(s.now, 1, job, slots, r)
+	s.runs[job] = simulatedRun{slots, s.now + run}
 }
 
 // advance moves the time forward and ends the runs that are over.
-func (w *simulation) advance(elapsed time.Duration) {
-	w.now += elapsed
-	for id, r := range w.runs {
-		if r.end <= w.now {
-			delete(w.runs, id)
+func (s *simulation) advance(elapsed time.Duration) {
+	s.now += elapsed
+	for id, r := range s.runs {
+		if r.end <= s.now {
+			delete(s.runs, id)
 		}
 	}
-	for id := uint64(1); id <= w.job; id++ {
-		if _, running := w.runs[id]; !running {
-			w.plan.End(w.now, 1, id)
-			w.twin.End(w.now, 1, id)
+	for id := uint64(1); id <= s.job; id++ {
+		if _, running := s.runs[id]; !running {
+			s.plan.End(s.now, 1, id)
+			s.twin.End(s.now, 1, id)
 		}
 	}
-	w.tick()
+	s.tick()
 }
 
 // reserve requests a reservation for the current job.
-func (w *simulation) reserve(slots float64) {
-	at, _, ok := w.plan.ShadowTime(w.now, 1, w.job, slots, workerSlots, SlowStart{})
-	twinAt, _, twinOK := w.twin.ShadowTime(w.now, 1, w.job, slots, workerSlots, SlowStart{})
+func (s *simulation) reserve(slots float64) {
+	at, _, ok := s.plan.ShadowTime(s.now, 1, s.job, slots, workerSlots, SlowStart{})
+	twinAt, _, twinOK := s.twin.ShadowTime(s.now, 1, s.job, slots, workerSlots, SlowStart{})
 	if at != twinAt || ok != twinOK {
-		w.Fatal("the same calls gave different shadow times")
+		s.Fatal("the same calls gave different shadow times")
 	}
-	if ok && w.plan.Reserve(w.now, 1, w.job, slots, workerSlots, at) != w.twin.Reserve(w.now, 1, w.job, slots, workerSlots, at) {
-		w.Fatal("the same calls to Reserve gave different results")
+	if ok && s.plan.Reserve(s.now, 1, s.job, slots, workerSlots, at) !=
+		s.twin.Reserve(s.now, 1, s.job, slots, workerSlots, at) {
+		s.Fatal("the same calls to Reserve gave different results")
 	}
-	if ok && len(w.plan.Reservations()) == 1 && w.plan.ReservationOf(w.job) != nil {
-		w.shadow = at
+	if ok && len(s.plan.Reservations()) == 1 && s.plan.ReservationOf(s.job) != nil {
+		s.shadow = at
 	}
 }
 
 // backfill starts the current job if the plan allows it.
-func (w *simulation) backfill(slots float64, run time.Duration, r RunTime) {
-	may := w.plan.MayBackfill(w.now, 1, w.job, slots, workerSlots, r, SlowStart{})
-	if may != w.twin.MayBackfill(w.now, 1, w.job, slots, workerSlots, r, SlowStart{}) {
-		w.Fatal("the same calls to MayBackfill gave different results")
+func (s *simulation) backfill(slots float64, run time.Duration, r RunTime) {
+	may := s.plan.MayBackfill(s.now, 1, s.job, slots, workerSlots, r, SlowStart{})
+	if may != s.twin.MayBackfill(s.now, 1, s.job, slots, workerSlots, r, SlowStart{}) {
+		s.Fatal("the same calls to MayBackfill gave different results")
 	}
 	if may {
-		w.start(w.job, slots, run, r)
+		s.start(s.job, slots, run, r)
 	}
 }
 
 // startReserved starts the jobs whose reserved slots are free, and checks the slots reserved and in use.
-func (w *simulation) startReserved(run time.Duration, r RunTime) {
+func (s *simulation) startReserved(run time.Duration, r RunTime) {
 	reserved := 0.0
-	for _, o := range w.plan.Reservations() {
+	for _, o := range s.plan.Reservations() {
 		reserved += o.Slots
-		if w.used()+o.Slots > workerSlots {
+		if s.used()+o.Slots > workerSlots {
 			continue
 		}
-		if w.estimate == 1 && len(w.plan.Reservations()) == 1 && w.shadow >= 0 && w.now > w.shadow+401*ms {
-			w.Fatalf("reserved job starts at %v, but its shadow time was %v", w.now, w.shadow)
+		if s.estimate == 1 && len(s.plan.Reservations()) == 1 && s.shadow >= 0 && s.now > s.shadow+401*ms {
+			s.Fatalf("reserved job starts at %v, but its shadow time was %v", s.now, s.shadow)
 		}
-		w.start(o.Job, o.Slots, run, r)
-		w.shadow = -1
+		s.start(o.Job, o.Slots, run, r)
+		s.shadow = -1
 	}
-	if reserved > workerSlots || w.used() > workerSlots {
-		w.Fatalf("%v slots are reserved and %v in use, of %d", reserved, w.used(), workerSlots)
+	if reserved > workerSlots || s.used() > workerSlots {
+		s.Fatalf("%v slots are reserved and %v in use, of %d", reserved, s.used(), workerSlots)
 	}
-	if diff := cmp.Diff(w.plan.Reservations(), w.twin.Reservations()); diff != "" {
-		w.Fatal(diff)
+	if diff := cmp.Diff(s.plan.Reservations(), s.twin.Reservations()); diff != "" {
+		s.Fatal(diff)
 	}
 }
 
@@ -309,26 +314,26 @@
 		s := DefaultSettings()
 		s.Mode = rapid.SampledFrom([]Mode{Easy, Conservative}).Draw(t, "mode")
 		s.IdleBudget, s.MaxJobDelay, s.ReservationTTL = 0.5, time.Hour, time.Hour
-		w := &simulation{T: t, plan: New(s), twin: New(s), runs: map[uint64]simulatedRun{}, shadow: -1,
+		sim := &simulation{T: t, plan: New(s), twin: New(s), runs: map[uint64]simulatedRun{}, shadow: -1,
 			estimate: rapid.SampledFrom([]float64{0.25, 1, 1, 4}).Draw(t, "estimates off by")}
-		w.tick()
-		w.now = time.Second
-		w.tick()
+		sim.tick()
+		sim.now = time.Second
+		sim.tick()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			w.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "later")) * ms)
-			w.job++
+			sim.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "elapsed ms")) * ms)
+			sim.job++
 			slots := float64(rapid.IntRange(1, workerSlots).Draw(t, "slots"))
-			run := time.Duration(rapid.IntRange(10, 2000).Draw(t, "long")) * ms
-			r := RunTime{LogMean: math.Log(run.Seconds() * w.estimate)}
+			run := time.Duration(rapid.IntRange(10, 2000).Draw(t, "run time in ms")) * ms
+			r := RunTime{LogMean: math.Log(run.Seconds() * sim.estimate)}
 			if rapid.Bool().Draw(t, "large") {
-				w.reserve(slots)
-			} else if w.used()+slots <= workerSlots {
-				w.backfill(slots, run, r)
+				sim.reserve(slots)
+			} else if sim.used()+slots <= workerSlots {
+				sim.backfill(slots, run, r)
 			}
-			w.startReserved(run, r)
+			sim.startReserved(run, r)
 		}
-		w.plan.Tick(w.now+s.ReservationTTL+time.Second, 1e6)
-		if n := len(w.plan.Reservations()); n > 0 {
+		sim.plan.Tick(sim.now+s.ReservationTTL+time.Second, 1e6)
+		if n := len(sim.plan.Reservations()); n > 0 {
 			t.Fatalf("%d reservations have not ended after ReservationTTL", n)
 		}
 	})
--- a/scheduling/backfill/reservation.go
+++ b/scheduling/backfill/reservation.go
@@ -108,10 +108,11 @@
 	return 0, 0, false
 }
 
-// Reserve reserves slots for a job at a worker, from the shadow time on. It returns false if the bounds do
-// not allow a reservation. A job that has a reservation already keeps it. The reservation moves to another
-// worker only if the job's slots come free there sooner by a tenth of ReservationTTL, since each move wastes
-// the slots left idle so far; a moved reservation keeps its age.
+// Reserve reserves slots for a job at a worker, from the shadow time on. It returns false if the bounds or
+// the worker's capacity do not allow a reservation. A job that has a reservation already keeps it. The
+// reservation moves to another worker only if the job's slots come free there sooner by a tenth of
+// ReservationTTL, since each move wastes the slots left idle so far; a moved reservation keeps its age. If
+// the worker's capacity does not allow a due move, the job loses its reservation.
 func (p *Plan) Reserve(
 	now time.Duration, worker, job uint64, slots, capacity float64, shadowTime time.Duration,
 ) bool {
@@ -150,7 +151,7 @@
 	return true
 }
 
-// Release ends a job's reservation. Used states that the job has started on the reserved slots.
+// Release ends a job's reservation. Used is set if the job starts, at this or another worker.
 func (p *Plan) Release(now time.Duration, job uint64, used bool) {
 	r := p.reservations[job]
 	if r == nil {
--- a/scheduling/job/job_test.go
+++ b/scheduling/job/job_test.go
@@ -14,7 +14,7 @@
 	for name, change := range map[string]func(*Request){
 		"no steps":                        func(r *Request) { r.Steps = nil },
 		"step without tasks":              func(r *Request) { r.Steps[0].Count = 0 },
-		"too many tasks":                  func(r *Request) { r.Steps[0].Count = maxTasks },
+		"more tasks than the limit":       func(r *Request) { r.Steps[0].Count = maxTasks },
 		"step depends on itself":          func(r *Request) { r.Steps[1].DependsOn = []int{1} },
 		"step depends on step -1":         func(r *Request) { r.Steps[1].DependsOn = []int{-1} },
 		"negative demand":                 func(r *Request) { r.Steps[0].CPU = -1 },
--- a/scheduling/placement/diagnosis.go
+++ b/scheduling/placement/diagnosis.go
@@ -10,7 +10,7 @@
 	Infeasible   int // draining, too small, or without the required label
 	BackedOff    int // in backoff after faults
 	AntiAffinity int // the worker has as many tasks of the step as anti-affinity allows
-	Exhausted    int // the demand exceeds what is neither in use nor reserved
+	Exhausted    int // the demand exceeds the capacity that is neither in use nor reserved
 	Reserved     int // the demand fits, but would use the headroom for urgent tasks
 	Deferred     int // feasible, but slower than workers for which the unit waits
 }
--- a/scheduling/placement/scheduler_test.go
+++ b/scheduling/placement/scheduler_test.go
@@ -48,22 +48,22 @@
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, EstimateMs: 1000}))
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || decisions[0].Workers[0] != "w0004" {
-		t.Errorf("decided %v", decisions)
+		t.Errorf("decisions %v, want one, for the fastest worker w0004", decisions)
 	}
 }
 
 func TestQueueOrderIsPriorityThenDeadline(t *testing.T) {
 	s := newTestScheduler(1)
-	late, early, urgent := newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(1, job.Step{Count: 1, CPU: 8000}),
+	later, earlier, urgent := newUnit(1, job.Step{Count: 1, CPU: 8000}), newUnit(1, job.Step{Count: 1, CPU: 8000}),
 		newUnit(0, job.Step{Count: 1, CPU: 8000})
-	late.Deadline, early.Deadline, urgent.Deadline = 9*time.Second, time.Second, 99*time.Second
-	for _, u := range []*Unit{late, early, urgent} {
+	later.Deadline, earlier.Deadline, urgent.Deadline = 9*time.Second, time.Second, 99*time.Second
+	for _, u := range []*Unit{later, earlier, urgent} {
 		s.Enqueue(u)
 	}
-	for _, want := range []*Unit{urgent, early, late} {
+	for _, want := range []*Unit{urgent, earlier, later} {
 		decisions := s.Schedule(time.Second)
 		if len(decisions) != 1 || decisions[0].Unit != want {
-			t.Fatalf("decided %v", decisions)
+			t.Fatalf("decisions %v, want one, for the next unit by priority and deadline", decisions)
 		}
 		s.ReleaseReservation(decisions[0].Workers[0], decisions[0].Unit.Step().Demand())
 	}
@@ -78,7 +78,7 @@
 	last.Deadline = time.Hour
 	s.Enqueue(last)
 	if decisions := s.Schedule(time.Second); len(decisions) != 1 || decisions[0].Unit != last {
-		t.Errorf("decided %v", decisions)
+		t.Errorf("decisions %v, want one, for the unit behind the unplaceable ones", decisions)
 	}
 }
 
@@ -99,7 +99,7 @@
 	s.Enqueue(u)
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || decisions[0].Workers[0] != "w0001" {
-		t.Fatalf("decided %v", decisions)
+		t.Fatalf("decisions %v, want one, for w0001, the only worker of kind a that is not draining", decisions)
 	}
 	u.Job.EnsureTask(job.TaskKey{}).Worker = "w0001"
 	s.Enqueue(&Unit{Job: u.Job, TaskIndices: []int{1}})
@@ -128,7 +128,7 @@
 	s.Enqueue(newUnit(1, job.Step{Count: 6, CPU: 1000, GPU: 1, Gang: true, SameRack: true, EstimateMs: 1000}))
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || len(decisions[0].Workers) != 6 {
-		t.Fatalf("decided %v", decisions)
+		t.Fatalf("decisions %v, want one, with 6 workers", decisions)
 	}
 	for _, id := range decisions[0].Workers {
 		if s.workers[id].rack != "r1" {
@@ -141,7 +141,7 @@
 	s := newTestScheduler(1)
 	s.Enqueue(newUnit(1, job.Step{Count: 3, CPU: 4000, Gang: true}))
 	if decisions := s.Schedule(time.Second); len(decisions) != 0 {
-		t.Errorf("decided %v", decisions)
+		t.Errorf("gang that does not fit is placed: %v", decisions)
 	}
 	if available := s.workers["w0000"].available(); available.CPU != 8000 {
 		t.Errorf("gang that does not fit left a reservation: available %v", available)
@@ -194,7 +194,7 @@
 	s.SetUsed("w0002", job.Resources{CPU: 4000, MemoryMB: 4000})
 	s.Enqueue(newUnit(1, job.Step{Count: 1, CPU: 7000, EstimateMs: 1000}))
 	if decisions := s.Schedule(time.Second); len(decisions) != 1 || decisions[0].Workers[0] != "w0000" {
-		t.Fatalf("decided %v", decisions)
+		t.Fatalf("decisions %v, want one, for w0000, the only worker on which the task fits", decisions)
 	}
 	s.ReleaseReservation("w0000", job.Resources{CPU: 7000})
 	s.SetUsed("w0000", job.Resources{CPU: 8000, MemoryMB: 8000})
@@ -214,7 +214,7 @@
 	s.Enqueue(newUnit(0, job.Step{Count: 1, CPU: 1000, RequiredLabel: "a"}))
 	decisions := s.Schedule(time.Second)
 	if len(decisions) != 1 || len(decisions[0].Alternatives) != maxAlternatives {
-		t.Fatalf("decided %+v", decisions)
+		t.Fatalf("decisions %+v, want one, with maxAlternatives alternatives", decisions)
 	}
 	seen := map[string]bool{decisions[0].Workers[0]: true, "w0000": true, "w0001": true}
 	for _, other := range decisions[0].Alternatives {
@@ -272,7 +272,7 @@
 	s.Schedule(9 * time.Second)
 	list := s.ExplainWaiting(9*time.Second, time.Second)
 	if len(list) != 1 || list[0].Exhausted != 1 || list[0].BackedOff != 1 || list[0].Infeasible != 1 {
-		t.Errorf("diagnosed %+v", list)
+		t.Errorf("diagnoses %+v, want one, with each of the three workers under its own reason", list)
 	}
 }
 
--- a/scheduling/placement/threshold.go
+++ b/scheduling/placement/threshold.go
@@ -52,7 +52,8 @@
 	return count
 }
 
-// beginStep opens a step of the learner. A step lasts until the next decision.
+// beginStep opens a step of the learner. The last step of a cycle lasts until the next cycle; the other steps have no
+// length, because all decisions of a cycle are made at the same time.
 func (s *Scheduler) beginStep(now time.Duration) {
 	s.stepBegan = now
 	s.learner.BeginStep(float64(len(s.queue)+s.runningTasks), s.features)
--- a/scheduling/placement/workers.go
+++ b/scheduling/placement/workers.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// waveDivisor sets the fraction of a service, 1/waveDivisor, that the tasks of a step may take at once before the step runs
-// in waves. The protocol's definition of a job's objective sets it.
+// A step whose tasks together demand more than 1/waveDivisor of its eligible workers runs in waves, by the protocol's
+// definition of a job's objective.
 const waveDivisor = 4
 
 // Waves returns the number of waves in which a step runs. It is more than one if the tasks of the step together demand more
--- a/scheduling/worker/contact_test.go
+++ b/scheduling/worker/contact_test.go
@@ -86,7 +86,7 @@
 			}
 		}
 		if full := listedEnds == maxEndsPerAnswer; full != (lost == 0) {
-			t.Errorf("list of %d ends: %d runs declared lost", listedEnds, lost)
+			t.Errorf("list of %d ends: %d runs declared lost, want none exactly if the list is full", listedEnds, lost)
 		}
 	}
 }
--- a/scheduling/worker/dispatch.go
+++ b/scheduling/worker/dispatch.go
@@ -87,7 +87,7 @@
 	r := o.runs[task]
 	if r != nil && r.Run == number && r.phase == dispatched {
 		o.applyStartOutcome(now, r, outcome)
-	} else if outcome == Unanswered { // the run is no longer placed, but the command may still start it
+	} else if outcome == Unanswered { // the outcome no longer matters to the run, but the command may still take effect
 		o.lease.recordUncertainGrant(now, o.fencingToken())
 		o.raiseToken()
 	}
--- a/scheduling/worker/ends.go
+++ b/scheduling/worker/ends.go
@@ -23,7 +23,7 @@
 	reported     map[uint64]bool // by number, the listed ends above acknowledged; true: committed
 	highest      uint64          // number of the newest end that the worker has listed
 	acknowledged uint64          // number of the end up to which all are committed
-	delivered    uint64          // AcknowledgedEnd of the newest poll that was answered
+	delivered    uint64          // highest AcknowledgedEnd of the accepted polls
 	committedAt  time.Duration   // when a commit last raised acknowledged
 }
 
--- a/scheduling/worker/ends_test.go
+++ b/scheduling/worker/ends_test.go
@@ -80,6 +80,6 @@
 		}
 	}
 	if last != 3 {
-		t.Errorf("last sequence %d after 3 distinct checkpoints", last)
+		t.Errorf("last sequence %d after 3 distinct checkpoints, want 3", last)
 	}
 }
--- a/scheduling/worker/harness_test.go
+++ b/scheduling/worker/harness_test.go
@@ -40,12 +40,13 @@
 }
 
 // afterStartOutcome returns a harness in which a start command for task a had the given outcome.
-func afterStartOutcome(t *testing.T, answer Outcome) *harness {
+func afterStartOutcome(t *testing.T, outcome Outcome) *harness {
 	h := afterStartCommand(t)
-	h.answerStart(answer)
+	h.answerStart(outcome)
 	return h
 }
 
+// record adds a line to the timeline, in the column of the owner (0) or of the worker (1).
 func (h *harness) record(column int, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if column == 1 {
@@ -127,11 +128,11 @@
 	return start
 }
 
-func (h *harness) answerStart(answer Outcome) StartCommand {
+func (h *harness) answerStart(outcome Outcome) StartCommand {
 	h.t.Helper()
 	start := h.nextStart()
-	h.record(1, "answers start of %s: %d", start.Task[14:16], answer)
-	h.owner.HandleStartOutcome(h.now, start.Task, start.Run, answer, h.clockMs())
+	h.record(1, "answers start of %s: %d", start.Task[14:16], outcome)
+	h.owner.HandleStartOutcome(h.now, start.Task, start.Run, outcome, h.clockMs())
 	h.takeActions()
 	return start
 }
--- a/scheduling/worker/owner.go
+++ b/scheduling/worker/owner.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// Tick applies timeouts; the caller calls it about every 100 ms. MayRenew says whether leases may be renewed: a
-// dispatcher that has had no contact with the control machines for a long time stops renewing leases, because the next
-// owner may rely on that.
+// Tick applies timeouts; the caller calls it about every 100 ms. No lease is renewed unless mayRenew is set: a dispatcher
+// that has had no contact with the control machines for a long time stops renewing leases, and the next owner may rely on
+// that.
 func (o *Owner) Tick(now time.Duration, mayRenew bool) {
 	o.lease.mayRenew = mayRenew
 	o.collectActions(now)
--- a/scheduling/worker/owner_test.go
+++ b/scheduling/worker/owner_test.go
@@ -42,7 +42,8 @@
 	}
 	second := h.nextStart()
 	if second.FencingToken <= first.FencingToken || second.Run != first.Run {
-		t.Errorf("start repeated as run %d with token %d after %d", second.Run, second.FencingToken, first.FencingToken)
+		t.Errorf("start repeated as run %d with token %d after token %d, want the same run with a higher token",
+			second.Run, second.FencingToken, first.FencingToken)
 	}
 	h.wantReports()
 	h.golden()
@@ -188,9 +189,9 @@
 }
 
 func TestRejectedStartIsReportedAsNotStarted(t *testing.T) {
-	for answer, want := range map[Outcome]string{NoCapacity: "aa not-started", Unhealthy: "aa not-started",
+	for outcome, want := range map[Outcome]string{NoCapacity: "aa not-started", Unhealthy: "aa not-started",
 		Unreachable: "aa not-started"} {
-		h := afterStartOutcome(t, answer)
+		h := afterStartOutcome(t, outcome)
 		h.wantReports(want)
 	}
 }
--- a/scheduling/worker/polls.go
+++ b/scheduling/worker/polls.go
@@ -17,7 +17,7 @@
 	// unreachable.
 	brokenConnectionWindow = 60 * time.Millisecond
 	maxBrokenConnections   = 2
-	// endCommitWait is how long the next poll is delayed so that the control machines can commit the listed ends.
+	// endCommitWait is the maximum delay of the next poll while the control machines commit the listed ends.
 	endCommitWait = 500 * time.Millisecond
 )
 
@@ -162,11 +162,11 @@
 		if listed[task] {
 			continue
 		}
-		overtaken := r.phase == uncertain && poll.FencingToken > r.fencingToken
+		startFenced := r.phase == uncertain && poll.FencingToken > r.fencingToken
 		switch {
-		case overtaken && r.outdated:
+		case startFenced && r.outdated:
 			o.conclude(r, taskrun.NotStarted, NeverDispatched)
-		case overtaken:
+		case startFenced:
 			r.phase = pending // the command will never be carried out, so it is safe to dispatch the run again
 		case r.phase == running && poll.Sequence >= r.visibleFrom && hasAllEnds:
 			o.conclude(r, taskrun.Lost, MissingFromAnswer)
--- a/scheduling/workerpool/pools_test.go
+++ b/scheduling/workerpool/pools_test.go
@@ -10,20 +10,20 @@
 func TestArcsCoverTheRingEvenly(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		sizes, all := make([]float64, 1+rnd.IntN(40)), 0.0
+		sizes, totalSize := make([]float64, 1+rnd.IntN(40)), 0.0
 		for i := range sizes {
 			sizes[i] = 0.2 + rnd.Float64()
-			all += sizes[i]
+			totalSize += sizes[i]
 		}
 		n, times := 1+rnd.IntN(60), 1+rnd.IntN(4)
 		if times > n {
 			continue
 		}
 		cover := make([]float64, len(sizes))
-		for me := range n {
-			length := all / float64(n) * float64(times)
+		for arc := range n {
+			length := totalSize / float64(n) * float64(times)
 			sum := 0.0
-			for i, part := range ArcCoverage(sizes, all/float64(n)*float64(me), length) {
+			for i, part := range ArcCoverage(sizes, totalSize/float64(n)*float64(arc), length) {
 				cover[i] += part
 				sum += part * sizes[i]
 			}
@@ -66,7 +66,8 @@
 	if PoolAt(1, was) != 2 || PoolAt(0, []float64{1}) != 0 {
 		t.Error("wrong pool for the last position of three pools or for the first of a single pool")
 	}
-	if SharesChanged(was, []float64{6, 2, 8}) || !SharesChanged(was, []float64{1}) || !SharesChanged([]float64{1, 1}, []float64{1, 1.3}) || SharesChanged([]float64{1, 1}, []float64{1, 1.1}) {
+	if SharesChanged(was, []float64{6, 2, 8}) || !SharesChanged(was, []float64{1}) ||
+		!SharesChanged([]float64{1, 1}, []float64{1, 1.3}) || SharesChanged([]float64{1, 1}, []float64{1, 1.1}) {
 		t.Error("SharesChanged does not detect exactly the changes above 0.05")
 	}
 }
