--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -115,7 +115,7 @@
 // dropRuns stops counting a job's runs as running at their workers.
 func (d *Dispatcher) dropRuns(owned *ownedJob) {
 	for key, run := range owned.runs {
-		d.scheduler(owned.Service).TaskEnded(run.worker, owned.Request.Steps[key.Step].Demand())
+		d.scheduler(owned.Service).RemovePlacedTask(run.worker, owned.Request.Steps[key.Step].Demand())
 	}
 	clear(owned.runs)
 }
@@ -164,7 +164,7 @@
 	if tracked && run.worker != task.Worker {
 		d.logger.Debug().Str("job", owned.ID).Str("task", key.Name("")).Uint64("run", task.Run).Str("worker", run.worker).
 			Stringer("how", reason).Dur("took", now-run.placedAt).Int64("estimate", step.EstimateMs).Msg("run over")
-		scheduler.TaskEnded(run.worker, step.Demand())
+		scheduler.RemovePlacedTask(run.worker, step.Demand())
 		delete(owned.runs, key)
 		d.recordRunOutcome(now, owned, key, run, reason)
 		tracked = false
@@ -173,7 +173,7 @@
 		owned.runs[key] = placedRun{task.Worker, now}
 		d.logger.Debug().Str("job", owned.ID).Str("task", key.Name("")).Uint64("run", task.Run).
 			Str("worker", task.Worker).Msg("run placed")
-		scheduler.TaskStarted(task.Worker, step.Demand())
+		scheduler.AddPlacedTask(task.Worker, step.Demand())
 	}
 }
 
--- a/scheduling/backfill/plan.go
+++ b/scheduling/backfill/plan.go
@@ -44,8 +44,8 @@
 	ticked       bool
 	firstTick    time.Duration
 
-	// Counts since the plan was made: reservations made, used by their job, and ended by ReservationTTL; jobs
-	// allowed to start before a reserved job, and jobs that a reservation has kept waiting.
+	// Counts since the plan was made: reservations made, ended because their job started, and ended by
+	// ReservationTTL; starts allowed before a reserved job, and jobs that a reservation has kept waiting.
 	Created, Fulfilled, Expired int
 	Backfilled, Delayed         int
 }
--- a/scheduling/placement/scheduler.go
+++ b/scheduling/placement/scheduler.go
@@ -36,9 +36,9 @@
 	queue      queue
 	candidates []candidate // of the unit that was ranked last
 
-	learner      achq.Learner
-	stepBegan    time.Duration // start of the learner's open step
-	runningTasks int
+	learner     achq.Learner
+	stepBegan   time.Duration // start of the learner's open step
+	placedTasks int           // number of placed tasks of this dispatcher's jobs
 
 	// CPU of the service, in thousandths of cores; see updateCPUTotals.
 	freeCPU    float64 // free CPU of all workers that are neither draining nor in backoff
--- a/scheduling/placement/threshold.go
+++ b/scheduling/placement/threshold.go
@@ -56,7 +56,7 @@
 // length, because all decisions of a cycle are made at the same time.
 func (s *Scheduler) beginStep(now time.Duration) {
 	s.stepBegan = now
-	s.learner.BeginStep(float64(len(s.queue)+s.runningTasks), s.features)
+	s.learner.BeginStep(float64(len(s.queue)+s.placedTasks), s.features)
 }
 
 // endStep closes the learner's open step.
--- a/scheduling/placement/workers.go
+++ b/scheduling/placement/workers.go
@@ -84,14 +84,14 @@
 	s.workerList = slices.DeleteFunc(s.workerList, func(w *workerState) bool { return w == worker })
 }
 
-// TaskStarted records that a task of one of this dispatcher's jobs is placed at a worker.
-func (s *Scheduler) TaskStarted(id string, demand job.Resources) { s.countOwnTask(id, demand, 1) }
+// AddPlacedTask records that a task of one of this dispatcher's jobs is placed at a worker.
+func (s *Scheduler) AddPlacedTask(id string, demand job.Resources) { s.updatePlacedTasks(id, demand, 1) }
 
-// TaskEnded records that a task of one of this dispatcher's jobs is no longer placed at a worker.
-func (s *Scheduler) TaskEnded(id string, demand job.Resources) { s.countOwnTask(id, demand, -1) }
+// RemovePlacedTask records that a task of one of this dispatcher's jobs is no longer placed at a worker.
+func (s *Scheduler) RemovePlacedTask(id string, demand job.Resources) { s.updatePlacedTasks(id, demand, -1) }
 
-func (s *Scheduler) countOwnTask(id string, demand job.Resources, sign float64) {
-	s.runningTasks += int(sign)
+func (s *Scheduler) updatePlacedTasks(id string, demand job.Resources, sign float64) {
+	s.placedTasks += int(sign)
 	if worker := s.workers[id]; worker != nil {
 		worker.ownShare = max(0, worker.ownShare+sign*dominantShare(demand, worker.capacity))
 	}
