--- a/coordination/frame/frame.go
+++ b/coordination/frame/frame.go
@@ -28,7 +28,7 @@
 	// maxQueuedBytes is the number of bytes that may be queued for a peer that does not read. Beyond it the connection
 	// is closed. It leaves room for the longest message and more.
 	maxQueuedBytes = 96 << 20
-	// writeTimeout is the time timeout which the peer must accept a chunk; otherwise the connection is closed.
+	// writeTimeout is the time within which the peer must accept a chunk; otherwise the connection is closed.
 	writeTimeout = 2 * time.Second
 	// chunkBytes is the number of bytes written under one writeTimeout. A slow link carries them in a fraction of it.
 	chunkBytes = 16 << 10
@@ -44,9 +44,7 @@
 }
 
 // Error includes the announced length.
-func (e *MessageTooLongError) Error() string {
-	return fmt.Sprintf("message of %d bytes is too long", e.Bytes)
-}
+func (e *MessageTooLongError) Error() string { return fmt.Sprintf("%d byte message too long", e.Bytes) }
 
 // Conn is a connection. Send and Close are safe for concurrent use; only one goroutine may call Receive. A Conn starts a
 // goroutine that writes and that ends with Close, so the caller of Dial or Upgrade must close the Conn.
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -172,7 +172,7 @@
 		return withChecksum(m)
 	}()} {
 		if p.Receive(0, m) {
-			t.Error("accepted a message:", name)
+			t.Error(name, "message is accepted")
 		}
 	}
 	if newer := withChecksum(append(slices.Clone(body), 1, 2, 3)); !p.Receive(0, newer) || reportedSlots(p, 0, 7) != 1 {
--- a/coordination/gossip/message.go
+++ b/coordination/gossip/message.go
@@ -94,7 +94,6 @@
 	return uint16(sum ^ sum>>16)
 }
 
-// scaled returns a value in encoded steps. It rounds up so that a small value is never reported as 0.
-func scaled(value, stepsPerUnit float64) byte {
-	return byte(min(math.Ceil(max(value, 0)*stepsPerUnit), 255))
-}
+// scaled returns a value in encoded steps, given the number of steps in a unit. It rounds up so that a small value is never
+// reported as 0.
+func scaled(value, steps float64) byte { return byte(min(math.Ceil(max(value, 0)*steps), 255)) }
--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -18,7 +18,7 @@
 }
 
 // adopt puts the base view of a message in force if it is newer, sends the view in force to a sender with an older one, and
-// reports whether both sides have the same view in force.
+// reports whether both sides have the same view in force. Before the first view it bootstraps with the sender's electors.
 func (c *Consensus) adopt(from MemberID, base *View) bool {
 	if base.Epoch > c.hardState.View.Epoch {
 		c.decide(base)
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -165,8 +165,8 @@
 	return true
 }
 
-// receiveAccepted decides the proposed view once a majority has accepted it, and sends it to the electors of
-// the present and the new view and to the new chain.
+// receiveAccepted decides the proposed view once a majority has accepted it, and sends it to the electors of the
+// present and the new view and to the new chain.
 func (c *Consensus) receiveAccepted(from MemberID, m *Accepted) {
 	p := c.proposal
 	if p == nil || p.view == nil || m.BaseEpoch != c.hardState.View.Epoch || m.Ballot != p.ballot ||
