--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -7,8 +7,8 @@
 )
 
 // TestLeaseEndsAtItsHolderFirst checks that a lease has ended at its holder when it ends at its granter, for clocks that
-// drift by at most MaxClockDrift and messages of any delay. With clocks that drift by up to three times as much, it must
-// find leases that are held too long.
+// drift by at most MaxClockDrift and requests that take up to 2 ms; a slower request only ends later at the granter. With
+// clocks that drift by up to three times as much, it must find leases that are held too long.
 func TestLeaseEndsAtItsHolderFirst(t *testing.T) {
 	if seed, overlap := longestOverlap(MaxClockDrift); overlap > 0 {
 		t.Errorf("seed %d: the lease is held until %v after its end at the granter", seed, overlap)
@@ -47,7 +47,8 @@
 }
 
 // TestGranterCountsALeaseUntilItHasExpired checks that a granter considers a lease as in use until its expiry is known and
-// has passed, and that it drops the leases which are older than the one that the holder has acknowledged.
+// has passed, that it drops the leases which are older than the one that the holder has acknowledged, and that Release ends
+// all leases.
 func TestGranterCountsALeaseUntilItHasExpired(t *testing.T) {
 	var granter Granter
 	granter.Grant(1, 0)
--- a/coordination/segment/recovery.go
+++ b/coordination/segment/recovery.go
@@ -37,7 +37,7 @@
 
 // scan reads the records of a ring in the order in which they were written.
 type scan struct {
-	covered     uint64 // the snapshot covers the log up to here
+	covered     uint64 // the snapshot covers the log up to this index
 	records     []Record
 	incarnation uint32 // of the writer of the last record
 }
--- a/coordination/segment/retry.go
+++ b/coordination/segment/retry.go
@@ -17,7 +17,7 @@
 }
 
 // NewRetryingFolder returns a folder that retries operations of the given folder. wait is called after each transient
-// error; it blocks until the next attempt, and reports whether there is to be one.
+// error; it blocks until the operation should be retried, or returns false to give up.
 func NewRetryingFolder(folder Folder, wait func(err error) bool) *RetryingFolder {
 	return &RetryingFolder{folder: folder, wait: wait}
 }
--- a/coordination/segment/store_test.go
+++ b/coordination/segment/store_test.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// BenchmarkRecovery measures opening a ring of 32 MB.
+// BenchmarkRecovery measures opening a ring that contains 32 MiB of record data.
 func BenchmarkRecovery(b *testing.B) {
 	folder := newMemoryFolder()
 	large := Layout{SegmentCount: 8, SegmentBytes: 8 << 20}
--- a/internal/dispatcher/clients.go
+++ b/internal/dispatcher/clients.go
@@ -19,7 +19,8 @@
 const (
 	// deadlineHeader has the remaining time in ms for which the client waits for the answer.
 	deadlineHeader = "Yardflow-Deadline-Remaining"
-	// defaultTimeout is how long a client is assumed to wait if neither the route nor the call specifies it.
+	// defaultTimeout is how long a client is assumed to wait if the route has no timeout. The deadlineHeader of a call can
+	// only shorten the wait.
 	defaultTimeout = 3 * time.Second
 	// answerMargin is how long before the client's deadline the answer is sent.
 	answerMargin = 150 * time.Millisecond
--- a/internal/dispatcher/clients_test.go
+++ b/internal/dispatcher/clients_test.go
@@ -79,7 +79,7 @@
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("got status %d", status)
 		}
-	case <-time.After(2 * time.Second): // the request would time out after 3 s
+	case <-time.After(2 * time.Second): // the request would time out after 2.85 s
 		t.Error("the request is not answered after the loop has ended")
 	}
 }
--- a/internal/dispatcher/execute.go
+++ b/internal/dispatcher/execute.go
@@ -7,7 +7,7 @@
 	"yardflow/internal/control/statemachine"
 )
 
-// commandOutcome says how far a command for a client's call got.
+// commandOutcome is the result of sending a command for a client's call.
 type commandOutcome uint8
 
 const (
@@ -28,8 +28,8 @@
 	return d.executeWithCallback(r, timeout, makeCommand, func() {})
 }
 
-// executeWithCallback does the same as execute. In addition, the event loop calls done before the outcome is returned, or
-// after the call has stopped waiting for it.
+// executeWithCallback does the same as execute. In addition, if the command was submitted, the event loop calls done before
+// the outcome is returned, or after the call has stopped waiting for it.
 func (d *Dispatcher) executeWithCallback(r *http.Request, timeout time.Duration, makeCommand func() *statemachine.Command,
 	done func()) (statemachine.Result, commandOutcome) {
 	type reply struct {
--- a/internal/dispatcher/instances.go
+++ b/internal/dispatcher/instances.go
@@ -32,14 +32,15 @@
 		!d.readiness.shuttingDown.Load()
 }
 
-// receiveDuty records whether the control machine reads the list. DutyUnchanged leaves that as it was.
+// receiveDuty records whether the control machine reads the list. DutyUnchanged changes nothing.
 func (r *instanceReader) receiveDuty(duty protocol.InstanceListDuty) {
 	if duty != protocol.DutyUnchanged {
 		r.delegated = duty == protocol.ControlReads
 	}
 }
 
-// tick starts a reading if this dispatcher has to read the list and the interval since the last reading has passed.
+// tick starts a reading if this dispatcher has to read the list and the interval since the last reading has passed. While
+// it does not have to read the list, tick resets the tracker: absences from earlier readings must not count afterwards.
 func (r *instanceReader) tick(now time.Duration) {
 	if !r.isReader() {
 		r.tracker.Reset()
@@ -67,8 +68,8 @@
 }
 
 // report sends the changes of the list to the control machines. The report's number is the age of this process in
-// milliseconds. A control machine that reads on behalf of this session increments the number by one for each report, so this
-// number is higher than all numbers of the control machine.
+// milliseconds. A control machine that reads on behalf of this session increments the newest number by one for each report.
+// Reports are more than 1 ms apart, so the process's age is higher than all numbers of the control machine.
 func (r *instanceReader) report(reading *instances.Reading) {
 	d := r.dispatcher
 	report := r.tracker.Observe(reading, d.workers)
--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -39,8 +39,8 @@
 }
 
 // addProvisionalJob adds a job whose SubmitJob command is about to be sent, so that the placements of its first tasks go out
-// in the same message, and one commit has both. If the replicated state rejects a placement, because the submit was not
-// applied or another dispatcher owns the job, the placement has no effect.
+// in the same message and are committed together with the submit. The replicated state rejects the placements if the submit
+// was not applied or another dispatcher owns the job.
 func (d *Dispatcher) addProvisionalJob(now time.Duration, submitted job.Job) {
 	if d.jobs[submitted.ID] != nil {
 		return
--- a/internal/dispatcher/ownedworker_test.go
+++ b/internal/dispatcher/ownedworker_test.go
@@ -28,7 +28,7 @@
 			t.Fatal("the worker is not polled")
 		}
 		if acknowledged := polls[0].AcknowledgedEnd == 1; acknowledged != (code == statemachine.OK) {
-			t.Errorf("outcome %d: the worker gets the acknowledged end %d", code, polls[0].AcknowledgedEnd)
+			t.Errorf("outcome %d: the poll has AcknowledgedEnd %d", code, polls[0].AcknowledgedEnd)
 		}
 	}
 }
--- a/internal/dispatcher/provisional_test.go
+++ b/internal/dispatcher/provisional_test.go
@@ -134,7 +134,7 @@
 			d.enqueueReady(0)
 			d.schedule(0)
 			if got := strings.ReplaceAll(pendingCommands(d), "submit", ""); strings.TrimSpace(got) != "" {
-				t.Errorf("commands %q are pending", got)
+				t.Errorf("commands %q are pending, want no placement", got)
 			}
 		})
 	}
@@ -171,6 +171,6 @@
 	request.Header.Set(deadlineHeader, "200")
 	d.ServeHTTP(recorder, request)
 	if recorder.Code != http.StatusServiceUnavailable {
-		t.Errorf("got status %d with body %s", recorder.Code, recorder.Body)
+		t.Errorf("got status %d with body %s, want 503", recorder.Code, recorder.Body)
 	}
 }
--- a/internal/dispatcher/readiness.go
+++ b/internal/dispatcher/readiness.go
@@ -14,7 +14,7 @@
 type readiness struct {
 	shuttingDown atomic.Bool
 	attached     atomic.Bool  // a session is open over the uplink
-	detachedAt   atomic.Int64 // when the last session was lost: a time.Duration on the dispatcher's clock
+	detachedAt   atomic.Int64 // when the last connection was lost: a time.Duration on the dispatcher's clock
 }
 
 func (r *readiness) setConnection(attached bool, detachedAt time.Duration) {
--- a/internal/dispatcher/serve.go
+++ b/internal/dispatcher/serve.go
@@ -23,7 +23,7 @@
 	minDrainTimeout = 500 * time.Millisecond
 	// finalAnswerMargin is how long before the end of the drain the calls that still have no outcome are answered.
 	finalAnswerMargin = 300 * time.Millisecond
-	// lastMessageDelay is the time that the last message to the control machine gets to be sent.
+	// lastMessageDelay is how long the process waits for its last message to the control machine to be sent.
 	lastMessageDelay = 100 * time.Millisecond
 )
 
--- a/internal/dispatcher/snapshot.go
+++ b/internal/dispatcher/snapshot.go
@@ -4,12 +4,13 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// snapshotDiff compares the dispatcher's state with a snapshot that is being received. Whatever the snapshot has not named
-// by its end no longer exists. A nil snapshotDiff stands for updates outside of a snapshot and records nothing.
+// snapshotDiff compares the dispatcher's state with a snapshot that is being received. Workers, jobs and placements that the
+// complete snapshot does not contain no longer exist. A nil snapshotDiff is for updates outside of a snapshot and records
+// nothing.
 type snapshotDiff struct {
-	unseenWorkers map[string]bool // known workers that the snapshot has not named yet
-	unseenJobs    map[string]bool // known jobs that the snapshot has not named yet
-	// seenPlacements has the placements that the snapshot has named: the number of the run, by worker and task.
+	unseenWorkers map[string]bool // known workers that have not appeared in the snapshot yet
+	unseenJobs    map[string]bool // known jobs that have not appeared in the snapshot yet
+	// seenPlacements has the placements that have appeared in the snapshot: the number of the run, by worker and task.
 	seenPlacements map[string]map[string]uint64
 }
 
@@ -47,7 +48,7 @@
 	s.seenPlacements[placed.Worker][placed.Task] = placed.Run
 }
 
-// endSnapshot removes the workers, jobs and placements that the snapshot has not named.
+// endSnapshot removes the workers, jobs and placements that the snapshot does not contain.
 func (d *Dispatcher) endSnapshot(s *snapshotDiff) {
 	for id := range s.unseenWorkers {
 		d.removeWorker(id)
--- a/internal/dispatcher/uplink.go
+++ b/internal/dispatcher/uplink.go
@@ -109,7 +109,8 @@
 }
 
 // nextTarget returns the control machine to dial next. An address does not show whether a control machine is in the
-// dispatcher's own zone, so the order is fixed, with a start that depends on the dispatcher's incarnation.
+// dispatcher's own zone, so the order is fixed. It starts at a place that depends on the incarnation, so that dispatchers
+// differ in it.
 func (u *uplink) nextTarget(attempt int) dialTarget {
 	d := u.dispatcher
 	targets := make(chan dialTarget, 1)
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -9,11 +9,11 @@
 
 // setWorker applies the state of a worker: it updates the scheduler of the worker's service, and creates or closes the
 // ownedWorker if the ownership has changed. An ownedWorker is valid for one token; a new token means a new ownedWorker, even
-// if another dispatcher owned the worker in between.
+// if this dispatcher owned the worker before.
 func (d *Dispatcher) setWorker(now time.Duration, worker *statemachine.Worker) {
 	former := d.workers[worker.ID]
 	d.logDrain(former, worker)
-	worker.Draining = worker.Draining || former != nil && former.Draining // a drain arrives before older updates
+	worker.Draining = worker.Draining || former != nil && former.Draining // a drain may arrive before older updates
 	d.workers[worker.ID] = worker
 	d.scheduler(worker.Service).SetWorker(worker.ID, worker.Labels, worker.Capacity, worker.Used, worker.Unschedulable())
 	owned := d.ownedWorkers[worker.ID]
