--- a/scheduling/placement/workers.go
+++ b/scheduling/placement/workers.go
@@ -85,20 +85,20 @@
 }
 
 // AddPlacedTask records that a task of one of this dispatcher's jobs is placed at a worker.
-func (s *Scheduler) AddPlacedTask(id string, demand job.Resources) { s.updatePlacedTasks(id, demand, 1) }
+func (s *Scheduler) AddPlacedTask(id string, demand job.Resources) { s.countOwnTask(id, demand, 1) }
 
 // RemovePlacedTask records that a task of one of this dispatcher's jobs is no longer placed at a worker.
-func (s *Scheduler) RemovePlacedTask(id string, demand job.Resources) { s.updatePlacedTasks(id, demand, -1) }
+func (s *Scheduler) RemovePlacedTask(id string, demand job.Resources) { s.countOwnTask(id, demand, -1) }
 
-func (s *Scheduler) updatePlacedTasks(id string, demand job.Resources, sign float64) {
+func (s *Scheduler) countOwnTask(id string, demand job.Resources, sign float64) {
 	s.placedTasks += int(sign)
 	if worker := s.workers[id]; worker != nil {
 		worker.ownShare = max(0, worker.ownShare+sign*dominantShare(demand, worker.capacity))
 	}
 }
 
-// A step whose tasks together demand more than 1/waveDivisor of its eligible workers runs in waves, by the protocol's
-// definition of a job's objective.
+// waveDivisor limits the demand of a step that runs in a single wave to 1/waveDivisor of its eligible workers, by the
+// protocol's definition of a job's objective.
 const waveDivisor = 4
 
 // Waves returns the number of waves in which a step runs. It is more than one if the tasks of the step together demand more
