--- a/internal/discovery/srv/resolver.go
+++ b/internal/discovery/srv/resolver.go
@@ -36,8 +36,8 @@
 	MaxRecords     int           // a longer list is rejected as a whole
 }
 
-// Update is the result of a round of look-ups. If Err is nil, Records is the complete
-// list. Otherwise the list of the previous Update remains in effect.
+// Update is the result of a round of look-ups. If Err is nil, Records is the complete list
+// of targets that have an address. Otherwise the previous Update's list remains in effect.
 type Update struct {
 	Records []Record
 	Err     error
