--- a/internal/control/server/commands.go
+++ b/internal/control/server/commands.go
@@ -61,8 +61,8 @@
 	t.pending[t.lastTag].headEpoch = epoch
 }
 
-// dropHeadCommands drops the commands that this machine proposed as the head of a view of another epoch than the given
-// one.
+// dropHeadCommands drops the commands that this machine proposed as the head, unless it did so in the view of the given
+// epoch.
 func (t *commandTable) dropHeadCommands(epoch uint64) {
 	maps.DeleteFunc(t.pending, func(_ uint64, command *pendingCommand) bool {
 		return command.headEpoch != 0 && command.headEpoch != epoch
@@ -87,7 +87,7 @@
 // CommandTooLongError reports that an encoded command is longer than the maximum record of the log.
 type CommandTooLongError struct {
 	Bytes int64 // of the command, encoded
-	Max   int64 // bytes of a record of the log on disk
+	Max   int64 // maximum bytes of a record of the log on disk
 }
 
 // Error returns both lengths and the advice.
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -12,9 +12,9 @@
 	// maxMessageBytes limits one message, so that heartbeats and configurations need not wait long behind it. A snapshot
 	// or a single update may be larger.
 	maxMessageBytes = 32 << 10
-	// sendWindowBytes is the number of bytes in flight from which the backlog waits: 0.4 s of a link of 2 Mbit/s.
+	// sendWindowBytes is the number of bytes in flight at which the backlog waits: 0.4 s of a link of 2 Mbit/s.
 	sendWindowBytes = 96 << 10
-	// urgentWindowBytes is the number of bytes in flight from which urgent updates wait too.
+	// urgentWindowBytes is the number of bytes in flight at which urgent updates wait too.
 	urgentWindowBytes = 1 << 20
 	// maxBacklogBytes is the size of the backlog beyond which the connection is closed: the dispatcher attaches again,
 	// and a snapshot replaces the backlog.
@@ -24,7 +24,7 @@
 )
 
 // outbox holds the updates and outcomes to be sent to one dispatcher, in the order of sending. Changes of the
-// configuration, and notices that a worker has begun to drain, are urgent and sent at once, since the delay until they
+// configuration, and notices that a worker has begun to drain, are urgent and sent at once, because the time until they
 // take effect is bounded. Everything else is sent in order, in messages of bounded size, while the dispatcher
 // acknowledges the bytes that it has received. The backlog for a slow link waits here rather than in the connection, so
 // that a configuration can overtake it and newer usage can replace older usage.
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -17,8 +17,8 @@
 	dialTimeout = 300 * time.Millisecond
 	// redialInterval is the minimum time between two dials of an address that does not answer.
 	redialInterval = 150 * time.Millisecond
-	// peerTimeout is how long a peer may be silent before connections from it and to it are closed: twelve heartbeats,
-	// which is well after the failure detector, which relies on the heartbeats themselves, has reported the peer.
+	// peerTimeout is how long a peer may be silent before connections from it and to it are closed: twelve heartbeats.
+	// The failure detector, which relies on the heartbeats themselves, reports the peer well before that.
 	peerTimeout = 1200 * time.Millisecond
 	// idleReadTimeout limits one read of a connection on which no messages are expected.
 	idleReadTimeout = time.Hour
