--- a/scheduling/dispatch/events.go
+++ b/scheduling/dispatch/events.go
@@ -64,7 +64,7 @@
 	TimeLeft      time.Duration
 	WorkHint      time.Duration // expected work on a standard core; 0: not stated
 	Slots         float64       // slots that the job needs; below 1 counts as 1
-	Memory        float64
+	Memory        float64       // memory that the job needs; a worker has 1 per slot
 	ClientRetry   bool          // marked by the client as a retry of an earlier request
 	Pools         uint64        // bit set of the worker pools that may run it; 0: any worker
 	EarlierWorker *Worker       // worker that may have run it for an earlier request; nil: none
