--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -29,7 +29,7 @@
 	return s.logBytes > max(minLogBytes, logToSnapshotRatio*s.newestBytes) || s.freeSegments <= minFreeSegments
 }
 
-// resetLogSize restarts the log size at a new snapshot of the given size.
+// resetLogSize sets the log size to 0 after a new snapshot of the given size.
 func (s *snapshots) resetLogSize(snapshotBytes int) { s.logBytes, s.newestBytes = 0, snapshotBytes }
 
 // saveSnapshotIfDue saves a snapshot of the state if one is due and none is being saved. It waits until all committed
