--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -21,7 +21,7 @@
 	provisional bool
 }
 
-// placedRun is a run that the scheduler counts as running at its worker.
+// placedRun is a run that the scheduler counts as placed at its worker.
 type placedRun struct {
 	worker   string
 	placedAt time.Duration
@@ -112,7 +112,7 @@
 	delete(d.jobs, id)
 }
 
-// dropRuns stops counting a job's runs as running at their workers.
+// dropRuns stops counting a job's runs as placed at their workers.
 func (d *Dispatcher) dropRuns(owned *ownedJob) {
 	for key, run := range owned.runs {
 		d.scheduler(owned.Service).RemovePlacedTask(run.worker, owned.Request.Steps[key.Step].Demand())
@@ -154,7 +154,7 @@
 	d.jobsToEnqueue[update.Job] = true
 }
 
-// trackRun updates the scheduler's view of the running tasks from the state of one task, and records how its former run has
+// trackRun updates the scheduler's count of placed tasks from the state of one task, and records how its former run has
 // ended. Reason is the end reason of the former run, if the state shows that it has ended.
 func (d *Dispatcher) trackRun(now time.Duration, owned *ownedJob, key job.TaskKey, task *job.Task,
 	reason taskrun.EndReason) {
--- a/internal/dispatcher/snapshot_test.go
+++ b/internal/dispatcher/snapshot_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestSnapshotEndsRunsOfTerminalJob: for a job that has ended, a snapshot has only the job's state. The dispatcher has to
-// keep that state and must not count any task of the job as running.
+// keep that state and must not count any task of the job as placed.
 func TestSnapshotEndsRunsOfTerminalJob(t *testing.T) {
 	d := New(&settings.Settings{Node: "front-1", Seeds: []string{"core-1:1"}}, unreachableNetwork{}, zerolog.Nop())
 	step := job.Step{Count: 1, CPU: 1000}
@@ -20,7 +20,7 @@
 	d.setJob(0, &job.Job{ID: "known", Service: "s", State: job.Running, Request: job.Request{Steps: []job.Step{step}},
 		Tasks: map[job.TaskKey]*job.Task{{}: {Worker: "w1", Run: 1}}})
 	if len(d.jobs["known"].runs) != 1 {
-		t.Fatal("the job's task does not count as running")
+		t.Fatal("the job's task does not count as placed")
 	}
 	snapshot := d.beginSnapshot()
 	for _, id := range []string{"known", "unknown"} {
--- a/internal/dispatcher/uplink_test.go
+++ b/internal/dispatcher/uplink_test.go
@@ -74,7 +74,7 @@
 	answered := false
 	tag := u.submit(cancelCommand("a"), func(statemachine.Result) { answered = true })
 	u.sentCommands(t)
-	u.conn = nil // as after detach; reconnect can't close this conn, which has no socket
+	u.conn = nil // as after detach; reconnect could not close this zero Conn
 	u.receiveOutcome(protocol.Outcome{Tag: tag, Result: statemachine.Result{Code: statemachine.Stale}})
 	if answered {
 		t.Fatal("the outcome Stale is passed to the caller")
