--- a/coordination/chain/catchup.go
+++ b/coordination/chain/catchup.go
@@ -8,9 +8,9 @@
 	CommitIndex uint64 `cbor:"3,keyasint"` // the requester's commit index; its log is known to equal the others' up to here
 }
 
-// CatchUpResponse answers a CatchUpRequest with committed entries, preceded by a snapshot if the logs differ or the
-// member's log begins after the end of the requester's. It ends before the member's newest entries if they have more than
-// maxBatchBytes bytes.
+// CatchUpResponse answers a CatchUpRequest with committed entries. It also contains the member's snapshot if Entries follow
+// it directly and the requester's commit index is lower, since the requester may lack entries that the snapshot covers. It
+// ends before the member's newest entries if they have more than maxBatchBytes bytes.
 type CatchUpResponse struct {
 	PrevIndex   uint64    `cbor:"1,keyasint"` // of the entry before Entries
 	PrevEpoch   uint64    `cbor:"2,keyasint"`
@@ -53,7 +53,8 @@
 }
 
 // catchUpFrom returns the index after which the response to a replica begins: the last index of its log if the entry there
-// is committed and equal in both logs, otherwise the last index up to which both logs must be equal.
+// is committed and equal in both logs, otherwise the lower of the two commit indexes, up to which both logs must be equal.
+// It is never less than the index of this replica's snapshot.
 func (r *Replica) catchUpFrom(request CatchUpRequest) uint64 {
 	last := request.LastIndex
 	if last > r.log.commitIndex || last < r.log.snapshotIndex || r.log.epochAt(last) != request.LastEpoch {
--- a/coordination/chain/catchup_test.go
+++ b/coordination/chain/catchup_test.go
@@ -39,9 +39,9 @@
 	c.reportViolations(t)
 }
 
-// TestNonMemberWithAnUncommittedSuffixCatchesUp guards against a fault that a planted fault revealed: a replica whose log
-// extended beyond the member's snapshot with entries that were never committed applied no response and sent the same
-// request endlessly.
+// TestNonMemberWithAnUncommittedSuffixCatchesUp guards against an endless catch-up. A replica whose log extended beyond the
+// member's snapshot with entries that were never committed applied no response and sent the same request endlessly. A
+// simulation with a planted fault revealed this.
 func TestNonMemberWithAnUncommittedSuffixCatchesUp(t *testing.T) {
 	c := newCluster(3, 2)
 	c.setView(1, 1, 2, 3)
--- a/coordination/chain/commit.go
+++ b/coordination/chain/commit.go
@@ -27,7 +27,8 @@
 	return min(own, r.viewLog.durableBefore)
 }
 
-// advance completes, commits and releases reads as the current indexes allow. It is called after each change of an index.
+// advance makes the progress that the current indexes allow: it requests that completeness is persisted, commits entries,
+// releases reads, and schedules an Append if the durable index has increased. It is called after each change of an index.
 func (r *Replica) advance() {
 	if !r.IsMember() || r.divergence != nil {
 		return
--- a/coordination/chain/receive.go
+++ b/coordination/chain/receive.go
@@ -66,8 +66,9 @@
 		Rejected: true, RejectedIndex: m.PrevIndex, CommitIndex: r.log.commitIndex}})
 }
 
-// lastCommonIndex returns the highest index up to which this log may be equal to the predecessor's, given that they differ
-// at index. It skips a whole epoch at once, so that a long differing suffix costs one message per epoch.
+// lastCommonIndex returns the highest index up to which this log may be equal to the predecessor's, given that this log
+// lacks the predecessor's entry at index. It skips a whole epoch at once, so that a long differing suffix costs one message
+// per epoch.
 func (r *Replica) lastCommonIndex(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
--- a/coordination/chain/replica.go
+++ b/coordination/chain/replica.go
@@ -109,8 +109,8 @@
 }
 
 // SetView makes a newer view the current one; it ignores views that are not newer. It resets what this replica has learned
-// of the logs of other members, since the log of the new predecessor may differ. It also drops the reads that have not
-// passed all writers yet; their origins submit them again.
+// of the logs of other members, since the log of the new predecessor may differ. It also drops all reads that have
+// not returned to their origins yet; the origins submit them again.
 func (r *Replica) SetView(view View) {
 	if view.Epoch <= r.view.Epoch {
 		return
--- a/coordination/chain/successor.go
+++ b/coordination/chain/successor.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// retransmit sets next to the first entry that is neither acknowledged nor committed; the successor must have all committed
-// entries.
+// retransmit sets next to the first entry that is neither acknowledged nor committed. A writer has all committed entries; a
+// follower that lacks some of them rejects the next Append, which leads to a rewind.
 func (p *successorProgress) retransmit(commitIndex uint64) { p.next = max(p.acked, commitIndex) + 1 }
 
 // truncate adjusts the progress after the log has dropped the entry at an index and all entries after it.
--- a/coordination/frame/frame.go
+++ b/coordination/frame/frame.go
@@ -2,9 +2,9 @@
 // upgraded (RFC 9110, section 7.8). Each message is preceded by its length, 4 bytes big-endian. Queued messages are written
 // in one batch.
 //
-// A connection is closed when the peer accepts no data for writeTimeout; Receive fails when the peer sends none for the
-// timeout that its caller sets. Messages arrive in order, each at most once. The package never reconnects, and it does not
-// interpret messages.
+// A connection is closed when the peer accepts no data for writeTimeout; Receive fails when the peer sends none for
+// the timeout that the caller passes. Messages arrive in order, each at most once. The package never reconnects, and it does
+// not interpret messages.
 package frame
 
 import (
--- a/coordination/frame/handshake.go
+++ b/coordination/frame/handshake.go
@@ -32,7 +32,8 @@
 }
 
 // Dial opens a connection to the path at the address. It fails with an UpgradeRefusedError if the server does not upgrade,
-// and with the errors of the network. Connecting and the exchange of headers have the timeout each.
+// and with the errors of the network. The timeout applies to connecting and to the exchange of
+// headers separately.
 func Dial(network Network, address, path string, timeout time.Duration) (*Conn, error) {
 	raw, err := network.Dial(address, timeout)
 	if err != nil {
--- a/coordination/frame/slowlink_test.go
+++ b/coordination/frame/slowlink_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// TestLargeMessageOnASlowLinkIsNoSilence guards against a timeout that covers a whole message. A configuration of 1,480
+// TestLargeMessageOnSlowLinkDoesNotTimeOut guards against a timeout that covers a whole message. A configuration of 1,480
 // routes took longer than the timeout on a link of 2 Mbit/s, so every dispatcher closed its connection to its control
 // machine.
-func TestLargeMessageOnASlowLinkIsNoSilence(t *testing.T) {
+func TestLargeMessageOnSlowLinkDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		conn := newConn(near, bufio.NewReader(near))
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -1,5 +1,5 @@
 // Package gossip lets dispatchers exchange, in datagrams, the slots and memory that each has in use at every worker. Every
-// receiver pays for each byte of a message, so messages are short, 10 bytes and 5 for each worker, and a dispatcher that has
+// message is a cost to all receivers, so messages are short, 10 bytes and 5 for each worker, and a dispatcher that has
 // nothing in use and nothing new to report sends none. Messages hold 256 bytes at most and may be lost, late, duplicated,
 // reordered or corrupted. So each contains the whole usage of its sender, or a part of it in turn if it is too long for one
 // message, and a later message of a sender replaces an earlier one, in whichever order they arrive. Messages are hints: no
@@ -66,8 +66,8 @@
 	}
 }
 
-// TimeToLive returns the time for which the reports of a process count after its last message. When it has passed, several
-// messages in a row were lost.
+// TimeToLive returns the time for which the reports of a process count after its last message. It spans several heartbeats,
+// so that the reports still count after the loss of some messages in a row.
 func (p *Participant) TimeToLive() time.Duration { return heartbeatsToLive * p.interval }
 
 // MarkChanged records that there is a change to report.
