--- a/coordination/view/consensus.go
+++ b/coordination/view/consensus.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// Tick must be called at a regular interval. It abandons a proposal after proposalTicks calls.
+// Tick must be called at a regular interval. It abandons a proposal after proposalTicks calls; before that, it starts
+// phase 2 once the proposal has waited long enough for expected promises.
 func (c *Consensus) Tick() {
 	if c.proposal == nil {
 		return
--- a/coordination/view/consensus_test.go
+++ b/coordination/view/consensus_test.go
@@ -21,7 +21,7 @@
 	inFlight        []delivery
 	decided         map[uint64]string // every view that was ever in force, by epoch
 	violations      []string
-	sendsBeforeSync bool // injected fault: messages are sent although no hard state is ever synced
+	sendsBeforeSync bool // planted fault: messages are sent although no hard state is ever synced
 }
 
 type delivery struct {
--- a/coordination/view/desired.go
+++ b/coordination/view/desired.go
@@ -11,7 +11,7 @@
 	// restart takes, since a replaced elector has no vote when it comes back.
 	replacementTimeout = 2500 * time.Millisecond
 	// maxLag is the number of entries that a member may lack when it joins the chain. Sending them takes a few
-	// milliseconds. Nothing is committed while a member of the chain lacks entries.
+	// milliseconds. Nothing is committed while a writer of the chain lacks entries.
 	maxLag = 400
 	// proposerStagger is the additional delay of each proposer after the live one ranked before it. It keeps proposers
 	// from preempting each other with higher ballots.
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, member := range p.present.Chain {
-		if len(p.chain) < p.minimum && !p.inChain(member.ID) && p.silentFor(p.now, member.ID) <= heartbeatTimeout {
+		if len(p.chain) < p.minMembers && !p.inChain(member.ID) && p.silentFor(p.now, member.ID) <= heartbeatTimeout {
 			p.chain = append(p.chain, member) // a member with a slow disk is better than too short a chain
 		}
 	}
@@ -170,14 +170,14 @@
 	if p.isCaughtUp(newcomer.From.ID) {
 		staying++
 	}
-	return staying >= p.minimum
+	return staying >= p.minMembers
 }
 
 // addElectorsToChain appends electors that are caught up, or any elector while the chain is too short.
 func (p *viewPlan) addElectorsToChain() {
 	for _, elector := range p.electors {
 		if p.isSteady(p.now, elector.ID) && !p.inChain(elector.ID) && !p.isLeaving(elector.ID) &&
-			(p.isCaughtUp(elector.ID) || len(p.chain) < p.minimum) {
+			(p.isCaughtUp(elector.ID) || len(p.chain) < p.minMembers) {
 			p.chain = append(p.chain, elector)
 		}
 	}
@@ -191,7 +191,7 @@
 
 // releaseLeaving removes leaving members from a chain that is long enough without them.
 func (p *viewPlan) releaseLeaving() {
-	if p.stayingInChain() >= p.minimum {
+	if p.stayingInChain() >= p.minMembers {
 		p.chain = slices.DeleteFunc(p.chain, func(m Member) bool { return p.isLeaving(m.ID) })
 	}
 }
--- a/coordination/view/detector.go
+++ b/coordination/view/detector.go
@@ -41,18 +41,19 @@
 // Detector tracks which members are alive and derives the desired view from it. Callers pass the time, on any monotonic
 // clock. It is not safe for concurrent use.
 type Detector struct {
-	self      Member
-	leaving   bool // this member is shutting down gracefully
-	peers     map[MemberID]*peerState
-	minimum   int // members that a chain needs to commit anything
-	startedAt time.Duration
+	self       Member
+	leaving    bool // this member is shutting down gracefully
+	peers      map[MemberID]*peerState
+	minMembers int // members that a chain needs to commit anything
+	startedAt  time.Duration
 	// desiredSince is the time since which a change of the view has been desired without a break, or noTime.
 	desiredSince time.Duration
 }
 
-// NewDetector returns a detector without any heartbeats, for chains of at least minimum members.
-func NewDetector(self Member, now time.Duration, minimum int) *Detector {
-	return &Detector{self: self, minimum: minimum, peers: map[MemberID]*peerState{}, desiredSince: noTime, startedAt: now}
+// NewDetector returns a detector without any heartbeats, for chains of at least minMembers members.
+func NewDetector(self Member, now time.Duration, minMembers int) *Detector {
+	return &Detector{self: self, minMembers: minMembers, peers: map[MemberID]*peerState{}, desiredSince: noTime,
+		startedAt: now}
 }
 
 // Leave records that this member is shutting down gracefully: the chain excludes it as soon as it is long enough without
--- a/coordination/view/explore_test.go
+++ b/coordination/view/explore_test.go
@@ -30,13 +30,13 @@
 	text string
 }
 
-// exploration limits an exploration and injects faults into it.
+// exploration limits an exploration and plants faults in it.
 type exploration struct {
 	proposals, restarts int
 	maxStates           int
-	reuseBallots        bool // injected fault: a restart loses the round of the member's own ballots
-	forgetPromises      bool // injected fault: a restart loses promises and accepted views
-	prepareBeforeSync   bool // injected fault: a Prepare is sent before the round of its ballot is durable
+	reuseBallots        bool // planted fault: a restart loses the round of the member's own ballots
+	forgetPromises      bool // planted fault: a restart loses promises and accepted views
+	prepareBeforeSync   bool // planted fault: a Prepare is sent before the round of its ballot is durable
 }
 
 func newState(b *exploration) *state {
@@ -236,7 +236,7 @@
 	s.handleReady(proposer)
 }
 
-// restart starts a new incarnation of a member from its disk, without the state that an injected fault removes.
+// restart starts a new incarnation of a member from its disk, without the state that a planted fault removes.
 func (s *state) restart(id MemberID, b *exploration) {
 	s.restartsLeft--
 	durable := s.disks[id]
@@ -322,9 +322,9 @@
 	}
 }
 
-// TestRandomWalksDetectInjectedFaults checks that the walks detect a ballot that two incarnations use, promises that are
+// TestRandomWalksDetectPlantedFaults checks that the walks detect a ballot that two incarnations use, promises that are
 // lost at a restart, and a Prepare that is sent before the round of its ballot is durable.
-func TestRandomWalksDetectInjectedFaults(t *testing.T) {
+func TestRandomWalksDetectPlantedFaults(t *testing.T) {
 	reused, forgotten, early := threeIncarnations, threeIncarnations, threeIncarnations
 	reused.reuseBallots, forgotten.forgetPromises, forgotten.restarts, early.prepareBeforeSync = true, true, 6, true
 	for name, b := range map[string]*exploration{"reused ballot": &reused, "forgotten promises": &forgotten, "Prepare before sync": &early} {
--- a/coordination/view/leaving_test.go
+++ b/coordination/view/leaving_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestLeavingMemberHandsItsReplicaOver checks that one of the last two replicas, when it shuts down gracefully just after an
-// empty machine has started, stays until the newcomer is in the chain. With the injected fault it stops at once and the test
-// must notice: if the other replica were lost then, no machine would have the log.
+// empty machine has started, stays until the newcomer is in the chain. If the other replica were lost before that, no
+// machine would have the log. The test also checks that it detects a planted fault: the member stops at once.
 func TestLeavingMemberHandsItsReplicaOver(t *testing.T) {
 	const gracePeriod, immediate = 4 * time.Second, 0
 	survives := func(timeout time.Duration) bool {
--- a/coordination/view/losses_test.go
+++ b/coordination/view/losses_test.go
@@ -86,6 +86,7 @@
 }
 
 // TestLosses compares the number of losses that 3, 5 and 9 control machines survive in each scenario with a golden table.
+// In its header, "bear" precedes the number of lost disks that the log has to survive.
 func TestLosses(t *testing.T) {
 	lines := []string{fmt.Sprintf("%-70s %10s %10s %10s", "", "3, bear 1", "5, bear 2", "9, bear 2")}
 	for _, row := range lossScenarios {
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -8,7 +8,7 @@
 	// host proposes again.
 	proposalTicks = 8
 	// urgentPromiseWaitTicks is the number of ticks that a proposal waits for expected promises beyond a majority if it
-	// removes a member of the chain. It is short since nothing is committed until the silent member is removed.
+	// removes a member of the chain. It is short since nothing is committed until a silent writer is removed.
 	urgentPromiseWaitTicks = 1
 	// regularPromiseWaitTicks is that number for a proposal that removes no member. It is longer since the proposal is
 	// not urgent and must not exclude a member that is only busy.
@@ -18,14 +18,14 @@
 // proposal is this member's proposal in progress. It ends with a decided view, with a rejection that names a higher ballot,
 // or after proposalTicks.
 type proposal struct {
-	ballot   Ballot
-	desired  View
-	minimum  int        // number of members that a chain needs to commit anything
-	expected []MemberID // electors that are expected to promise
-	promises map[MemberID]*Promise
-	accepted map[MemberID]bool
-	view     *View // the view of phase 2, or nil in phase 1
-	ticks    int
+	ballot     Ballot
+	desired    View
+	minMembers int        // number of members that a chain needs to commit anything
+	expected   []MemberID // electors that are expected to promise
+	promises   map[MemberID]*Promise
+	accepted   map[MemberID]bool
+	view       *View // the view of phase 2, or nil in phase 1
+	ticks      int
 }
 
 // IsProposing reports whether this member's proposal is in progress.
@@ -33,18 +33,18 @@
 
 // Propose starts a proposal for the next view, and abandons an earlier one. Desired holds the chain and the electors to
 // propose; members of the present chain that don't promise are left out of it. The proposal waits for the promises of the
-// expected electors up to a time limit. If the chain would have fewer than minimum members, members of the present chain
+// expected electors up to a time limit. If the chain would have fewer than minMembers members, members of the present chain
 // that promise are kept even if they are not in desired.
-func (c *Consensus) Propose(desired View, expected []MemberID, minimum int) {
+func (c *Consensus) Propose(desired View, expected []MemberID, minMembers int) {
 	c.hardState.LastRound = max(c.hardState.LastRound, c.rejectedRound, c.hardState.PromisedBallot.Round) + 1
 	c.changed = true
 	c.proposal = &proposal{
-		ballot:   Ballot{c.hardState.LastRound, c.hardState.Self.ID},
-		desired:  desired,
-		minimum:  minimum,
-		expected: expected,
-		promises: map[MemberID]*Promise{},
-		accepted: map[MemberID]bool{},
+		ballot:     Ballot{c.hardState.LastRound, c.hardState.Self.ID},
+		desired:    desired,
+		minMembers: minMembers,
+		expected:   expected,
+		promises:   map[MemberID]*Promise{},
+		accepted:   map[MemberID]bool{},
 	}
 	c.sendToElectors(Message{Prepare: &Prepare{c.hardState.View, c.proposal.ballot}})
 }
@@ -126,7 +126,7 @@
 // every acknowledged entry. It is nil if no such member has promised: a chain without one could lose acknowledged entries.
 func (p *proposal) nextView(base *View) *View {
 	next := &View{Epoch: base.Epoch + 1, Electors: p.desired.Electors,
-		ReplicationFactor: replicationFactor(p.minimum, len(p.desired.Electors))}
+		ReplicationFactor: replicationFactor(p.minMembers, len(p.desired.Electors))}
 	for _, member := range p.desired.Chain {
 		if base.ChainPosition(member.ID) >= 0 && p.promises[member.ID] == nil {
 			continue
@@ -146,7 +146,7 @@
 // keepMinimum adds members of the present chain that have promised while the next chain is too short to commit anything.
 func (p *proposal) keepMinimum(next, base *View) {
 	for _, member := range base.Chain {
-		if len(next.Chain) < p.minimum && next.ChainPosition(member.ID) < 0 && p.promises[member.ID] != nil {
+		if len(next.Chain) < p.minMembers && next.ChainPosition(member.ID) < 0 && p.promises[member.ID] != nil {
 			next.Chain = append(next.Chain, member)
 		}
 	}
--- a/coordination/view/replication_test.go
+++ b/coordination/view/replication_test.go
@@ -15,10 +15,12 @@
 // TestReplicationFactor checks that every majority of the electors contains a writer, and that there are at least as many
 // writers as a chain needs.
 func TestReplicationFactor(t *testing.T) {
-	for _, c := range []struct{ minimum, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5}, {1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
-		got := replicationFactor(c.minimum, c.electors)
+	for _, c := range []struct{ minMembers, electors, want int }{{2, 3, 2}, {3, 3, 3}, {3, 5, 3}, {3, 9, 5},
+		{1, 1, 1}, {1, 2, 1}, {2, 4, 2}, {3, 7, 4}} {
+		got := replicationFactor(c.minMembers, c.electors)
 		if got != c.want {
-			t.Errorf("%d electors, at least %d replicas: replication factor %d, want %d", c.electors, c.minimum, got, c.want)
+			t.Errorf("%d electors, at least %d replicas: replication factor %d, want %d",
+				c.electors, c.minMembers, got, c.want)
 		}
 		if majority := c.electors/2 + 1; got+majority <= c.electors {
 			t.Errorf("%d electors: a majority may contain none of %d writers", c.electors, got)
--- a/coordination/view/timedcluster_test.go
+++ b/coordination/view/timedcluster_test.go
@@ -19,14 +19,14 @@
 
 // timedCluster is a set of machines with a simulated clock. At most one machine at an address is up.
 type timedCluster struct {
-	now      time.Duration
-	minimum  int
-	machines map[MemberID]*timedMachine
-	order    []MemberID
+	now        time.Duration
+	minMembers int
+	machines   map[MemberID]*timedMachine
+	order      []MemberID
 }
 
 func newTimedCluster(count, tolerate int) *timedCluster {
-	c := &timedCluster{minimum: tolerate + 1, machines: map[MemberID]*timedMachine{}}
+	c := &timedCluster{minMembers: tolerate + 1, machines: map[MemberID]*timedMachine{}}
 	var all []Member
 	for i := range count {
 		all = append(all, Member{ID: MemberID(i + 1), Address: fmt.Sprint("a", i+1), Zone: fmt.Sprint("z", i%3), WriterSince: 1})
@@ -43,7 +43,8 @@
 	if c.machines[id] == nil {
 		c.order = append(c.order, id)
 	}
-	c.machines[id] = &timedMachine{consensus: NewConsensus(hardState), detector: NewDetector(hardState.Self, c.now, c.minimum), up: true, epochAtStart: epochAtStart}
+	c.machines[id] = &timedMachine{consensus: NewConsensus(hardState),
+		detector: NewDetector(hardState.Self, c.now, c.minMembers), up: true, epochAtStart: epochAtStart}
 }
 
 // newcomer starts a machine with an empty disk, at the given address or, if that is empty, at a new one.
@@ -86,7 +87,7 @@
 		}
 		m.consensus.Tick()
 		if desired, expected := m.detector.DesiredView(c.now, m.consensus.View(), c.hasRestarted(m), false, 0); desired != nil && !m.consensus.IsProposing() {
-			m.consensus.Propose(*desired, expected, c.minimum)
+			m.consensus.Propose(*desired, expected, c.minMembers)
 		}
 		c.deliver()
 	}
@@ -153,7 +154,7 @@
 		return false
 	}
 	view := c.newestView()
-	return len(view.Chain) >= c.minimum && c.allTakePart(view) && c.machines[view.Chain[0].ID].consensus.EligibleAsHead()
+	return len(view.Chain) >= c.minMembers && c.allTakePart(view) && c.machines[view.Chain[0].ID].consensus.EligibleAsHead()
 }
 
 func (c *timedCluster) run(span time.Duration) {
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -71,9 +71,9 @@
 // isMajority reports whether the given number of electors is more than half of them.
 func (v *View) isMajority(electors int) bool { return 2*electors > len(v.Electors) }
 
-// replicationFactor returns the number of writers of a chain: at least minimum, and enough that every majority of the
+// replicationFactor returns the number of writers of a chain: at least minMembers, and enough that every majority of the
 // electors contains a writer, since only a writer may become the head of the next view.
-func replicationFactor(minimum, electors int) int { return max(minimum, electors-electors/2) }
+func replicationFactor(minMembers, electors int) int { return max(minMembers, electors-electors/2) }
 
 // setWriterSince sets WriterSince of each member: a writer that was also one in the previous view keeps its value, any other
 // member gets the epoch of this view.
