--- a/internal/dispatcher/jobs.go
+++ b/internal/dispatcher/jobs.go
@@ -21,7 +21,7 @@
 	provisional bool
 }
 
-// placedRun is a run that the scheduler counts as running at its worker.
+// placedRun is a run that the scheduler counts as placed at its worker.
 type placedRun struct {
 	worker   string
 	placedAt time.Duration
@@ -39,8 +39,8 @@
 }
 
 // addProvisionalJob adds a job whose SubmitJob command is about to be sent, so that the placements of its first tasks go out
-// in the same message, and one commit has both. If the replicated state rejects a placement, because the submit was not
-// applied or another dispatcher owns the job, the placement has no effect.
+// in the same message and are committed together with the submit. The replicated state rejects the placements if the submit
+// was not applied or another dispatcher owns the job.
 func (d *Dispatcher) addProvisionalJob(now time.Duration, submitted job.Job) {
 	if d.jobs[submitted.ID] != nil {
 		return
@@ -112,10 +112,10 @@
 	delete(d.jobs, id)
 }
 
-// dropRuns stops counting a job's runs as running at their workers.
+// dropRuns stops counting a job's runs as placed at their workers.
 func (d *Dispatcher) dropRuns(owned *ownedJob) {
 	for key, run := range owned.runs {
-		d.scheduler(owned.Service).TaskEnded(run.worker, owned.Request.Steps[key.Step].Demand())
+		d.scheduler(owned.Service).RemovePlacedTask(run.worker, owned.Request.Steps[key.Step].Demand())
 	}
 	clear(owned.runs)
 }
@@ -154,7 +154,7 @@
 	d.jobsToEnqueue[update.Job] = true
 }
 
-// trackRun updates the scheduler's view of the running tasks from the state of one task, and records how its former run has
+// trackRun updates the scheduler's count of placed tasks from the state of one task, and records how its former run has
 // ended. Reason is the end reason of the former run, if the state shows that it has ended.
 func (d *Dispatcher) trackRun(now time.Duration, owned *ownedJob, key job.TaskKey, task *job.Task,
 	reason taskrun.EndReason) {
@@ -164,7 +164,7 @@
 	if tracked && run.worker != task.Worker {
 		d.logger.Debug().Str("job", owned.ID).Str("task", key.Name("")).Uint64("run", task.Run).Str("worker", run.worker).
 			Stringer("how", reason).Dur("took", now-run.placedAt).Int64("estimate", step.EstimateMs).Msg("run over")
-		scheduler.TaskEnded(run.worker, step.Demand())
+		scheduler.RemovePlacedTask(run.worker, step.Demand())
 		delete(owned.runs, key)
 		d.recordRunOutcome(now, owned, key, run, reason)
 		tracked = false
@@ -173,7 +173,7 @@
 		owned.runs[key] = placedRun{task.Worker, now}
 		d.logger.Debug().Str("job", owned.ID).Str("task", key.Name("")).Uint64("run", task.Run).
 			Str("worker", task.Worker).Msg("run placed")
-		scheduler.TaskStarted(task.Worker, step.Demand())
+		scheduler.AddPlacedTask(task.Worker, step.Demand())
 	}
 }
 
--- a/scheduling/placement/workers.go
+++ b/scheduling/placement/workers.go
@@ -84,21 +84,21 @@
 	s.workerList = slices.DeleteFunc(s.workerList, func(w *workerState) bool { return w == worker })
 }
 
-// TaskStarted records that a task of one of this dispatcher's jobs is placed at a worker.
-func (s *Scheduler) TaskStarted(id string, demand job.Resources) { s.countOwnTask(id, demand, 1) }
+// AddPlacedTask records that a task of one of this dispatcher's jobs is placed at a worker.
+func (s *Scheduler) AddPlacedTask(id string, demand job.Resources) { s.countOwnTask(id, demand, 1) }
 
-// TaskEnded records that a task of one of this dispatcher's jobs is no longer placed at a worker.
-func (s *Scheduler) TaskEnded(id string, demand job.Resources) { s.countOwnTask(id, demand, -1) }
+// RemovePlacedTask records that a task of one of this dispatcher's jobs is no longer placed at a worker.
+func (s *Scheduler) RemovePlacedTask(id string, demand job.Resources) { s.countOwnTask(id, demand, -1) }
 
 func (s *Scheduler) countOwnTask(id string, demand job.Resources, sign float64) {
-	s.runningTasks += int(sign)
+	s.placedTasks += int(sign)
 	if worker := s.workers[id]; worker != nil {
 		worker.ownShare = max(0, worker.ownShare+sign*dominantShare(demand, worker.capacity))
 	}
 }
 
-// waveDivisor sets the fraction of a service, 1/waveDivisor, that the tasks of a step may take at once before the step runs
-// in waves. The protocol's definition of a job's objective sets it.
+// waveDivisor limits the demand of a step that runs in a single wave to 1/waveDivisor of its eligible workers, by the
+// protocol's definition of a job's objective.
 const waveDivisor = 4
 
 // Waves returns the number of waves in which a step runs. It is more than one if the tasks of the step together demand more
