--- a/internal/discovery/backoff/backoff.go
+++ b/internal/discovery/backoff/backoff.go
@@ -35,7 +35,8 @@
 	timePerDispatcher = 75 * time.Millisecond
 	// maxSpread bounds the time over which calls are spread.
 	maxSpread = 7 * time.Second
-	// maxFirstSpread bounds it for first calls, until whose end no new work is dispatched.
+	// maxFirstSpread bounds it for first calls. It is shorter because no new work is dispatched
+	// until they end.
 	maxFirstSpread = 3 * time.Second
 )
 
@@ -54,10 +55,10 @@
 // update, also while no call has been measured.
 const assumedCallTime = 1500 * time.Millisecond
 
-// BeforeFirstCallWithin returns the delay before the first call if its update has a deadline
-// in left, for example after the service has moved. It reserves time for the call itself:
-// twice callTime, the duration of a recent call (0 if none was measured), so that a slow
-// service is called sooner.
+// BeforeFirstCallWithin returns the delay before the first call if its update has a deadline,
+// for example after the service has moved. left is the time until the deadline. The delay
+// reserves time for the call itself, so that a slow service is called sooner: twice callTime,
+// the duration of a recent call (0 if none was measured), but at least assumedCallTime.
 func BeforeFirstCallWithin(dispatchers int, left, callTime time.Duration, draw float64) time.Duration {
 	if dispatchers <= FewDispatchers {
 		return 0
@@ -81,9 +82,10 @@
 const firstRetryStep = 50 * time.Millisecond
 
 // BeforeRetryWithin returns the delay before the n-th consecutive retry (1 or more) if its
-// update has a deadline in left. It leaves enough time for the retry to fail too, if that
-// takes as long as the last call, lastCallTime. Few dispatchers wait for 50 ms to 1.2 s; for
-// many the delay is drawn from the whole time that remains, up to the spread of their calls.
+// update has a deadline. left is the time until the deadline. The delay leaves enough time for
+// the retry to fail too, if that takes as long as the last call, lastCallTime; but it may
+// always take an eighth of left. Few dispatchers wait for 50 ms to 1.2 s; for many the delay is
+// drawn from the whole time that remains, up to the spread of their calls.
 func BeforeRetryWithin(dispatchers, n int, left, lastCallTime time.Duration, draw float64) time.Duration {
 	limit := max(left-lastCallTime*5/4, left/8)
 	if dispatchers <= FewDispatchers {
--- a/internal/discovery/backoff/backoff_test.go
+++ b/internal/discovery/backoff/backoff_test.go
@@ -86,6 +86,8 @@
 	}
 }
 
+// The calls of many dispatchers are spread enough for a service with sufficient capacity, their
+// retries are not delayed without bound, and few dispatchers call without delay.
 func TestDelayBounds(t *testing.T) {
 	if _, last, failed := simulateFleet(80, 80, 0,
 		listService{callTime: 34 * time.Millisecond, timeout: 3 * time.Second}); failed > 0 || last > 7*time.Second {
@@ -97,7 +99,7 @@
 		t.Error("few dispatchers delay their calls")
 	}
 	if delay := BeforeRetry(80, 2, 0.999); delay > 22*time.Second || BeforeRetry(80, 100, 0.999) > 3*time.Minute {
-		t.Errorf("delay %v after two failed calls; the update counts as notified 2 s after the wait that the call named",
+		t.Errorf("delay %v after two failed calls; the update counts as notified 2 s after the wait that the call requested",
 			delay)
 	}
 }
--- a/internal/discovery/membership/catalog.go
+++ b/internal/discovery/membership/catalog.go
@@ -61,8 +61,9 @@
 
 // Update applies a report of a source: its complete list, or changed entries only.
 // Updates of one source must be applied in the order in which the source made them. An
-// entry without a usable name (an id, or except under ByID a target with an address) is
-// skipped and included in the error; the other entries are applied.
+// entry is named by its id or, unless the source's Identity is ByID, by its target and
+// address. Update skips an entry without such a name and includes it in the error; it
+// applies the other entries.
 func (c *Catalog) Update(now time.Time, source string, complete bool, workers []Worker) error {
 	src := c.byName[source]
 	if src == nil {
@@ -160,9 +161,9 @@
 	}
 }
 
-// SetUnresponsive records that a source does not respond since now, or that it responds
-// again. A source that is already unresponsive keeps its earlier time. SetUnresponsive
-// does nothing for a source that is not configured.
+// SetUnresponsive records that a source has stopped responding, or that it responds again.
+// A source that is already unresponsive keeps its earlier time. SetUnresponsive does
+// nothing for a source that is not configured.
 func (c *Catalog) SetUnresponsive(now time.Time, source string, unresponsive bool) {
 	src := c.byName[source]
 	switch {
--- a/internal/discovery/membership/golden_test.go
+++ b/internal/discovery/membership/golden_test.go
@@ -7,7 +7,8 @@
 	"yardflow/internal/testing/wiretest"
 )
 
-// A process hands its snapshot to its successor, so the encoding must not change. The golden file was written at b99a1ea.
+// A process hands its snapshot to its successor, which may be of another version, so the encoding
+// must not change. The golden file was written by the code of commit b99a1ea.
 func TestEncodingOfSnapshotDoesNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "saved",
 		func(value map[string]savedSource) ([]byte, error) { return json.Marshal(value) },
--- a/internal/discovery/membership/identity.go
+++ b/internal/discovery/membership/identity.go
@@ -22,7 +22,8 @@
 }
 
 // listedID returns the id under which a record's worker is listed. Callers of
-// ObserveConnect use this id.
+// ObserveConnect use this id. Unlike resolveAddresses, listedID ignores tombstones, and
+// takes the first by key of several records of one source at an address.
 func (c *Catalog) listedID(src *sourceState, r *record) string {
 	if src.Identity != ByHostPort {
 		return src.claimedID(r)
@@ -49,7 +50,7 @@
 }
 
 // compare orders the possible owners of one address by precedence: a live entry before
-// a tombstone, then by the preference of the sources, then the later report first.
+// a tombstone, then by the preference of the sources, then the newer state first.
 func (o addressOwner) compare(other addressOwner) int {
 	return cmp.Or(compareBool(o.removed, other.removed), cmp.Compare(o.preference, other.preference),
 		-o.since.Compare(other.since), strings.Compare(o.id, other.id))
--- a/internal/discovery/membership/membership.go
+++ b/internal/discovery/membership/membership.go
@@ -31,8 +31,8 @@
 // The package does no I/O and has no clock, no randomness and no goroutine: the caller
 // passes in the time. The list is a function of the reports, the bans, the results of
 // connects and the time, so reports of equal time from different sources may come in
-// any order. A tombstone that the merge rule uses is never dropped while another source
-// still names the worker.
+// any order. While its source is configured, a tombstone that the merge rule uses is never
+// dropped if another source still names the worker.
 package membership
 
 import (
@@ -98,9 +98,9 @@
 	// ShrinkHoldTime (0: not at all).
 	ShrinkThreshold float64
 	ShrinkHoldTime  time.Duration
-	// InferStart infers that a worker started when its name first appears in a list
-	// after the source's first one, or changes its address. The inferred start is not
-	// used if the first source that names the worker has Identity ByID.
+	// InferStart infers that a worker started when its name appears in a list after the
+	// source's first one, also again after a removal, or changes its address. The inferred
+	// start is not used if the first source that names the worker has Identity ByID.
 	InferStart bool
 }
 
--- a/internal/discovery/membership/membership_test.go
+++ b/internal/discovery/membership/membership_test.go
@@ -289,6 +289,7 @@
 	s.wantList(26, "a draining, b draining, c serving")
 }
 
+// Under RuleAll a worker is listed as serving only if every source that has reported names it.
 func TestRuleAll(t *testing.T) {
 	s := scenario{t, newCatalog(t, testConfig(RuleAll))}
 	s.update(0, RosterSource, true, serving("a", "b")...)
@@ -413,15 +414,15 @@
 						func(c *Catalog) { updateIfConfigured(t, c, now, source, true, list) }})
 				}
 			}
-			for _, f := range reports {
-				f.apply(ordered)
+			for _, r := range reports {
+				r.apply(ordered)
 			}
 			// The other catalog gets the reports of the sources in another order; reports of one source keep theirs.
 			order := rapid.Permutation([]string{RosterSource, "label", "addr", "operator", "answers"}).Draw(t, "order")
 			slices.SortStableFunc(reports,
 				func(x, y report) int { return slices.Index(order, x.source) - slices.Index(order, y.source) })
-			for _, f := range reports {
-				f.apply(reordered)
+			for _, r := range reports {
+				r.apply(reordered)
 			}
 			l := ordered.Merge(now)
 			if diff := cmp.Diff(l, reordered.Merge(now), cmp.AllowUnexported(Entry{})); diff != "" {
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -13,7 +13,7 @@
 type sourceView struct {
 	source *sourceState
 	record *record
-	state  State  // Draining once the record is past its lifetime and StaleTTL
+	state  State  // as reported; Draining once the record is past its stale time, unless KeepStale
 	reason string // text for Entry.Reason and Explain
 	named  bool   // whether the source currently names the worker
 }
@@ -156,8 +156,8 @@
 // decision holds the views that determine a worker's entry; any may be nil.
 type decision struct {
 	veto    *sourceView // the earliest drain or removal by an authoritative source
-	serving *sourceView // the first that names the worker and is not a drain or removal
-	expired *sourceView // the first with the worker serving, but past its stale time
+	serving *sourceView // the first that names the worker and is not an authoritative drain
+	expired *sourceView // the first that reports the worker as serving, but is past its stale time
 	details *sourceView // the first that names the worker; else expired
 }
 
--- a/internal/discovery/membership/worker.go
+++ b/internal/discovery/membership/worker.go
@@ -34,7 +34,7 @@
 // a tombstone. Records are stored in the snapshot.
 type record struct {
 	Worker
-	Since         time.Time `json:"since"`              // start of the current state
+	Since         time.Time `json:"since"`              // start of the current State; a later StartedAt resets it
 	FirstNamed    time.Time `json:"named"`              // since when the source has named the worker without interruption
 	RetainedSince time.Time `json:"held_from,omitzero"` // since when a missing worker is retained; zero if it is not
 	InferredStart time.Time `json:"inferred,omitzero"`  // start inferred from the first appearance of the name or address
--- a/internal/discovery/srv/answer.go
+++ b/internal/discovery/srv/answer.go
@@ -114,7 +114,8 @@
 
 // readServices returns the SRV records of a set without duplicates, which some servers
 // send, or an error if there are more than limit. A single target "." means that the
-// service does not exist (RFC 2782).
+// service does not exist (RFC 2782). Records with port 0, or with the target "." beside
+// others, are skipped.
 func readServices(s rrset, limit int) ([]*dns.SRV, error) {
 	var out []*dns.SRV
 	seen := map[dns.SRV]bool{}
--- a/internal/discovery/srv/client.go
+++ b/internal/discovery/srv/client.go
@@ -19,12 +19,12 @@
 // Counters count events since the resolver was created.
 type Counters struct {
 	Questions, OverTCP                                            atomic.Int64
-	MismatchedID, MismatchedQuestion, MismatchedServer, Malformed atomic.Int64 // datagrams dropped
+	MismatchedID, MismatchedQuestion, MismatchedServer, Malformed atomic.Int64 // messages dropped
 	TimedOut, Refused, ServerFailed, BrokenChains                 atomic.Int64
 	Unresolved                                                    atomic.Int64 // targets left out: they have no address
 }
 
-// Dropped returns the number of datagrams that were not accepted as an answer.
+// Dropped returns the number of messages over UDP or TCP that were not accepted as an answer.
 func (c *Counters) Dropped() int64 {
 	return c.MismatchedID.Load() + c.MismatchedQuestion.Load() + c.MismatchedServer.Load() + c.Malformed.Load()
 }
@@ -45,7 +45,7 @@
 
 // client queries a list of name servers.
 type client struct {
-	timeout  time.Duration // of one query to one server, for UDP and for TCP each
+	timeout  time.Duration // of one query to one server: for UDP and the TCP connect together, and for the TCP exchange
 	counters *Counters
 
 	mu      sync.Mutex // guards the servers' health
--- a/internal/discovery/srv/srv_test.go
+++ b/internal/discovery/srv/srv_test.go
@@ -31,7 +31,8 @@
 `
 
 // zoneRecords are the records of zone, as formatted by recordLines.
-var zoneRecords = []string{"w1.shop.test 127.0.0.11:7001 0 10", "w2.shop.test 127.0.0.12:7002 0 30", "w3.shop.test [::1]:7003 5 0"}
+var zoneRecords = []string{"w1.shop.test 127.0.0.11:7001 0 10",
+	"w2.shop.test 127.0.0.12:7002 0 30", "w3.shop.test [::1]:7003 5 0"}
 
 func startServer(t *testing.T, zoneText string) *dnsserver.Server {
 	t.Helper()
@@ -47,8 +48,8 @@
 }
 
 func newResolver(servers ...*dnsserver.Server) *Resolver {
-	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, MinTTL: time.Second, MaxTTL: time.Hour, StaleTTL: time.Hour,
-		AddressTypes: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
+	cfg := Config{Service: service, Timeout: 250 * time.Millisecond, MinTTL: time.Second, MaxTTL: time.Hour,
+		StaleTTL: time.Hour, AddressTypes: []uint16{dns.TypeA, dns.TypeAAAA}, MaxRecords: 4096}
 	for _, s := range servers {
 		cfg.Servers = append(cfg.Servers, s.Addr)
 	}
@@ -113,7 +114,7 @@
 	silent.Behave(dnsserver.Always(dnsserver.Fault{Drop: true}))
 	failing.Behave(dnsserver.Always(dnsserver.Fault{Rcode: dns.RcodeServerFailure}))
 	r := newResolver(silent, failing, good)
-	// No jitter.
+	// Without jitter a server that failed stays unhealthy for 1 s, longer than the other queries take.
 	r.client.servers[0].retryDelay.RandomizationFactor, r.client.servers[1].retryDelay.RandomizationFactor = 0, 0
 	for range 3 {
 		if _, err := r.client.query(t.Context(), service, dns.TypeSRV); err != nil {
@@ -313,6 +314,7 @@
 	})
 }
 
+// No datagram makes the decoder panic. Only an answer to the query is accepted, and only glue of wanted names.
 func FuzzDecode(f *testing.F) {
 	q := newQuery(service, dns.TypeSRV, true)
 	q.Id = 7
