--- a/internal/control/statemachine/sessions.go
+++ b/internal/control/statemachine/sessions.go
@@ -49,7 +49,7 @@
 	}
 	for _, id := range f.sessionIDs() {
 		if f.Sessions[id].Node == command.Node {
-			defer f.closeSession(id) // once the new session is open, which can then take over the workers and jobs of this one
+			defer f.closeSession(id) // once the new session is open, so that it can take over from this one
 		}
 	}
 	f.LastSessionID++
