--- a/internal/control/configuration/json.go
+++ b/internal/control/configuration/json.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// consume skips white space, and reads the wanted byte if it comes next. It reports whether it does.
+// consume skips white space, and reads the wanted byte if it comes next. It reports whether it has read the byte.
 func (p *parser) consume(want byte) bool {
 	p.skipSpace()
 	next, exists := p.peek()
--- a/internal/control/configuration/section.go
+++ b/internal/control/configuration/section.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// section reads the members of one JSON object by key and type. A method that finds no usable value reports the problem
-// and returns the zero value, so that reading continues; only the first problem in the whole text is kept.
+// section reads the members of one JSON object by key and type. If a value is invalid, or missing though it is required, a
+// method reports the problem and reading continues; only the first problem in the whole text is kept.
 type section struct {
 	path    string // of the object in the text; "" for the root object
 	members object
@@ -56,7 +56,7 @@
 	return entries
 }
 
-// requiredString returns a string, and reports a problem if it is missing or empty.
+// requiredString returns a string, and reports a problem if it is missing, empty or not a string.
 func (s *section) requiredString(key string) string {
 	text, _ := s.members[key].(string)
 	if text == "" {
@@ -96,7 +96,7 @@
 	return s.optionalInteger(key)
 }
 
-// optional returns a member of type T, or the zero value if there is none. It reports a problem if its type is another one.
+// optional returns a member of type T, or the zero value if there is none. It reports a member of another type as a problem.
 func optional[T any](s *section, key, problem string) T {
 	var none T
 	member, exists := s.members[key]
--- a/internal/control/instances/absence.go
+++ b/internal/control/instances/absence.go
@@ -11,13 +11,14 @@
 
 // absenceCount is the number of consecutive readings that lack a worker.
 type absenceCount struct {
-	conclusive int // the first one, and those that list all entries of the reading before them
+	conclusive int // the first one, and each later one that lists all entries of the reading before it
 	all        int
 }
 
 // absenceTracker counts the readings of the platform's list that lack a worker. The pages of the list are read one after
 // the other. If entries are removed meanwhile, others move to a page that was read already, and seem to be missing. So
-// further absences of a worker are inconclusive in a reading that lacks any entry of the previous reading.
+// further absences of a worker are inconclusive in a reading that lacks any entry of the previous reading. The first absence
+// counts even then, since the missing entry may be the worker itself.
 type absenceTracker struct {
 	missing  map[string]absenceCount // by the worker's ID
 	previous map[string]bool         // IDs in the previous reading; nil if there was none
--- a/internal/control/instances/absence_test.go
+++ b/internal/control/instances/absence_test.go
@@ -60,7 +60,7 @@
 // worker that stays in the list counts as removed.
 func TestPagedReadingsRemoveNoListedWorker(t *testing.T) {
 	const page = 5
-	for removals := range 3 { // number of entries that are removed after the first page is read
+	for removals := range 3 { // number of entries of the first page that are removed after it was read
 		list := []string{}
 		for i := range 60 {
 			list = append(list, fmt.Sprint("w", i))
--- a/internal/control/instances/instances.go
+++ b/internal/control/instances/instances.go
@@ -94,7 +94,8 @@
 }
 
 // upToDate reports whether a worker's instance in the replicated state already equals the one in the list. A worker that has
-// begun to drain stays draining until it ends, so a list in which it does not drain is an outdated one.
+// begun to drain stays draining until it ends, so a list in which it does not drain is an outdated one. RemainingMs is not
+// compared, since it decreases with each reading.
 func upToDate(known, read *statemachine.Instance) bool {
 	return known.Service == read.Service && known.Address == read.Address && known.Zone == read.Zone &&
 		known.Capacity == read.Capacity && (known.Draining || !read.Draining) && slices.Equal(known.Labels, read.Labels)
--- a/internal/control/patch/patch.go
+++ b/internal/control/patch/patch.go
@@ -20,7 +20,7 @@
 	Size         int           `cbor:"3,keyasint"` // of the target, in bytes
 }
 
-// Instruction appends a copy of Length bytes of the base at Offset to the target, or the literal text if Length is 0.
+// Instruction appends to the target a copy of the Length bytes at Offset in the base, or the literal text if Length is 0.
 type Instruction struct {
 	Offset  int    `cbor:"1,keyasint,omitempty"` // bytes
 	Length  int    `cbor:"2,keyasint,omitempty"` // bytes
--- a/internal/control/protocol/golden_test.go
+++ b/internal/control/protocol/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestEncodingsOfMessagesDoNotChange checks that messages between processes of different versions keep their bytes. The
-// golden files were written at b99a1ea; fields that were added since are appended to them.
+// golden files were written at commit b99a1ea; fields that were added since are appended to them.
 func TestEncodingsOfMessagesDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "hello", encode[SessionRequest], decode[SessionRequest])
 	wiretest.AssertEncoding(t, "up", encode[DispatcherMessage], decode[DispatcherMessage])
--- a/internal/control/statemachine/clock.go
+++ b/internal/control/statemachine/clock.go
@@ -2,8 +2,8 @@
 
 import "yardflow/scheduling/job"
 
-// advanceClock counts one tick of the clock, and removes the sessions and jobs whose retention has expired. A tick that is
-// already counted, or that skips one, is a Conflict: it would shorten the retention that clients were promised.
+// advanceClock counts one tick of the clock, and removes the sessions and jobs whose retention time has expired. A tick that
+// is already counted, or that skips one, is a Conflict: it would shorten the retention time that clients were promised.
 func (f *FSM) advanceClock(command *AdvanceClock) Result {
 	if command.Tick != f.ClockTicks+1 {
 		return Result{Code: Conflict}
--- a/internal/control/statemachine/commands.go
+++ b/internal/control/statemachine/commands.go
@@ -6,8 +6,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// Command is one change or read of the replicated state; exactly one of its pointers is set. Dispatchers and the
-// control machine at the head of the chain make commands; the log keeps them until a snapshot includes them.
+// Command is one change or read of the replicated state; exactly one of its pointers is set. Dispatchers and
+// control machines make commands; the log keeps them until a snapshot includes them.
 //
 // A command that makes a request is named by a verb (SubmitJob, PlaceTasks), and a command that reports a fact by that fact
 // (RunEnded, WorkerEnded). Senders resend a command until they know its outcome, so applying a command twice must be
@@ -52,15 +52,16 @@
 	ExpectedLatest SessionID `cbor:"4,keyasint,omitempty"`
 }
 
-// CloseSession closes a session and gives its jobs and workers other owners. The dispatcher sends it when it shuts
-// down, and the head of the chain sends it once a session's heartbeats have stopped.
+// CloseSession closes a session and gives its jobs and workers other owners. A control machine sends it when the
+// dispatcher reports that it shuts down, and the head of the chain sends it once a session's heartbeats have stopped.
 type CloseSession struct {
 	Session SessionID `cbor:"1,keyasint"`
 }
 
-// InstancesChanged reports how the platform's instance list differs from the state. The session that is the
-// InstanceReader sends it. Tasks are placed only at listed workers, but the list does not prove that a worker has ended:
-// it lags, and for some seconds contains both a crashed worker and its successor.
+// InstancesChanged reports how the platform's instance list differs from the state. The dispatcher whose session is the
+// InstanceReader sends it, or the dispatcher's control machine on its behalf. Tasks are placed only at listed workers, but
+// the list does not prove that a worker has ended: it lags, and for some seconds contains both a crashed worker and its
+// successor.
 type InstancesChanged struct {
 	Reader  SessionID  `cbor:"1,keyasint"`
 	Changed []Instance `cbor:"2,keyasint,omitempty"` // new, or listed with other values
@@ -86,7 +87,7 @@
 	Job string `cbor:"1,keyasint"`
 }
 
-// Target is the worker at which one task is to be placed.
+// Target is a task and the worker at which it is to be placed.
 type Target struct {
 	Task   job.TaskKey `cbor:"1,keyasint"`
 	Worker string      `cbor:"2,keyasint"`
@@ -103,13 +104,13 @@
 	Targets []Target  `cbor:"3,keyasint"`
 }
 
-// JobsStarted reports jobs that have a task that has started at a worker. The owners of the workers send it.
+// JobsStarted reports jobs of which at least one task has started at a worker. The owners of the workers send it.
 type JobsStarted struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// StopRun requests the end of a run, and of the runs of its whole gang. Only the job's owner may send it, and places the
-// task again once the run has ended. Dispatchers of this version never send it on their own initiative.
+// StopRun requests the end of a run, and of the runs of its whole gang. Only the job's owner may send it. The owner places
+// the task again once the run has ended. Dispatchers of this version never send it on their own initiative.
 type StopRun struct {
 	Session SessionID   `cbor:"1,keyasint"`
 	Job     string      `cbor:"2,keyasint"`
@@ -138,7 +139,7 @@
 	Job string `cbor:"1,keyasint"`
 }
 
-// ReadQueue requests the number of jobs of a route that have no task that has started.
+// ReadQueue requests the number of pending jobs of a route (State.PendingByRoute).
 type ReadQueue struct {
 	Route string `cbor:"1,keyasint"` // host and path prefix
 }
--- a/internal/control/statemachine/fsm.go
+++ b/internal/control/statemachine/fsm.go
@@ -51,16 +51,16 @@
 	Sessions   map[SessionID]*Session `cbor:"8,keyasint"`  // open sessions
 	Workers    map[string]*Worker     `cbor:"9,keyasint"`  // by ID
 	Jobs       map[string]*job.Job    `cbor:"10,keyasint"` // by ID
-	// PendingByRoute is the number of jobs of a route that have no task that has started. A route without such jobs has
-	// no entry.
+	// PendingByRoute is the number of non-terminal jobs of a route of which no task has started yet. A route without such
+	// jobs has no entry.
 	PendingByRoute map[string]int `cbor:"11,keyasint"`
 	// ConfigDigests contains the SHA-256 digests of the latest configurations that were in force, by version, at most
 	// maxConfigDigests. ForgottenThrough is the highest version whose digest was dropped. (Key 3 had an earlier format.)
 	ConfigDigests    map[int64][]byte          `cbor:"12,keyasint"`
 	ForgottenThrough int64                     `cbor:"13,keyasint"`
 	LatestSessions   map[string]*LatestSession `cbor:"14,keyasint"` // by node
-	// LastReader and LastReport identify the newest accepted report of the platform's instance list: the session that
-	// sent the report, and the report's number among those of that session.
+	// LastReader and LastReport identify the newest accepted report of the platform's instance list: the session
+	// that was the InstanceReader, and the report's number among those of that session.
 	LastReader SessionID `cbor:"15,keyasint"`
 	LastReport uint64    `cbor:"16,keyasint"`
 }
--- a/internal/control/statemachine/golden_test.go
+++ b/internal/control/statemachine/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestEncodingsOfCommandsUpdatesAndSnapshotsDoNotChange checks the encodings that every control machine has on its disk:
-// commands are stored in logs, and the state in snapshots. The golden files were written at b99a1ea.
+// commands are stored in logs, and the state in snapshots. The golden files were written at commit b99a1ea.
 func TestEncodingsOfCommandsUpdatesAndSnapshotsDoNotChange(t *testing.T) {
 	wiretest.AssertEncoding(t, "command", encode[Command], decode[Command])
 	wiretest.AssertEncoding(t, "update", encode[Update], decode[Update])
--- a/internal/control/statemachine/jobs.go
+++ b/internal/control/statemachine/jobs.go
@@ -50,7 +50,7 @@
 	f.notify(j.Owner, Update{JobState: &JobStateUpdate{j.ID, state}})
 }
 
-// jobsStarted records that each of these jobs has a task that has started. It skips jobs that are no longer in the state.
+// jobsStarted records that a task of each of these jobs has started. It skips jobs that are no longer in the state.
 func (f *FSM) jobsStarted(command *JobsStarted) Result {
 	for _, id := range command.Jobs {
 		if j := f.Jobs[id]; j != nil {
@@ -72,7 +72,7 @@
 }
 
 // stopRun requests the end of a placed run, and of its whole gang. It returns Conflict if the session does not own the
-// job, or if another run of the task is placed, or none.
+// job, or if the run is not placed.
 func (f *FSM) stopRun(command *StopRun) Result {
 	j := f.Jobs[command.Job]
 	if j == nil || j.Owner != command.Session || !j.HasTask(command.Task) {
@@ -89,7 +89,7 @@
 	return Result{}
 }
 
-// stopTask requests the worker's owner to end the run of a task, if a run is placed that is not stopping yet. The run's
+// stopTask asks the worker's owner to end the run of a task, if a run is placed that is not stopping yet. The run's
 // capacity stays reserved until it has ended.
 func (f *FSM) stopTask(j *job.Job, key job.TaskKey) {
 	task := j.Tasks[key]
--- a/internal/control/statemachine/notices.go
+++ b/internal/control/statemachine/notices.go
@@ -13,7 +13,7 @@
 	NoticeWorkerRemoved                    // an unlisted worker without runs was removed
 	NoticeRunLost                          // a run was declared ended though its worker did not report the end
 	NoticeFailureCounted                   // a failed run was counted as an attempt
-	NoticeEndIgnored                       // the end of a run that is no longer placed was ignored
+	NoticeEndIgnored                       // the end of a run that is not placed was ignored
 )
 
 // noticeMessages are log messages that operators search for; docs/OPERATING.md lists them.
@@ -39,7 +39,7 @@
 	Task      string // wire name
 	Run       uint64
 	EndReason taskrun.EndReason
-	Reader    SessionID // session that sent the newest report of the platform's list
+	Reader    SessionID // InstanceReader that made the newest report of the platform's list
 	Report    uint64    // sequence number of that report
 	Runs      int       // runs that were placed at the worker
 	Attempts  int       // failed runs counted so far
--- a/internal/control/statemachine/replicas_test.go
+++ b/internal/control/statemachine/replicas_test.go
@@ -11,7 +11,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
-// TestReplicasAgree applies random commands to two replicas, one of which is restored from a snapshot midway.
+// TestReplicasAgree applies random commands to two replicas, one of which is restored from a snapshot midway. It checks
+// that results, updates and jobs are the same, and that the used capacity of each worker is correct.
 func TestReplicasAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
--- a/internal/control/statemachine/run_ends_test.go
+++ b/internal/control/statemachine/run_ends_test.go
@@ -7,6 +7,8 @@
 	"yardflow/scheduling/taskrun"
 )
 
+// TestFailedRunsAreCounted checks that a job fails after the last of its two attempts, that a lost run does not count as an
+// attempt, and that a failed run counts once even if its end is reported twice.
 func TestFailedRunsAreCounted(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
@@ -120,9 +122,9 @@
 	}
 }
 
-// TestEndOfARunAtARemovedWorkerCounts checks that a success that is reported after the worker was unlisted completes the
+// TestEndOfARunAtAnUnlistedWorkerCounts checks that a success that is reported after the worker was unlisted completes the
 // task.
-func TestEndOfARunAtARemovedWorkerCounts(t *testing.T) {
+func TestEndOfARunAtAnUnlistedWorkerCounts(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	c.submit(jobA, job.Step{Count: 1, CPU: 1})
 	c.place(jobA, OK, Target{Task: taskKey(0, 0), Worker: "w1"})
--- a/internal/control/statemachine/workers.go
+++ b/internal/control/statemachine/workers.go
@@ -86,7 +86,8 @@
 	return Result{}
 }
 
-// updateInstance applies the list's entry of one worker. It changes no other worker at the same address, which may have
+// updateInstance applies the list's entry of one worker. For a worker that is in the state already, it applies only the
+// capacity, the labels, the drain and the remaining time. It changes no other worker at the same address, which may have
 // ended and still be listed, or be the successor. A draining worker stays draining until it ends.
 func (f *FSM) updateInstance(instance Instance) {
 	worker := f.Workers[instance.ID]
@@ -153,7 +154,7 @@
 	return Result{}
 }
 
-// addUsage adds an amount to the used capacity of a worker; it is negative if a run has ended.
+// addUsage adds an amount to the used capacity of a worker. The amount is negative if a run has ended.
 func (f *FSM) addUsage(worker *Worker, amount job.Resources) {
 	worker.Used = worker.Used.Plus(amount)
 	f.notifyAll(Update{Usage: &UsageUpdate{worker.ID, worker.Used}})
