--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -54,9 +54,9 @@
 	{"avoid-last", "a task may go back at once to the worker at which it failed", []edit{
 		{unitFile, "func (u *Unit) AvoidWorker(worker string) { u.avoid = worker }", "func (u *Unit) AvoidWorker(string) { u.avoid = \"\" }"}}},
 	{"thinning", "every figure of a worker's use is told", []edit{
-		{"internal/control/server/outbox.go", "if former, waits := o.newestUsage[added.worker]; waits {", "if former, waits := o.newestUsage[added.worker]; waits && former == 0 && o.firstPosition > former {"}}},
+		{"internal/control/server/outbox.go", "if older, isQueued := o.newestUsage[added.worker]; isQueued {", "if older, isQueued := o.newestUsage[added.worker]; isQueued && older == 0 && o.firstPosition > older {"}}},
 	{"writers", "every member of the chain has to sync before a commit", []edit{
-		{"coordination/view/view.go", "func replicationFactor(minimum, electors int) int { return max(minimum, electors-electors/2) }", "func replicationFactor(int, int) int { return 0 }"}}},
+		{"coordination/view/view.go", "func replicationFactor(minMembers, electors int) int { return max(minMembers, electors-electors/2) }", "func replicationFactor(int, int) int { return 0 }"}}},
 	{"expected-jobs", "a job is decided upon once the control machines have told of it", []edit{
 		{"internal/dispatcher/clients.go", "\t\td.addProvisionalJob(d.now(), submitted)\n", ""}}},
 	{"short-logs", "a snapshot comes by the ring's room alone", []edit{
