--- a/internal/control/server/catchup.go
+++ b/internal/control/server/catchup.go
@@ -29,8 +29,8 @@
 // done records that a response has arrived.
 func (l *catchUpLimit) done() { l.inFlight = false }
 
-// requestCatchUp asks a member for the entries that this replica lacks, if the replica is outside the chain and no
-// request is in flight.
+// requestCatchUp asks a member for the entries that this replica lacks, if this machine is outside the chain of the view
+// in force and no request is in flight.
 func (s *Server) requestCatchUp(member view.MemberID) {
 	request, outside := s.replica.NextCatchUpRequest()
 	if !outside || s.membership.view().Epoch == 0 || s.membership.hasRestartedInView() || !s.catchUp.tryStart(s.now()) {
--- a/internal/control/server/commands.go
+++ b/internal/control/server/commands.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// submitFor proposes a dispatcher's command. The command is dropped when the dispatcher's connection ends: the dispatcher
-// submits the command again over another connection.
+// submitFor proposes a command of a dispatcher or, if issuer is nil, of this machine or an operator. The command of a
+// dispatcher is dropped when the dispatcher's connection ends: the dispatcher submits it again over another connection.
 func (t *commandTable) submitFor(issuer *dispatcher, command *statemachine.Command, encoded []byte,
 	onResult func(statemachine.Result)) error {
 	if length := int64(len(encoded)); length > t.maxBytes {
@@ -111,8 +111,8 @@
 	t.proposals = append(t.proposals, proposal)
 }
 
-// repropose proposes the commands again that were proposed at least minAge ago and have no outcome, in the order of
-// submission.
+// repropose proposes again, in the order of submission, the commands without an outcome that were last proposed at least
+// minAge ago.
 func (t *commandTable) repropose(minAge time.Duration) {
 	for _, tag := range slices.Sorted(maps.Keys(t.pending)) {
 		if command := t.pending[tag]; t.now()-command.proposedAt >= minAge {
--- a/internal/control/server/commands_test.go
+++ b/internal/control/server/commands_test.go
@@ -47,6 +47,8 @@
 	}
 }
 
+// TestCommandsOfADisconnectedDispatcherAreForgotten checks that the pending commands of a disconnected dispatcher, which
+// submits them again over its next connection, are dropped, and that another dispatcher's command stays.
 func TestCommandsOfADisconnectedDispatcherAreForgotten(t *testing.T) {
 	s := newIdleServer(t)
 	disconnected, other := &dispatcher{}, &dispatcher{}
@@ -97,7 +99,7 @@
 		t.Cleanup(server.disk.close)
 		return server
 	}
-	// formerCompletes reports whether the answer to the former incarnation's read completes the read of the present one.
+	// formerCompletes reports whether the answer to the previous incarnation's read completes the read of the present one.
 	formerCompletes := func(sameTags bool) bool {
 		former := newIncarnation()
 		first := former.commands.lastTag
@@ -116,7 +118,7 @@
 		return completed
 	}
 	if formerCompletes(false) {
-		t.Error("the answer for a former incarnation completes a command of the present one")
+		t.Error("the answer for the previous incarnation completes a command of the present one")
 	}
 	if !formerCompletes(true) {
 		t.Error("the answer completes no command although both incarnations use the same tags")
--- a/internal/control/server/disk_golden_test.go
+++ b/internal/control/server/disk_golden_test.go
@@ -22,8 +22,9 @@
 	"yardflow/internal/testing/emulator"
 )
 
-// unpackDisk unpacks the disk of a control machine that b99a1ea wrote in a soak test, and returns its folder: metadata, a
-// snapshot and the log since then, with 1,237 jobs, 10 sessions, 40 workers and 178 versions of the configuration.
+// unpackDisk unpacks the disk of a control machine, written at commit b99a1ea in a soak test, and returns its folder. The
+// disk holds metadata, a snapshot and the log since then, with 1,237 jobs, 10 sessions, 40 workers and 178 versions of the
+// configuration.
 func unpackDisk(t *testing.T) string {
 	t.Helper()
 	packed, err := os.Open("testdata/disk.tar.gz")
@@ -58,9 +59,9 @@
 	}
 }
 
-// TestDiskOfAnEarlierVersionIsRead compares the answers on a disk that b99a1ea wrote with the answers of b99a1ea itself,
-// which the golden files hold: the disk is read to the same figures, and the field and metric names that operators'
-// scripts read are unchanged.
+// TestDiskOfAnEarlierVersionIsRead compares the status and the metrics of a process that starts on a disk written at commit
+// b99a1ea with the golden files, which hold the answers of that commit itself. A difference means that the disk is
+// misread, or that a field or metric name that operators' scripts read has changed.
 func TestDiskOfAnEarlierVersionIsRead(t *testing.T) {
 	folder := unpackDisk(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestFieldsOfTheStatusDoNotChange compares the fields of the status, which operators' dashboards read, with the golden
-// file written at b99a1ea.
+// file written at commit b99a1ea.
 func TestFieldsOfTheStatusDoNotChange(t *testing.T) {
 	var status Status
 	wiretest.Fill(&status)
--- a/internal/control/server/heartbeat.go
+++ b/internal/control/server/heartbeat.go
@@ -11,7 +11,7 @@
 
 // Limits of repeated heartbeats.
 const (
-	// heartbeatOverdue is the age of the engine's last heartbeat from which it is repeated on the engine's behalf.
+	// heartbeatOverdue is the age at which the engine's last heartbeat is repeated on the engine's behalf.
 	heartbeatOverdue = tickInterval * 3 / 2
 	// maxHeartbeatAge is how long a heartbeat is repeated without the engine: longer than it takes to apply the log after
 	// a catch-up, and short enough that a stuck engine is detected as failed.
@@ -56,7 +56,8 @@
 	}
 }
 
-// repeatIfOverdue sends the last heartbeat again if the next one is overdue, and reports whether it did.
+// repeatIfOverdue sends the last heartbeat again if the next one is overdue and the last one is not older than
+// maxHeartbeatAge. It reports whether it did.
 func (r *heartbeatRepeater) repeatIfOverdue(now time.Duration) bool {
 	last := r.last.Load()
 	if last == nil || now-last.sentAt < heartbeatOverdue || now-last.sentAt > maxHeartbeatAge {
--- a/internal/control/server/instancelist.go
+++ b/internal/control/server/instancelist.go
@@ -21,7 +21,7 @@
 
 // instanceListReader reads the platform's instance list on behalf of the dispatcher that has the duty to read it, while
 // that dispatcher is connected to this machine. Over a dispatcher's link, which also carries the traffic of its clients,
-// a whole list takes seconds, but all dispatchers must know that a worker drains within Bounds.DrainMs.
+// a whole list takes seconds, but within Bounds.DrainMs all dispatchers must know that a worker drains.
 //
 // The session of the dispatcher fences the readings: a report in its name has no effect once another session has the
 // duty. The reader belongs to the engine; each reading runs in a goroutine of its own, at most one at a time.
@@ -121,9 +121,9 @@
 	}
 }
 
-// reportInstances proposes the differences between a reading and the state. The report gets the number after the newest
-// report of the same session in the state, from whichever machine. If two machines report under the same number, one
-// report is ignored, and the next reading reports its changes.
+// reportInstances proposes the differences between a reading and the state. The report gets the number after that of
+// the newest report of the same session in the state, whichever machine sent that one. If two machines report under the
+// same number, one report is ignored, and the next reading reports its changes.
 func (s *Server) reportInstances(reading *instances.Reading) {
 	r, fsm := s.instanceList, s.state.fsm
 	if r.isReporting && s.now()-r.reportedAt < reportTimeout {
--- a/internal/control/server/instancelist_test.go
+++ b/internal/control/server/instancelist_test.go
@@ -315,8 +315,8 @@
 	expectDuties(t, "after a successful reading", tickUntilDutySent(t, s, next, remote, 12), protocol.ControlReads)
 }
 
-// TestReportNumberFollowsTheNewestReportOfTheSession checks that a report is numbered after the newest report of the same
-// session, from whichever process, since the state ignores reports with lower numbers.
+// TestReportNumberFollowsTheNewestReportOfTheSession checks that a report gets the number after that of the newest report
+// of the same session, whichever process sent that one, since the state ignores a report whose number is not higher.
 func TestReportNumberFollowsTheNewestReportOfTheSession(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/control/server/membership_test.go
+++ b/internal/control/server/membership_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestDispatchersWaitForTheFirstView checks that dispatchers wait for the first view at a machine of the initial start,
-// but not at a machine with an empty disk that joins a running system.
+// TestDispatchersWaitForTheFirstView checks that dispatchers wait for the first view at a machine of the system's
+// first start, but not at a machine with an empty disk that joins a running system.
 func TestDispatchersWaitForTheFirstView(t *testing.T) {
 	s := newIdleServer(t)
 	if !s.membership.isOutsideChain() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestExclusionReason checks that a reason is logged for each member that a view excludes.
+// TestExclusionReason checks the reason, for the log, why a view excludes a member. There is one for every exclusion.
 func TestExclusionReason(t *testing.T) {
 	member := view.Member{ID: 1, Address: "core-other:1"}
 	newcomer := view.Member{ID: 9, Address: member.Address}
--- a/internal/control/server/operator_config.go
+++ b/internal/control/server/operator_config.go
@@ -68,7 +68,7 @@
 	body        []byte
 }
 
-// badRequest is the response to an invalid operator's request.
+// badRequest is the response to an operator's invalid request.
 type badRequest struct {
 	status int
 	text   string
--- a/internal/control/server/operator_status.go
+++ b/internal/control/server/operator_status.go
@@ -30,7 +30,7 @@
 	UnfinishedJobs       int   `json:"Open"`
 	DiskStalledMs        int64 `json:"StalledMs"`  // duration of the batch of disk writes in progress
 	ConnectedDispatchers int   `json:"Dispatched"` // dispatchers connected here
-	DispatchersBehind    int   `json:"Behind"`     // of these, without acknowledgement of the configuration in force
+	DispatchersBehind    int   `json:"Behind"`     // of these, dispatchers that have not acknowledged ConfigVersion
 
 	LogDiverged bool `json:"Diverged,omitempty"` // whether another member's log contradicts an entry committed here
 }
--- a/internal/control/server/outbox.go
+++ b/internal/control/server/outbox.go
@@ -19,7 +19,7 @@
 	// maxBacklogBytes is the size of the backlog beyond which the connection is closed: the dispatcher attaches again,
 	// and a snapshot replaces the backlog.
 	maxBacklogBytes = 32 << 20
-	// outcomeOverheadBytes is the encoded size of an outcome without its body.
+	// outcomeOverheadBytes is the approximate encoded size of an outcome without its body.
 	outcomeOverheadBytes = 24
 )
 
--- a/internal/control/server/outbox_test.go
+++ b/internal/control/server/outbox_test.go
@@ -178,8 +178,9 @@
 	}
 }
 
-// TestDrainingWorkerOvertakesTheBacklog guards against a violation of DRAIN: the notice that a worker drains waited
-// behind thousands of other updates for the link of the worker's owner, which continued to dispatch to the worker.
+// TestDrainingWorkerOvertakesTheBacklog guards against a violation of the emulator's rule DRAIN: the notice that a
+// worker drains waited behind thousands of other updates for the link of the worker's owner, which continued to dispatch
+// to the worker.
 func TestDrainingWorkerOvertakesTheBacklog(t *testing.T) {
 	const burst, size = 2000, 500
 	o := outbox{acknowledges: true}
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -94,8 +94,8 @@
 	p.server.do(func() { p.connectionEnded(other, conn) })
 }
 
-// waitUntilClosed returns once a connection has ended, which makes the read fail. The peer sends nothing on this
-// connection.
+// waitUntilClosed returns once a read of a connection fails: the connection has ended, or idleReadTimeout has passed. The
+// peer sends nothing on this connection.
 func waitUntilClosed(conn *frame.Conn) {
 	for {
 		if _, err := conn.Receive(idleReadTimeout); err != nil {
--- a/internal/control/server/process_test.go
+++ b/internal/control/server/process_test.go
@@ -44,7 +44,8 @@
 		time.Sleep(5 * time.Second)
 		if code, status := get(t, process, "/-/status"); code != http.StatusOK ||
 			!strings.Contains(status.StartupBlockedBy, "no space") {
-			t.Errorf("the status is answered %d, startup blocked by %q", code, status.StartupBlockedBy)
+			t.Errorf("with a full disk the status is answered %d, startup blocked by %q; want 200 and the disk's error",
+				code, status.StartupBlockedBy)
 		}
 		if code, _ := get(t, process, "/-/config"); code != http.StatusServiceUnavailable {
 			t.Errorf("a read of the configuration is answered %d, want 503", code)
@@ -52,7 +53,8 @@
 		disk.Fill(false)
 		time.Sleep(time.Second)
 		if code, status := get(t, process, "/-/status"); code != http.StatusOK || status.StartupBlockedBy != "" {
-			t.Errorf("the status is answered %d, startup blocked by %q", code, status.StartupBlockedBy)
+			t.Errorf("with space on the disk the status is answered %d, startup blocked by %q; want 200 and nothing",
+				code, status.StartupBlockedBy)
 		}
 		close(stop)
 		if err := <-ended; err != nil {
--- a/internal/control/server/replication.go
+++ b/internal/control/server/replication.go
@@ -9,7 +9,7 @@
 )
 
 // flushConsensus executes the actions that the view agreement has requested, and reports whether there were any. As in
-// Paxos, messages are sent only once the hard state that they promise is on disk.
+// Paxos, messages are sent only once the hard state that contains their promises is on disk.
 func (s *Server) flushConsensus() bool {
 	ready := s.membership.consensus.Ready()
 	if ready.HardState == nil && len(ready.Messages) == 0 {
--- a/internal/control/server/replication_test.go
+++ b/internal/control/server/replication_test.go
@@ -11,8 +11,8 @@
 	"yardflow/coordination/chain"
 )
 
-// TestDivergedMemberIsUnhealthy checks that a member whose committed log is contradicted reports itself as unhealthy,
-// does not serve, and logs the divergence once.
+// TestDivergedMemberIsUnhealthy checks that a member whose committed log another member's log contradicts reports
+// itself as unhealthy, does not serve, and logs the divergence once.
 func TestDivergedMemberIsUnhealthy(t *testing.T) {
 	s := newIdleServer(t)
 	logs := bytes.Buffer{}
--- a/internal/control/server/sessions_test.go
+++ b/internal/control/server/sessions_test.go
@@ -49,7 +49,7 @@
 		tick(tickInterval)
 	}
 	m.recordConnected(now, []statemachine.SessionID{session})
-	tick(sessionTimeout + tickInterval)
+	tick(sessionTimeout + tickInterval) // the engine was paused
 	if m.isExpired(session, now, 0) {
 		t.Error("session expired right after the engine was paused")
 	}
@@ -90,7 +90,7 @@
 }
 
 // TestDispatchersAreDisconnectedWhenNoSessionIsOpen checks that the connections of dispatchers are closed when the last
-// session has ended, so that they open new sessions: an update with an empty list of sessions does not reach them.
+// session has ended, so that they open new sessions: an update does not encode an empty list of sessions.
 func TestDispatchersAreDisconnectedWhenNoSessionIsOpen(t *testing.T) {
 	s := newIdleServer(t)
 	attach := func(session statemachine.SessionID) *dispatcher {
--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -64,5 +64,5 @@
 	s.disk.enqueue(diskWrite{replacesLog: true,
 		snapshot:  &segment.Snapshot{Index: index, Epoch: snapshot.IndexEpoch, Data: snapshot.Data},
 		onDurable: func() { s.replica.SnapshotPersisted(index) }})
-	s.disconnectDispatchers() // their state may be older than the snapshot; they get a current one when they reconnect
+	s.disconnectDispatchers() // their state may be older than the snapshot; after reconnecting they get the current state
 }
--- a/internal/control/server/snapshots_test.go
+++ b/internal/control/server/snapshots_test.go
@@ -14,12 +14,12 @@
 		log, snapshot, segments int
 		due                     bool
 	}{
-		"a short log": {minLogBytes - 1, 0, manySegments, false},
-		"a long log":  {minLogBytes + 1, 0, manySegments, true},
-		"a log that is short relative to the snapshot": {2 * minLogBytes, minLogBytes, manySegments, false},
-		"a log that is long relative to the snapshot":  {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
-		"a short log with a full ring":                 {0, 0, minFreeSegments, true},
-		"a short log with space in the ring":           {0, 0, minFreeSegments + 1, false},
+		"a short log":                          {minLogBytes - 1, 0, manySegments, false},
+		"a long log":                           {minLogBytes + 1, 0, manySegments, true},
+		"a log short relative to the snapshot": {2 * minLogBytes, minLogBytes, manySegments, false},
+		"a log long relative to the snapshot":  {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
+		"a short log with a full ring":         {0, 0, minFreeSegments, true},
+		"a short log with space in the ring":   {0, 0, minFreeSegments + 1, false},
 	} {
 		s := &snapshots{logBytes: c.log, newestBytes: c.snapshot, freeSegments: c.segments}
 		if got := s.isDue(); got != c.due {
