--- a/internal/control/server/snapshots_test.go
+++ b/internal/control/server/snapshots_test.go
@@ -16,8 +16,8 @@
 	}{
 		"a short log":                          {minLogBytes - 1, 0, manySegments, false},
 		"a long log":                           {minLogBytes + 1, 0, manySegments, true},
-		"a log short relative to the snapshot": {2 * minLogBytes, minLogBytes, manySegments, false},
-		"a log long relative to the snapshot":  {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
+		"a log that is short for its snapshot": {2 * minLogBytes, minLogBytes, manySegments, false},
+		"a log that is long for its snapshot":  {logToSnapshotRatio*minLogBytes + 1, minLogBytes, manySegments, true},
 		"a short log with a full ring":         {0, 0, minFreeSegments, true},
 		"a short log with space in the ring":   {0, 0, minFreeSegments + 1, false},
 	} {
